--- a/redwingvalve/node/place_messages.py
+++ b/redwingvalve/node/allocation_transport.py
@@ -12,8 +12,9 @@
 from redwingvalve.allocation import reserver as reserver_module
 from redwingvalve.ingress import placing
 from redwingvalve.ingress import state as state_module
-from redwingvalve.node import fronts, telling
+from redwingvalve.node import front_selection
 from redwingvalve.node import peers as peers_module
+from redwingvalve.node import status_exchange as status_exchange_module
 from redwingvalve.observability import logs
 
 LOG = logs.make_logger('places')
@@ -25,7 +26,7 @@
 
 
 @attrs.define(eq=False)
-class PlaceMessages(reserver_module.Transport):
+class AllocationTransport(reserver_module.Transport):
     """This node's part in granting places."""
 
     peers: peers_module.Peers
@@ -99,16 +100,17 @@
         return picked
 
 
-def make_places(
-    state: state_module.IngressState, teller: telling.Teller
-) -> PlaceMessages:
+def make_allocation(
+    state: state_module.IngressState,
+    status_exchange: status_exchange_module.StatusExchange,
+) -> AllocationTransport:
     """Return a node's part in granting places, known to its other parts."""
-    peers = teller.peers
+    peers = status_exchange.peers
 
     allocator = allocator_module.Allocator(
         _PoolTargets(state.targets).of, time.monotonic
     )
-    made = PlaceMessages(peers, allocator)
+    made = AllocationTransport(peers, allocator)
     made.reserver = reserver_module.NodeReserver(
         data_centre=peers.own.data_centre,
         targets=state.targets,
@@ -120,16 +122,16 @@
     )
     peers.on_tagged = made.received
     state.reserver = made.reserver
-    state.in_use = teller.usage.of
+    state.in_use = status_exchange.usage.of
     state.waiting = allocator.waiting
-    teller.own_usage = allocator.usage
-    teller.on_node_lost = allocator.node_lost
+    status_exchange.own_usage = allocator.usage
+    status_exchange.on_node_lost = allocator.node_lost
     return made
 
 
 def _candidates(peers: peers_module.Peers) -> list[owners.Candidate]:
     own = owners.Candidate(peers.own.vm, peers.own.data_centre)
-    return [own, *map(_candidate, fronts.usable(peers))]
+    return [own, *map(_candidate, front_selection.usable(peers))]
 
 
 def _candidate(peer: peers_module.Peer) -> owners.Candidate:
--- a/redwingvalve/node/configuration_watch.py
+++ b/redwingvalve/node/configuration_watch.py
@@ -5,7 +5,7 @@
 
 from redwingvalve.ingress import routes
 from redwingvalve.ingress import state as state_module
-from redwingvalve.node import following
+from redwingvalve.node import watch_handler
 from redwingvalve.observability import logs
 from redwingvalve.platform import configuration as configuration_module
 from redwingvalve.platform import names, store
@@ -14,7 +14,7 @@
 Taker: typing.TypeAlias = collections_abc.Callable[[routes.Configuration], None]
 
 
-class ConfigurationFollower(following.Follower):
+class ConfigurationFollower(watch_handler.WatchHandler):
     """Takes configurations, never an older one than is in force."""
 
     def __init__(self, state: state_module.IngressState, taker: Taker) -> None:
--- a/redwingvalve/node/control_loop.py
+++ b/redwingvalve/node/control_loop.py
@@ -11,8 +11,9 @@
 from redwingvalve.ingress import routes
 from redwingvalve.ingress import state as state_module
 from redwingvalve.node import controller as controller_module
-from redwingvalve.node import inspecting, telling, watching
+from redwingvalve.node import inspecting, kind_watch
 from redwingvalve.node import lease as lease_module
+from redwingvalve.node import status_exchange as status_exchange_module
 from redwingvalve.platform import endpoint_orders
 
 # Between two looks of a node that may give no orders: it only follows the
@@ -30,8 +31,8 @@
     client: endpoint_orders.EndpointClient
     inspector: inspecting.Inspector
     lease: lease_module.Lease
-    teller: telling.Teller
-    endpoint_watch: watching.KindWatch
+    status_exchange: status_exchange_module.StatusExchange
+    endpoint_watch: kind_watch.KindWatch
     controllers: dict[str, controller_module.Controller] = attrs.field(
         factory=dict
     )
@@ -81,7 +82,7 @@
             self.controllers[service.name] = control
         control.configure(engine)
         control.term = self.lease.term
-        control.has_served = self.teller.fleet_has_served
+        control.has_served = self.status_exchange.fleet_has_served
         if self._may_order():
             control.look(engine)
 
--- a/redwingvalve/node/daemon.py
+++ b/redwingvalve/node/daemon.py
@@ -19,25 +19,25 @@
     state as state_module,
 )
 from redwingvalve.node import (
+    allocation_transport,
     configuration_watch,
     control_loop,
     early_sockets,
     front,
     gauges,
     inspecting,
-    listening,
+    kind_watch,
     log_telling,
     loss_watch,
-    place_messages,
-    sources,
     supervision,
-    telling,
-    watching,
+    watch_sources,
 )
 from redwingvalve.node import hubs as hubs_module
 from redwingvalve.node import lease as lease_module
-from redwingvalve.node import meeting as meeting_module
+from redwingvalve.node import listeners as listeners_module
+from redwingvalve.node import peer_discovery as peer_discovery_module
 from redwingvalve.node import peers as peers_module
+from redwingvalve.node import status_exchange as status_exchange_module
 from redwingvalve.observability import bounded_logs, logs, node_metrics
 from redwingvalve.platform import (
     endpoint_orders,
@@ -77,21 +77,21 @@
     losses: loss_watch.LossWatch
     lease: lease_module.Lease
     front: front.FrontApplication
-    listeners: listening.Listeners
+    listeners: listeners_module.Listeners
     json_client: store.JsonClient
-    teller: telling.Teller
-    meeting: meeting_module.Meeting
-    places: place_messages.PlaceMessages
+    status_exchange: status_exchange_module.StatusExchange
+    peer_discovery: peer_discovery_module.PeerDiscovery
+    allocation: allocation_transport.AllocationTransport
     gauges: gauges.NodeGauges
-    watches: list[watching.KindWatch] = attrs.field(init=False)
+    watches: list[kind_watch.KindWatch] = attrs.field(init=False)
     control: control_loop.ControlLoop = attrs.field(init=False)
-    front_listener: listening.Listener | None = None
+    front_listener: listeners_module.Listener | None = None
     log_handler: bounded_logs.BoundedHandler | None = None
 
     @property
     def peers(self) -> peers_module.Peers:
         """Return the other nodes."""
-        return self.teller.peers
+        return self.status_exchange.peers
 
     @property
     def is_listening(self) -> bool:
@@ -99,7 +99,7 @@
         return self.front_listener is not None
 
     @property
-    def endpoint_watch(self) -> watching.KindWatch:
+    def endpoint_watch(self) -> kind_watch.KindWatch:
         """Return the watch that tells of endpoints."""
         return next(
             watch for watch in self.watches if watch.kind == names.ENDPOINT_KIND
@@ -108,7 +108,7 @@
     async def run(self, stop: anyio.Event) -> None:
         """Run until stop is set, and then until all requests have ended."""
         self.table.on_sound = self.state.silence.found_sound
-        self.table.on_rebuilt = self.places.allocator.look
+        self.table.on_rebuilt = self.allocation.allocator.look
         self.table.on_doubt = self.losses.doubt
         self.table.on_told_sound = self.losses.told_sound
         self.watches = self._make_watches()
@@ -139,10 +139,10 @@
             self.state, self.peers, self.settings.bounds.directory_ttl_max_s
         )
         await peers_module.open_datagrams(self.peers)
-        mirrors = {watch.kind: watch.mirror for watch in self.watches}
+        caches = {watch.kind: watch.cache for watch in self.watches}
         ip = self.settings.ip
         await self.listeners.serve(
-            sources.RelayApplication(mirrors),
+            watch_sources.WatchRelayApplication(caches),
             settings.SocketAddress(ip, self.settings.peer_port),
         )
         addresses = {
@@ -170,7 +170,11 @@
 
     def _knows_enough(self) -> bool:
         has_routes = self.state.configuration is not None
-        return has_routes and self.registry.is_known and self.meeting.has_met
+        return (
+            has_routes
+            and self.registry.is_known
+            and self.peer_discovery.is_complete
+        )
 
     def _close(self) -> None:
         self.peers.close()
@@ -179,22 +183,22 @@
     def _loops(self) -> list[supervision.Loop]:
         return [
             *(watch.run for watch in self.watches),
-            self.meeting.run,
-            self.teller.run,
-            self.places.run,
-            self.places.reserver.run,
+            self.peer_discovery.run,
+            self.status_exchange.run,
+            self.allocation.run,
+            self.allocation.reserver.run,
             self.losses.run,
             self._hold_lease,
             self.gauges.run,
             functools.partial(log_telling.run, self.log_handler),
         ]
 
-    def _make_watches(self) -> list[watching.KindWatch]:
-        chooser = sources.Sources(
+    def _make_watches(self) -> list[kind_watch.KindWatch]:
+        selector = watch_sources.SourceSelector(
             self.client,
             self.json_client,
             self.peers,
-            self.teller.hubs,
+            self.status_exchange.hubs,
             self.lease.is_held,
             self._known_within_s(),
         )
@@ -202,13 +206,13 @@
             self.state, self._configure
         )
         return [
-            watching.KindWatch(
-                names.CONFIGURATION_KIND, configurations, chooser.now
+            kind_watch.KindWatch(
+                names.CONFIGURATION_KIND, configurations, selector.now
             ),
-            watching.KindWatch(
+            kind_watch.KindWatch(
                 names.ENDPOINT_KIND,
                 self.registry,
-                chooser.now,
+                selector.now,
                 self._endpoint_pause_s,
             ),
         ]
@@ -228,7 +232,7 @@
             client=self.endpoint_client,
             inspector=self.inspector,
             lease=self.lease,
-            teller=self.teller,
+            status_exchange=self.status_exchange,
             endpoint_watch=self.endpoint_watch,
         )
 
@@ -258,9 +262,9 @@
         LOG.info('stopping', extra={'running': len(self.front.running)})
         began_s = time.monotonic()
         self.state.is_leaving = True
-        self.teller.say_now()
+        self.status_exchange.say_now()
         await self.lease.release()
-        self.teller.say_now()
+        self.status_exchange.say_now()
         until_s = began_s + self.settings.bounds.grace_s - STOP_MARGIN_S
         while time.monotonic() < until_s:
             stopped_s = time.monotonic() - began_s
@@ -269,7 +273,7 @@
             if stopped_s > STOP_EXIT_S and not self.front.running:
                 break
             await anyio.sleep(0.1)
-        await self.meeting.leave()
+        await self.peer_discovery.leave()
 
 
 def make_node(
@@ -289,7 +293,7 @@
     inspector = inspecting.Inspector(endpoint_client)
     lease = lease_module.Lease(node_settings.vm, client)
     application = front.FrontApplication(state)
-    teller = telling.Teller(
+    status_exchange = status_exchange_module.StatusExchange(
         _own_address(node_settings), state, registry, table, lease, application
     )
     return Node(
@@ -303,11 +307,13 @@
         losses=loss_watch.LossWatch(state, table, inspector, lease),
         lease=lease,
         front=application,
-        teller=teller,
-        meeting=meeting_module.Meeting(client, teller.peers),
-        places=place_messages.make_places(state, teller),
-        gauges=gauges.NodeGauges(state, table, lease, teller.peers),
-        listeners=listening.Listeners(early or {}),
+        status_exchange=status_exchange,
+        peer_discovery=peer_discovery_module.PeerDiscovery(
+            client, status_exchange.peers
+        ),
+        allocation=allocation_transport.make_allocation(state, status_exchange),
+        gauges=gauges.NodeGauges(state, table, lease, status_exchange.peers),
+        listeners=listeners_module.Listeners(early or {}),
         json_client=json_client,
     )
 
--- a/redwingvalve/node/front.py
+++ b/redwingvalve/node/front.py
@@ -6,7 +6,7 @@
 from redwingvalve.http1 import messages, reading, server
 from redwingvalve.ingress import relay, routes
 from redwingvalve.ingress import state as state_module
-from redwingvalve.node import fronts
+from redwingvalve.node import front_selection
 from redwingvalve.node import peers as peers_module
 from redwingvalve.observability import logs, node_metrics
 from redwingvalve.platform import caller_requests, names
@@ -125,8 +125,8 @@
         self, request: messages.Request, responder: server.Responder
     ) -> None:
         data_centre = caller_requests.read_data_centre(request)
-        addresses = fronts.callable_fronts(self._peers, data_centre)
-        if self.is_ready() and len(addresses) < fronts.MOST_FRONTS:
+        addresses = front_selection.select_fronts(self._peers, data_centre)
+        if self.is_ready() and len(addresses) < front_selection.MAX_FRONTS:
             addresses.append(self._peers.own.front)
         if not addresses:
             responder.answer(_UNAVAILABLE, [_JSON], b'{"error":"none ready"}')
--- a/redwingvalve/node/fronts.py
+++ b/redwingvalve/node/front_selection.py
@@ -6,7 +6,7 @@
 from redwingvalve.node import peers as peers_module
 
 # The platform heeds no more addresses than this.
-MOST_FRONTS = 64
+MAX_FRONTS = 64
 # With so many nodes in a caller's data centre it is given no others: requests
 # and answers then stay within it.
 NEAR_FRONTS = 8
@@ -23,7 +23,7 @@
     return [peer for peer in living if peer.is_ready and not peer.is_leaving]
 
 
-def callable_fronts(
+def select_fronts(
     peers: peers_module.Peers, data_centre: str = ''
 ) -> list[str]:
     """Return addresses that callers of a data centre may be given."""
@@ -32,6 +32,6 @@
     ready = [one for one in found if one.is_ready and not one.is_leaving]
     near = [one for one in ready if one.address.data_centre == data_centre]
     chosen = near if len(near) >= NEAR_FRONTS else ready
-    if len(chosen) > MOST_FRONTS:
-        chosen = random.sample(chosen, MOST_FRONTS)
+    if len(chosen) > MAX_FRONTS:
+        chosen = random.sample(chosen, MAX_FRONTS)
     return [peer.address.front for peer in chosen]
--- a/redwingvalve/node/watching.py
+++ b/redwingvalve/node/kind_watch.py
@@ -13,8 +13,7 @@
 import anyio
 
 from redwingvalve.core import clock
-from redwingvalve.node import following, sources
-from redwingvalve.node import mirror as mirror_module
+from redwingvalve.node import watch_cache, watch_handler, watch_sources
 from redwingvalve.observability import logs
 from redwingvalve.platform import store
 
@@ -52,8 +51,8 @@
     def __init__(
         self,
         kind: str,
-        follower: following.Follower,
-        choose: sources.SourceChooser,
+        follower: watch_handler.WatchHandler,
+        choose: watch_sources.SelectSources,
         pause_s: PauseChooser = no_pause,
     ) -> None:
         """Tell the follower what the chosen sources say.
@@ -61,7 +60,7 @@
         pause_s is left between two watches, so that changes that come close
         together cost one call.
         """
-        self.mirror = mirror_module.Mirror()
+        self.cache = watch_cache.WatchCache()
         self.kind = kind
         self._follower = follower
         self._choose = choose
@@ -110,7 +109,7 @@
             except (KeyError, TypeError, ValueError) as error:
                 await self._failed(source, error)
 
-    def _next_source(self) -> sources.Source:
+    def _next_source(self) -> watch_sources.Source:
         found = self._choose()
         self._forgive()
         source = found[self._failures % len(found)]
@@ -124,12 +123,12 @@
             )
         return next(one for one in found if one.is_store)
 
-    async def _step(self, source: sources.Source) -> None:
+    async def _step(self, source: watch_sources.Source) -> None:
         if self._revision is None:
             listing = await source.client.list_kind(self.kind)
             self._revision = listing.revision
             self._found(source, listing.age_s)
-            self.mirror.replaced(listing)
+            self.cache.replaced(listing)
             self._follower.replaced(listing.objects)
             return
         wait_s = HURRIED_WAIT_S if self._is_hurried else source.wait_s
@@ -143,18 +142,18 @@
         if self._waiting.cancelled_caught and not self._is_hurried:
             raise store.StoreError('nothing new in time')
 
-    def _deadline_s(self, source: sources.Source) -> float:
+    def _deadline_s(self, source: watch_sources.Source) -> float:
         """Return until when an answer of a source is waited for."""
         left_s = max(source.max_age_s - self.age_s, LEAST_RELAY_S)
         return anyio.current_time() + left_s
 
-    def _take(self, found: store.Changes, source: sources.Source) -> None:
+    def _take(self, found: store.Changes, source: watch_sources.Source) -> None:
         self._revision = found.revision
         self._found(source, found.age_s)
-        self.mirror.changed(found)
+        self.cache.changed(found)
         self._follower.changed(found.changes)
 
-    def _rest_s(self, source: sources.Source) -> float:
+    def _rest_s(self, source: watch_sources.Source) -> float:
         return max(self._pause_s(), source.pause_s)
 
     def _forgive(self) -> None:
@@ -162,7 +161,9 @@
         if time.monotonic() - self._failed_s > self._forgive_s:
             self._failures = 0
 
-    async def _failed(self, source: sources.Source, error: Exception) -> None:
+    async def _failed(
+        self, source: watch_sources.Source, error: Exception
+    ) -> None:
         now_s = time.monotonic()
         if not self._failures:
             is_again = now_s - self._failed_s < 2 * self._forgive_s
@@ -185,10 +186,10 @@
         self._is_lost = True
         await anyio.sleep(random.uniform(RETRY_MIN_S, RETRY_MAX_S))
 
-    def _found(self, source: sources.Source, age_s: float) -> None:
+    def _found(self, source: watch_sources.Source, age_s: float) -> None:
         self._known_s = max(self._known_s, clock.boot_s() - age_s)
         until_next_s = source.wait_s + self._rest_s(source)
-        self.mirror.heard(until_next_s, source.is_store)
+        self.cache.heard(until_next_s, source.is_store)
         if self._is_lost:
             LOG.info('store is back', extra={'kind': self.kind})
         self._is_lost = False
--- a/redwingvalve/node/meeting.py
+++ b/redwingvalve/node/peer_discovery.py
@@ -33,7 +33,7 @@
 
 
 @attrs.define
-class Meeting:
+class PeerDiscovery:
     """This node's object, and those of the others."""
 
     client: store.StoreClient
@@ -57,7 +57,7 @@
                 await anyio.sleep(random.uniform(RETRY_MIN_S, RETRY_MAX_S))
 
     @property
-    def has_met(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether the other nodes have been read."""
         return self._has_met
 
--- a/redwingvalve/node/peers.py
+++ b/redwingvalve/node/peers.py
@@ -17,7 +17,7 @@
 
 import attrs
 
-from redwingvalve.node import words
+from redwingvalve.node import status_messages
 from redwingvalve.observability import logs
 from redwingvalve.platform import settings
 
@@ -91,7 +91,7 @@
         return self.first_seen_s if self.heard_s is None else self.heard_s
 
 
-class WordTaker(typing.Protocol):
+class PeerObserver(typing.Protocol):
     """What takes the words of other nodes."""
 
     def word(self, word: typing.Any) -> None:
@@ -107,7 +107,7 @@
 class Peers(asyncio.DatagramProtocol):
     """All other nodes."""
 
-    def __init__(self, own: PeerAddress, taker: WordTaker) -> None:
+    def __init__(self, own: PeerAddress, taker: PeerObserver) -> None:
         """Speak for the own node."""
         self.known: dict[str, Peer] = {}
         self.own = own
@@ -160,7 +160,7 @@
         """Send a word to some nodes."""
         if self._transport is None:
             return
-        packed = words.pack(word)
+        packed = status_messages.pack(word)
         for name in names:
             peer = self.known.get(name)
             if peer is not None:
@@ -211,8 +211,8 @@
                 self.on_tagged(data[len(TAG) :], addr)
             return
         try:
-            word = words.unpack(data)
-        except words.WordError as error:
+            word = status_messages.unpack(data)
+        except status_messages.WordError as error:
             LOG.warning('unusable datagram', extra={'error': str(error)})
             return
         self._meet(word)
--- a/redwingvalve/node/telling.py
+++ b/redwingvalve/node/status_exchange.py
@@ -14,8 +14,8 @@
 from redwingvalve.node import front as front_module
 from redwingvalve.node import hubs as hubs_module
 from redwingvalve.node import lease as lease_module
-from redwingvalve.node import passing_on, word_parts, words
 from redwingvalve.node import peers as peers_module
+from redwingvalve.node import status_fields, status_messages, update_forwarding
 
 # News that come close together go in one word. A node that finds forty heads
 # sound at once would else send forty words to each other node: 3 MB with 59
@@ -25,7 +25,7 @@
 
 
 @attrs.define(eq=False)
-class Teller(peers_module.WordTaker):
+class StatusExchange(peers_module.PeerObserver):
     """Speaks for a node, and hands on what the others say."""
 
     own: peers_module.PeerAddress
@@ -44,7 +44,7 @@
     own_usage: typing.Callable[[], dict[str, int]] = dict
     # Another node has seen requests.
     others_served: bool = False
-    _hub_news: passing_on.HubNews = attrs.field(init=False)
+    _hub_news: update_forwarding.ForwardedUpdates = attrs.field(init=False)
     _number: int = 0
     _said_s: float = 0.0
     _timer: asyncio.TimerHandle | None = None
@@ -55,7 +55,9 @@
         """Tell at once what others can't wait for."""
         self.peers = peers_module.Peers(self.own, self)
         self.hubs = hubs_module.Hubs(self.peers, self.node_changed)
-        self._hub_news = passing_on.HubNews(self.peers, self.hubs)
+        self._hub_news = update_forwarding.ForwardedUpdates(
+            self.peers, self.hubs
+        )
         self.table.on_suspect = self._suspected
         self.table.on_clear = self._found_sound
         self.table.on_tell_sound = self._note_sound
@@ -115,20 +117,20 @@
         self._number += 1
         usage = self.own_usage()
         self.usage.heard(self.own.vm, usage)
-        word = words.NodeWord(
+        word = status_messages.NodeWord(
             vm=self.own.vm,
             born_ms=self.own.born_ms,
             number=self._number,
             is_leaving=self.state.is_leaving,
             is_ready=self.state.configuration is not None,
-            suspects=word_parts.suspect_words(self.table),
+            suspects=status_fields.suspect_words(self.table),
             crashes=self.state.poison.counts(),
             has_served=self._knows_served(),
-            cleared=word_parts.clear_words(self._cleared),
+            cleared=status_fields.clear_words(self._cleared),
             usage=usage,
         )
         if self.peers.is_introducing:
-            word.address = word_parts.address_word(self.own)
+            word.address = status_fields.address_word(self.own)
         if self.lease.is_held() or self.lease.is_releasing:
             word.lease_revision = self.lease.revision
             word.lease_left_ms = self.lease.left_ms()
@@ -152,9 +154,9 @@
             self.lease.heard(word.lease_revision, word.lease_left_ms)
         self.others_served = self.others_served or bool(word.has_served)
         self.state.poison.heard(word.crashes or {})
-        for suspicion in word_parts.read_suspicions(word):
+        for suspicion in status_fields.read_suspicions(word):
             self.table.take_suspicion(suspicion)
-        for clear in word_parts.read_clears(word):
+        for clear in status_fields.read_clears(word):
             self.table.clear_older(
                 clear.endpoint_id, clear.epoch, clear.since_s
             )
--- a/redwingvalve/node/word_parts.py
+++ b/redwingvalve/node/status_fields.py
@@ -7,7 +7,7 @@
 import attrs
 
 from redwingvalve.fleet import serving
-from redwingvalve.node import peers, words
+from redwingvalve.node import peers, status_messages
 
 # A lost datagram is made up for by one of those that follow, also with words
 # as rare as in a fleet of 82 nodes.
@@ -26,7 +26,7 @@
 
 def address_word(own: peers.PeerAddress) -> typing.Any:
     """Return where a node is."""
-    return words.AddressWord(
+    return status_messages.AddressWord(
         ip=own.ip,
         peer_port=own.peer_port,
         front=own.front,
@@ -46,7 +46,7 @@
     """Return how suspicions are told."""
     now_s = time.monotonic()
     return [
-        words.SuspectWord(
+        status_messages.SuspectWord(
             endpoint_id=suspicion.endpoint_id,
             epoch=suspicion.epoch,
             left_ms=int((suspicion.until_s - now_s) * _MS_IN_S),
@@ -76,7 +76,7 @@
     """Return how clearings are told."""
     now_s = time.monotonic()
     return [
-        words.ClearWord(
+        status_messages.ClearWord(
             endpoint_id=clearing.endpoint_id,
             epoch=clearing.epoch,
             age_ms=int((now_s - clearing.since_s) * _MS_IN_S),
--- a/redwingvalve/node/tests/test_hubs.py
+++ b/redwingvalve/node/tests/test_hubs.py
@@ -6,8 +6,13 @@
 import attrs
 import pytest
 
-from redwingvalve.node import fronts as fronts_module
-from redwingvalve.node import hubs, passing_on, peers, words
+from redwingvalve.node import (
+    front_selection,
+    hubs,
+    peers,
+    status_messages,
+    update_forwarding,
+)
 from redwingvalve.platform.tests import fleet as fleets
 
 NODES = 6
@@ -23,7 +28,7 @@
 
 def by_duty(fleet):
     """Return the hubs and the other nodes."""
-    found = [node for node in fleet.nodes if node.teller.hubs.is_hub]
+    found = [node for node in fleet.nodes if node.status_exchange.hubs.is_hub]
     return found, [node for node in fleet.nodes if node not in found]
 
 
@@ -45,7 +50,7 @@
 
 
 def fronts(node):
-    return set(fronts_module.callable_fronts(node.peers))
+    return set(front_selection.select_fronts(node.peers))
 
 
 @pytest.mark.parametrize('duty', [0, 1])
@@ -90,7 +95,7 @@
         await met(fleet)
         leaving = by_duty(fleet)[1][0]
         leaving.state.is_leaving = True
-        leaving.teller.say_now()
+        leaving.status_exchange.say_now()
         front = leaving.peers.own.front
         others = [node for node in fleet.nodes if node is not leaving]
         await fleet.until(
@@ -188,16 +193,16 @@
 
     Told both for a second, other hubs take each for news of the other.
     """
-    nobody = mock.create_autospec(peers.WordTaker, instance=True)
+    nobody = mock.create_autospec(peers.PeerObserver, instance=True)
     own = peers.PeerAddress('vm-1', '127.0.0.1', 1, '', 'dc', 1)
     known = peers.Peers(own, nobody)
     known.add(attrs.evolve(own, vm='vm-2'))
-    news = passing_on.HubNews(known, hubs.Hubs(known, None))
+    news = update_forwarding.ForwardedUpdates(known, hubs.Hubs(known, None))
     leaving = known.known['vm-2']
     leaving.is_leaving = True
     news.changed(leaving)
     leaving.is_down = True
     news.changed(leaving)
-    word = words.NodeWord(suspects=[], cleared=[])
+    word = status_messages.NodeWord(suspects=[], cleared=[])
     news.add_to(word, with_far=False)
     assert {state.is_up for state in word.states} == {False}
--- a/redwingvalve/node/tests/test_meeting.py
+++ b/redwingvalve/node/tests/test_peer_discovery.py
@@ -4,7 +4,13 @@
 
 import anyio
 
-from redwingvalve.node import fronts, meeting, peers, word_parts, words
+from redwingvalve.node import (
+    front_selection,
+    peer_discovery,
+    peers,
+    status_fields,
+    status_messages,
+)
 from redwingvalve.platform import store
 from redwingvalve.platform.tests import fleet as fleets
 
@@ -15,7 +21,7 @@
 CALLS_OTHERWISE = 8
 
 
-class NoWords(peers.WordTaker):
+class NoWords(peers.PeerObserver):
     def word(self, word):
         """Nothing is taken."""
 
@@ -23,7 +29,7 @@
         """Nothing is kept."""
 
 
-class HeardWords(peers.WordTaker):
+class HeardWords(peers.PeerObserver):
     def __init__(self):
         self.words = []
 
@@ -47,11 +53,11 @@
 
 def say(known, own, number):
     """Let a node's word arrive."""
-    word = words.NodeWord(
+    word = status_messages.NodeWord(
         vm=own.vm, born_ms=own.born_ms, number=number, is_ready=True
     )
-    word.address = word_parts.address_word(own)
-    known.datagram_received(words.pack(word), (own.ip, own.peer_port))
+    word.address = status_fields.address_word(own)
+    known.datagram_received(status_messages.pack(word), (own.ip, own.peer_port))
 
 
 def address(vm, born_ms=1, ip='127.0.0.1'):
@@ -85,12 +91,14 @@
     known = peers.Peers(address('vm-1'), NoWords())
     known.listed([address('vm-1'), address('vm-2')])
     moved = address('vm-2', born_ms=2, ip='127.0.0.2')
-    word = words.NodeWord(vm='vm-2', born_ms=2, number=1, is_ready=True)
-    word.address = word_parts.address_word(moved)
-    known.datagram_received(words.pack(word), ('127.0.0.2', 7000))
+    word = status_messages.NodeWord(
+        vm='vm-2', born_ms=2, number=1, is_ready=True
+    )
+    word.address = status_fields.address_word(moved)
+    known.datagram_received(status_messages.pack(word), ('127.0.0.2', 7000))
     known.listed([address('vm-1'), address('vm-2')])
     assert known.known['vm-2'].address == moved
-    assert fronts.callable_fronts(known) == [moved.front]
+    assert front_selection.select_fronts(known) == [moved.front]
 
 
 def test_a_node_is_forgotten_once_it_is_neither_listed_nor_heard(monkeypatch):
@@ -108,12 +116,12 @@
     It refuses one node for seconds. That node knows the others; each further
     call is refused too, and priced.
     """
-    monkeypatch.setattr(meeting, 'READ_AGAIN_S', 0.4)
+    monkeypatch.setattr(peer_discovery, 'READ_AGAIN_S', 0.4)
 
     async def test(fleet):
         await fleet.until(lambda: len(fleet.nodes[0].peers.known) == 1)
         asked = []
-        node = fleet.nodes[0].meeting
+        node = fleet.nodes[0].peer_discovery
 
         async def refuse(kind, is_stale):
             asked.append(is_stale)
@@ -145,7 +153,7 @@
     say(known, restarted, number=2)
     assert [word.number for word in heard.words] == [70, 2]
     assert known.known['vm-2'].address.ip == '127.0.0.2'
-    assert fronts.callable_fronts(known) == ['127.0.0.2:80']
+    assert front_selection.select_fronts(known) == ['127.0.0.2:80']
 
 
 def test_a_repeated_word_of_a_silent_node_is_not_taken(monkeypatch):
--- a/redwingvalve/node/tests/test_relays.py
+++ b/redwingvalve/node/tests/test_relays.py
@@ -5,8 +5,14 @@
 import anyio
 import pytest
 
-from redwingvalve.node import following, hubs, peers, sources, watching
-from redwingvalve.node import mirror as mirror_module
+from redwingvalve.node import (
+    hubs,
+    kind_watch,
+    peers,
+    watch_cache,
+    watch_handler,
+    watch_sources,
+)
 from redwingvalve.platform import store
 from redwingvalve.platform.tests import fleet as fleets
 
@@ -50,7 +56,7 @@
         for node in fleet.nodes[:2]:
             for watch in node.watches:
                 # The relay's loop stands still, its sockets do not.
-                watch.mirror.changes_after = hang
+                watch.cache.changes_after = hang
         fleet.endpoints['p0'].drain()
         last = fleet.nodes[-1]
         await fleet.until(
@@ -76,7 +82,7 @@
         await anyio.sleep(1.5)
         for node in fleet.nodes[:2]:
             for watch in node.watches:
-                watch.mirror.changes_after = hang
+                watch.cache.changes_after = hang
         # Questions that the relays had taken before are answered.
         await anyio.sleep(1.2)
         fleet.store.put('config', 'main', fleets.configuration(version=2))
@@ -99,7 +105,7 @@
     platform = Told(0)
 
     async def main():
-        watch = watching.KindWatch(
+        watch = kind_watch.KindWatch(
             'config', Deaf(), lambda: [of_relay(relay), of_store(platform)]
         )
         with anyio.move_on_after(2 * RELIED_ON_S):
@@ -117,10 +123,10 @@
     platform = Told(0)
 
     async def main():
-        watch = watching.KindWatch(
+        watch = kind_watch.KindWatch(
             'config', Deaf(), lambda: [of_relay(relay), of_store(platform)]
         )
-        with anyio.move_on_after(4 * watching.FORGIVE_S):
+        with anyio.move_on_after(4 * kind_watch.FORGIVE_S):
             await watch.run()
 
     anyio.run(main)
@@ -152,7 +158,7 @@
         raise store.StoreError('no touch')
 
 
-class Deaf(following.Follower):
+class Deaf(watch_handler.WatchHandler):
     """Takes what it is told."""
 
     def replaced(self, listed):
@@ -166,11 +172,11 @@
 
 
 def of_relay(client):
-    return sources.Source(client, False, 0.1, max_age_s=RELIED_ON_S)
+    return watch_sources.Source(client, False, 0.1, max_age_s=RELIED_ON_S)
 
 
 def of_store(client):
-    return sources.Source(client, is_store=True, wait_s=0.1)
+    return watch_sources.Source(client, is_store=True, wait_s=0.1)
 
 
 def test_the_nodes_with_the_widest_links_are_the_relays(monkeypatch):
@@ -178,22 +184,24 @@
     known = [node_address(f'vm-{number}', 20) for number in range(1, 9)]
     known += [node_address('vm-9', 200), node_address('vm-10', 200)]
     own = known.pop()
-    nobody = mock.create_autospec(peers.WordTaker, instance=True)
+    nobody = mock.create_autospec(peers.PeerObserver, instance=True)
     others = peers.Peers(own, nobody)
     others.listed([*known, *(node_address(f'x-{n}', 1) for n in range(9))])
-    monkeypatch.setattr(sources.Sources, '_relay_source', lambda _, one: one.vm)
-    chooser = sources.Sources(
+    monkeypatch.setattr(
+        watch_sources.SourceSelector, '_relay_source', lambda _, one: one.vm
+    )
+    selector = watch_sources.SourceSelector(
         None, None, others, hubs.Hubs(others, None), lambda: False, BOUND_S
     )
     # One of the two itself.
-    assert [source.is_store for source in chooser.now()] == [True]
+    assert [source.is_store for source in selector.now()] == [True]
     others = peers.Peers(known[0], nobody)
     others.listed([*known[1:], own])
     others.listed([node_address(f'x-{n}', 1) for n in range(9)])
-    chooser = sources.Sources(
+    selector = watch_sources.SourceSelector(
         None, None, others, hubs.Hubs(others, None), lambda: False, BOUND_S
     )
-    assert chooser.now()[:2] == ['vm-10', 'vm-9']
+    assert selector.now()[:2] == ['vm-10', 'vm-9']
 
 
 def node_address(vm, link_mbps):
@@ -210,8 +218,8 @@
 
     async def test(fleet):
         await anyio.sleep(1.5)
-        out_of_touch = property(lambda mirror: False)
-        monkeypatch.setattr(mirror_module.Mirror, 'is_in_touch', out_of_touch)
+        out_of_touch = property(lambda cache: False)
+        monkeypatch.setattr(watch_cache.WatchCache, 'is_in_touch', out_of_touch)
         await anyio.sleep(1.5)
         calls = fleet.store.calls
         for number in range(30):
@@ -254,10 +262,10 @@
     What a relay says is as old as its pause and its wait; the rest of the
     time until the store is asked is left for a late wake-up.
     """
-    relay_s = sources.PAUSE_SHARE + sources.RELAY_WAIT_SHARE
-    assert relay_s + 0.1 <= sources.ASK_STORE_SHARE
+    relay_s = watch_sources.PAUSE_SHARE + watch_sources.RELAY_WAIT_SHARE
+    assert relay_s + 0.1 <= watch_sources.ASK_STORE_SHARE
 
 
 def test_the_store_is_asked_early_enough_for_its_answer():
     """A change is known in time behind relays that are frozen or cut off."""
-    assert sources.ASK_STORE_SHARE <= 0.8
+    assert watch_sources.ASK_STORE_SHARE <= 0.8
--- a/redwingvalve/node/tests/test_requests.py
+++ b/redwingvalve/node/tests/test_requests.py
@@ -236,7 +236,7 @@
         fleet.endpoints[ran].crash()
         await fleet.until(taker.done.done)
         pool = messages.Pool(fleets.PLAIN, '', '')
-        places = fleet.nodes[0].places.allocator.pool(pool)
+        places = fleet.nodes[0].allocation.allocator.pool(pool)
         (target,) = [
             one
             for one in fleet.nodes[0].table.of(fleets.PLAIN, '')
--- a/redwingvalve/node/tests/test_telling.py
+++ b/redwingvalve/node/tests/test_status_exchange.py
@@ -46,7 +46,7 @@
         await fleet.until(lambda: granters(fleet))
         killed, granter = granters(fleet)
         await reserve_plain(killed)
-        pool = granter.places.allocator.pool(PLAIN_POOL)
+        pool = granter.allocation.allocator.pool(PLAIN_POOL)
         await fleet.until(lambda: len(pool.ledger) == 1)
         peer = granter.peers.known[killed.settings.vm]
         await fleet.until(lambda: peer.heard_s is not None)
@@ -64,7 +64,7 @@
         await fleet.until(lambda: granters(fleet))
         holder, granter = granters(fleet)
         await reserve_plain(holder)
-        pool = granter.places.allocator.pool(PLAIN_POOL)
+        pool = granter.allocation.allocator.pool(PLAIN_POOL)
         for _ in range(60):
             await anyio.sleep(0.05)
             assert len(pool.ledger) == 1
@@ -101,7 +101,7 @@
 def granters(fleet):
     """Return the nodes, that which grants places last, once both know it."""
     owners = {
-        node.places.reserver.owners.of(PLAIN_POOL) for node in fleet.nodes
+        node.allocation.reserver.owners.of(PLAIN_POOL) for node in fleet.nodes
     }
     if len(owners) != 1 or len(*owners) != 2:
         return None
@@ -150,4 +150,4 @@
 
 
 def telling_nobody():
-    return mock.create_autospec(peers.WordTaker, instance=True)
+    return mock.create_autospec(peers.PeerObserver, instance=True)
--- a/redwingvalve/node/tests/test_mirror.py
+++ b/redwingvalve/node/tests/test_watch_cache.py
@@ -4,7 +4,7 @@
 import pytest
 
 from redwingvalve.core import clock
-from redwingvalve.node import mirror as mirror_module
+from redwingvalve.node import watch_cache
 from redwingvalve.platform import store, store_pages
 from redwingvalve.platform.tests import fleet as fleets
 
@@ -22,25 +22,25 @@
     """
     now_s = [100.0]
     monkeypatch.setattr(clock, 'boot_s', lambda: now_s[0])
-    mirror = mirror_module.Mirror()
-    assert mirror.age_s == mirror_module.NEVER_S
-    mirror.replaced(store.Listing([], 10))
-    mirror.heard(1.0, is_from_store=True)
+    cache = watch_cache.WatchCache()
+    assert cache.age_s == watch_cache.NEVER_S
+    cache.replaced(store.Listing([], 10))
+    cache.heard(1.0, is_from_store=True)
     now_s[0] += 4
-    assert mirror.listing().age_s == pytest.approx(4)
-    assert not mirror.is_in_touch
+    assert cache.listing().age_s == pytest.approx(4)
+    assert not cache.is_in_touch
 
 
 def test_a_question_is_answered_when_the_store_was_heard_again():
     """'No changes' is as new as the relay's own knowledge."""
 
     async def main():
-        mirror = mirror_module.Mirror()
-        mirror.replaced(store.Listing([], 10))
+        cache = watch_cache.WatchCache()
+        cache.replaced(store.Listing([], 10))
         async with anyio.create_task_group() as group:
-            group.start_soon(hear_later, mirror)
+            group.start_soon(hear_later, cache)
             began_s = anyio.current_time()
-            found = await mirror.changes_after(10, 5.0)
+            found = await cache.changes_after(10, 5.0)
             assert anyio.current_time() - began_s < 1
             assert not found.changes
             assert found.age_s < 0.1
@@ -48,21 +48,21 @@
     anyio.run(main)
 
 
-async def hear_later(mirror):
+async def hear_later(cache):
     await anyio.sleep(0.05)
-    mirror.heard(1.0, is_from_store=True)
+    cache.heard(1.0, is_from_store=True)
 
 
 def test_a_relay_that_lost_the_store_says_so():
     async def main():
-        mirror = mirror_module.Mirror()
-        assert not mirror.is_in_touch
-        mirror.heard(0.0, is_from_store=True)
-        assert mirror.is_in_touch
-        await anyio.sleep(mirror_module.CONTACT_SLACK_S + 0.05)
-        assert not mirror.is_in_touch
-        mirror.heard(5.0, is_from_store=False)
-        assert not mirror.is_in_touch
+        cache = watch_cache.WatchCache()
+        assert not cache.is_in_touch
+        cache.heard(0.0, is_from_store=True)
+        assert cache.is_in_touch
+        await anyio.sleep(watch_cache.CONTACT_SLACK_S + 0.05)
+        assert not cache.is_in_touch
+        cache.heard(5.0, is_from_store=False)
+        assert not cache.is_in_touch
 
     anyio.run(main)
 
@@ -71,16 +71,16 @@
     """A node that comes from another source ends with the newest states."""
 
     async def main():
-        mirror = mirror_module.Mirror()
-        mirror.replaced(store.Listing([], 100))
-        mirror.changed(store.Changes([change('a', 101), change('b', 104)], 106))
-        found = await mirror.changes_after(103, 0.0)
+        cache = watch_cache.WatchCache()
+        cache.replaced(store.Listing([], 100))
+        cache.changed(store.Changes([change('a', 101), change('b', 104)], 106))
+        found = await cache.changes_after(103, 0.0)
         assert [one.name for one in found.changes] == ['a', 'b']
         assert found.revision == 106
-        found = await mirror.changes_after(106, 0.0)
+        found = await cache.changes_after(106, 0.0)
         assert not found.changes
         # A node ahead of the mirror never goes back.
-        assert (await mirror.changes_after(110, 0.0)).revision == 110
+        assert (await cache.changes_after(110, 0.0)).revision == 110
 
     anyio.run(main)
 
@@ -94,12 +94,12 @@
     """
 
     async def main():
-        mirror = mirror_module.Mirror()
-        mirror.replaced(store.Listing([], 100))
+        cache = watch_cache.WatchCache()
+        cache.replaced(store.Listing([], 100))
         for revision in range(101, 111):
             batch = [change('main', revision), change(f'x{revision}', revision)]
-            mirror.changed(store.Changes(batch, revision))
-        found = await mirror.changes_after(100, 0.0)
+            cache.changed(store.Changes(batch, revision))
+        found = await cache.changes_after(100, 0.0)
         versions = [one for one in found.changes if one.name == 'main']
         assert [store.revision_of(one.stored) for one in versions] == [110]
         assert len(found.changes) == 11
@@ -111,12 +111,12 @@
     """An endpoint that said it would leave isn't taken for a dead one."""
 
     async def main():
-        mirror = mirror_module.Mirror()
-        mirror.replaced(store.Listing([], 100))
+        cache = watch_cache.WatchCache()
+        cache.replaced(store.Listing([], 100))
         for revision, is_removed in ((101, False), (102, False), (103, True)):
             batch = [change('a', revision, is_removed)]
-            mirror.changed(store.Changes(batch, revision))
-        found = await mirror.changes_after(100, 0.0)
+            cache.changed(store.Changes(batch, revision))
+        found = await cache.changes_after(100, 0.0)
         revisions = [store.revision_of(one.stored) for one in found.changes]
         assert revisions == [102, 103]
 
@@ -141,13 +141,13 @@
 
 def test_a_mirror_knows_which_history_it_has():
     async def main():
-        mirror = mirror_module.Mirror()
-        mirror.replaced(store.Listing([], 100))
-        assert not mirror.has_history(99) and mirror.has_history(100)
-        for number in range(mirror_module.KEPT_BATCHES + 1):
+        cache = watch_cache.WatchCache()
+        cache.replaced(store.Listing([], 100))
+        assert not cache.has_history(99) and cache.has_history(100)
+        for number in range(watch_cache.KEPT_BATCHES + 1):
             batch = [change('a', 101 + number)]
-            mirror.changed(store.Changes(batch, 101 + number))
-        assert not mirror.has_history(100) and mirror.has_history(101)
+            cache.changed(store.Changes(batch, 101 + number))
+        assert not cache.has_history(100) and cache.has_history(101)
 
     anyio.run(main)
 
@@ -162,11 +162,11 @@
     """
 
     async def main():
-        mirror = mirror_module.Mirror()
-        mirror.replaced(store.Listing([], 10))
+        cache = watch_cache.WatchCache()
+        cache.replaced(store.Listing([], 10))
         async with anyio.create_task_group() as group:
-            group.start_soon(list_anew, mirror)
-            found = await mirror.changes_after(10, 1.0)
+            group.start_soon(list_anew, cache)
+            found = await cache.changes_after(10, 1.0)
         assert [one.name for one in found.changes] == ['main']
         assert found.revision == 20
 
@@ -175,30 +175,30 @@
 
 def test_a_node_from_before_the_history_lists_too():
     async def main():
-        mirror = mirror_module.Mirror()
-        mirror.replaced(store.Listing([], 10))
+        cache = watch_cache.WatchCache()
+        cache.replaced(store.Listing([], 10))
         with pytest.raises(store.HistoryGoneError):
-            await mirror.changes_after(9, 0.0)
+            await cache.changes_after(9, 0.0)
 
     anyio.run(main)
 
 
-async def list_anew(mirror):
+async def list_anew(cache):
     await anyio.sleep(0.02)
     stored = {'metadata': {'name': 'main', 'revision': 15}, 'spec': {}}
-    mirror.replaced(store.Listing([stored], 20))
+    cache.replaced(store.Listing([stored], 20))
 
 
 def test_nodes_behind_a_relay_that_lists_anew_are_told_the_difference():
     """Two hundred nodes don't list all endpoints when history is forgotten."""
 
     async def main():
-        mirror = mirror_module.Mirror()
+        cache = watch_cache.WatchCache()
         before = [change(name, 90).stored for name in ('a', 'b', 'c')]
-        mirror.replaced(store.Listing(before, 100))
+        cache.replaced(store.Listing(before, 100))
         after = [change('a', 90).stored, change('b', 120).stored]
-        mirror.replaced(store.Listing([*after, change('d', 130).stored], 140))
-        found = await mirror.changes_after(100, 0.0)
+        cache.replaced(store.Listing([*after, change('d', 130).stored], 140))
+        found = await cache.changes_after(100, 0.0)
         told = {(one.name, one.is_removed) for one in found.changes}
         assert told == {('b', False), ('c', True), ('d', False)}
         assert found.revision == 140
@@ -208,8 +208,8 @@
 
 def test_a_listing_from_before_ends_the_history():
     """A relay that follows an older one never tells what was before as new."""
-    mirror = mirror_module.Mirror()
-    mirror.replaced(store.Listing([change('a', 90).stored], 100))
-    mirror.replaced(store.Listing([change('a', 80).stored], 85))
-    assert mirror.revision == 85
-    assert not mirror.has_history(84)
+    cache = watch_cache.WatchCache()
+    cache.replaced(store.Listing([change('a', 90).stored], 100))
+    cache.replaced(store.Listing([change('a', 80).stored], 85))
+    assert cache.revision == 85
+    assert not cache.has_history(84)
--- a/redwingvalve/node/passing_on.py
+++ b/redwingvalve/node/update_forwarding.py
@@ -17,7 +17,7 @@
 from redwingvalve.fleet import serving
 from redwingvalve.node import hubs as hubs_module
 from redwingvalve.node import peers as peers_module
-from redwingvalve.node import word_parts, words
+from redwingvalve.node import status_fields, status_messages
 
 # Three regular words.
 NEWS_S = 1.0
@@ -69,7 +69,7 @@
 
 
 @attrs.define(eq=False)
-class HubNews:
+class ForwardedUpdates:
     """What this hub has heard from its nodes, and from other hubs."""
 
     peers: peers_module.Peers
@@ -89,10 +89,10 @@
         """
         heard = self._near if self._is_near(word.vm) else self._far
         is_urgent = False
-        for suspicion in word_parts.read_suspicions(word):
+        for suspicion in status_fields.read_suspicions(word):
             key = (suspicion.endpoint_id, suspicion.epoch)
             is_urgent |= heard.suspicions.note(key, suspicion)
-        for clearing in word_parts.read_clears(word):
+        for clearing in status_fields.read_clears(word):
             key = (clearing.endpoint_id, clearing.epoch)
             is_urgent |= heard.clearings.note(key, clearing)
         for state in news:
@@ -101,7 +101,7 @@
         for usage in word.usages or ():
             heard.usages.note(usage.vm, usage)
         if word.usage:
-            told = words.UsageWord(vm=word.vm, usage=word.usage)
+            told = status_messages.UsageWord(vm=word.vm, usage=word.usage)
             heard.usages.note(word.vm, told)
         return is_urgent
 
@@ -113,7 +113,7 @@
         """Add what is to be passed on to a word of this node."""
         sources = [self._near, self._far] if with_far else [self._near]
         suspicions: list[serving.Suspicion] = []
-        clearings: list[word_parts.Clearing] = []
+        clearings: list[status_fields.Clearing] = []
         word.states = self._states_again(with_far=with_far)
         word.usages = []
         for heard in sources:
@@ -121,8 +121,8 @@
             clearings += heard.clearings.fresh(MOST_FINDINGS)
             word.states += heard.states.fresh(MOST_STATES)
             word.usages += heard.usages.fresh(MOST_USAGES)
-        word.suspects += word_parts.suspicion_words(suspicions)
-        word.cleared += word_parts.clearing_words(clearings)
+        word.suspects += status_fields.suspicion_words(suspicions)
+        word.cleared += status_fields.clearing_words(clearings)
 
     def _is_near(self, vm: str) -> bool:
         peer = self.peers.known.get(vm)
@@ -150,11 +150,11 @@
 
 
 def _state_of(peer: peers_module.Peer) -> typing.Any:
-    return words.StateWord(
+    return status_messages.StateWord(
         vm=peer.address.vm,
         born_ms=peer.born_ms or peer.address.born_ms,
         is_up=not peer.is_down,
         is_leaving=peer.is_leaving,
         is_ready=peer.is_ready,
-        address=word_parts.address_word(peer.address),
+        address=status_fields.address_word(peer.address),
     )
--- a/redwingvalve/node/mirror.py
+++ b/redwingvalve/node/watch_cache.py
@@ -34,7 +34,7 @@
     changes: list[store.Change]
 
 
-class Mirror:
+class WatchCache:
     """All objects of a kind, and the changes that led there."""
 
     def __init__(self) -> None:
--- a/redwingvalve/node/following.py
+++ b/redwingvalve/node/watch_handler.py
@@ -5,7 +5,7 @@
 from redwingvalve.platform import store
 
 
-class Follower(abc.ABC):
+class WatchHandler(abc.ABC):
     """What is told of a kind's objects."""
 
     @abc.abstractmethod
--- a/redwingvalve/node/sources.py
+++ b/redwingvalve/node/watch_sources.py
@@ -26,8 +26,8 @@
 from redwingvalve.http1 import messages, reading, server
 from redwingvalve.ingress import routes
 from redwingvalve.node import hubs as hubs_module
-from redwingvalve.node import mirror as mirror_module
 from redwingvalve.node import peers as peers_module
+from redwingvalve.node import watch_cache
 from redwingvalve.platform import settings as settings_module
 from redwingvalve.platform import store, store_pages
 
@@ -62,7 +62,7 @@
     max_age_s: float = math.inf
 
 
-class Sources:
+class SourceSelector:
     """Chooses the sources of this node by who lives."""
 
     def __init__(
@@ -114,12 +114,12 @@
         )
 
 
-class RelayApplication(server.Application):
+class WatchRelayApplication(server.Application):
     """Tells other nodes what this one knows."""
 
-    def __init__(self, mirrors: dict[str, mirror_module.Mirror]) -> None:
+    def __init__(self, caches: dict[str, watch_cache.WatchCache]) -> None:
         """Answer from mirrors by kind."""
-        self._mirrors = mirrors
+        self._caches = caches
         self._tasks: set[asyncio.Task[None]] = set()
         # The last page of each kind, and the question that it answers.
         self._pages: dict[str, tuple[typing.Any, bytes]] = {}
@@ -140,37 +140,37 @@
     ) -> None:
         """Answer, at once or when something changes."""
         asked = store_pages.read_request(request.target.decode('latin-1'))
-        mirror = self._mirrors.get(asked.kind) if asked else None
-        if asked is None or mirror is None:
+        cache = self._caches.get(asked.kind) if asked else None
+        if asked is None or cache is None:
             responder.answer(_NOT_FOUND, [_JSON], b'{}')
             return
         task = asyncio.get_running_loop().create_task(
-            self._answer(mirror, asked, responder)
+            self._answer(cache, asked, responder)
         )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _answer(
         self,
-        mirror: mirror_module.Mirror,
+        cache: watch_cache.WatchCache,
         asked: store_pages.PageRequest,
         responder: server.Responder,
     ) -> None:
-        if not mirror.is_in_touch:
+        if not cache.is_in_touch:
             responder.answer(_UNAVAILABLE, [_JSON], b'{}')
             return
         if asked.after_revision is None:
-            page = store_pages.write_listing(mirror.listing())
+            page = store_pages.write_listing(cache.listing())
             responder.answer(_OK, list(store_pages.HEADERS), page)
             return
         try:
-            found = await mirror.changes_after(
+            found = await cache.changes_after(
                 asked.after_revision, asked.wait_s
             )
         except store.HistoryGoneError:
             responder.answer(_HISTORY_GONE, [_JSON], b'{}')
             return
-        if not (found.changes or mirror.is_in_touch):
+        if not (found.changes or cache.is_in_touch):
             responder.answer(_UNAVAILABLE, [_JSON], b'{}')
             return
         page = self._page(asked, found)
@@ -194,4 +194,4 @@
         return page
 
 
-SourceChooser: typing.TypeAlias = collections_abc.Callable[[], list[Source]]
+SelectSources: typing.TypeAlias = collections_abc.Callable[[], list[Source]]
--- a/redwingvalve/platform/tests/test_lease_and_store.py
+++ b/redwingvalve/platform/tests/test_lease_and_store.py
@@ -29,7 +29,7 @@
     async def test(fleet):
         (holder,) = fleets.holders(fleet)
         await holder.lease.release()
-        holder.teller.say_now()
+        holder.status_exchange.say_now()
         await fleet.until(lambda: bool(fleets.holders(fleet)), 1)
 
     fleets.run(test, nodes=3)
@@ -159,7 +159,7 @@
             patched.setattr(other.client, 'watch', hang)
             await anyio.sleep(3)
             await holder.lease.release()
-            holder.teller.say_now()
+            holder.status_exchange.say_now()
             await fleet.until(other.lease.is_held, 2)
             await anyio.sleep(0.3)
             assert not set(looked) & set(other.control.controllers.values())
