--- a/redwingvalve/fleet/registry.py
+++ b/redwingvalve/fleet/registry.py
@@ -46,7 +46,7 @@
         # Those that said that they would leave, until they are forgotten.
         self._leavers: dict[tuple[str, int], float] = {}
 
-    def replaced(self, listed: list[store.Document]) -> None:
+    def on_list(self, listed: list[store.Document]) -> None:
         """Take a whole listing."""
         found = dict(_decode_all(listed))
         missing = [name for name in self.live if name not in found]
@@ -57,14 +57,14 @@
         self.is_known = True
         self._tell()
 
-    def changed(self, changes: list[store.Change]) -> None:
+    def on_changes(self, changes: list[store.Change]) -> None:
         """Take changes in their order."""
         for change in changes:
             self._change(change)
         if changes:
             self._tell()
 
-    def troubled(self) -> None:
+    def on_unavailable(self) -> None:
         """Note that the store gives no usable answers."""
         self._trouble_s = self._clock()
 
--- a/redwingvalve/node/allocation_transport.py
+++ b/redwingvalve/node/allocation_transport.py
@@ -35,13 +35,13 @@
 
     @property
     def _sender(self) -> messages.Sender:
-        own = self.peers.own
-        return messages.Sender(own.vm, own.born_ms)
+        local = self.peers.local
+        return messages.Sender(local.vm, local.born_ms)
 
     def send(self, vm: str, message: messages.Message) -> None:
         """Send a message to a node; it may get lost."""
         envelope = messages.Envelope(self._sender, message)
-        if vm == self.peers.own.vm:
+        if vm == self.peers.local.vm:
             self._take(envelope, functools.partial(self.send, vm))
             return
         peer = self.peers.known.get(vm)
@@ -112,26 +112,26 @@
     )
     made = AllocationTransport(peers, allocator)
     made.reserver = reserver_module.NodeReserver(
-        data_centre=peers.own.data_centre,
+        data_centre=peers.local.data_centre,
         targets=state.targets,
         owners=owners.Owners(lambda: _candidates(peers), time.monotonic),
         transport=made,
         loads=state.loads,
         clock=time.monotonic,
-        is_divided=lambda: peers.is_large,
+        is_divided=lambda: peers.is_large_fleet,
     )
     peers.on_tagged = made.received
     state.reserver = made.reserver
     state.in_use = status_exchange.usage.of
     state.waiting = allocator.waiting
-    status_exchange.own_usage = allocator.usage
+    status_exchange.local_usage = allocator.usage
     status_exchange.on_node_lost = allocator.node_lost
     return made
 
 
 def _candidates(peers: peers_module.Peers) -> list[owners.Candidate]:
-    own = owners.Candidate(peers.own.vm, peers.own.data_centre)
-    return [own, *map(_candidate, front_selection.usable(peers))]
+    local = owners.Candidate(peers.local.vm, peers.local.data_centre)
+    return [local, *map(_candidate, front_selection.available_peers(peers))]
 
 
 def _candidate(peer: peers_module.Peer) -> owners.Candidate:
--- a/redwingvalve/node/configuration_watch.py
+++ b/redwingvalve/node/configuration_watch.py
@@ -22,18 +22,18 @@
         self._state = state
         self._taker = taker
 
-    def replaced(self, listed: list[store.Document]) -> None:
+    def on_list(self, listed: list[store.Document]) -> None:
         """Take what the store lists."""
         for stored in listed:
             self._take(stored)
 
-    def changed(self, changes: list[store.Change]) -> None:
+    def on_changes(self, changes: list[store.Change]) -> None:
         """Take the newest of some changes."""
         for change in changes:
             if not change.is_removed:
                 self._take(change.stored)
 
-    def troubled(self) -> None:
+    def on_unavailable(self) -> None:
         """Go on with the configuration in force."""
 
     def _take(self, stored: store.Document) -> None:
--- a/redwingvalve/node/daemon.py
+++ b/redwingvalve/node/daemon.py
@@ -138,7 +138,7 @@
         node_application = front.NodeApplication(
             self.state, self.peers, self.settings.bounds.directory_ttl_max_s
         )
-        await peers_module.open_datagrams(self.peers)
+        await peers_module.open_socket(self.peers)
         caches = {watch.kind: watch.cache for watch in self.watches}
         ip = self.settings.ip
         await self.listeners.serve(
@@ -207,12 +207,12 @@
         )
         return [
             kind_watch.KindWatch(
-                names.CONFIGURATION_KIND, configurations, selector.now
+                names.CONFIGURATION_KIND, configurations, selector.select
             ),
             kind_watch.KindWatch(
                 names.ENDPOINT_KIND,
                 self.registry,
-                selector.now,
+                selector.select,
                 self._endpoint_pause_s,
             ),
         ]
@@ -237,7 +237,7 @@
         )
 
     def _lease_taken(self) -> None:
-        self.endpoint_watch.hurry()
+        self.endpoint_watch.refresh_now()
         self.control.wake()
 
     async def _hold_lease(self) -> None:
@@ -262,9 +262,9 @@
         LOG.info('stopping', extra={'running': len(self.front.running)})
         began_s = time.monotonic()
         self.state.is_leaving = True
-        self.status_exchange.say_now()
+        self.status_exchange.broadcast_now()
         await self.lease.release()
-        self.status_exchange.say_now()
+        self.status_exchange.broadcast_now()
         until_s = began_s + self.settings.bounds.grace_s - STOP_MARGIN_S
         while time.monotonic() < until_s:
             stopped_s = time.monotonic() - began_s
@@ -273,7 +273,7 @@
             if stopped_s > STOP_EXIT_S and not self.front.running:
                 break
             await anyio.sleep(0.1)
-        await self.peer_discovery.leave()
+        await self.peer_discovery.deregister()
 
 
 def make_node(
@@ -321,7 +321,7 @@
 def _own_address(
     node_settings: settings.NodeSettings,
 ) -> peers_module.PeerAddress:
-    return peers_module.own_address(node_settings, int(time.time() * 1000))
+    return peers_module.local_address(node_settings, int(time.time() * 1000))
 
 
 def _allowance(bounds: settings.Bounds) -> retry_window.RetryAllowance:
--- a/redwingvalve/node/front.py
+++ b/redwingvalve/node/front.py
@@ -127,7 +127,7 @@
         data_centre = caller_requests.read_data_centre(request)
         addresses = front_selection.select_fronts(self._peers, data_centre)
         if self.is_ready() and len(addresses) < front_selection.MAX_FRONTS:
-            addresses.append(self._peers.own.front)
+            addresses.append(self._peers.local.front)
         if not addresses:
             responder.answer(_UNAVAILABLE, [_JSON], b'{"error":"none ready"}')
             return
--- a/redwingvalve/node/front_selection.py
+++ b/redwingvalve/node/front_selection.py
@@ -12,13 +12,13 @@
 NEAR_FRONTS = 8
 
 
-def usable(peers: peers_module.Peers) -> list[peers_module.Peer]:
+def available_peers(peers: peers_module.Peers) -> list[peers_module.Peer]:
     """Return the nodes that seem to live and don't leave."""
-    since_s = time.monotonic() - peers.alive_s
+    since_s = time.monotonic() - peers.alive_timeout_s
     living = peers.alive()
-    if not peers.is_large:
+    if not peers.is_large_fleet:
         living = [
-            peer for peer in peers.known.values() if peer.last_sign_s >= since_s
+            peer for peer in peers.known.values() if peer.last_seen_s >= since_s
         ]
     return [peer for peer in living if peer.is_ready and not peer.is_leaving]
 
@@ -28,7 +28,7 @@
 ) -> list[str]:
     """Return addresses that callers of a data centre may be given."""
     # A node that hears nobody is itself cut off, or all others are new.
-    found = peers.alive() or usable(peers)
+    found = peers.alive() or available_peers(peers)
     ready = [one for one in found if one.is_ready and not one.is_leaving]
     near = [one for one in ready if one.address.data_centre == data_centre]
     chosen = near if len(near) >= NEAR_FRONTS else ready
--- a/redwingvalve/node/hubs.py
+++ b/redwingvalve/node/hubs.py
@@ -56,8 +56,10 @@
     @property
     def is_hub(self) -> bool:
         """Return whether nodes of this data centre speak to this one."""
-        own = self._peers.own
-        return self._peers.is_large and own.vm in self.of(own.data_centre)
+        local = self._peers.local
+        return self._peers.is_large_fleet and local.vm in self.of(
+            local.data_centre
+        )
 
     def of(self, data_centre: str) -> _Choice:
         """Return the hubs of a data centre, the first one first."""
@@ -74,14 +76,14 @@
     def audiences(self) -> Audiences:
         """Return to whom this node speaks."""
         peers = self._peers
-        if not peers.is_large:
+        if not peers.is_large_fleet:
             return Audiences(hubs=(), nodes=tuple(peers.known))
-        near = self.of(peers.own.data_centre)
-        if peers.own.vm not in near:
+        near = self.of(peers.local.data_centre)
+        if peers.local.vm not in near:
             return Audiences(hubs=tuple(near), nodes=())
         data_centres = {one.address.data_centre for one in peers.known.values()}
         hubs = {vm for name in data_centres for vm in self.of(name)}
-        hubs.discard(peers.own.vm)
+        hubs.discard(peers.local.vm)
         nodes = [
             vm
             for vm, peer in peers.known.items()
@@ -96,13 +98,13 @@
     def drop_silent(self) -> None:
         """Take nodes for down whose words should come here and don't."""
         now_s = time.monotonic()
-        if self._peers.deaf_s > DEAF_S:
+        if self._peers.receive_gap_s > DEAF_S:
             # What others said meanwhile was lost here.
-            self._peers.deaf_s = 0
+            self._peers.receive_gap_s = 0
             self._forgiven_s = now_s
-        if now_s - self._peers.heard_s > DEAF_S:
+        if now_s - self._peers.last_received_s > DEAF_S:
             return
-        since_s = now_s - peers_module.HUB_ALIVE_S
+        since_s = now_s - peers_module.HUB_ALIVE_TIMEOUT_S
         self._expected_s = {
             vm: self._expected_s.get(vm, now_s) for vm in self._speakers()
         }
@@ -110,8 +112,10 @@
             peer = self._peers.known.get(vm)
             if peer is None or peer.is_down:
                 continue
-            heard_s = max(peer.last_sign_s, expected_s, self._forgiven_s)
-            if heard_s < since_s:
+            last_received_s = max(
+                peer.last_seen_s, expected_s, self._forgiven_s
+            )
+            if last_received_s < since_s:
                 self._peers.set_down(peer, is_down=True)
                 self._on_changed(peer)
 
@@ -121,7 +125,9 @@
         if peer is None or (state.born_ms or 0) < peer.born_ms:
             return False
         since_s = time.monotonic() - SURELY_HEARD_S
-        is_heard = peer.heard_s is not None and peer.heard_s >= since_s
+        is_heard = (
+            peer.last_received_s is not None and peer.last_received_s >= since_s
+        )
         if not state.is_up and is_heard and self.hears(peer):
             # The hub that said so is cut off from it.
             self._on_changed(peer)
@@ -136,7 +142,7 @@
     def _find(self, state: typing.Any) -> peers_module.Peer | None:
         known = self._peers.known
         if state.vm not in known:
-            address = peers_module.introduced(state)
+            address = peers_module.announced_address(state)
             if address is not None:
                 self._peers.add(address)
         return known.get(state.vm)
@@ -147,17 +153,17 @@
         return (*audiences.hubs, *audiences.nodes)
 
     def _is_near(self, peer: peers_module.Peer) -> bool:
-        return peer.address.data_centre == self._peers.own.data_centre
+        return peer.address.data_centre == self._peers.local.data_centre
 
     def _choose(self, data_centre: str) -> _Choice:
-        own = self._peers.own
+        local = self._peers.local
         found = [
             peer.address
             for peer in self._peers.alive()
             if peer.address.data_centre == data_centre and not peer.is_leaving
         ]
-        if data_centre == own.data_centre:
-            found.append(own)
+        if data_centre == local.data_centre:
+            found.append(local)
         found.sort(key=width_rank)
         return {address.vm: address for address in found[:HUBS]}
 
@@ -177,5 +183,5 @@
 
     The holder has most to do: the widest VMs of a fleet come first.
     """
-    own = width_rank(peers.own)
-    return sum(width_rank(peer.address) < own for peer in peers.alive())
+    local = width_rank(peers.local)
+    return sum(width_rank(peer.address) < local for peer in peers.alive())
--- a/redwingvalve/node/kind_watch.py
+++ b/redwingvalve/node/kind_watch.py
@@ -51,7 +51,7 @@
     def __init__(
         self,
         kind: str,
-        follower: watch_handler.WatchHandler,
+        handler: watch_handler.WatchHandler,
         choose: watch_sources.SelectSources,
         pause_s: PauseChooser = no_pause,
     ) -> None:
@@ -62,7 +62,7 @@
         """
         self.cache = watch_cache.WatchCache()
         self.kind = kind
-        self._follower = follower
+        self._handler = handler
         self._choose = choose
         self._pause_s = pause_s
         self._revision: int | None = None
@@ -86,7 +86,7 @@
         """Return the store's revision up to which all changes are known."""
         return self._revision or 0
 
-    def hurry(self) -> None:
+    def refresh_now(self) -> None:
         """Ask the store now, in place of the watch that is under way."""
         self._is_hurried = True
         self._waiting.cancel()
@@ -103,7 +103,7 @@
                 self._revision = None
                 # Relays list anew at the same time, and tell it for nothing.
                 self._failures = 0
-                self._follower.troubled()
+                self._handler.on_unavailable()
             except store.StoreError as error:
                 await self._failed(source, error)
             except (KeyError, TypeError, ValueError) as error:
@@ -128,8 +128,8 @@
             listing = await source.client.list_kind(self.kind)
             self._revision = listing.revision
             self._found(source, listing.age_s)
-            self.cache.replaced(listing)
-            self._follower.replaced(listing.objects)
+            self.cache.apply_listing(listing)
+            self._handler.on_list(listing.objects)
             return
         wait_s = HURRIED_WAIT_S if self._is_hurried else source.wait_s
         self._waiting = anyio.CancelScope(deadline=self._deadline_s(source))
@@ -150,8 +150,8 @@
     def _take(self, found: store.Changes, source: watch_sources.Source) -> None:
         self._revision = found.revision
         self._found(source, found.age_s)
-        self.cache.changed(found)
-        self._follower.changed(found.changes)
+        self.cache.apply_changes(found)
+        self._handler.on_changes(found.changes)
 
     def _rest_s(self, source: watch_sources.Source) -> float:
         return max(self._pause_s(), source.pause_s)
@@ -178,7 +178,7 @@
             pause_s = random.uniform(RELAY_RETRY_MIN_S, RELAY_RETRY_MAX_S)
             await anyio.sleep(pause_s)
             return
-        self._follower.troubled()
+        self._handler.on_unavailable()
         if not self._is_lost:
             LOG.warning(
                 'store lost', extra={'kind': self.kind, 'error': str(error)}
--- a/redwingvalve/node/peer_discovery.py
+++ b/redwingvalve/node/peer_discovery.py
@@ -61,10 +61,10 @@
         """Return whether the other nodes have been read."""
         return self._has_met
 
-    async def leave(self) -> None:
+    async def deregister(self) -> None:
         """Remove the own object, so that no other node looks for this one."""
         try:
-            await self.client.remove(NODE_KIND, self.peers.own.vm)
+            await self.client.remove(NODE_KIND, self.peers.local.vm)
         except store.StoreError as error:
             # The others hear no words of this node, which tells them too.
             LOG.warning('not deregistered', extra={'error': str(error)})
@@ -84,10 +84,10 @@
 
     async def _write(self) -> bool:
         """Write the object in place of that of this VM's last process."""
-        own = self.peers.own
-        spec = attrs.asdict(own)
+        local = self.peers.local
+        spec = attrs.asdict(local)
         try:
-            await self.client.create(NODE_KIND, own.vm, spec)
+            await self.client.create(NODE_KIND, local.vm, spec)
         except store.ConflictError:
             return await self._replace(spec)
         except store.StoreError as error:
@@ -96,9 +96,9 @@
         return True
 
     async def _replace(self, spec: store.Document) -> bool:
-        own = self.peers.own
+        local = self.peers.local
         try:
-            await self.client.replace(NODE_KIND, own.vm, spec, None)
+            await self.client.replace(NODE_KIND, local.vm, spec, None)
         except store.StoreError as error:
             LOG.warning('not registered', extra={'error': str(error)})
             return False
--- a/redwingvalve/node/peers.py
+++ b/redwingvalve/node/peers.py
@@ -30,11 +30,11 @@
 INTRODUCE_S = 3.0
 # A node is given to callers while it was heard within this; four words of a
 # node at rest.
-ALIVE_S = 1.2
+ALIVE_TIMEOUT_S = 1.2
 # Words between a hub and its nodes. Two in a row may be lost before a node
 # counts as down.
 HUB_WORD_S = 0.25
-HUB_ALIVE_S = 0.9
+HUB_ALIVE_TIMEOUT_S = 0.9
 # The requests of a node count while it was heard within this many pauses: one
 # word that is lost on the way makes no difference.
 COUNTED_PAUSES = 3.5
@@ -77,7 +77,7 @@
 
     address: PeerAddress
     first_seen_s: float
-    heard_s: float | None = None
+    last_received_s: float | None = None
     born_ms: int = 0
     number: int = -1
     is_leaving: bool = False
@@ -86,9 +86,13 @@
     is_down: bool = False
 
     @property
-    def last_sign_s(self) -> float:
+    def last_seen_s(self) -> float:
         """Return when the node was heard last, or came to be known."""
-        return self.first_seen_s if self.heard_s is None else self.heard_s
+        return (
+            self.first_seen_s
+            if self.last_received_s is None
+            else self.last_received_s
+        )
 
 
 class PeerObserver(typing.Protocol):
@@ -107,54 +111,55 @@
 class Peers(asyncio.DatagramProtocol):
     """All other nodes."""
 
-    def __init__(self, own: PeerAddress, taker: PeerObserver) -> None:
+    def __init__(self, local: PeerAddress, taker: PeerObserver) -> None:
         """Speak for the own node."""
         self.known: dict[str, Peer] = {}
-        self.own = own
+        self.local = local
         self._taker = taker
         self._transport: asyncio.DatagramTransport | None = None
         self._introduce_until_s = 0.0
         # When any other node was heard last.
-        self.heard_s = 0.0
+        self.last_received_s = 0.0
         # After which silence of all others it was.
-        self.deaf_s = 0.0
+        self.receive_gap_s = 0.0
         # Takes datagrams that are no words, and where they came from.
         self.on_tagged: typing.Callable[[bytes, Address], None] | None = None
 
     @property
-    def is_introducing(self) -> bool:
+    def is_announcing(self) -> bool:
         """Return whether others may not know this node yet."""
         return time.monotonic() < self._introduce_until_s
 
     @property
     def word_pause_s(self) -> float:
         """Return the time between two words while something changes."""
-        if self.is_large:
+        if self.is_large_fleet:
             return HUB_WORD_S
         return BUSY_WORD_S * max(1.0, len(self.known) / PLAIN_NODES)
 
     @property
-    def is_large(self) -> bool:
+    def is_large_fleet(self) -> bool:
         """Return whether the fleet is too large for each to watch the store."""
         return len(self.known) + 1 >= LARGE_FROM_NODES
 
     @property
-    def alive_s(self) -> float:
+    def alive_timeout_s(self) -> float:
         """Return how long a node may be silent and count as living."""
-        return HUB_ALIVE_S if self.is_large else ALIVE_S
+        return HUB_ALIVE_TIMEOUT_S if self.is_large_fleet else ALIVE_TIMEOUT_S
 
     def alive(self) -> list[Peer]:
         """Return the nodes that seem to live."""
-        if self.is_large:
+        if self.is_large_fleet:
             return [one for one in self.known.values() if not one.is_down]
-        since_s = time.monotonic() - self.alive_s
+        since_s = time.monotonic() - self.alive_timeout_s
         return [
             peer
             for peer in self.known.values()
-            if peer.heard_s is not None and peer.heard_s >= since_s
+            if peer.last_received_s is not None
+            and peer.last_received_s >= since_s
         ]
 
-    def say(
+    def send_status(
         self, word: typing.Any, names: collections_abc.Iterable[str]
     ) -> None:
         """Send a word to some nodes."""
@@ -181,7 +186,7 @@
         gone = [
             name
             for name, peer in self.known.items()
-            if name not in names and peer.last_sign_s < since_s
+            if name not in names and peer.last_seen_s < since_s
         ]
         for name in gone:
             self._drop(name)
@@ -236,17 +241,20 @@
         """
         since_s = time.monotonic() - COUNTED_PAUSES * self.word_pause_s
         for name, peer in self.known.items():
-            if peer.heard_s is not None and peer.heard_s < since_s:
+            if (
+                peer.last_received_s is not None
+                and peer.last_received_s < since_s
+            ):
                 self._taker.node_lost(name)
 
     def _note_heard(self, peer: Peer, word: typing.Any) -> None:
         now_s = time.monotonic()
-        self.deaf_s = now_s - self.heard_s
-        self.heard_s = now_s
+        self.receive_gap_s = now_s - self.last_received_s
+        self.last_received_s = now_s
         before = (peer.born_ms, peer.is_leaving, peer.is_ready, peer.is_down)
         peer.born_ms = word.born_ms
         peer.number = word.number
-        peer.heard_s = now_s
+        peer.last_received_s = now_s
         peer.is_leaving = bool(word.is_leaving)
         peer.is_ready = bool(word.is_ready)
         peer.is_down = False
@@ -261,7 +269,7 @@
         peer.is_down = is_down
 
     def _meet(self, word: typing.Any) -> None:
-        address = introduced(word)
+        address = announced_address(word)
         if address is None:
             return
         known = self.known.get(word.vm)
@@ -287,12 +295,12 @@
         born_ms = peer.born_ms or peer.address.born_ms
         if word.born_ms == born_ms:
             return bool(word.number > peer.number)
-        is_silent = peer.last_sign_s < time.monotonic() - self.alive_s
+        is_silent = peer.last_seen_s < time.monotonic() - self.alive_timeout_s
         return is_silent or word.born_ms > born_ms
 
     def add(self, address: PeerAddress) -> None:
         """Take where a node is, unless a later start of it is known."""
-        if address.vm == self.own.vm:
+        if address.vm == self.local.vm:
             return
         known = self.known.get(address.vm)
         if known is not None and known.address.born_ms >= address.born_ms:
@@ -305,7 +313,7 @@
             self._taker.node_lost(name)
 
 
-def own_address(node: settings.NodeSettings, born_ms: int) -> PeerAddress:
+def local_address(node: settings.NodeSettings, born_ms: int) -> PeerAddress:
     """Return what this node writes into the store."""
     return PeerAddress(
         vm=node.vm,
@@ -318,15 +326,15 @@
     )
 
 
-async def open_datagrams(peers: Peers) -> None:
+async def open_socket(peers: Peers) -> None:
     """Listen for the words of other nodes; raises OSError."""
     loop = asyncio.get_running_loop()
     await loop.create_datagram_endpoint(
-        lambda: peers, local_addr=(peers.own.ip, peers.own.peer_port)
+        lambda: peers, local_addr=(peers.local.ip, peers.local.peer_port)
     )
 
 
-def introduced(word: typing.Any) -> PeerAddress | None:
+def announced_address(word: typing.Any) -> PeerAddress | None:
     """Return where a word says that its node is, if it does."""
     address = word.address
     if address is None or not (address.ip and address.peer_port):
--- a/redwingvalve/node/status_exchange.py
+++ b/redwingvalve/node/status_exchange.py
@@ -28,7 +28,7 @@
 class StatusExchange(peers_module.PeerObserver):
     """Speaks for a node, and hands on what the others say."""
 
-    own: peers_module.PeerAddress
+    local: peers_module.PeerAddress
     state: state_module.IngressState
     registry: registry_module.Registry
     table: serving.ServingTable
@@ -41,7 +41,7 @@
         factory=usage_module.FleetUsage
     )
     on_node_lost: typing.Callable[[str], None] | None = None
-    own_usage: typing.Callable[[], dict[str, int]] = dict
+    local_usage: typing.Callable[[], dict[str, int]] = dict
     # Another node has seen requests.
     others_served: bool = False
     _hub_news: update_forwarding.ForwardedUpdates = attrs.field(init=False)
@@ -53,7 +53,7 @@
 
     def __attrs_post_init__(self) -> None:
         """Tell at once what others can't wait for."""
-        self.peers = peers_module.Peers(self.own, self)
+        self.peers = peers_module.Peers(self.local, self)
         self.hubs = hubs_module.Hubs(self.peers, self.node_changed)
         self._hub_news = update_forwarding.ForwardedUpdates(
             self.peers, self.hubs
@@ -61,7 +61,7 @@
         self.table.on_suspect = self._suspected
         self.table.on_clear = self._found_sound
         self.table.on_tell_sound = self._note_sound
-        self.lease.on_renewed = self.say_soon
+        self.lease.on_renewed = self.broadcast_soon
 
     @property
     def fleet_has_served(self) -> bool:
@@ -74,13 +74,13 @@
             rest_s = time.monotonic() - self._said_s
             # While requests run here, silence means that they have ended.
             is_busy = bool(self.state.loads.own)
-            is_due = self.peers.is_large or is_busy
+            is_due = self.peers.is_large_fleet or is_busy
             if is_due or rest_s >= peers_module.REST_WORD_S:
-                self.say_now()
+                self.broadcast_now()
             self._look_around()
             await anyio.sleep(self.peers.word_pause_s)
 
-    def say_now(self) -> None:
+    def broadcast_now(self) -> None:
         """Send a word to all other nodes."""
         if self._timer is not None:
             self._timer.cancel()
@@ -99,27 +99,27 @@
         word = self.make_word()
         if is_hub:
             self._hub_news.add_to(word, with_far=with_far)
-        self.peers.say(word, names)
+        self.peers.send_status(word, names)
 
-    def say_soon(self) -> None:
+    def broadcast_soon(self) -> None:
         """Send a word at once, or with others a moment after the last one."""
         if self._timer is not None:
             return
         wait_s = self._said_s + NEWS_PAUSE_S - time.monotonic()
         if wait_s <= 0:
-            self.say_now()
+            self.broadcast_now()
             return
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(wait_s, self.say_now)
+        self._timer = loop.call_later(wait_s, self.broadcast_now)
 
     def make_word(self) -> typing.Any:
         """Return the next word of this node."""
         self._number += 1
-        usage = self.own_usage()
-        self.usage.heard(self.own.vm, usage)
+        usage = self.local_usage()
+        self.usage.heard(self.local.vm, usage)
         word = status_messages.NodeWord(
-            vm=self.own.vm,
-            born_ms=self.own.born_ms,
+            vm=self.local.vm,
+            born_ms=self.local.born_ms,
             number=self._number,
             is_leaving=self.state.is_leaving,
             is_ready=self.state.configuration is not None,
@@ -129,25 +129,25 @@
             cleared=status_fields.clear_words(self._cleared),
             usage=usage,
         )
-        if self.peers.is_introducing:
-            word.address = status_fields.address_word(self.own)
+        if self.peers.is_announcing:
+            word.address = status_fields.address_word(self.local)
         if self.lease.is_held() or self.lease.is_releasing:
             word.lease_revision = self.lease.revision
             word.lease_left_ms = self.lease.left_ms()
-        elif self.peers.is_large and self.lease.heard_left_ms():
+        elif self.peers.is_large_fleet and self.lease.heard_left_ms():
             word.lease_revision = self.lease.heard_revision
             word.lease_left_ms = self.lease.heard_left_ms()
         return word
 
     def _knows_served(self) -> bool:
         # In a large fleet most hear of it from a hub only.
-        if self.peers.is_large:
+        if self.peers.is_large_fleet:
             return self.fleet_has_served
         return self.front.has_served
 
     def word(self, word: typing.Any) -> None:
         """Take another node's word."""
-        if self.peers.is_large:
+        if self.peers.is_large_fleet:
             self._take_passed_on(word)
         self.usage.heard(word.vm, word.usage or {})
         if word.lease_revision:
@@ -165,14 +165,14 @@
         """Pass on what has become of a node."""
         if self.hubs.is_hub:
             self._hub_news.changed(peer)
-            self.say_soon()
+            self.broadcast_soon()
 
     def _take_passed_on(self, word: typing.Any) -> None:
         news = list(filter(self.hubs.take_state, word.states or ()))
         for usage in word.usages or ():
             self.usage.heard(usage.vm, usage.usage or {})
         if self.hubs.is_hub and self._hub_news.heard(word, news):
-            self.say_soon()
+            self.broadcast_soon()
 
     def node_lost(self, vm: str) -> None:
         """Forget what a silent node holds and grants."""
@@ -181,7 +181,7 @@
             self.on_node_lost(vm)
 
     def _look_around(self) -> None:
-        if self.peers.is_large:
+        if self.peers.is_large_fleet:
             self.hubs.drop_silent()
         else:
             self.peers.drop_silent()
@@ -192,7 +192,7 @@
 
     def _found_sound(self, endpoint_id: str, epoch: int) -> None:
         self._note_sound(endpoint_id, epoch)
-        self.say_soon()
+        self.broadcast_soon()
 
     def _note_sound(self, endpoint_id: str, epoch: int) -> None:
         # Left for the next word: nobody waits for it.
@@ -201,4 +201,4 @@
     def _suspected(self, suspicion: serving.Suspicion) -> None:
         # Not left for the next word: requests go there from all nodes.
         self._cleared.pop(suspicion.endpoint_id, None)
-        self.say_soon()
+        self.broadcast_soon()
--- a/redwingvalve/node/status_fields.py
+++ b/redwingvalve/node/status_fields.py
@@ -24,14 +24,14 @@
     since_s: float
 
 
-def address_word(own: peers.PeerAddress) -> typing.Any:
+def address_word(local: peers.PeerAddress) -> typing.Any:
     """Return where a node is."""
     return status_messages.AddressWord(
-        ip=own.ip,
-        peer_port=own.peer_port,
-        front=own.front,
-        data_centre=own.data_centre,
-        link_mbps=own.link_mbps,
+        ip=local.ip,
+        peer_port=local.peer_port,
+        front=local.front,
+        data_centre=local.data_centre,
+        link_mbps=local.link_mbps,
     )
 
 
--- a/redwingvalve/node/tests/test_hubs.py
+++ b/redwingvalve/node/tests/test_hubs.py
@@ -45,7 +45,7 @@
 
 def silence(node):
     """Let a node say nothing more, as after a kill."""
-    node.peers.say = lambda word, names: None
+    node.peers.send_status = lambda word, names: None
     node.peers.send_tagged = lambda packed, address: None
 
 
@@ -61,7 +61,7 @@
         await met(fleet)
         dead = by_duty(fleet)[duty][0]
         others = [node for node in fleet.nodes if node is not dead]
-        front = dead.peers.own.front
+        front = dead.peers.local.front
         assert all(front in fronts(node) for node in others)
         silence(dead)
         await fleet.until(
@@ -95,8 +95,8 @@
         await met(fleet)
         leaving = by_duty(fleet)[1][0]
         leaving.state.is_leaving = True
-        leaving.status_exchange.say_now()
-        front = leaving.peers.own.front
+        leaving.status_exchange.broadcast_now()
+        front = leaving.peers.local.front
         others = [node for node in fleet.nodes if node is not leaving]
         await fleet.until(
             lambda: not any(front in fronts(node) for node in others), SPREAD_S
@@ -134,13 +134,13 @@
         plain = by_duty(fleet)[1]
         counts = dict.fromkeys((node.settings.vm for node in plain), 0)
         for node in plain:
-            say = node.peers.say
+            send_status = node.peers.send_status
 
-            def note(word, names, vm=node.settings.vm, say=say):
+            def note(word, names, vm=node.settings.vm, send_status=send_status):
                 counts[vm] += len(tuple(names))
-                say(word, names)
+                send_status(word, names)
 
-            node.peers.say = note
+            node.peers.send_status = note
         await anyio.sleep(2)
         sent.append(max(counts.values()) / 2)
 
@@ -170,17 +170,17 @@
         for hub in hubs:
             for number in range(40):
                 gone = attrs.evolve(
-                    hub.peers.own, vm=f'gone-{number}', born_ms=1
+                    hub.peers.local, vm=f'gone-{number}', born_ms=1
                 )
                 hub.peers.add(gone)
                 hub.peers.known[gone.vm].is_down = True
-            say = hub.peers.say
+            send_status = hub.peers.send_status
 
-            def note(word, names, say=say):
+            def note(word, names, send_status=send_status):
                 sent.append(word)
-                say(word, names)
+                send_status(word, names)
 
-            hub.peers.say = note
+            hub.peers.send_status = note
         await anyio.sleep(3)
 
     fleets.run(test, nodes=4, engines=0, plain=1)
@@ -194,9 +194,9 @@
     Told both for a second, other hubs take each for news of the other.
     """
     nobody = mock.create_autospec(peers.PeerObserver, instance=True)
-    own = peers.PeerAddress('vm-1', '127.0.0.1', 1, '', 'dc', 1)
-    known = peers.Peers(own, nobody)
-    known.add(attrs.evolve(own, vm='vm-2'))
+    local = peers.PeerAddress('vm-1', '127.0.0.1', 1, '', 'dc', 1)
+    known = peers.Peers(local, nobody)
+    known.add(attrs.evolve(local, vm='vm-2'))
     news = update_forwarding.ForwardedUpdates(known, hubs.Hubs(known, None))
     leaving = known.known['vm-2']
     leaving.is_leaving = True
--- a/redwingvalve/node/tests/test_peer_discovery.py
+++ b/redwingvalve/node/tests/test_peer_discovery.py
@@ -51,13 +51,15 @@
         self._now_s += seconds
 
 
-def say(known, own, number):
+def say(known, local, number):
     """Let a node's word arrive."""
     word = status_messages.NodeWord(
-        vm=own.vm, born_ms=own.born_ms, number=number, is_ready=True
+        vm=local.vm, born_ms=local.born_ms, number=number, is_ready=True
+    )
+    word.address = status_fields.address_word(local)
+    known.datagram_received(
+        status_messages.pack(word), (local.ip, local.peer_port)
     )
-    word.address = status_fields.address_word(own)
-    known.datagram_received(status_messages.pack(word), (own.ip, own.peer_port))
 
 
 def address(vm, born_ms=1, ip='127.0.0.1'):
@@ -149,7 +151,7 @@
     restarted = address('vm-2', born_ms=5000, ip='127.0.0.2')
     say(known, restarted, number=1)
     assert [word.number for word in heard.words] == [70]
-    now.pass_s(peers.ALIVE_S + 0.1)
+    now.pass_s(peers.ALIVE_TIMEOUT_S + 0.1)
     say(known, restarted, number=2)
     assert [word.number for word in heard.words] == [70, 2]
     assert known.known['vm-2'].address.ip == '127.0.0.2'
@@ -165,7 +167,7 @@
     now = FakeTime(monkeypatch)
     known = peers.Peers(address('vm-1'), heard)
     say(known, address('vm-2'), number=7)
-    now.pass_s(peers.ALIVE_S + 0.1)
+    now.pass_s(peers.ALIVE_TIMEOUT_S + 0.1)
     say(known, address('vm-2'), number=6)
     assert [word.number for word in heard.words] == [7]
 
--- a/redwingvalve/node/tests/test_relays.py
+++ b/redwingvalve/node/tests/test_relays.py
@@ -161,13 +161,13 @@
 class Deaf(watch_handler.WatchHandler):
     """Takes what it is told."""
 
-    def replaced(self, listed):
+    def on_list(self, listed):
         """Keep nothing."""
 
-    def changed(self, changes):
+    def on_changes(self, changes):
         """Keep nothing."""
 
-    def troubled(self):
+    def on_unavailable(self):
         """Go on."""
 
 
@@ -194,14 +194,14 @@
         None, None, others, hubs.Hubs(others, None), lambda: False, BOUND_S
     )
     # One of the two itself.
-    assert [source.is_store for source in selector.now()] == [True]
+    assert [source.is_store for source in selector.select()] == [True]
     others = peers.Peers(known[0], nobody)
     others.listed([*known[1:], own])
     others.listed([node_address(f'x-{n}', 1) for n in range(9)])
     selector = watch_sources.SourceSelector(
         None, None, others, hubs.Hubs(others, None), lambda: False, BOUND_S
     )
-    assert selector.now()[:2] == ['vm-10', 'vm-9']
+    assert selector.select()[:2] == ['vm-10', 'vm-9']
 
 
 def node_address(vm, link_mbps):
@@ -219,7 +219,7 @@
     async def test(fleet):
         await anyio.sleep(1.5)
         out_of_touch = property(lambda cache: False)
-        monkeypatch.setattr(watch_cache.WatchCache, 'is_in_touch', out_of_touch)
+        monkeypatch.setattr(watch_cache.WatchCache, 'is_current', out_of_touch)
         await anyio.sleep(1.5)
         calls = fleet.store.calls
         for number in range(30):
--- a/redwingvalve/node/tests/test_watch_cache.py
+++ b/redwingvalve/node/tests/test_watch_cache.py
@@ -24,11 +24,11 @@
     monkeypatch.setattr(clock, 'boot_s', lambda: now_s[0])
     cache = watch_cache.WatchCache()
     assert cache.age_s == watch_cache.NEVER_S
-    cache.replaced(store.Listing([], 10))
+    cache.apply_listing(store.Listing([], 10))
     cache.heard(1.0, is_from_store=True)
     now_s[0] += 4
     assert cache.listing().age_s == pytest.approx(4)
-    assert not cache.is_in_touch
+    assert not cache.is_current
 
 
 def test_a_question_is_answered_when_the_store_was_heard_again():
@@ -36,7 +36,7 @@
 
     async def main():
         cache = watch_cache.WatchCache()
-        cache.replaced(store.Listing([], 10))
+        cache.apply_listing(store.Listing([], 10))
         async with anyio.create_task_group() as group:
             group.start_soon(hear_later, cache)
             began_s = anyio.current_time()
@@ -56,13 +56,13 @@
 def test_a_relay_that_lost_the_store_says_so():
     async def main():
         cache = watch_cache.WatchCache()
-        assert not cache.is_in_touch
+        assert not cache.is_current
         cache.heard(0.0, is_from_store=True)
-        assert cache.is_in_touch
+        assert cache.is_current
         await anyio.sleep(watch_cache.CONTACT_SLACK_S + 0.05)
-        assert not cache.is_in_touch
+        assert not cache.is_current
         cache.heard(5.0, is_from_store=False)
-        assert not cache.is_in_touch
+        assert not cache.is_current
 
     anyio.run(main)
 
@@ -72,8 +72,10 @@
 
     async def main():
         cache = watch_cache.WatchCache()
-        cache.replaced(store.Listing([], 100))
-        cache.changed(store.Changes([change('a', 101), change('b', 104)], 106))
+        cache.apply_listing(store.Listing([], 100))
+        cache.apply_changes(
+            store.Changes([change('a', 101), change('b', 104)], 106)
+        )
         found = await cache.changes_after(103, 0.0)
         assert [one.name for one in found.changes] == ['a', 'b']
         assert found.revision == 106
@@ -95,10 +97,10 @@
 
     async def main():
         cache = watch_cache.WatchCache()
-        cache.replaced(store.Listing([], 100))
+        cache.apply_listing(store.Listing([], 100))
         for revision in range(101, 111):
             batch = [change('main', revision), change(f'x{revision}', revision)]
-            cache.changed(store.Changes(batch, revision))
+            cache.apply_changes(store.Changes(batch, revision))
         found = await cache.changes_after(100, 0.0)
         versions = [one for one in found.changes if one.name == 'main']
         assert [store.revision_of(one.stored) for one in versions] == [110]
@@ -112,10 +114,10 @@
 
     async def main():
         cache = watch_cache.WatchCache()
-        cache.replaced(store.Listing([], 100))
+        cache.apply_listing(store.Listing([], 100))
         for revision, is_removed in ((101, False), (102, False), (103, True)):
             batch = [change('a', revision, is_removed)]
-            cache.changed(store.Changes(batch, revision))
+            cache.apply_changes(store.Changes(batch, revision))
         found = await cache.changes_after(100, 0.0)
         revisions = [store.revision_of(one.stored) for one in found.changes]
         assert revisions == [102, 103]
@@ -142,11 +144,11 @@
 def test_a_mirror_knows_which_history_it_has():
     async def main():
         cache = watch_cache.WatchCache()
-        cache.replaced(store.Listing([], 100))
+        cache.apply_listing(store.Listing([], 100))
         assert not cache.has_history(99) and cache.has_history(100)
         for number in range(watch_cache.KEPT_BATCHES + 1):
             batch = [change('a', 101 + number)]
-            cache.changed(store.Changes(batch, 101 + number))
+            cache.apply_changes(store.Changes(batch, 101 + number))
         assert not cache.has_history(100) and cache.has_history(101)
 
     anyio.run(main)
@@ -163,7 +165,7 @@
 
     async def main():
         cache = watch_cache.WatchCache()
-        cache.replaced(store.Listing([], 10))
+        cache.apply_listing(store.Listing([], 10))
         async with anyio.create_task_group() as group:
             group.start_soon(list_anew, cache)
             found = await cache.changes_after(10, 1.0)
@@ -176,7 +178,7 @@
 def test_a_node_from_before_the_history_lists_too():
     async def main():
         cache = watch_cache.WatchCache()
-        cache.replaced(store.Listing([], 10))
+        cache.apply_listing(store.Listing([], 10))
         with pytest.raises(store.HistoryGoneError):
             await cache.changes_after(9, 0.0)
 
@@ -186,7 +188,7 @@
 async def list_anew(cache):
     await anyio.sleep(0.02)
     stored = {'metadata': {'name': 'main', 'revision': 15}, 'spec': {}}
-    cache.replaced(store.Listing([stored], 20))
+    cache.apply_listing(store.Listing([stored], 20))
 
 
 def test_nodes_behind_a_relay_that_lists_anew_are_told_the_difference():
@@ -195,9 +197,11 @@
     async def main():
         cache = watch_cache.WatchCache()
         before = [change(name, 90).stored for name in ('a', 'b', 'c')]
-        cache.replaced(store.Listing(before, 100))
+        cache.apply_listing(store.Listing(before, 100))
         after = [change('a', 90).stored, change('b', 120).stored]
-        cache.replaced(store.Listing([*after, change('d', 130).stored], 140))
+        cache.apply_listing(
+            store.Listing([*after, change('d', 130).stored], 140)
+        )
         found = await cache.changes_after(100, 0.0)
         told = {(one.name, one.is_removed) for one in found.changes}
         assert told == {('b', False), ('c', True), ('d', False)}
@@ -209,7 +213,7 @@
 def test_a_listing_from_before_ends_the_history():
     """A relay that follows an older one never tells what was before as new."""
     cache = watch_cache.WatchCache()
-    cache.replaced(store.Listing([change('a', 90).stored], 100))
-    cache.replaced(store.Listing([change('a', 80).stored], 85))
+    cache.apply_listing(store.Listing([change('a', 90).stored], 100))
+    cache.apply_listing(store.Listing([change('a', 80).stored], 85))
     assert cache.revision == 85
     assert not cache.has_history(84)
--- a/redwingvalve/node/update_forwarding.py
+++ b/redwingvalve/node/update_forwarding.py
@@ -129,12 +129,12 @@
         if peer is None:
             return False
         data_centre = peer.address.data_centre
-        is_near = data_centre == self.peers.own.data_centre
+        is_near = data_centre == self.peers.local.data_centre
         return is_near and vm not in self.hubs.of(data_centre)
 
     def _states_again(self, *, with_far: bool) -> list[typing.Any]:
         """Return some of the nodes that are down or leaving, in turn."""
-        near = self.peers.own.data_centre
+        near = self.peers.local.data_centre
         repeated = self._repeated[with_far]
         if not repeated:
             repeated.extend(
--- a/redwingvalve/node/watch_cache.py
+++ b/redwingvalve/node/watch_cache.py
@@ -61,7 +61,7 @@
         return clock.boot_s() - self._contact_s
 
     @property
-    def is_in_touch(self) -> bool:
+    def is_current(self) -> bool:
         """Return whether the store itself was heard lately."""
         return self.age_s < self._wait_s + CONTACT_SLACK_S
 
@@ -76,7 +76,7 @@
         self._contact_s = clock.boot_s() if is_from_store else None
         self._tell()
 
-    def replaced(self, listing: store.Listing) -> None:
+    def apply_listing(self, listing: store.Listing) -> None:
         """Take all objects at a revision.
 
         What differs from what was known is told as changes. When the store
@@ -89,7 +89,7 @@
         }
         if self.revision and listing.revision >= self.revision:
             missed = _differences(self._objects, found)
-            self.changed(store.Changes(missed, listing.revision))
+            self.apply_changes(store.Changes(missed, listing.revision))
             self._tell()
             return
         self._objects = found
@@ -98,7 +98,7 @@
         self._first_revision = listing.revision
         self._tell()
 
-    def changed(self, found: store.Changes) -> None:
+    def apply_changes(self, found: store.Changes) -> None:
         """Take changes in their order."""
         self.revision = max(self.revision, found.revision)
         if not found.changes:
@@ -170,13 +170,13 @@
         for name, stored in known.items()
         if name not in found
     ]
-    changed = [
+    apply_changes = [
         store.Change(stored, is_removed=False)
         for name, stored in found.items()
         if name not in known
         or store.revision_of(known[name]) != store.revision_of(stored)
     ]
-    return [*removed, *changed]
+    return [*removed, *apply_changes]
 
 
 def _newest(
--- a/redwingvalve/node/watch_handler.py
+++ b/redwingvalve/node/watch_handler.py
@@ -9,13 +9,13 @@
     """What is told of a kind's objects."""
 
     @abc.abstractmethod
-    def replaced(self, listed: list[store.Document]) -> None:
+    def on_list(self, listed: list[store.Document]) -> None:
         """Take all objects of the kind."""
 
     @abc.abstractmethod
-    def changed(self, changes: list[store.Change]) -> None:
+    def on_changes(self, changes: list[store.Change]) -> None:
         """Take changes in their order."""
 
     @abc.abstractmethod
-    def troubled(self) -> None:
+    def on_unavailable(self) -> None:
         """Note that the store gives no usable answers."""
--- a/redwingvalve/node/watch_sources.py
+++ b/redwingvalve/node/watch_sources.py
@@ -85,22 +85,22 @@
         self._holds_lease = holds_lease
         self._bound_s = bound_s
 
-    def now(self) -> list[Source]:
+    def select(self) -> list[Source]:
         """Return the sources, the preferred one first."""
-        is_large = self._peers.is_large
+        is_large_fleet = self._peers.is_large_fleet
         relay_wait_s = RELAY_WAIT_SHARE * self._bound_s
-        wait_s = relay_wait_s if is_large else STORE_WAIT_S
+        wait_s = relay_wait_s if is_large_fleet else STORE_WAIT_S
         at_once = Source(self._store, is_store=True, wait_s=wait_s)
         if self._holds_lease():
             return [at_once]
         own = attrs.evolve(at_once, pause_s=PAUSE_SHARE * self._bound_s)
-        if not is_large:
+        if not is_large_fleet:
             return [own]
-        relays = self._hubs.of(self._peers.own.data_centre)
+        relays = self._hubs.of(self._peers.local.data_centre)
         # The second hub follows the first, so that a data centre costs the
         # store the calls of one node.
         before = itertools.takewhile(
-            lambda address: address.vm != self._peers.own.vm, relays.values()
+            lambda address: address.vm != self._peers.local.vm, relays.values()
         )
         return [*map(self._relay_source, before), own]
 
@@ -156,7 +156,7 @@
         asked: store_pages.PageRequest,
         responder: server.Responder,
     ) -> None:
-        if not cache.is_in_touch:
+        if not cache.is_current:
             responder.answer(_UNAVAILABLE, [_JSON], b'{}')
             return
         if asked.after_revision is None:
@@ -170,7 +170,7 @@
         except store.HistoryGoneError:
             responder.answer(_HISTORY_GONE, [_JSON], b'{}')
             return
-        if not (found.changes or cache.is_in_touch):
+        if not (found.changes or cache.is_current):
             responder.answer(_UNAVAILABLE, [_JSON], b'{}')
             return
         page = self._page(asked, found)
--- a/redwingvalve/platform/tests/test_lease_and_store.py
+++ b/redwingvalve/platform/tests/test_lease_and_store.py
@@ -13,7 +13,7 @@
         (holder,) = fleets.holders(fleet)
         holder.lease.is_releasing = True
         # As after a kill: it says and renews nothing more.
-        holder.peers.say = lambda word, names: None
+        holder.peers.send_status = lambda word, names: None
         limit_s = lease_module.TERM_S * 2 + 1
         await fleet.until(
             lambda: any(node is not holder for node in fleets.holders(fleet)),
@@ -29,7 +29,7 @@
     async def test(fleet):
         (holder,) = fleets.holders(fleet)
         await holder.lease.release()
-        holder.status_exchange.say_now()
+        holder.status_exchange.broadcast_now()
         await fleet.until(lambda: bool(fleets.holders(fleet)), 1)
 
     fleets.run(test, nodes=3)
@@ -159,7 +159,7 @@
             patched.setattr(other.client, 'watch', hang)
             await anyio.sleep(3)
             await holder.lease.release()
-            holder.status_exchange.say_now()
+            holder.status_exchange.broadcast_now()
             await fleet.until(other.lease.is_held, 2)
             await anyio.sleep(0.3)
             assert not set(looked) & set(other.control.controllers.values())
@@ -169,7 +169,7 @@
                 'look',
                 lambda made, engine: looked.append(made),
             )
-            other.endpoint_watch.hurry()
+            other.endpoint_watch.refresh_now()
             await fleet.until(
                 lambda: bool(
                     set(looked) & set(other.control.controllers.values())
--- a/redwingvalve/platform/tests/test_leaving.py
+++ b/redwingvalve/platform/tests/test_leaving.py
@@ -49,7 +49,7 @@
         await anyio.sleep(0.5)
         assert await told() == fronts
         gone = fleet.nodes[2]
-        gone.peers.say = lambda word, names: None
+        gone.peers.send_status = lambda word, names: None
         gone.state.is_leaving = True
         await anyio.sleep(1.5)
         assert await told() == fronts - {str(gone.settings.front)}
