--- a/redwingvalve/node/control_loop.py
+++ b/redwingvalve/node/control_loop.py
@@ -11,7 +11,7 @@
 from redwingvalve.ingress import routes
 from redwingvalve.ingress import state as state_module
 from redwingvalve.node import controller as controller_module
-from redwingvalve.node import inspecting, kind_watch
+from redwingvalve.node import endpoint_prober, kind_watch
 from redwingvalve.node import lease as lease_module
 from redwingvalve.node import status_exchange as status_exchange_module
 from redwingvalve.platform import endpoint_orders
@@ -29,7 +29,7 @@
     registry: registry_module.Registry
     table: serving.ServingTable
     client: endpoint_orders.EndpointClient
-    inspector: inspecting.Inspector
+    prober: endpoint_prober.EndpointProber
     lease: lease_module.Lease
     status_exchange: status_exchange_module.StatusExchange
     endpoint_watch: kind_watch.KindWatch
@@ -74,7 +74,7 @@
                 self.registry,
                 self.table,
                 self.client,
-                self.inspector,
+                self.prober,
                 group,
                 self.lease.is_held,
                 self.state.in_use,
--- a/redwingvalve/node/controller.py
+++ b/redwingvalve/node/controller.py
@@ -8,7 +8,12 @@
 from redwingvalve.fleet import demand, endpoints, history, serving
 from redwingvalve.fleet import registry as registry_module
 from redwingvalve.ingress import routes
-from redwingvalve.node import forming, inspecting, replica_orders, tasks
+from redwingvalve.node import (
+    endpoint_prober,
+    endpoint_scheduler,
+    replica_orders,
+    tasks,
+)
 from redwingvalve.observability import logs
 from redwingvalve.platform import endpoint_orders
 
@@ -37,7 +42,7 @@
         registry: registry_module.Registry,
         table: serving.ServingTable,
         client: endpoint_orders.EndpointClient,
-        inspector: inspecting.Inspector,
+        prober: endpoint_prober.EndpointProber,
         group: anyio.abc.TaskGroup,
         holds_lease: typing.Callable[[], bool],
         in_use: typing.Callable[[str, str], float],
@@ -56,9 +61,11 @@
         self._table = table
         self._tasks = tasks.EndpointTasks(group)
         self._orders = replica_orders.ReplicaOrders(
-            client, inspector, registry, holds_lease
+            client, prober, registry, holds_lease
+        )
+        self._scheduler = endpoint_scheduler.EndpointScheduler(
+            client, self._orders, self._tasks
         )
-        self._former = forming.Former(client, self._orders, self._tasks)
         self._inspected_s: dict[replica_orders.Key, float] = {}
         self._history = history.ReplicaHistory()
         self._demand = demand.ModelDemand()
@@ -84,7 +91,7 @@
             return
         live = self._live()
         for endpoint in live:
-            self._former.note(endpoint)
+            self._scheduler.note(endpoint)
         replicas = endpoints.find_replicas(live).get(self._service, [])
         self._history.note(replicas, engine, clock.boot_s())
 
@@ -93,16 +100,16 @@
         live = self._live()
         if not self._is_settled(live):
             return
-        self._former.term = self.term
+        self._scheduler.term = self.term
         replicas = endpoints.find_replicas(live).get(self._service, [])
         for replica in replicas:
             self._look_at(replica, engine)
         free = self._free(live, replicas)
         if self._is_early() and any(not one.staged for one in free):
-            self._former.start_all(free, engine)
+            self._scheduler.start_all(free, engine)
             return
-        self._former.form_all(free, engine)
-        self._former.load_all(free, live, engine, self._needed_vms(engine))
+        self._scheduler.form_all(free, engine)
+        self._scheduler.load_all(free, live, engine, self._needed_vms(engine))
 
     def _needed_vms(self, engine: routes.Engine) -> dict[str, float]:
         now_s = clock.boot_s()
--- a/redwingvalve/node/daemon.py
+++ b/redwingvalve/node/daemon.py
@@ -23,12 +23,12 @@
     configuration_watch,
     control_loop,
     early_sockets,
+    endpoint_prober,
+    failure_detector,
     front,
     gauges,
-    inspecting,
     kind_watch,
-    log_telling,
-    loss_watch,
+    log_drop_reporter,
     supervision,
     watch_sources,
 )
@@ -73,8 +73,8 @@
     table: serving.ServingTable
     client: store.StoreClient
     endpoint_client: endpoint_orders.EndpointClient
-    inspector: inspecting.Inspector
-    losses: loss_watch.LossWatch
+    prober: endpoint_prober.EndpointProber
+    detector: failure_detector.FailureDetector
     lease: lease_module.Lease
     front: front.FrontApplication
     listeners: listeners_module.Listeners
@@ -109,8 +109,8 @@
         """Run until stop is set, and then until all requests have ended."""
         self.table.on_sound = self.state.silence.found_sound
         self.table.on_rebuilt = self.allocation.allocator.look
-        self.table.on_doubt = self.losses.doubt
-        self.table.on_told_sound = self.losses.told_sound
+        self.table.on_doubt = self.detector.doubt
+        self.table.on_told_sound = self.detector.told_sound
         self.watches = self._make_watches()
         self.control = self._make_control()
         self.lease.on_taken = self._lease_taken
@@ -187,10 +187,10 @@
             self.status_exchange.run,
             self.allocation.run,
             self.allocation.reserver.run,
-            self.losses.run,
+            self.detector.run,
             self._hold_lease,
             self.gauges.run,
-            functools.partial(log_telling.run, self.log_handler),
+            functools.partial(log_drop_reporter.run, self.log_handler),
         ]
 
     def _make_watches(self) -> list[kind_watch.KindWatch]:
@@ -230,7 +230,7 @@
             registry=self.registry,
             table=self.table,
             client=self.endpoint_client,
-            inspector=self.inspector,
+            prober=self.prober,
             lease=self.lease,
             status_exchange=self.status_exchange,
             endpoint_watch=self.endpoint_watch,
@@ -290,7 +290,7 @@
     json_client = store.JsonClient(pool.Pool())
     client = store.StoreClient(node_settings.store, json_client)
     endpoint_client = endpoint_orders.EndpointClient(json_client)
-    inspector = inspecting.Inspector(endpoint_client)
+    prober = endpoint_prober.EndpointProber(endpoint_client)
     lease = lease_module.Lease(node_settings.vm, client)
     application = front.FrontApplication(state)
     status_exchange = status_exchange_module.StatusExchange(
@@ -303,8 +303,8 @@
         table=table,
         client=client,
         endpoint_client=endpoint_client,
-        inspector=inspector,
-        losses=loss_watch.LossWatch(state, table, inspector, lease),
+        prober=prober,
+        detector=failure_detector.FailureDetector(state, table, prober, lease),
         lease=lease,
         front=application,
         status_exchange=status_exchange,
--- a/redwingvalve/node/inspecting.py
+++ b/redwingvalve/node/endpoint_prober.py
@@ -91,7 +91,7 @@
         )
 
 
-class Inspector:
+class EndpointProber:
     """Asks the members of replicas."""
 
     def __init__(self, client: endpoint_orders.EndpointClient) -> None:
@@ -149,10 +149,12 @@
             await self._ask_into(reports, missing)
         return reports
 
-    async def are_sound(self, members: tuple[endpoints.Endpoint, ...]) -> bool:
+    async def are_healthy(
+        self, members: tuple[endpoints.Endpoint, ...]
+    ) -> bool:
         """Return whether all members answer and belong to their replica."""
         reports = await self.ask_all(members)
-        return all(is_sound(member, reports) for member in members)
+        return all(is_healthy(member, reports) for member in members)
 
     async def _ask_into(
         self, reports: Reports, members: tuple[endpoints.Endpoint, ...]
@@ -167,7 +169,7 @@
         reports[member.endpoint_id] = await self.ask(member)
 
 
-def is_sound(member: endpoints.Endpoint, reports: Reports) -> bool:
+def is_healthy(member: endpoints.Endpoint, reports: Reports) -> bool:
     """Return whether a member says that it still belongs to its replica."""
     report = reports[member.endpoint_id]
     if report is None or report.membership is None:
--- a/redwingvalve/node/forming.py
+++ b/redwingvalve/node/endpoint_scheduler.py
@@ -26,7 +26,7 @@
     until_s: float
 
 
-class Former:
+class EndpointScheduler:
     """Decides what free endpoints of one service do next."""
 
     def __init__(
--- a/redwingvalve/node/loss_watch.py
+++ b/redwingvalve/node/failure_detector.py
@@ -24,7 +24,7 @@
 from redwingvalve.fleet import serving
 from redwingvalve.ingress import silence
 from redwingvalve.ingress import state as state_module
-from redwingvalve.node import inspecting
+from redwingvalve.node import endpoint_prober
 from redwingvalve.node import lease as lease_module
 from redwingvalve.observability import logs
 
@@ -41,12 +41,12 @@
 
 
 @attrs.define(eq=False)
-class LossWatch:
+class FailureDetector:
     """Watches this node's streams for heads that fell silent."""
 
     state: state_module.IngressState
     table: serving.ServingTable
-    inspector: inspecting.Inspector
+    prober: endpoint_prober.EndpointProber
     lease: lease_module.Lease
     _asking: set[str] = attrs.field(factory=set)
     # Heads to ask about, and why.
@@ -142,7 +142,7 @@
         replica = self.table.replica_of(head)
         if replica is None:
             return False
-        return await self.inspector.are_sound(replica.members)
+        return await self.prober.are_healthy(replica.members)
 
     def _lose(self, head: str, reason: str = SILENT) -> None:
         self.table.suspect(head, reason)
--- a/redwingvalve/node/replica_orders.py
+++ b/redwingvalve/node/replica_orders.py
@@ -15,7 +15,7 @@
 from redwingvalve.core import clock
 from redwingvalve.fleet import endpoints
 from redwingvalve.fleet import registry as registry_module
-from redwingvalve.node import inspecting
+from redwingvalve.node import endpoint_prober
 from redwingvalve.observability import logs, node_metrics
 from redwingvalve.platform import endpoint_orders
 
@@ -71,7 +71,7 @@
     def __init__(
         self,
         client: endpoint_orders.EndpointClient,
-        inspector: inspecting.Inspector,
+        prober: endpoint_prober.EndpointProber,
         registry: registry_module.Registry,
         may_order: typing.Callable[[], bool],
     ) -> None:
@@ -82,7 +82,7 @@
         # The last epoch that each endpoint was told to join, obeyed or not.
         self._told_epochs: dict[tuple[str, int], int] = {}
         self._client = client
-        self._inspector = inspector
+        self._prober = prober
         self._registry = registry
         self._may_order = may_order
 
@@ -113,7 +113,7 @@
             replica, self._told_epochs
         ):
             return False
-        if not await self._inspector.are_sound(replica.members):
+        if not await self._prober.are_healthy(replica.members):
             return False
         forming = Forming(replica.name, replica.epoch, replica.members, 0)
         return await self._open(forming)
@@ -144,9 +144,11 @@
         Returns True if all members answer and belong to it. Otherwise its
         head no longer serves when this returns, or is known to be gone.
         """
-        reports = await self._inspector.ask_all(members)
+        reports = await self._prober.ask_all(members)
         head = members[0]
-        sound = [one for one in members if inspecting.is_sound(one, reports)]
+        sound = [
+            one for one in members if endpoint_prober.is_healthy(one, reports)
+        ]
         if len(sound) == len(members):
             return True
         for member in members:
@@ -184,7 +186,7 @@
                     head, membership.replica, membership.epoch, False
                 )
             await anyio.sleep(LOOK_S)
-            report = await self._inspector.ask(head)
+            report = await self._prober.ask(head)
 
     async def retire(self, head: endpoints.Endpoint, began_s: float) -> None:
         """Let a replica finish its requests; return when it serves no more.
@@ -206,7 +208,7 @@
                     return
                 await anyio.sleep(LOOK_S)
                 continue
-            report = await self._inspector.ask(head)
+            report = await self._prober.ask(head)
             if report is not None and not _serves_as(head, report.membership):
                 return
             await anyio.sleep(ASK_S)
@@ -220,7 +222,7 @@
         died. One that answers leaves, or is cut off from the store.
         """
         asked_s = clock.boot_s()
-        report = await self._inspector.ask_surely(head, gone_s + LEAVING_S)
+        report = await self._prober.ask_surely(head, gone_s + LEAVING_S)
         if report is None and asked_s - gone_s < GONE_KNOWN_S:
             return True
         await self.retire(head, gone_s)
@@ -249,7 +251,7 @@
         Taken for lost, all endpoints that were ordered just then would be left
         out of replicas for seconds after a pause of 0.3 s.
         """
-        if await self._inspector.ask(member) is None:
+        if await self._prober.ask(member) is None:
             self.lost[member.incarnation] = clock.boot_s()
 
     async def _open(self, forming: Forming) -> bool:
@@ -304,7 +306,7 @@
         # that is cut off from the store, whose answers may be lost here.
         if self._registry.may_leave(head, LEAVING_S):
             return False
-        if self._inspector.is_doubtful():
+        if self._prober.is_doubtful():
             return False
         return self._is_gone(head)
 
--- a/redwingvalve/node/tests/test_inspecting.py
+++ b/redwingvalve/node/tests/test_endpoint_prober.py
@@ -5,7 +5,7 @@
 
 from redwingvalve.core import clock
 from redwingvalve.fleet import endpoints
-from redwingvalve.node import inspecting
+from redwingvalve.node import endpoint_prober
 from redwingvalve.node.tests import members
 from redwingvalve.platform import endpoint_orders
 
@@ -46,11 +46,11 @@
 
 async def inspect_all(client):
     """Return how many replicas of a whole fleet are taken for whole."""
-    inspector = inspecting.Inspector(client)
+    prober = endpoint_prober.EndpointProber(client)
     found = []
 
     async def inspect(number):
-        found.append(await inspector.are_sound(replica(number)))
+        found.append(await prober.are_healthy(replica(number)))
 
     async with anyio.create_task_group() as group:
         for number in range(REPLICAS):
@@ -71,7 +71,7 @@
 def test_few_are_asked_at_once():
     client = Client()
     assert anyio.run(inspect_all, client) == REPLICAS
-    assert client.most <= inspecting.ASKED_AT_ONCE
+    assert client.most <= endpoint_prober.ASKED_AT_ONCE
 
 
 def test_a_lost_member_is_not_asked_twice():
@@ -79,8 +79,8 @@
     client = Client(dead=('e1-1',))
 
     async def inspect():
-        inspector = inspecting.Inspector(client)
-        return await inspector.are_sound(replica(1))
+        prober = endpoint_prober.EndpointProber(client)
+        return await prober.are_healthy(replica(1))
 
     assert not anyio.run(inspect)
     assert client.asks == MEMBERS
@@ -88,12 +88,12 @@
 
 def test_a_process_that_was_held_up_doubts_its_questions():
     now_s = [100.0]
-    path = inspecting.OwnPath(lambda: now_s[0])
+    path = endpoint_prober.OwnPath(lambda: now_s[0])
     path.note(99.9, is_answered=False)
     assert not path.is_doubtful()
     path.note(99.5, is_answered=False)
     assert path.is_doubtful()
-    now_s[0] += inspecting.DOUBT_WINDOW_S + 0.1
+    now_s[0] += endpoint_prober.DOUBT_WINDOW_S + 0.1
     assert not path.is_doubtful()
 
 
@@ -117,8 +117,8 @@
             return answered
 
     async def ask(client):
-        inspector = inspecting.Inspector(client)
-        return await inspector.ask_surely(head, clock.boot_s() + 10)
+        prober = endpoint_prober.EndpointProber(client)
+        return await prober.ask_surely(head, clock.boot_s() + 10)
 
     found = anyio.run(ask, SlowClient(choked_asks=3))
     assert found is not None and found.membership == head.membership
@@ -126,11 +126,11 @@
 
 def test_one_lost_answer_does_not_prove_a_head_dead():
     async def ask(client):
-        inspector = inspecting.Inspector(client)
+        prober = endpoint_prober.EndpointProber(client)
         head = replica(1)[0]
-        return await inspector.ask_surely(head, clock.boot_s() + 10)
+        return await prober.ask_surely(head, clock.boot_s() + 10)
 
     assert anyio.run(ask, Client(choked_asks=1)) is not None
     dead = Client(dead=('e1-0',))
     assert anyio.run(ask, dead) is None
-    assert dead.asks == inspecting.SURE_QUESTIONS
+    assert dead.asks == endpoint_prober.SURE_QUESTIONS
--- a/redwingvalve/node/tests/test_loss_watch.py
+++ b/redwingvalve/node/tests/test_failure_detector.py
@@ -7,7 +7,7 @@
 
 from redwingvalve.ingress import retry_window, silence
 from redwingvalve.ingress import state as state_module
-from redwingvalve.node import loss_watch
+from redwingvalve.node import failure_detector
 
 MANY_NODES = 59
 
@@ -47,11 +47,11 @@
 
 
 @attrs.define(eq=False)
-class Inspector:
+class EndpointProber:
     is_whole: bool
     asked: int = 0
 
-    async def are_sound(self, members):
+    async def are_healthy(self, members):
         self.asked += 1
         return self.is_whole
 
@@ -69,8 +69,8 @@
     table = Table()
     state = state_module.IngressState(table, allowance)
     state.node_count = nodes
-    return loss_watch.LossWatch(
-        state, table, Inspector(is_whole), Lease(has_holder)
+    return failure_detector.FailureDetector(
+        state, table, EndpointProber(is_whole), Lease(has_holder)
     )
 
 
@@ -102,7 +102,7 @@
     """
     made = watch(is_whole=True)
     look_after_silence(made, has_begun=False)
-    assert made.inspector.asked == 1
+    assert made.prober.asked == 1
     assert not made.table.suspects
 
 
@@ -118,10 +118,10 @@
     other = watch(is_whole=True)
     other.told_sound('head', time.monotonic())
     look_after_silence(other, has_begun=False)
-    assert other.inspector.asked == 0
-    other.told_sound('head', time.monotonic() - loss_watch.TOLD_SOUND_S)
+    assert other.prober.asked == 0
+    other.told_sound('head', time.monotonic() - failure_detector.TOLD_SOUND_S)
     look(other)
-    assert other.inspector.asked == 1
+    assert other.prober.asked == 1
 
 
 def test_streams_that_stop_count_whatever_was_told():
@@ -141,7 +141,7 @@
     """A broken stream goes on elsewhere within its allowed pause."""
     made = watch(is_whole=True)
     look_after_silence(made, has_begun=True)
-    assert made.inspector.asked == 0
+    assert made.prober.asked == 0
     assert made.table.suspects == ['head']
 
 
@@ -163,7 +163,7 @@
     made.table.suspects.append('head')
 
     look(made)
-    assert made.inspector.asked == 0
+    assert made.prober.asked == 0
 
 
 def test_a_lost_answer_takes_no_head_out_of_use():
@@ -176,7 +176,7 @@
     made.doubt('head', 'broken stream')
 
     look(made, times=2)
-    assert made.inspector.asked == 1
+    assert made.prober.asked == 1
     assert not made.table.suspects
 
 
--- a/redwingvalve/node/tests/test_fresh_holder.py
+++ b/redwingvalve/node/tests/test_new_lease_holder.py
@@ -6,7 +6,7 @@
 from redwingvalve.fleet import endpoints, serving
 from redwingvalve.fleet import registry as registry_module
 from redwingvalve.ingress import routes
-from redwingvalve.node import controller, inspecting
+from redwingvalve.node import controller, endpoint_prober
 from redwingvalve.node.tests import members
 from redwingvalve.platform import endpoint_orders
 
@@ -59,7 +59,7 @@
                 registry,
                 serving.ServingTable(registry),
                 client,
-                inspecting.Inspector(client),
+                endpoint_prober.EndpointProber(client),
                 group,
                 lambda: True,
                 lambda service, model: 0,
