--- a/redwingvalve/node/control_loop.py
+++ b/redwingvalve/node/control_loop.py
@@ -84,7 +84,7 @@
         control.term = self.lease.term
         control.has_served = self.status_exchange.fleet_has_served
         if self._may_order():
-            control.look(engine)
+            control.reconcile(engine)
 
     def _may_order(self) -> bool:
         """Return whether the lease is held, and its last holder's work known.
@@ -94,5 +94,5 @@
         last holder opened just before would look like one that is not ready,
         and its members would be told to join another.
         """
-        is_read = self.endpoint_watch.revision >= self.lease.taken_revision
+        is_read = self.endpoint_watch.revision >= self.lease.acquired_revision
         return self.lease.is_held() and is_read
--- a/redwingvalve/node/controller.py
+++ b/redwingvalve/node/controller.py
@@ -73,7 +73,7 @@
         self._engine: routes.Engine | None = None
         self._count = 0
         self._changed_s = 0.0
-        registry.on_change.append(self.note_fleet)
+        registry.on_change.append(self.record_fleet_state)
 
     def configure(self, engine: routes.Engine) -> None:
         """Take how the service's endpoints work."""
@@ -82,9 +82,9 @@
         if is_first:
             # Endpoints may be listed before the configuration is known. Not
             # noted, members whose head isn't listed yet would count as free.
-            self.note_fleet()
+            self.record_fleet_state()
 
-    def note_fleet(self) -> None:
+    def record_fleet_state(self) -> None:
         """Remember what is only told by passing states."""
         engine = self._engine
         if engine is None:
@@ -95,7 +95,7 @@
         replicas = endpoints.find_replicas(live).get(self._service, [])
         self._history.note(replicas, engine, clock.boot_s())
 
-    def look(self, engine: routes.Engine) -> None:
+    def reconcile(self, engine: routes.Engine) -> None:
         """Start what is to be done now."""
         live = self._live()
         if not self._is_settled(live):
--- a/redwingvalve/node/daemon.py
+++ b/redwingvalve/node/daemon.py
@@ -54,7 +54,7 @@
 HOLDER_PAUSE_S = 0.02
 # What a start takes until the store has told what requests need, with some
 # slack; callers are told to come back if it doesn't answer within this.
-START_WAIT_S = 0.3
+START_TIMEOUT_S = 0.3
 START_LOOK_S = 0.005
 STOP_IDLE_CLOSE_S = 2.5
 STOP_EXIT_S = 4.0
@@ -113,7 +113,7 @@
         self.table.on_told_sound = self.detector.told_sound
         self.watches = self._make_watches()
         self.control = self._make_control()
-        self.lease.on_taken = self._lease_taken
+        self.lease.on_acquired = self._lease_taken
         try:
             await self._listen()
             await self._serve(stop)
@@ -160,7 +160,7 @@
         configuration is known, they have spent the only retry that most of
         them make; in the kernel's queue they wait for as long.
         """
-        until_s = time.monotonic() + START_WAIT_S
+        until_s = time.monotonic() + START_TIMEOUT_S
         while not self._knows_enough() and time.monotonic() < until_s:
             await anyio.sleep(START_LOOK_S)
         self.front_listener = await self.listeners.serve(
--- a/redwingvalve/node/failure_detector.py
+++ b/redwingvalve/node/failure_detector.py
@@ -96,7 +96,7 @@
         return told_s is not None and now_s - told_s < TOLD_SOUND_S
 
     def _recheck(self, group: anyio.abc.TaskGroup) -> None:
-        if self.lease.is_in_hands():
+        if self.lease.has_known_holder():
             return
         for suspicion in self.table.own_suspicions():
             self._start(group, suspicion.endpoint_id, self._clear_if_sound)
--- a/redwingvalve/node/lease.py
+++ b/redwingvalve/node/lease.py
@@ -25,7 +25,7 @@
 LEASE_NAME = 'orders'
 # A loss is mended about a second after it is seen; a holder that dies should
 # not cost much more. Three renewals may be lost before the term is over.
-TERM_S = 1.6
+LEASE_DURATION_S = 1.6
 RENEW_S = 0.4
 # Clocks that run apart, and the flight of what a holder has just sent.
 MARGIN_S = 0.15
@@ -44,32 +44,32 @@
     until_s: float = 0.0
     is_releasing: bool = False
     # The store's revision when this node took the lease.
-    taken_revision: int = 0
+    acquired_revision: int = 0
     # What the holder said last: its revision, and until when it holds.
-    heard_revision: int = 0
-    heard_until_s: float = 0.0
+    observed_revision: int = 0
+    observed_until_s: float = 0.0
     # Called after each renewal, so that others know its revision.
     on_renewed: typing.Callable[[], None] | None = None
-    on_taken: typing.Callable[[], None] | None = None
+    on_acquired: typing.Callable[[], None] | None = None
 
     def is_held(self) -> bool:
         """Return whether this node may give orders now."""
         return clock.boot_s() < self.until_s
 
-    def is_in_hands(self) -> bool:
+    def has_known_holder(self) -> bool:
         """Return whether this node or one that was heard lately holds it."""
-        return self.is_held() or clock.boot_s() < self.heard_until_s
+        return self.is_held() or clock.boot_s() < self.observed_until_s
 
     def left_ms(self) -> int:
         """Return for how long this node still holds the lease."""
         return max(0, int((self.until_s - clock.boot_s()) * 1000))
 
-    def heard_left_ms(self) -> int:
+    def observed_left_ms(self) -> int:
         """Return for how long the holder that was heard of still holds it."""
-        left_s = self.heard_until_s - MARGIN_S - clock.boot_s()
+        left_s = self.observed_until_s - MARGIN_S - clock.boot_s()
         return max(0, int(left_s * 1000))
 
-    def heard(self, revision: int, left_ms: int) -> None:
+    def observe(self, revision: int, left_ms: int) -> None:
         """Take a holder's word.
 
         Words of one revision never make its term longer: a holder that has
@@ -77,13 +77,13 @@
         requests, and with the margin counted from each word nobody would
         order anything until it has ended, seconds later.
         """
-        if revision < self.heard_revision:
+        if revision < self.observed_revision:
             return
         until_s = clock.boot_s() + left_ms / 1000 + MARGIN_S
-        if revision == self.heard_revision:
-            until_s = min(until_s, self.heard_until_s)
-        self.heard_revision = revision
-        self.heard_until_s = until_s
+        if revision == self.observed_revision:
+            until_s = min(until_s, self.observed_until_s)
+        self.observed_revision = revision
+        self.observed_until_s = until_s
 
     async def run(self, rank: typing.Callable[[], int]) -> typing.NoReturn:
         """Take, keep and lose the lease until cancelled.
@@ -113,11 +113,11 @@
 
     async def _step(self, rank: typing.Callable[[], int]) -> None:
         if self.is_releasing:
-            await anyio.sleep(TERM_S)
+            await anyio.sleep(LEASE_DURATION_S)
         elif self.is_held():
             await self._renew()
-        elif self.is_in_hands():
-            await anyio.sleep(max(0, self.heard_until_s - clock.boot_s()))
+        elif self.has_known_holder():
+            await anyio.sleep(max(0, self.observed_until_s - clock.boot_s()))
         else:
             await anyio.sleep(STAGGER_S * rank())
             await self._try_take()
@@ -128,12 +128,12 @@
         if self.is_releasing:
             return
         self.revision = store.revision_of(stored)
-        self.until_s = began_s + TERM_S
+        self.until_s = began_s + LEASE_DURATION_S
         self._say()
         await anyio.sleep(RENEW_S)
 
     async def _try_take(self) -> None:
-        if clock.boot_s() < self.heard_until_s:
+        if clock.boot_s() < self.observed_until_s:
             return
         stored = await self.client.read(LEASE_KIND, LEASE_NAME)
         if stored is None:
@@ -149,11 +149,11 @@
         # Empty when released. Our own name is that of this VM's last process,
         # which has ended, or this one could not listen.
         is_free = spec['holder'] in {'', self.vm}
-        if not is_free and revision != self.heard_revision:
+        if not is_free and revision != self.observed_revision:
             # Renewed after it was last heard of: the whole term counts anew.
-            self.heard(revision, int(TERM_S * 1000))
+            self.observe(revision, int(LEASE_DURATION_S * 1000))
             return
-        if not is_free and self.is_in_hands():
+        if not is_free and self.has_known_holder():
             # The holder's word came while the object was read. Without this
             # look, a process that has just started takes a lease that is held,
             # and two nodes order the same endpoints about.
@@ -165,12 +165,12 @@
 
     def _taken(self, stored: store.Document, began_s: float) -> None:
         self.revision = store.revision_of(stored)
-        self.until_s = began_s + TERM_S
-        self.taken_revision = self.revision
+        self.until_s = began_s + LEASE_DURATION_S
+        self.acquired_revision = self.revision
         LOG.info('lease taken', extra={'term': self.term})
         self._say()
-        if self.on_taken is not None:
-            self.on_taken()
+        if self.on_acquired is not None:
+            self.on_acquired()
 
     def _say(self) -> None:
         if self.on_renewed is not None:
@@ -192,11 +192,11 @@
             # Our own write, whose answer was lost: it may be renewed from
             # here, and nobody else holds the lease.
             self.revision = revision
-            self.heard_revision = revision
-            self.heard_until_s = 0
+            self.observed_revision = revision
+            self.observed_until_s = 0
             return
         if spec['holder']:
-            self.heard(revision, int(TERM_S * 1000))
+            self.observe(revision, int(LEASE_DURATION_S * 1000))
 
     async def _write(self, holder: str) -> store.Document:
         return await self.client.replace(
--- a/redwingvalve/node/status_exchange.py
+++ b/redwingvalve/node/status_exchange.py
@@ -134,9 +134,9 @@
         if self.lease.is_held() or self.lease.is_releasing:
             word.lease_revision = self.lease.revision
             word.lease_left_ms = self.lease.left_ms()
-        elif self.peers.is_large_fleet and self.lease.heard_left_ms():
-            word.lease_revision = self.lease.heard_revision
-            word.lease_left_ms = self.lease.heard_left_ms()
+        elif self.peers.is_large_fleet and self.lease.observed_left_ms():
+            word.lease_revision = self.lease.observed_revision
+            word.lease_left_ms = self.lease.observed_left_ms()
         return word
 
     def _knows_served(self) -> bool:
@@ -151,7 +151,7 @@
             self._take_passed_on(word)
         self.usage.heard(word.vm, word.usage or {})
         if word.lease_revision:
-            self.lease.heard(word.lease_revision, word.lease_left_ms)
+            self.lease.observe(word.lease_revision, word.lease_left_ms)
         self.others_served = self.others_served or bool(word.has_served)
         self.state.poison.heard(word.crashes or {})
         for suspicion in status_fields.read_suspicions(word):
--- a/redwingvalve/node/tests/test_failure_detector.py
+++ b/redwingvalve/node/tests/test_failure_detector.py
@@ -60,7 +60,7 @@
 class Lease:
     has_holder: bool
 
-    def is_in_hands(self):
+    def has_known_holder(self):
         return self.has_holder
 
 
--- a/redwingvalve/node/tests/test_lease.py
+++ b/redwingvalve/node/tests/test_lease.py
@@ -51,7 +51,7 @@
     """
     client = Client()
     found = lease_module.Lease('vm-2', client)
-    client.on_read = lambda: found.heard(client.revision, 1500)
+    client.on_read = lambda: found.observe(client.revision, 1500)
     try_once(client, found)
     assert not found.is_held()
     assert client.spec == HELD
@@ -71,7 +71,7 @@
     found = lease_module.Lease('vm-2', client)
     try_once(client, found)
     assert not found.is_held()
-    assert found.is_in_hands()
+    assert found.has_known_holder()
 
 
 def test_a_released_lease_is_free_while_its_last_holder_still_speaks():
@@ -88,7 +88,7 @@
         async with anyio.create_task_group() as group:
             group.start_soon(found.run, lambda: 0)
             for _ in range(6):
-                found.heard(client.revision, 0)
+                found.observe(client.revision, 0)
                 await anyio.sleep(lease_module.MARGIN_S / 2)
                 if found.is_held():
                     break
@@ -111,6 +111,6 @@
         lease_module.clock, 'boot_s', lambda: next(readings_s, 10.2)
     )
     found = lease_module.Lease('vm-2', Client(spec={'holder': '', 'term': 3}))
-    found.heard_until_s = 10.1
+    found.observed_until_s = 10.1
     try_once(found.client, found)
     assert found.is_held()
--- a/redwingvalve/node/tests/test_new_lease_holder.py
+++ b/redwingvalve/node/tests/test_new_lease_holder.py
@@ -45,7 +45,7 @@
     )
 
 
-def look(registry, change=lambda made: None):
+def reconcile(registry, change=lambda made: None):
     """Let a new holder look at the fleet a few times; return who joined.
 
     change is called once the controller knows the engine.
@@ -68,7 +68,7 @@
             made.configure(ENGINE)
             change(made)
             for _ in range(5):
-                made.look(ENGINE)
+                made.reconcile(ENGINE)
                 await anyio.sleep(0.01)
             group.cancel_scope.cancel()
 
@@ -86,7 +86,7 @@
     """
     registry = registry_module.Registry()
     registry.live = {f'e{number}': member(number) for number in (1, 2)}
-    assert not look(registry)
+    assert not reconcile(registry)
 
 
 def test_members_stay_if_their_replica_may_have_opened_unseen():
@@ -110,6 +110,6 @@
         registry.live = {
             one.endpoint_id: one for one in seen if one.membership.rank == 1
         }
-        made.note_fleet()
+        made.record_fleet_state()
 
-    assert not look(registry, lose_heads)
+    assert not reconcile(registry, lose_heads)
--- a/redwingvalve/platform/tests/test_lease_and_store.py
+++ b/redwingvalve/platform/tests/test_lease_and_store.py
@@ -14,7 +14,7 @@
         holder.lease.is_releasing = True
         # As after a kill: it says and renews nothing more.
         holder.peers.send_status = lambda word, names: None
-        limit_s = lease_module.TERM_S * 2 + 1
+        limit_s = lease_module.LEASE_DURATION_S * 2 + 1
         await fleet.until(
             lambda: any(node is not holder for node in fleets.holders(fleet)),
             limit_s,
@@ -45,7 +45,7 @@
     async def test(fleet):
         fleet.store.faults.is_silent = True
         await fleet.until(
-            lambda: not fleets.holders(fleet), lease_module.TERM_S + 1
+            lambda: not fleets.holders(fleet), lease_module.LEASE_DURATION_S + 1
         )
         fleet.store.faults.is_silent = False
         await fleet.until(lambda: len(fleets.holders(fleet)) == 1, 6)
@@ -56,7 +56,7 @@
 def test_a_renewal_whose_answer_is_lost_does_not_lock_the_fleet_out():
     async def test(fleet):
         fleet.store.faults.loses_write_answers = True
-        await anyio.sleep(lease_module.TERM_S + 1)
+        await anyio.sleep(lease_module.LEASE_DURATION_S + 1)
         fleet.store.faults.loses_write_answers = False
         await fleet.until(lambda: len(fleets.holders(fleet)) == 1, 6)
 
@@ -153,7 +153,7 @@
         with pytest.MonkeyPatch.context() as patched:
             patched.setattr(
                 controller.Controller,
-                'look',
+                'reconcile',
                 lambda made, engine: looked.append(made),
             )
             patched.setattr(other.client, 'watch', hang)
@@ -166,7 +166,7 @@
             patched.undo()
             patched.setattr(
                 controller.Controller,
-                'look',
+                'reconcile',
                 lambda made, engine: looked.append(made),
             )
             other.endpoint_watch.refresh_now()
--- a/redwingvalve/platform/tests/test_starting.py
+++ b/redwingvalve/platform/tests/test_starting.py
@@ -50,7 +50,7 @@
         node = daemon.make_node(settings)
         async with anyio.create_task_group() as group:
             group.start_soon(node.run, anyio.Event())
-            limit_s = daemon.START_WAIT_S + 0.5
+            limit_s = daemon.START_TIMEOUT_S + 0.5
             await fleet.until(lambda: node.is_listening, limit_s)
             caller = fleets.Caller((settings.front.host, settings.front.port))
             answer = await caller.ask('/card/1', b'body')
