--- a/redwingvalve/node/tests/test_lease.py
+++ b/redwingvalve/node/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""The lease changes hands only when its term is over."""
+"""The lease changes holders only once it has expired or been released."""
 
 import anyio
 import attrs
@@ -6,15 +6,15 @@
 
 from redwingvalve.node import lease as lease_module
 
-HELD = {'holder': 'vm-1', 'term': 3}
+HELD_SPEC = {'holder': 'vm-1', 'term': 3}
 
 
 @attrs.define(eq=False)
 class Client:
-    """A store with one object; something happens while it is read."""
+    """A store with one object; on_read is called while it is being read."""
 
     revision: int = 40
-    spec: dict = attrs.field(factory=lambda: dict(HELD))
+    spec: dict = attrs.field(factory=lambda: dict(HELD_SPEC))
     on_read: object = None
 
     async def read(self, kind, name):
@@ -32,65 +32,67 @@
         return {'metadata': {'revision': self.revision}, 'spec': self.spec}
 
 
-def try_once(client, found):
-    """Let a process that has just started look at the lease once."""
+def run_briefly(client, lease):
+    """Run the lease of a process that has just started for 50 ms."""
 
     async def main():
         with anyio.move_on_after(0.05):
-            await found.run(lambda: 0)
+            await lease.run(lambda: 0)
 
     anyio.run(main)
 
 
-def test_a_word_that_comes_during_the_read_is_heeded():
-    """No VM is in two replicas when a node starts beside a living holder.
+def test_a_holder_message_received_during_the_read_prevents_acquisition():
+    """No VM is in two replicas when a node starts beside the lease holder.
 
-    The new process has heard nothing and reads the lease. The holder's word
-    with the same revision comes meanwhile. Taken now, two nodes would order
-    the same endpoints about until the old holder notices.
+    The new process has received no messages yet and reads the lease. While the
+    read is under way, the holder's message with the same revision arrives. If
+    the lease were acquired now, two nodes would send orders to the same
+    endpoints until the old holder noticed.
     """
     client = Client()
-    found = lease_module.Lease('vm-2', client)
-    client.on_read = lambda: found.observe(client.revision, 1500)
-    try_once(client, found)
-    assert not found.is_held()
-    assert client.spec == HELD
+    lease = lease_module.Lease('vm-2', client)
+    client.on_read = lambda: lease.observe(client.revision, 1500)
+    run_briefly(client, lease)
+    assert not lease.is_held()
+    assert client.spec == HELD_SPEC
 
 
 @pytest.mark.parametrize('holder', ['', 'vm-2'])
-def test_a_free_lease_is_taken_at_once(holder):
+def test_a_free_lease_is_acquired_at_once(holder):
     client = Client(spec={'holder': holder, 'term': 3})
-    found = lease_module.Lease('vm-2', client)
-    try_once(client, found)
-    assert found.is_held()
-    assert found.term == 4
+    lease = lease_module.Lease('vm-2', client)
+    run_briefly(client, lease)
+    assert lease.is_held()
+    assert lease.term == 4
 
 
-def test_a_lease_of_unknown_age_is_left_for_a_whole_term():
+def test_a_lease_of_unknown_age_counts_as_held_for_its_full_duration():
     client = Client()
-    found = lease_module.Lease('vm-2', client)
-    try_once(client, found)
-    assert not found.is_held()
-    assert found.has_known_holder()
+    lease = lease_module.Lease('vm-2', client)
+    run_briefly(client, lease)
+    assert not lease.is_held()
+    assert lease.has_known_holder()
 
 
-def test_a_released_lease_is_free_while_its_last_holder_still_speaks():
-    """Replicas are mended while a node that was told to stop finishes.
+def test_a_released_lease_is_acquired_while_its_last_holder_still_sends():
+    """Replicas are repaired while a node that was told to stop finishes.
 
-    The holder gives the lease up and serves its last requests for seconds; it
-    says ten times a second that the lease has no time left. Each word used to
-    put off the others by the margin: for five seconds nobody gave orders.
+    The holder releases the lease and serves its last requests for seconds,
+    reporting ten times a second that the lease has no time left. Each message
+    used to delay the other nodes by the margin, so that no node sent orders
+    for five seconds.
     """
     client = Client(spec={'holder': '', 'term': 3})
-    found = lease_module.Lease('vm-2', client)
+    lease = lease_module.Lease('vm-2', client)
 
     async def main():
         async with anyio.create_task_group() as group:
-            group.start_soon(found.run, lambda: 0)
+            group.start_soon(lease.run, lambda: 0)
             for _ in range(6):
-                found.observe(client.revision, 0)
-                await anyio.sleep(lease_module.MARGIN_S / 2)
-                if found.is_held():
+                lease.observe(client.revision, 0)
+                await anyio.sleep(lease_module.CLOCK_MARGIN_S / 2)
+                if lease.is_held():
                     break
             group.cancel_scope.cancel()
 
@@ -98,19 +100,19 @@
     assert client.spec['holder'] == 'vm-2'
 
 
-def test_a_lease_that_lapses_between_two_looks_at_the_clock_is_taken(
+def test_a_lease_that_expires_between_two_clock_readings_is_acquired(
     monkeypatch,
 ):
-    """The loop goes on when the term ends just before its sleep is counted.
+    """The loop goes on when the lease expires before the sleep is computed.
 
-    A negative sleep raised ValueError, which stopped all that mends replicas
-    on this node until it was started anew.
+    A negative duration made sleep raise ValueError, which stopped the repair of
+    replicas on this node until it was restarted.
     """
     readings_s = iter((10.0, 10.0, 10.0, 10.2))
     monkeypatch.setattr(
         lease_module.clock, 'boot_s', lambda: next(readings_s, 10.2)
     )
-    found = lease_module.Lease('vm-2', Client(spec={'holder': '', 'term': 3}))
-    found.observed_until_s = 10.1
-    try_once(found.client, found)
-    assert found.is_held()
+    lease = lease_module.Lease('vm-2', Client(spec={'holder': '', 'term': 3}))
+    lease.observed_until_s = 10.1
+    run_briefly(lease.client, lease)
+    assert lease.is_held()
