--- a/redwingvalve/node/gauges.py
+++ b/redwingvalve/node/gauges.py
@@ -1,4 +1,4 @@
-"""What a node is like at the moment, for its metrics."""
+"""Gauges that expose the current state of a node as metrics."""
 
 import pathlib
 import resource
@@ -15,65 +15,69 @@
 from redwingvalve.node import peers as peers_module
 from redwingvalve.observability import node_metrics
 
-# Between two looks at the delay of the loop.
-LOOK_S = 0.5
+# Between two measurements of the event loop's delay.
+LOOP_DELAY_INTERVAL_S = 0.5
 _STATM = pathlib.Path('/proc/self/statm')
 _Readings = list[node_metrics.Reading]
 
 
 @attrs.define(eq=False)
 class NodeGauges:
-    """Reads the parts of one node."""
+    """Reads the gauge values from the components of one node."""
 
     state: state_module.IngressState
     table: serving.ServingTable
     lease: lease_module.Lease
     peers: peers_module.Peers
-    # The longest that the loop was late since it was last asked.
+    # The longest delay of the event loop since the last scrape.
     _loop_delay_s: float = 0.0
 
     def register(self, metrics: node_metrics.NodeMetrics) -> None:
-        """Let the metrics read everything."""
-        metrics.gauge('redwingvalve_configuration_version', self._version)
+        """Register all gauges with the metrics registry."""
+        metrics.gauge(
+            'redwingvalve_configuration_version', self._configuration_version
+        )
         metrics.gauge('redwingvalve_lease_held', self._lease_held)
         metrics.gauge('redwingvalve_lease_term', self._lease_term)
-        metrics.gauge('redwingvalve_nodes_alive', self._nodes)
+        metrics.gauge('redwingvalve_nodes_alive', self._nodes_alive)
         metrics.gauge('redwingvalve_targets', self._targets)
-        metrics.gauge('redwingvalve_requests_under_way', self._under_way)
-        metrics.gauge('redwingvalve_requests_waiting', self._waiting)
+        metrics.gauge(
+            'redwingvalve_requests_under_way', self._requests_in_progress
+        )
+        metrics.gauge('redwingvalve_requests_waiting', self._requests_waiting)
         metrics.gauge('redwingvalve_retries_left', self._retries_left)
-        metrics.gauge('redwingvalve_loop_delay_seconds', self._loop_delay)
+        metrics.gauge('redwingvalve_loop_delay_seconds', self._take_loop_delay)
         metrics.gauge('redwingvalve_memory_bytes', _memory)
 
     async def run(self) -> typing.NoReturn:
-        """Measure how late the loop is until cancelled."""
+        """Measure the delay of the event loop until cancelled."""
         while True:
-            due_s = time.monotonic() + LOOK_S
-            await anyio.sleep(LOOK_S)
+            due_s = time.monotonic() + LOOP_DELAY_INTERVAL_S
+            await anyio.sleep(LOOP_DELAY_INTERVAL_S)
             late_s = time.monotonic() - due_s
             self._loop_delay_s = max(self._loop_delay_s, late_s)
 
-    def _version(self) -> _Readings:
+    def _configuration_version(self) -> _Readings:
         configuration = self.state.configuration
-        return _one(configuration.version if configuration else 0)
+        return _single_reading(configuration.version if configuration else 0)
 
     def _lease_held(self) -> _Readings:
-        return _one(float(self.lease.is_held()))
+        return _single_reading(float(self.lease.is_held()))
 
     def _lease_term(self) -> _Readings:
-        return _one(self.lease.term)
+        return _single_reading(self.lease.term)
 
-    def _nodes(self) -> _Readings:
-        return _one(1 + len(self.peers.alive()))
+    def _nodes_alive(self) -> _Readings:
+        return _single_reading(1 + len(self.peers.alive()))
 
     def _targets(self) -> _Readings:
         table = self.table
         return self._by_model(lambda *model: len(table.of(*model)))
 
-    def _under_way(self) -> _Readings:
+    def _requests_in_progress(self) -> _Readings:
         return self._by_model(self.state.in_use)
 
-    def _waiting(self) -> _Readings:
+    def _requests_waiting(self) -> _Readings:
         return self._by_model(self.state.waiting)
 
     def _retries_left(self) -> _Readings:
@@ -88,17 +92,17 @@
             for service in self._services()
         ]
 
-    def _loop_delay(self) -> _Readings:
+    def _take_loop_delay(self) -> _Readings:
         late_s = self._loop_delay_s
         self._loop_delay_s = 0
-        return _one(late_s)
+        return _single_reading(late_s)
 
     def _services(self) -> list[routes.Service]:
         configuration = self.state.configuration
         return list(configuration.services.values()) if configuration else []
 
     def _by_model(self, read: typing.Callable[[str, str], float]) -> _Readings:
-        """Read a value for each service and model, '' without any."""
+        """Read a value per service and model ('' for a service without)."""
         found = []
         for service in self._services():
             models = service.engine.models if service.engine else ()
@@ -109,10 +113,10 @@
         return found
 
 
-def _one(value: float) -> _Readings:
+def _single_reading(value: float) -> _Readings:
     return [node_metrics.Reading(value)]
 
 
 def _memory() -> _Readings:
     pages = int(_STATM.read_text().split()[1])
-    return _one(pages * resource.getpagesize())
+    return _single_reading(pages * resource.getpagesize())
--- a/redwingvalve/node/log_drop_reporter.py
+++ b/redwingvalve/node/log_drop_reporter.py
@@ -1,18 +1,19 @@
-"""Tells now and then how many log lines were left out."""
+"""Flushes delayed log lines and reports how many lines were dropped."""
 
 import anyio
 
 from redwingvalve.observability import bounded_logs, logs
 
 LOG = logs.make_logger('logs')
-# Lines that a full pipe held up are written within this.
-LOOK_S = 0.5
+# Lines that were held back because the output pipe was full are written within
+# this time.
+FLUSH_INTERVAL_S = 0.5
 
 
 async def run(handler: bounded_logs.BoundedHandler | None) -> None:
-    """Write what was held up, and count what was left out."""
+    """Flush held-back lines and log counts of dropped ones until cancelled."""
     while handler is not None:
-        await anyio.sleep(LOOK_S)
+        await anyio.sleep(FLUSH_INTERVAL_S)
         handler.flush()
         counts = handler.take_counts()
         if counts is not None:
--- a/redwingvalve/node/supervision.py
+++ b/redwingvalve/node/supervision.py
@@ -1,9 +1,10 @@
-"""Keeps the loops of a node running.
+"""Restarts the background loops of a node when they fail.
 
-Load pattern: an entry or an answer of an odd shape raises in one of the loops.
-Without this the error ends the task group, and with it the process and every
-request that it answers; the caller sees closed connections. Starting the loop
-again suffices, since each begins by reading its state anew.
+Load pattern: a malformed entry or response raises an exception in one of the
+loops. Without a restart the exception would cancel the task group, and with it
+the process and every request in progress; callers would see closed
+connections. Restarting the loop suffices, since each one begins by reading its
+state again.
 """
 
 import typing
@@ -13,17 +14,17 @@
 from redwingvalve.observability import logs
 
 LOG = logs.make_logger('supervision')
-# Long enough that a loop that fails at once costs little.
-RESTART_S = 0.2
+# Limits the cost of a loop that fails immediately each time.
+RESTART_DELAY_S = 0.2
 
 Loop: typing.TypeAlias = typing.Callable[[], typing.Awaitable[None]]
 
 
 async def keep_running(loop: Loop) -> None:
-    """Run a loop until it returns, again whenever it ends by an error."""
+    """Run a loop until it returns; restart it whenever it raises."""
     while True:
         try:
             return await loop()
         except Exception:
             LOG.exception('loop failed', extra={'loop': repr(loop)})
-        await anyio.sleep(RESTART_S)
+        await anyio.sleep(RESTART_DELAY_S)
--- a/redwingvalve/node/tasks.py
+++ b/redwingvalve/node/tasks.py
@@ -1,4 +1,4 @@
-"""Work on endpoints, one task at a time for each of them."""
+"""Tasks that act on endpoints, at most one at a time for each endpoint."""
 
 import typing
 
@@ -14,7 +14,7 @@
 
 
 class EndpointTasks:
-    """Runs tasks and knows which endpoints they concern."""
+    """Runs tasks and tracks which endpoints they act on."""
 
     def __init__(self, group: anyio.abc.TaskGroup) -> None:
         """Run tasks in group."""
@@ -22,15 +22,15 @@
         self._busy: set[str] = set()
 
     def is_busy(self, endpoint: endpoints.Endpoint) -> bool:
-        """Return whether a task concerns an endpoint."""
+        """Return whether a task acts on an endpoint."""
         return endpoint.endpoint_id in self._busy
 
     def is_any_busy(self, members: Members) -> bool:
-        """Return whether a task concerns one of the endpoints."""
+        """Return whether a task acts on any of the endpoints."""
         return any(map(self.is_busy, members))
 
     def start(self, members: Members, work: Work) -> None:
-        """Run work that concerns members."""
+        """Run work that acts on members; they are busy until it ends."""
         for member in members:
             self._busy.add(member.endpoint_id)
         self._group.start_soon(self._run, members, work)
@@ -39,9 +39,9 @@
         try:
             await work
         except Exception:
-            # The fleet is looked at again in a moment, and what is still to
-            # be done is started anew; an error here must not end the node.
-            LOG.exception('work on endpoints failed')
+            # The next reconciliation, a moment later, starts what is still to
+            # be done again; an error here must not end the node.
+            LOG.exception('endpoint task failed')
         finally:
             for member in members:
                 self._busy.discard(member.endpoint_id)
--- a/redwingvalve/node/tests/test_gauges.py
+++ b/redwingvalve/node/tests/test_gauges.py
@@ -1,13 +1,13 @@
-"""What an operator reads of a node."""
+"""Metrics that a node exposes to operators."""
 
 from redwingvalve.observability import node_metrics
 from redwingvalve.platform.tests import fleet as fleets
 
 
-def test_a_node_tells_its_targets_its_lease_and_its_retries():
-    """A scrape shows why requests are refused: too few targets, or no holder.
+def test_a_scrape_reports_targets_lease_and_retries_left():
+    """A scrape shows whether too few targets or no lease holder cause refusals.
 
-    Every name is there with its labels; the loop's delay starts anew.
+    Every gauge is present with its labels.
     """
 
     async def test(fleet):
--- a/redwingvalve/node/tests/test_supervision.py
+++ b/redwingvalve/node/tests/test_supervision.py
@@ -1,4 +1,4 @@
-"""Loops that fail are started again; loops that return are done."""
+"""Loops that fail are restarted; loops that return are not."""
 
 import anyio
 
@@ -6,27 +6,27 @@
 
 
 def test_a_loop_that_returns_is_not_run_again():
-    """The store gets one registration of a node, not five a second."""
-    runs = []
+    """A node registers itself once in the store, not five times a second."""
+    starts = []
 
     async def loop():
-        runs.append(1)
+        starts.append(1)
 
     async def main():
-        with anyio.move_on_after(supervision.RESTART_S * 3):
+        with anyio.move_on_after(supervision.RESTART_DELAY_S * 3):
             await supervision.keep_running(loop)
 
     anyio.run(main)
-    assert len(runs) == 1
+    assert len(starts) == 1
 
 
 def test_a_loop_that_fails_is_run_again():
-    runs = []
+    starts = []
 
     async def loop():
-        runs.append(1)
-        if len(runs) < 3:
-            raise ValueError('odd entry')
+        starts.append(1)
+        if len(starts) < 3:
+            raise ValueError('malformed entry')
 
     anyio.run(supervision.keep_running, loop)
-    assert len(runs) == 3
+    assert len(starts) == 3
