--- a/redwingvalve/allocation/allocator.py
+++ b/redwingvalve/allocation/allocator.py
@@ -19,12 +19,12 @@
 
 LOG = logs.make_logger('allocation')
 
-Replier = collections_abc.Callable[[messages.Reply], None]
+ReplyCallback = collections_abc.Callable[[messages.Reply], None]
 
 
 @attrs.define(eq=False)
 class _Waiting:
-    reply: Replier
+    reply: ReplyCallback
     task: asyncio.Task[None] | None = None
     # Its task has still to end; granted now, a place would be lost.
     is_withdrawn: bool = False
@@ -36,8 +36,8 @@
 
     targets: pool_module.PoolTargets
     clock: pool_module.Clock
-    chance: random.Random = attrs.field(factory=random.Random)
-    _pools: dict[messages.Pool, pool_module.PlacePool] = attrs.field(
+    rng: random.Random = attrs.field(factory=random.Random)
+    _pools: dict[messages.Pool, pool_module.SlotPool] = attrs.field(
         factory=dict
     )
     _waiting: dict[tuple[messages.Sender, int], _Waiting] = attrs.field(
@@ -45,7 +45,7 @@
     )
 
     def ask(
-        self, sender: messages.Sender, ask: messages.Ask, reply: Replier
+        self, sender: messages.Sender, ask: messages.Ask, reply: ReplyCallback
     ) -> None:
         """Answer an ask, at once or once a place is free."""
         key = (sender, ask.number)
@@ -58,13 +58,13 @@
             reply(messages.Reply(ask.number, messages.Outcome.UNABLE))
             return
         pool = self.pool(ask.pool)
-        held = pool.ledger.find(key)
+        held = pool.holds.find(key)
         if held is not None:
             reply(_granted(ask, held.endpoint_id))
             return
         pool.note_slow(ask)
         select = pool.selector(sender, ask)
-        target = pool.room.take_now(ask.need, select)
+        target = pool.queue.take_now(ask.need, select)
         if target is not None:
             reply(_granted(ask, target.endpoint_id))
         elif ask.may_wait:
@@ -92,15 +92,15 @@
         """Take what a node holds."""
         self.pool(holdings.pool).confirm(sender, holdings.endpoint_ids)
 
-    def node_lost(self, vm: str) -> None:
+    def drop_node(self, vm: str) -> None:
         """Free what a node held that is gone."""
         for pool in self._pools.values():
-            pool.node_lost(vm)
+            pool.drop_node(vm)
 
-    def look(self) -> None:
+    def tick(self) -> None:
         """Free what has lapsed, and use what has become known."""
         for pool in self._pools.values():
-            pool.look()
+            pool.tick()
 
     @property
     def is_busy(self) -> bool:
@@ -112,25 +112,25 @@
         counts: collections.Counter[str] = collections.Counter()
         for key, pool in self._pools.items():
             name = usage_module.name_of(key.service, key.model)
-            counts[name] += len(pool.ledger) + len(pool.room)
+            counts[name] += len(pool.holds) + len(pool.queue)
         return {name: count for name, count in counts.items() if count}
 
-    def waiting(self, service: str, model: str) -> int:
+    def queue_length(self, service: str, model: str) -> int:
         """Return how many requests wait here for places of a model."""
         return sum(
-            len(pool.room)
+            len(pool.queue)
             for key, pool in self._pools.items()
             if (key.service, key.model) == (service, model)
         )
 
-    def pool(self, key: messages.Pool) -> pool_module.PlacePool:
+    def pool(self, key: messages.Pool) -> pool_module.SlotPool:
         """Return the places of a pool."""
         known = self._pools.get(key)
         if known is not None:
             return known
-        made = pool_module.PlacePool(
+        made = pool_module.SlotPool(
             targets=lambda: self.targets(key),
-            chance=self.chance,
+            rng=self.rng,
             clock=self.clock,
         )
         self._pools[key] = made
@@ -141,7 +141,7 @@
         self,
         key: tuple[messages.Sender, int],
         ask: messages.Ask,
-        reply: Replier,
+        reply: ReplyCallback,
     ) -> None:
         waits = _Waiting(reply)
         self._waiting[key] = waits
@@ -162,7 +162,7 @@
             return None if waits.is_withdrawn else take()
 
         try:
-            target = await pool.room.take(ask.need, select)
+            target = await pool.queue.take(ask.need, select)
         finally:
             if self._waiting.get(key) is waits:
                 self._waiting.pop(key)
@@ -172,7 +172,7 @@
         refused = messages.Reply(
             ask.number,
             messages.Outcome.REFUSED,
-            retry_after_s=pool.room.retry_after_s(),
+            retry_after_s=pool.queue.retry_after_s(),
         )
         waits.reply(refused)
 
--- a/redwingvalve/allocation/delivery.py
+++ b/redwingvalve/allocation/dispatch.py
@@ -5,11 +5,11 @@
 from redwingvalve.allocation import reserver as reserver_module
 
 
-def deliver(
+def dispatch_message(
     envelope: messages.Envelope,
     allocator: allocator_module.Allocator,
     reserver: reserver_module.NodeReserver,
-    reply: allocator_module.Replier,
+    reply: allocator_module.ReplyCallback,
 ) -> None:
     """Let a node's parts take a message; reply answers its sender."""
     sender, message = envelope.sender, envelope.message
--- a/redwingvalve/allocation/ledger.py
+++ b/redwingvalve/allocation/hold_table.py
@@ -27,7 +27,7 @@
     confirmed_s: float
 
 
-class Ledger:
+class HoldTable:
     """The places of one pool."""
 
     def __init__(self) -> None:
--- a/redwingvalve/allocation/owners.py
+++ b/redwingvalve/allocation/owners.py
@@ -45,7 +45,7 @@
 
 
 @attrs.define(eq=False)
-class Owners:
+class PoolOwners:
     """Ranks the owners of pools as this node sees them."""
 
     candidates: Candidates
@@ -54,7 +54,7 @@
     _ranked_s: float = 0.0
     _silent: dict[str, _Silence] = attrs.field(factory=dict)
 
-    def of(self, pool: messages.Pool) -> tuple[str, ...]:
+    def ranked_for(self, pool: messages.Pool) -> tuple[str, ...]:
         """Return the nodes to be asked, the first one first."""
         now_s = self.clock()
         if now_s - self._ranked_s > RANKED_FOR_S:
--- a/redwingvalve/allocation/pool.py
+++ b/redwingvalve/allocation/pool.py
@@ -14,8 +14,7 @@
 
 import attrs
 
-from redwingvalve.allocation import ledger as ledger_module
-from redwingvalve.allocation import messages
+from redwingvalve.allocation import hold_table, messages
 from redwingvalve.ingress import observed, placing, reserving, waiting
 
 # Places that late requests leave free, in spreads of the number in use, and at
@@ -44,27 +43,27 @@
 
 
 @attrs.define(eq=False)
-class PlacePool(waiting.Places):
+class SlotPool(waiting.Places):
     """Counts, grants and queues for one pool."""
 
     targets: Targets
-    chance: random.Random
+    rng: random.Random
     clock: Clock
-    ledger: ledger_module.Ledger = attrs.field(factory=ledger_module.Ledger)
+    holds: hold_table.HoldTable = attrs.field(factory=hold_table.HoldTable)
     _hold: observed.Typical = attrs.field(factory=observed.make_hold)
     _refused_until_s: dict[str, float] = attrs.field(factory=dict)
     _slow_until_s: dict[str, float] = attrs.field(factory=dict)
     _unsure: list[_Unsure] = attrs.field(factory=list)
-    room: waiting.WaitingRoom = attrs.field(init=False)
+    queue: waiting.WaitingRoom = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Open the waiting room."""
-        self.room = waiting.WaitingRoom(self.clock, self)
+        self.queue = waiting.WaitingRoom(self.clock, self)
 
     @property
     def is_busy(self) -> bool:
         """Return whether places are held or waited for."""
-        return bool(len(self.ledger) or len(self.room))
+        return bool(len(self.holds) or len(self.queue))
 
     def selector(
         self, sender: messages.Sender, ask: messages.Ask
@@ -78,11 +77,9 @@
         for endpoint_id in ask.slow:
             self._slow_until_s[endpoint_id] = until_s
 
-    def release(
-        self, key: ledger_module.Key, leaving: reserving.Leaving
-    ) -> None:
+    def release(self, key: hold_table.Key, leaving: reserving.Leaving) -> None:
         """Free a place and give it to the first that waits."""
-        hold = self.ledger.release(key)
+        hold = self.holds.release(key)
         if hold is None:
             return
         now_s = self.clock()
@@ -92,35 +89,35 @@
             self._unsure.append(_Unsure(hold.endpoint_id, now_s + UNSURE_S))
         else:
             self._hold.saw(now_s - hold.since_s)
-        self.room.poke()
+        self.queue.poke()
 
     def confirm(
         self, sender: messages.Sender, endpoint_ids: dict[int, str]
     ) -> None:
         """Take what a node holds."""
-        self.ledger.confirm(sender, endpoint_ids, self.clock())
-        self.room.poke()
+        self.holds.confirm(sender, endpoint_ids, self.clock())
+        self.queue.poke()
 
-    def node_lost(self, vm: str) -> None:
+    def drop_node(self, vm: str) -> None:
         """Free what a node held that is gone."""
-        if self.ledger.drop_node(vm):
-            self.room.poke()
+        if self.holds.drop_node(vm):
+            self.queue.poke()
 
-    def look(self) -> None:
+    def tick(self) -> None:
         """Forget what is over, and let those that wait look again."""
         now_s = self.clock()
-        self.ledger.drop_lapsed(now_s)
+        self.holds.drop_lapsed(now_s)
         self._refused_until_s = _unexpired(self._refused_until_s, now_s)
         self._slow_until_s = _unexpired(self._slow_until_s, now_s)
         self._unsure = [one for one in self._unsure if one.until_s > now_s]
-        self.room.poke()
+        self.queue.poke()
 
     def expected_s(self, ask: waiting.Ask) -> float:
         """Return how long a request would wait."""
         next_s = 1 / max(self.freed_per_s(), waiting.LEAST_FREED_PER_S)
-        return max(self.room.expected_s(ask), next_s)
+        return max(self.queue.expected_s(ask), next_s)
 
-    def free(self) -> int:
+    def free_slots(self) -> int:
         """Return the places that are free."""
         return sum(map(self._free_at, self.targets()))
 
@@ -140,7 +137,7 @@
         """
         slots = self.slots()
         strays = RESERVED_SPREADS * math.sqrt(slots)
-        return self.free() > min(strays, slots * MOST_RESERVED_SHARE)
+        return self.free_slots() > min(strays, slots * MOST_RESERVED_SHARE)
 
     def _take(
         self, sender: messages.Sender, ask: messages.Ask
@@ -148,7 +145,7 @@
         found = self._choose(ask.avoid)
         if found is not None:
             key = (sender, ask.number)
-            self.ledger.hold(key, found.endpoint_id, self.clock())
+            self.holds.hold(key, found.endpoint_id, self.clock())
         return found
 
     def _choose(
@@ -162,9 +159,9 @@
         return min(free, key=self._rank, default=None)
 
     def _rank(self, target: placing.Target) -> tuple[bool, float, float]:
-        filled = self.ledger.count(target.endpoint_id) / target.slots
+        filled = self.holds.count(target.endpoint_id) / target.slots
         is_slow = target.endpoint_id in self._slow_until_s
-        return is_slow, filled, self.chance.random()
+        return is_slow, filled, self.rng.random()
 
     def _free_at(self, target: placing.Target) -> int:
         now_s = self.clock()
@@ -174,7 +171,7 @@
             one.endpoint_id == target.endpoint_id and one.until_s > now_s
             for one in self._unsure
         )
-        held = self.ledger.count(target.endpoint_id) + unsure
+        held = self.holds.count(target.endpoint_id) + unsure
         return max(0, target.slots - held)
 
 
--- a/redwingvalve/allocation/reserver.py
+++ b/redwingvalve/allocation/reserver.py
@@ -37,7 +37,7 @@
 # Targets that this node doesn't know are given back, so many times.
 MOST_UNKNOWN = 3
 # Holdings are told this often while there are any.
-REPORT_S = 0.5
+REPORT_INTERVAL_S = 0.5
 # Without an owner that answers, callers come back after this.
 RETRY_AFTER_S = 0.8
 
@@ -101,13 +101,13 @@
 
     data_centre: str
     targets: state.Targets
-    owners: owners_module.Owners
+    owners: owners_module.PoolOwners
     transport: Transport
     loads: placing.Loads
     clock: collections_abc.Callable[[], float]
-    chance: random.Random = attrs.field(factory=random.Random)
+    rng: random.Random = attrs.field(factory=random.Random)
     # Whether the data centres of a model count their places apart.
-    is_divided: collections_abc.Callable[[], bool] = lambda: True
+    is_split_by_data_centre: collections_abc.Callable[[], bool] = lambda: True
     _numbers: typing.Iterator[int] = attrs.field(
         factory=lambda: itertools.count(1)
     )
@@ -166,7 +166,7 @@
     async def run(self) -> typing.NoReturn:
         """Tell owners what is held here until cancelled."""
         while True:
-            await anyio.sleep(REPORT_S)
+            await anyio.sleep(REPORT_INTERVAL_S)
             self.report()
 
     def report(self) -> None:
@@ -211,12 +211,12 @@
     def _pools(self, service: str, model: str) -> list[messages.Pool]:
         """Return the pools to be asked, that of this data centre first."""
         targets = self.targets.of(service, model)
-        if not (model and self.is_divided()):
+        if not (model and self.is_split_by_data_centre()):
             found = [messages.Pool(service, model, '')]
             return found if targets else []
         data_centres = {target.data_centre for target in targets}
         others = sorted(data_centres - {self.data_centre})
-        drawn = self.chance.sample(others, min(len(others), OTHERS_ASKED))
+        drawn = self.rng.sample(others, min(len(others), OTHERS_ASKED))
         if self.data_centre in data_centres:
             drawn.insert(0, self.data_centre)
         return [messages.Pool(service, model, one) for one in drawn]
@@ -226,7 +226,7 @@
     ) -> tuple[str, messages.Reply] | None:
         """Return who decided an ask, and what; None without an answer."""
         asked_s = self.clock()
-        for vm in self.owners.of(ask.pool):
+        for vm in self.owners.ranked_for(ask.pool):
             self._note_owner(ask.pool, vm)
             pending = _Pending(next(self._numbers), vm)
             self._pending[pending.number] = pending
@@ -295,10 +295,10 @@
         """Choose by what this node knows itself."""
         node_metrics.METRICS.count('redwingvalve_places_chosen_alone')
         targets = self.targets.of(ask.pool.service, ask.pool.model)
-        drawn = placing.draw(targets, self.chance)
+        drawn = placing.draw(targets, self.rng)
         for among in (drawn, targets):
             found = placing.choose(
-                among, self.loads, self.chance, ask.avoid, ask.slow
+                among, self.loads, self.rng, ask.avoid, ask.slow
             )
             if found is not None:
                 number = next(self._numbers)
@@ -320,7 +320,7 @@
         return _Place(target, grant.number, self)
 
     def _owner(self, pool: messages.Pool) -> str:
-        return next(iter(self.owners.of(pool)), '')
+        return next(iter(self.owners.ranked_for(pool)), '')
 
     def _note_owner(self, pool: messages.Pool, vm: str) -> None:
         """Tell a new owner what is held here, before it grants more."""
--- a/redwingvalve/allocation/tests/test_pool.py
+++ b/redwingvalve/allocation/tests/test_pool.py
@@ -70,8 +70,8 @@
         granter = make(heads=2, slots=4)
         for number, sender in enumerate(NODES):
             ask(granter, sender, number)
-        ledger = granter.pool(POOL).ledger
-        assert (ledger.count('e0'), ledger.count('e1')) == (3, 3)
+        holds = granter.pool(POOL).holds
+        assert (holds.count('e0'), holds.count('e1')) == (3, 3)
 
     run(test)
 
@@ -96,7 +96,7 @@
         granter = make()
         first = ask(granter, NODES[0], 1)[-1]
         assert ask(granter, NODES[0], 1)[-1] == first
-        assert len(granter.pool(POOL).ledger) == 1
+        assert len(granter.pool(POOL).holds) == 1
 
     run(test)
 
@@ -126,7 +126,7 @@
         granter.release(NODES[1], messages.Release(7))
         granter.release(NODES[0], messages.Release(1))
         await anyio.sleep(0.01)
-        assert not len(granter.pool(POOL).ledger)
+        assert not len(granter.pool(POOL).holds)
 
     run(test)
 
@@ -156,9 +156,9 @@
         granter = make(now_s=lambda: moment[0])
         ask(granter, NODES[0], 1)
         granter.release(NODES[0], messages.Release(1, reserving.Leaving.UNSURE))
-        assert granter.pool(POOL).free() == 8
+        assert granter.pool(POOL).free_slots() == 8
         moment[0] += 0.3
-        assert granter.pool(POOL).free() == 9
+        assert granter.pool(POOL).free_slots() == 9
 
     run(test)
 
--- a/redwingvalve/allocation/usage.py
+++ b/redwingvalve/allocation/usage.py
@@ -16,18 +16,18 @@
         """Start without requests."""
         self._by_node: dict[str, dict[str, int]] = {}
 
-    def heard(self, vm: str, counts: dict[str, int]) -> None:
+    def update(self, vm: str, counts: dict[str, int]) -> None:
         """Take a node's counts in place of its last ones."""
         if counts:
             self._by_node[vm] = counts
         else:
             self._by_node.pop(vm, None)
 
-    def forget(self, vm: str) -> None:
+    def remove(self, vm: str) -> None:
         """Drop the counts of a node that is gone."""
         self._by_node.pop(vm, None)
 
-    def of(self, service: str, model: str) -> int:
+    def slots_in_use(self, service: str, model: str) -> int:
         """Return the places of a model in use and wanted."""
         name = name_of(service, model)
         return sum(counts.get(name, 0) for counts in self._by_node.values())
--- a/redwingvalve/ingress/tests/played_load.py
+++ b/redwingvalve/ingress/tests/played_load.py
@@ -17,7 +17,7 @@
 
 from redwingvalve.allocation import (
     allocator,
-    delivery,
+    dispatch,
     messages,
     owners,
     reserver,
@@ -146,11 +146,11 @@
         self.reserver = reserver.NodeReserver(
             data_centre=self.data_centre,
             targets=self,
-            owners=owners.Owners(self._play.candidates, anyio.current_time),
+            owners=owners.PoolOwners(self._play.candidates, anyio.current_time),
             transport=self,
             loads=self.loads,
             clock=anyio.current_time,
-            chance=self._play.chance,
+            rng=self._play.chance,
         )
 
     def of(self, service, model):
@@ -164,7 +164,7 @@
     def receive(self, envelope):
         """Take a datagram."""
         sender = envelope.sender.vm
-        delivery.deliver(
+        dispatch.dispatch_message(
             envelope,
             self.allocator,
             self.reserver,
@@ -178,8 +178,8 @@
             await anyio.sleep(LOOK_S)
             if not self.is_up:
                 continue
-            self.allocator.look()
-            if anyio.current_time() - reported_s >= reserver.REPORT_S:
+            self.allocator.tick()
+            if anyio.current_time() - reported_s >= reserver.REPORT_INTERVAL_S:
                 reported_s = anyio.current_time()
                 self.reserver.report()
 
--- a/redwingvalve/node/allocation_transport.py
+++ b/redwingvalve/node/allocation_transport.py
@@ -8,7 +8,7 @@
 import attrs
 
 from redwingvalve.allocation import allocator as allocator_module
-from redwingvalve.allocation import delivery, messages, owners
+from redwingvalve.allocation import dispatch, messages, owners
 from redwingvalve.allocation import reserver as reserver_module
 from redwingvalve.ingress import placing
 from redwingvalve.ingress import state as state_module
@@ -62,14 +62,16 @@
         """Look after what is granted here until cancelled."""
         while True:
             await anyio.sleep(LOOK_S if self.allocator.is_busy else IDLE_S)
-            self.allocator.look()
+            self.allocator.tick()
 
     def _take(
         self,
         envelope: messages.Envelope,
-        reply: allocator_module.Replier,
+        reply: allocator_module.ReplyCallback,
     ) -> None:
-        delivery.deliver(envelope, self.allocator, self.reserver, reply)
+        dispatch.dispatch_message(
+            envelope, self.allocator, self.reserver, reply
+        )
 
     def _reply(self, address: tuple[str, int], reply: messages.Reply) -> None:
         packed = messages.pack(messages.Envelope(self._sender, reply))
@@ -114,18 +116,18 @@
     made.reserver = reserver_module.NodeReserver(
         data_centre=peers.local.data_centre,
         targets=state.targets,
-        owners=owners.Owners(lambda: _candidates(peers), time.monotonic),
+        owners=owners.PoolOwners(lambda: _candidates(peers), time.monotonic),
         transport=made,
         loads=state.loads,
         clock=time.monotonic,
-        is_divided=lambda: peers.is_large_fleet,
+        is_split_by_data_centre=lambda: peers.is_large_fleet,
     )
     peers.on_tagged = made.received
     state.reserver = made.reserver
-    state.in_use = status_exchange.usage.of
-    state.waiting = allocator.waiting
+    state.in_use = status_exchange.usage.slots_in_use
+    state.waiting = allocator.queue_length
     status_exchange.local_usage = allocator.usage
-    status_exchange.on_node_lost = allocator.node_lost
+    status_exchange.on_node_lost = allocator.drop_node
     return made
 
 
--- a/redwingvalve/node/daemon.py
+++ b/redwingvalve/node/daemon.py
@@ -108,7 +108,7 @@
     async def run(self, stop: anyio.Event) -> None:
         """Run until stop is set, and then until all requests have ended."""
         self.table.on_sound = self.state.silence.found_sound
-        self.table.on_rebuilt = self.allocation.allocator.look
+        self.table.on_rebuilt = self.allocation.allocator.tick
         self.table.on_doubt = self.detector.doubt
         self.table.on_told_sound = self.detector.told_sound
         self.watches = self._make_watches()
--- a/redwingvalve/node/status_exchange.py
+++ b/redwingvalve/node/status_exchange.py
@@ -116,7 +116,7 @@
         """Return the next word of this node."""
         self._number += 1
         usage = self.local_usage()
-        self.usage.heard(self.local.vm, usage)
+        self.usage.update(self.local.vm, usage)
         word = status_messages.NodeWord(
             vm=self.local.vm,
             born_ms=self.local.born_ms,
@@ -149,7 +149,7 @@
         """Take another node's word."""
         if self.peers.is_large_fleet:
             self._take_passed_on(word)
-        self.usage.heard(word.vm, word.usage or {})
+        self.usage.update(word.vm, word.usage or {})
         if word.lease_revision:
             self.lease.observe(word.lease_revision, word.lease_left_ms)
         self.others_served = self.others_served or bool(word.has_served)
@@ -170,13 +170,13 @@
     def _take_passed_on(self, word: typing.Any) -> None:
         news = list(filter(self.hubs.take_state, word.states or ()))
         for usage in word.usages or ():
-            self.usage.heard(usage.vm, usage.usage or {})
+            self.usage.update(usage.vm, usage.usage or {})
         if self.hubs.is_hub and self._hub_news.heard(word, news):
             self.broadcast_soon()
 
     def node_lost(self, vm: str) -> None:
         """Forget what a silent node holds and grants."""
-        self.usage.forget(vm)
+        self.usage.remove(vm)
         if self.on_node_lost is not None:
             self.on_node_lost(vm)
 
--- a/redwingvalve/node/tests/test_requests.py
+++ b/redwingvalve/node/tests/test_requests.py
@@ -242,7 +242,7 @@
             for one in fleet.nodes[0].table.of(fleets.PLAIN, '')
             if one.endpoint_id == idle
         ]
-        assert places.free() == 2 * target.slots - 1
+        assert places.free_slots() == 2 * target.slots - 1
 
     fleets.run(test, engines=0)
 
--- a/redwingvalve/node/tests/test_status_exchange.py
+++ b/redwingvalve/node/tests/test_status_exchange.py
@@ -47,12 +47,12 @@
         killed, granter = granters(fleet)
         await reserve_plain(killed)
         pool = granter.allocation.allocator.pool(PLAIN_POOL)
-        await fleet.until(lambda: len(pool.ledger) == 1)
+        await fleet.until(lambda: len(pool.holds) == 1)
         peer = granter.peers.known[killed.settings.vm]
         await fleet.until(lambda: peer.last_received_s is not None)
         killed.peers.send_status = lambda word, names: None
         killed.peers.send_tagged = lambda packed, address: None
-        await fleet.until(lambda: not len(pool.ledger), 0.6)
+        await fleet.until(lambda: not len(pool.holds), 0.6)
 
     fleets.run(test, nodes=2, engines=0, plain=1)
 
@@ -67,7 +67,7 @@
         pool = granter.allocation.allocator.pool(PLAIN_POOL)
         for _ in range(60):
             await anyio.sleep(0.05)
-            assert len(pool.ledger) == 1
+            assert len(pool.holds) == 1
 
     fleets.run(test, nodes=2, engines=0, plain=1)
 
@@ -101,7 +101,8 @@
 def granters(fleet):
     """Return the nodes, that which grants places last, once both know it."""
     owners = {
-        node.allocation.reserver.owners.of(PLAIN_POOL) for node in fleet.nodes
+        node.allocation.reserver.owners.ranked_for(PLAIN_POOL)
+        for node in fleet.nodes
     }
     if len(owners) != 1 or len(*owners) != 2:
         return None
