--- a/redwingvalve/node/__init__.py
+++ b/redwingvalve/node/__init__.py
@@ -1,1 +1,1 @@
-"""The program of a VM: serves callers and takes its part in control."""
+"""The node process: proxies callers' requests and manages replicas."""
--- a/redwingvalve/node/__main__.py
+++ b/redwingvalve/node/__main__.py
@@ -1,4 +1,4 @@
-"""Starts a node with the platform's settings."""
+"""Starts a node with the settings that the platform provides."""
 
 import importlib
 import sys
@@ -21,7 +21,8 @@
     except OSError as error:
         sys.stderr.write(f'redwingvalve: {error}\n')
         return exit_status.ExitStatus.FAILURE
-    # Imported last: callers that come meanwhile wait instead of being refused.
+    # Imported after the sockets listen: connections that arrive during the
+    # import wait instead of being refused.
     daemon = importlib.import_module('redwingvalve.node.daemon')
     daemon.run(node_settings, early)
     return exit_status.ExitStatus.SUCCESS
--- a/redwingvalve/node/configuration_watch.py
+++ b/redwingvalve/node/configuration_watch.py
@@ -1,4 +1,4 @@
-"""Takes each new configuration from the store."""
+"""Applies each new configuration that the store announces."""
 
 import typing
 from collections import abc as collections_abc
@@ -11,32 +11,38 @@
 from redwingvalve.platform import names, store
 
 LOG = logs.make_logger('configuration')
-Taker: typing.TypeAlias = collections_abc.Callable[[routes.Configuration], None]
+ConfigurationCallback: typing.TypeAlias = collections_abc.Callable[
+    [routes.Configuration], None
+]
 
 
-class ConfigurationFollower(watch_handler.WatchHandler):
-    """Takes configurations, never an older one than is in force."""
+class ConfigurationHandler(watch_handler.WatchHandler):
+    """Applies configurations, never one older than the one in force."""
 
-    def __init__(self, state: state_module.IngressState, taker: Taker) -> None:
-        """Tell the taker of each new version."""
+    def __init__(
+        self,
+        state: state_module.IngressState,
+        on_configuration: ConfigurationCallback,
+    ) -> None:
+        """Call on_configuration with each newer configuration."""
         self._state = state
-        self._taker = taker
+        self._on_configuration = on_configuration
 
     def on_list(self, listed: list[store.Document]) -> None:
-        """Take what the store lists."""
+        """Apply the configuration in a full listing."""
         for stored in listed:
-            self._take(stored)
+            self._apply_if_newer(stored)
 
     def on_changes(self, changes: list[store.Change]) -> None:
-        """Take the newest of some changes."""
+        """Apply changes in order; removing the configuration has no effect."""
         for change in changes:
             if not change.is_removed:
-                self._take(change.stored)
+                self._apply_if_newer(change.stored)
 
     def on_unavailable(self) -> None:
-        """Go on with the configuration in force."""
+        """Do nothing: the configuration in force stays."""
 
-    def _take(self, stored: store.Document) -> None:
+    def _apply_if_newer(self, stored: store.Document) -> None:
         if stored['metadata']['name'] != names.CONFIGURATION_NAME:
             return
         try:
@@ -44,7 +50,7 @@
         except configuration_module.ConfigurationError as error:
             LOG.error('unusable configuration', extra={'error': str(error)})
             return
-        known = self._state.configuration
-        if known is not None and found.revision <= known.revision:
+        current = self._state.configuration
+        if current is not None and found.revision <= current.revision:
             return
-        self._taker(found)
+        self._on_configuration(found)
--- a/redwingvalve/node/daemon.py
+++ b/redwingvalve/node/daemon.py
@@ -202,7 +202,7 @@
             self.lease.is_held,
             self._known_within_s(),
         )
-        configurations = configuration_watch.ConfigurationFollower(
+        configurations = configuration_watch.ConfigurationHandler(
             self.state, self._configure
         )
         return [
--- a/redwingvalve/node/early_sockets.py
+++ b/redwingvalve/node/early_sockets.py
@@ -1,25 +1,28 @@
-"""Listens for callers before the rest of a node is imported.
+"""Opens the listening sockets before the rest of the node is imported.
 
-Load pattern: all nodes are killed at once and start again, or one at a time
-while its callers still have its address. Importing a node takes some 0.3 s of
-processor time; until a socket listens, each caller that comes is turned away,
-and callers try again once. Connections that come earlier wait in the kernel's
-queue and are served as soon as the node runs.
+Load pattern: all nodes are killed and restart at once, or a single node
+restarts while callers still hold its address. Importing the node takes about
+0.3 s of processor time. Until a socket listens, connections are refused, and
+callers retry only once. With the sockets opened early, connections wait in the
+kernel's accept queue and are served as soon as the node runs.
 """
 
 import socket
 
 from redwingvalve.platform import settings
 
-# Connections that wait to be accepted: a dropped opening packet is sent again
-# only after a second.
+# Length of the accept queue. When it is full, the kernel drops SYN packets,
+# which clients retransmit only after a second.
 BACKLOG = 1024
 
 EarlySockets = dict[settings.SocketAddress, socket.socket]
 
 
 def listen_early(node_settings: settings.NodeSettings) -> EarlySockets:
-    """Listen where callers and the platform come; raises OSError."""
+    """Listen at the caller-facing, readiness and directory addresses.
+
+    Raises OSError.
+    """
     addresses = {
         node_settings.front,
         node_settings.ready,
@@ -29,7 +32,7 @@
 
 
 def listen_at(address: settings.SocketAddress) -> socket.socket:
-    """Return a socket that listens at an address; raises OSError."""
+    """Return a non-blocking socket listening at an address; raises OSError."""
     listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
--- a/redwingvalve/node/front.py
+++ b/redwingvalve/node/front.py
@@ -1,4 +1,4 @@
-"""Serves callers, the readiness check and the directory."""
+"""HTTP applications: caller requests, readiness, metrics and the directory."""
 
 import asyncio
 import json
@@ -12,10 +12,12 @@
 from redwingvalve.platform import caller_requests, names
 
 LOG = logs.make_logger('front')
-# Callers keep an answer of the directory for this long, some three times.
+# TTL of directory responses; some callers keep one for three times as long.
 DIRECTORY_TTL_S = 1
-# Callers reuse connections up to four fifths of the configured idle time.
-IDLE_MARGIN = 1.2
+# Callers reuse connections for up to four fifths of the configured idle
+# timeout; the node keeps them open longer than that, so that it never closes
+# one that a caller is about to reuse.
+IDLE_TIMEOUT_FACTOR = 1.2
 METRICS_PATH = '/metrics'
 _JSON = (b'content-type', b'application/json')
 _OK = 200
@@ -24,16 +26,16 @@
 
 
 class FrontApplication(server.Application):
-    """Relays callers' requests."""
+    """Proxies callers' requests to endpoints."""
 
     def __init__(self, state: state_module.IngressState) -> None:
-        """Answer from the node's state."""
+        """Route requests by the node's state."""
         self._state = state
         self.running: set[asyncio.Task[None]] = set()
         self.has_served = False
 
     def limits(self) -> reading.ServerLimits:
-        """Return the configured bounds."""
+        """Return the configured limits, or the defaults before those."""
         configuration = self._state.configuration
         limits = (
             configuration.limits if configuration else (routes.DEFAULT_LIMITS)
@@ -42,7 +44,7 @@
             head_bytes=limits.head_bytes,
             body_bytes=limits.body_bytes,
             head_timeout_s=limits.head_timeout_ms / 1000,
-            idle_timeout_s=limits.idle_timeout_ms / 1000 * IDLE_MARGIN,
+            idle_timeout_s=limits.idle_timeout_ms / 1000 * IDLE_TIMEOUT_FACTOR,
         )
 
     def is_closing(self) -> bool:
@@ -52,7 +54,7 @@
     def serve(
         self, request: messages.Request, responder: server.Responder
     ) -> None:
-        """Relay one request in a task of its own."""
+        """Proxy one request in its own task."""
         self.has_served = True
         run = relay.RequestRun(self._state, request, responder)
         task = asyncio.get_running_loop().create_task(self._run(run, responder))
@@ -65,14 +67,15 @@
         try:
             await run.run()
         except Exception:
-            # Without an answer the caller would wait until its deadline.
+            # The connection is aborted below: without any response the caller
+            # would wait until its deadline.
             LOG.exception('request failed')
         if not responder.is_done and not responder.is_gone:
             responder.abort()
 
 
 class NodeApplication(server.Application):
-    """Answers the platform's readiness check and the directory."""
+    """Serves the readiness check, the metrics and the node directory."""
 
     def __init__(
         self,
@@ -80,13 +83,13 @@
         peers: peers_module.Peers,
         ttl_max_s: float,
     ) -> None:
-        """Answer from the node's state and its peers."""
+        """Respond from the node's state and its peers."""
         self._state = state
         self._peers = peers
         self._ttl_s = min(DIRECTORY_TTL_S, ttl_max_s)
 
     def limits(self) -> reading.ServerLimits:
-        """Return bounds that any small request keeps."""
+        """Return default limits; bodies may be as large as heads only."""
         limits = routes.DEFAULT_LIMITS
         return reading.ServerLimits(
             head_bytes=limits.head_bytes,
@@ -102,7 +105,7 @@
     def serve(
         self, request: messages.Request, responder: server.Responder
     ) -> None:
-        """Answer at once."""
+        """Respond at once."""
         path = request.target.partition(b'?')[0].decode('latin-1')
         if path == names.READY_PATH:
             status = _OK if self.is_ready() else _UNAVAILABLE
@@ -117,7 +120,7 @@
             responder.answer(_NOT_FOUND, [_JSON], b'{"error":"no such path"}')
 
     def is_ready(self) -> bool:
-        """Return whether callers can be served here."""
+        """Return whether this node can serve callers."""
         state = self._state
         return state.configuration is not None and not state.is_leaving
 
