--- a/redwingvalve/node/endpoint_prober.py
+++ b/redwingvalve/node/endpoint_prober.py
@@ -1,11 +1,11 @@
-"""Asks endpoints what they belong to, without mistaking own trouble for loss.
-
-Load pattern: after an outage of the store a new holder of the lease has some
-sixty replicas of two hundred endpoints to ask, on half a core and a link of
-10 Mbit/s. Asked all at once, the answers come later than the timeout, and
-every replica looks lost; closing them then cuts the whole fleet off. So few
-are asked at once, and while many of the last questions had no answer, those
-are asked again before they count.
+"""Probes endpoints for their membership, allowing for local overload.
+
+Load pattern: after an outage of the store a new lease holder has to probe some
+sixty replicas with two hundred endpoints, on half a core and a link of
+10 Mbit/s. If all were probed at once, responses would arrive after the timeout
+and every replica would look lost; closing them would take the whole fleet out
+of service. So the number of concurrent probes is limited, and while many recent
+probes went unanswered, the unanswered ones are repeated before they count.
 """
 
 import collections
@@ -19,144 +19,149 @@
 from redwingvalve.fleet import endpoints
 from redwingvalve.platform import endpoint_orders
 
-# Questions on the way at the same moment. Each takes about a millisecond of
-# half a core, so that all are answered well within the timeout of 200 ms.
-ASKED_AT_ONCE = 32
-# The last questions that are looked at, and how many of them may lack an
-# answer: a lost replica of eight lacks eight at most.
-LOOKED_AT = 24
-DOUBT_UNANSWERED = 10
-# Questions that were asked together end together: the first that has no answer
-# is judged with the others.
-DOUBT_LOOK_S = 0.02
-# Older answers say nothing about the path now.
-DOUBT_WINDOW_S = 1.0
-# Doubt outlasts the answers that end it: those that were lost just before are
-# still to be judged.
-DOUBT_MEMORY_S = 0.3
-# Before questions are repeated: a queue on the own link drains meanwhile.
-DOUBT_PAUSE_S = 0.3
-# An answer that is this much later than its timeout was held up with the whole
-# process.
-HELD_UP_S = 0.1
-# Questions without an answer that prove an endpoint dead.
-SURE_QUESTIONS = 2
+# Each probe takes about a millisecond of half a core, so that this many are
+# answered well within the timeout of 200 ms.
+MAX_CONCURRENT_PROBES = 32
+# Number of latest probes considered, and how many of them must be unanswered
+# to show a local problem: the loss of a replica of eight accounts for at most
+# eight.
+RECENT_PROBES = 24
+DEGRADED_MIN_UNANSWERED = 10
+# Probes that were sent together time out together: a short delay lets the first
+# unanswered one be judged along with the others.
+DEGRADED_CHECK_DELAY_S = 0.02
+# Older outcomes say nothing about the current state of the network path.
+DEGRADED_WINDOW_S = 1.0
+# The degraded state outlasts the responses that would end it: probes that were
+# lost just before are still to be judged.
+DEGRADED_HOLD_S = 0.3
+# Delay before unanswered probes are repeated, in which a queue on this node's
+# own link drains.
+RETRY_PAUSE_S = 0.3
+# A probe that ends this long after its timeout shows that the whole process was
+# paused.
+MIN_PROCESS_PAUSE_S = 0.1
+# Unanswered probes after which an endpoint is considered dead.
+PROBES_TO_CONFIRM_DEATH = 2
 
 Reports = dict[str, endpoint_orders.Report | None]
 
 
 @attrs.frozen
-class _Asked:
+class _ProbeOutcome:
     at_s: float
     is_answered: bool
 
 
-class OwnPath:
-    """Whether unanswered questions speak against this node's own path."""
+class LocalHealth:
+    """Tells whether unanswered probes point to a problem of this node itself.
+
+    Signs are many unanswered probes at once and pauses of the process.
+    """
 
     def __init__(
         self, clock: typing.Callable[[], float] = time.monotonic
     ) -> None:
-        """Start without doubt."""
+        """Start healthy."""
         self._clock = clock
-        self._asked: collections.deque[_Asked] = collections.deque(
-            maxlen=LOOKED_AT
+        self._outcomes: collections.deque[_ProbeOutcome] = collections.deque(
+            maxlen=RECENT_PROBES
         )
-        self._held_up_s = float('-inf')
-        self._doubted_s = float('-inf')
+        self._process_paused_s = float('-inf')
+        self._degraded_s = float('-inf')
 
-    def note(self, began_s: float, is_answered: bool) -> None:
-        """Take the outcome of a question."""
+    def record(self, began_s: float, is_answered: bool) -> None:
+        """Record the outcome of a probe that was sent at began_s."""
         now_s = self._clock()
         took_s = now_s - began_s
-        if took_s > endpoint_orders.REPORT_TIMEOUT_S + HELD_UP_S:
-            self._held_up_s = now_s
-        self._asked.append(_Asked(now_s, is_answered))
-        if self._unanswered(now_s) >= DOUBT_UNANSWERED:
-            self._doubted_s = now_s
-
-    def is_doubtful(self) -> bool:
-        """Return whether answers may have been lost on this node's side."""
+        if took_s > endpoint_orders.REPORT_TIMEOUT_S + MIN_PROCESS_PAUSE_S:
+            self._process_paused_s = now_s
+        self._outcomes.append(_ProbeOutcome(now_s, is_answered))
+        if self._count_unanswered(now_s) >= DEGRADED_MIN_UNANSWERED:
+            self._degraded_s = now_s
+
+    def is_degraded(self) -> bool:
+        """Return whether responses may have been lost on this node's side."""
         now_s = self._clock()
-        if self._held_up_s > now_s - DOUBT_WINDOW_S:
+        if self._process_paused_s > now_s - DEGRADED_WINDOW_S:
             return True
-        return self._doubted_s > now_s - DOUBT_MEMORY_S
+        return self._degraded_s > now_s - DEGRADED_HOLD_S
 
-    def _unanswered(self, now_s: float) -> int:
-        since_s = now_s - DOUBT_WINDOW_S
+    def _count_unanswered(self, now_s: float) -> int:
+        since_s = now_s - DEGRADED_WINDOW_S
         return sum(
             1
-            for one in self._asked
+            for one in self._outcomes
             if one.at_s > since_s and not one.is_answered
         )
 
 
 class EndpointProber:
-    """Asks the members of replicas."""
+    """Probes endpoints, the members of replicas in particular."""
 
     def __init__(self, client: endpoint_orders.EndpointClient) -> None:
-        """Ask by client."""
+        """Send probes through client."""
         self._client = client
-        self._path = OwnPath()
-        self._limit = anyio.CapacityLimiter(ASKED_AT_ONCE)
+        self._local_health = LocalHealth()
+        self._limit = anyio.CapacityLimiter(MAX_CONCURRENT_PROBES)
 
     async def ask(
         self, endpoint: endpoints.Endpoint
     ) -> endpoint_orders.Report | None:
-        """Return what an endpoint says, or None if it doesn't answer."""
+        """Return an endpoint's report, or None if it doesn't answer."""
         async with self._limit:
             began_s = time.monotonic()
             report = await self._client.report(endpoint)
-            self._path.note(began_s, report is not None)
+            self._local_health.record(began_s, report is not None)
         return report
 
-    async def ask_surely(
-        self, endpoint: endpoints.Endpoint, until_s: float
+    async def ask_until_certain(
+        self, endpoint: endpoints.Endpoint, deadline_s: float
     ) -> endpoint_orders.Report | None:
-        """Return what an endpoint says, or None if it surely doesn't answer.
+        """Return an endpoint's report, or None if it is confirmed dead.
 
-        One question without an answer is no proof: on a node that runs slowly
-        timeouts pass before answers are read. So it is asked again, and for as
-        long as this node's own path is in doubt, until until_s of the boot
-        clock. A head that is cut off from the store and taken for dead so
-        would serve on while its members join another replica.
+        One unanswered probe is no proof: on a slow node, timeouts pass before
+        responses are read. So the probe is repeated, and for as long as this
+        node itself is degraded, until deadline_s by the boot clock at most.
+        Otherwise a head that is only cut off from the store would be considered
+        dead and go on serving while its members join another replica.
         """
         unanswered = 0
-        while clock.boot_s() < until_s:
+        while clock.boot_s() < deadline_s:
             report = await self.ask(endpoint)
             if report is not None:
                 return report
             unanswered += 1
-            if unanswered >= SURE_QUESTIONS and not self.is_doubtful():
+            if unanswered >= PROBES_TO_CONFIRM_DEATH and not self.is_degraded():
                 break
-            await anyio.sleep(DOUBT_PAUSE_S)
+            await anyio.sleep(RETRY_PAUSE_S)
         return None
 
-    def is_doubtful(self) -> bool:
-        """Return whether answers may be lost on this node's side."""
-        return self._path.is_doubtful()
+    def is_degraded(self) -> bool:
+        """Return whether responses may be getting lost on this node's side."""
+        return self._local_health.is_degraded()
 
     async def ask_all(self, members: tuple[endpoints.Endpoint, ...]) -> Reports:
-        """Return what each member says, None for those that are lost."""
+        """Return each member's report, None for members that are lost."""
         reports: Reports = {}
-        await self._ask_into(reports, members)
-        missing = _unanswered(reports, members)
+        await self._ask_members(reports, members)
+        missing = _without_report(reports, members)
         if not missing:
             return reports
-        await anyio.sleep(DOUBT_LOOK_S)
-        if self.is_doubtful():
-            await anyio.sleep(DOUBT_PAUSE_S)
-            await self._ask_into(reports, missing)
+        await anyio.sleep(DEGRADED_CHECK_DELAY_S)
+        if self.is_degraded():
+            await anyio.sleep(RETRY_PAUSE_S)
+            await self._ask_members(reports, missing)
         return reports
 
     async def are_healthy(
         self, members: tuple[endpoints.Endpoint, ...]
     ) -> bool:
-        """Return whether all members answer and belong to their replica."""
+        """Return whether all members report that they are in their replica."""
         reports = await self.ask_all(members)
         return all(is_healthy(member, reports) for member in members)
 
-    async def _ask_into(
+    async def _ask_members(
         self, reports: Reports, members: tuple[endpoints.Endpoint, ...]
     ) -> None:
         async with anyio.create_task_group() as group:
@@ -170,7 +175,7 @@
 
 
 def is_healthy(member: endpoints.Endpoint, reports: Reports) -> bool:
-    """Return whether a member says that it still belongs to its replica."""
+    """Return whether a member reports that it is in its replica, not broken."""
     report = reports[member.endpoint_id]
     if report is None or report.membership is None:
         return False
@@ -181,7 +186,7 @@
     return report.membership.key == member.membership.key
 
 
-def _unanswered(
+def _without_report(
     reports: Reports, members: tuple[endpoints.Endpoint, ...]
 ) -> tuple[endpoints.Endpoint, ...]:
     return tuple(
--- a/redwingvalve/node/replica_orders.py
+++ b/redwingvalve/node/replica_orders.py
@@ -222,7 +222,7 @@
         died. One that answers leaves, or is cut off from the store.
         """
         asked_s = clock.boot_s()
-        report = await self._prober.ask_surely(head, gone_s + LEAVING_S)
+        report = await self._prober.ask_until_certain(head, gone_s + LEAVING_S)
         if report is None and asked_s - gone_s < GONE_KNOWN_S:
             return True
         await self.retire(head, gone_s)
@@ -306,7 +306,7 @@
         # that is cut off from the store, whose answers may be lost here.
         if self._registry.may_leave(head, LEAVING_S):
             return False
-        if self._prober.is_doubtful():
+        if self._prober.is_degraded():
             return False
         return self._is_gone(head)
 
--- a/redwingvalve/node/tests/test_endpoint_prober.py
+++ b/redwingvalve/node/tests/test_endpoint_prober.py
@@ -1,4 +1,4 @@
-"""Questions to endpoints, and what answers that are missing may mean."""
+"""Probes of endpoints, and how missing responses are interpreted."""
 
 import anyio
 import attrs
@@ -24,86 +24,86 @@
 
 @attrs.define(eq=False)
 class Client:
-    """Answers after a moment; at first nothing gets through."""
+    """Answers after 2 ms; the first unanswered_asks responses are lost."""
 
-    choked_asks: int = 0
+    unanswered_asks: int = 0
     dead: tuple[str, ...] = ()
     running: int = 0
-    most: int = 0
+    max_running: int = 0
     asks: int = 0
 
     async def report(self, endpoint):
         self.asks += 1
-        is_choked = self.asks <= self.choked_asks
+        is_unanswered = self.asks <= self.unanswered_asks
         self.running += 1
-        self.most = max(self.most, self.running)
+        self.max_running = max(self.max_running, self.running)
         await anyio.sleep(0.002)
         self.running -= 1
-        if is_choked or endpoint.endpoint_id in self.dead:
+        if is_unanswered or endpoint.endpoint_id in self.dead:
             return None
         return endpoint_orders.Report(1, endpoint.membership, ())
 
 
-async def inspect_all(client):
-    """Return how many replicas of a whole fleet are taken for whole."""
+async def probe_all_replicas(client):
+    """Return how many replicas of a whole fleet are found healthy."""
     prober = endpoint_prober.EndpointProber(client)
     found = []
 
-    async def inspect(number):
+    async def probe(number):
         found.append(await prober.are_healthy(replica(number)))
 
     async with anyio.create_task_group() as group:
         for number in range(REPLICAS):
-            group.start_soon(inspect, number)
+            group.start_soon(probe, number)
     return sum(found)
 
 
-def test_a_choked_node_does_not_take_the_fleet_for_lost():
-    """Callers keep their replicas while the holder of the lease is held up.
+def test_a_node_with_a_congested_link_does_not_consider_the_fleet_lost():
+    """Callers keep their replicas while the lease holder's link is congested.
 
-    After an outage it asks all members of sixty replicas; the first hundred
-    answers are lost on its own full link. All endpoints are sound.
+    After an outage it probes all members of sixty replicas; the first hundred
+    responses are lost on its own congested link. All endpoints are healthy.
     """
-    client = Client(choked_asks=100)
-    assert anyio.run(inspect_all, client) >= REPLICAS - MEMBERS
+    client = Client(unanswered_asks=100)
+    assert anyio.run(probe_all_replicas, client) >= REPLICAS - MEMBERS
 
 
-def test_few_are_asked_at_once():
+def test_the_number_of_concurrent_probes_is_limited():
     client = Client()
-    assert anyio.run(inspect_all, client) == REPLICAS
-    assert client.most <= endpoint_prober.ASKED_AT_ONCE
+    assert anyio.run(probe_all_replicas, client) == REPLICAS
+    assert client.max_running <= endpoint_prober.MAX_CONCURRENT_PROBES
 
 
-def test_a_lost_member_is_not_asked_twice():
-    """A lost replica is mended without a pause: one silent member is lost."""
+def test_an_unanswered_probe_is_not_repeated_on_a_healthy_node():
+    """A lost replica is repaired without delay: one silent member is lost."""
     client = Client(dead=('e1-1',))
 
-    async def inspect():
+    async def probe():
         prober = endpoint_prober.EndpointProber(client)
         return await prober.are_healthy(replica(1))
 
-    assert not anyio.run(inspect)
+    assert not anyio.run(probe)
     assert client.asks == MEMBERS
 
 
-def test_a_process_that_was_held_up_doubts_its_questions():
+def test_a_late_probe_shows_that_the_process_was_paused():
     now_s = [100.0]
-    path = endpoint_prober.OwnPath(lambda: now_s[0])
-    path.note(99.9, is_answered=False)
-    assert not path.is_doubtful()
-    path.note(99.5, is_answered=False)
-    assert path.is_doubtful()
-    now_s[0] += endpoint_prober.DOUBT_WINDOW_S + 0.1
-    assert not path.is_doubtful()
-
-
-def test_a_slow_node_does_not_take_a_living_head_for_dead():
-    """No VM is in two replicas when the holder of the lease runs slowly.
-
-    A head is cut off from the store, and its entry lapses; it serves on. The
-    holder asks it, and is so slow that its timeouts pass before it reads the
-    answers. Taken for dead, the head would be open while its members join
-    another replica.
+    path = endpoint_prober.LocalHealth(lambda: now_s[0])
+    path.record(99.9, is_answered=False)
+    assert not path.is_degraded()
+    path.record(99.5, is_answered=False)
+    assert path.is_degraded()
+    now_s[0] += endpoint_prober.DEGRADED_WINDOW_S + 0.1
+    assert not path.is_degraded()
+
+
+def test_a_slow_node_does_not_consider_a_live_head_dead():
+    """No VM is in two replicas when the lease holder runs slowly.
+
+    A head is cut off from the store; its entry expires, and it goes on serving.
+    The holder probes it, but is so slow that the timeouts pass before it reads
+    the responses. If the head were considered dead, it would still be open
+    while its members join another replica.
     """
     head = replica(1)[0]
 
@@ -112,25 +112,25 @@
         async def report(self, endpoint):
             answered = await super().report(endpoint)
             if answered is None:
-                # Held up with the whole process.
+                # As if the whole process were paused.
                 await anyio.sleep(endpoint_orders.REPORT_TIMEOUT_S + 0.15)
             return answered
 
     async def ask(client):
         prober = endpoint_prober.EndpointProber(client)
-        return await prober.ask_surely(head, clock.boot_s() + 10)
+        return await prober.ask_until_certain(head, clock.boot_s() + 10)
 
-    found = anyio.run(ask, SlowClient(choked_asks=3))
+    found = anyio.run(ask, SlowClient(unanswered_asks=3))
     assert found is not None and found.membership == head.membership
 
 
-def test_one_lost_answer_does_not_prove_a_head_dead():
+def test_a_head_is_dead_only_after_repeated_unanswered_probes():
     async def ask(client):
         prober = endpoint_prober.EndpointProber(client)
         head = replica(1)[0]
-        return await prober.ask_surely(head, clock.boot_s() + 10)
+        return await prober.ask_until_certain(head, clock.boot_s() + 10)
 
-    assert anyio.run(ask, Client(choked_asks=1)) is not None
+    assert anyio.run(ask, Client(unanswered_asks=1)) is not None
     dead = Client(dead=('e1-0',))
     assert anyio.run(ask, dead) is None
-    assert dead.asks == endpoint_prober.SURE_QUESTIONS
+    assert dead.asks == endpoint_prober.PROBES_TO_CONFIRM_DEATH
