--- a/redwingvalve/cli/explain.py
+++ b/redwingvalve/cli/explain.py
@@ -4,9 +4,11 @@
 
 from redwingvalve.cli import options
 from redwingvalve.core import environment, exit_status
-from redwingvalve.observability import explaining, log_files
+from redwingvalve.observability import log_files, request_explanation
 
-HIDDEN = frozenset(('time', 'node', 'message', 'level', explaining.REQUEST))
+HIDDEN = frozenset(
+    ('time', 'node', 'message', 'level', request_explanation.REQUEST_KEY)
+)
 
 
 def run_explain(
@@ -15,7 +17,7 @@
     """Print a request's lines in order, and the cause in a sentence."""
     paths = log_files.expand(arguments.logs)
     try:
-        found = explaining.explain(arguments.request_id, paths)
+        found = request_explanation.explain(arguments.request_id, paths)
     except OSError as error:
         print(error, file=surroundings.stderr)
         return exit_status.ExitStatus.USAGE
@@ -25,7 +27,7 @@
             file=surroundings.stderr,
         )
         return exit_status.ExitStatus.FAILURE
-    for entry in (*found.lines, *found.about_replica):
+    for entry in (*found.lines, *found.replica_lines):
         print(_line(entry), file=surroundings.stdout)
     print(f'cause: {found.cause}', file=surroundings.stdout)
     return exit_status.ExitStatus.SUCCESS
--- a/redwingvalve/cli/losses.py
+++ b/redwingvalve/cli/losses.py
@@ -7,7 +7,7 @@
 
 from redwingvalve.cli import options, tables
 from redwingvalve.core import environment, exit_status
-from redwingvalve.observability import log_files, losing
+from redwingvalve.observability import log_files, request_losses
 
 # Endpoints that are listed, those with the most losses first.
 MOST_ENDPOINTS = 12
@@ -23,7 +23,7 @@
     """Print losses by cause, route, endpoint and moment."""
     paths = log_files.expand(arguments.logs)
     try:
-        found = losing.read(paths)
+        found = request_losses.read(paths)
     except OSError as error:
         print(error, file=surroundings.stderr)
         return exit_status.ExitStatus.USAGE
@@ -40,11 +40,13 @@
     return exit_status.ExitStatus.SUCCESS
 
 
-def _document(found: losing.Losses) -> dict[str, typing.Any]:
-    moments = {f'{at_s:g}': one for at_s, one in found.by_moment().items()}
+def _document(found: request_losses.Losses) -> dict[str, typing.Any]:
+    moments = {
+        f'{at_s:g}': one for at_s, one in found.counts_by_interval().items()
+    }
     return {
         'requests': len(found.outcomes),
-        'causes': found.causes(),
+        'causes': found.counts_by_cause(),
         'held_s': {'p50': found.held_s(0.5), 'p99': found.held_s(0.99)},
         'by_route': found.by('route'),
         'by_endpoint': found.by('endpoint'),
@@ -54,12 +56,12 @@
 
 
 def _print_tables(
-    found: losing.Losses, surroundings: environment.Environment
+    found: request_losses.Losses, surroundings: environment.Environment
 ) -> None:
     total = max(len(found.outcomes), 1)
     causes = [
         {'cause': cause, 'requests': count, 'percent': _PERCENT * count / total}
-        for cause, count in found.causes().most_common()
+        for cause, count in found.counts_by_cause().most_common()
     ]
     tables.print_rows(
         causes, ('cause', 'requests', 'percent'), surroundings, 'causes'
@@ -70,7 +72,9 @@
         surroundings,
     )
     worst = sorted(found.by('endpoint').items(), key=_lost, reverse=True)
-    moments = [(f'{at_s:g} s', one) for at_s, one in found.by_moment().items()]
+    moments = [
+        (f'{at_s:g} s', one) for at_s, one in found.counts_by_interval().items()
+    ]
     _print_pivot('route', list(found.by('route').items()), surroundings)
     _print_pivot('endpoint', worst[:MOST_ENDPOINTS], surroundings)
     _print_pivot('from', moments, surroundings)
@@ -78,7 +82,7 @@
 
 def _lost(item: tuple[str, Counts]) -> int:
     counts = item[1]
-    return sum(counts.values()) - counts.get(losing.ON_TIME, 0)
+    return sum(counts.values()) - counts.get(request_losses.ON_TIME, 0)
 
 
 def _print_pivot(
@@ -90,7 +94,7 @@
         {
             title: name,
             'requests': sum(counts.values()),
-            'on_time': counts.get(losing.ON_TIME, 0),
+            'on_time': counts.get(request_losses.ON_TIME, 0),
             'others': _told(counts),
         }
         for name, counts in found
@@ -104,7 +108,7 @@
         (
             (count, cause)
             for cause, count in counts.items()
-            if cause != losing.ON_TIME
+            if cause != request_losses.ON_TIME
         ),
         reverse=True,
     )
@@ -113,14 +117,14 @@
     )
 
 
-def _plot(found: losing.Losses, path: pathlib.Path) -> None:
+def _plot(found: request_losses.Losses, path: pathlib.Path) -> None:
     # Drawing takes half a second to import, which no other command needs.
     from redwingvalve.reports import time_plots
 
-    moments = found.by_moment()
+    moments = found.counts_by_interval()
     series = {
         cause: [one[cause] for one in moments.values()]
-        for cause, _ in found.causes().most_common()
+        for cause, _ in found.counts_by_cause().most_common()
     }
     path.write_bytes(time_plots.draw_stacked(list(moments), series))
 
--- a/redwingvalve/cli/tests/test_explain.py
+++ b/redwingvalve/cli/tests/test_explain.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from redwingvalve.observability import explaining
+from redwingvalve.observability import request_explanation
 
 
 def line(second, message, **fields):
@@ -18,7 +18,7 @@
     (tmp_path / 'a.log').write_text('\n'.join(lines[half:]))
     (tmp_path / 'b.log').write_text('not JSON {\n' + '\n'.join(lines[:half]))
     paths = [str(tmp_path / name) for name in ('a.log', 'b.log')]
-    return explaining.explain('r1', paths)
+    return request_explanation.explain('r1', paths)
 
 
 def test_a_refused_request_is_traced_to_the_places(tmp_path):
@@ -55,7 +55,7 @@
         ),
     )
     assert 'i-3' in found.cause and 'epoch 7' in found.cause
-    assert found.about_replica[0]['lost'] == ['i-9']
+    assert found.replica_lines[0]['lost'] == ['i-9']
 
 
 def test_a_request_of_unknown_fate_says_so(tmp_path):
@@ -78,4 +78,4 @@
     found = explain(tmp_path, line(1, 'ingress: odd', request='r1'))
     assert found.cause == 'no line says how it ended'
     with pytest.raises(OSError):
-        explaining.explain('r1', [str(tmp_path / 'missing.log')])
+        request_explanation.explain('r1', [str(tmp_path / 'missing.log')])
--- a/redwingvalve/cli/tests/test_losses.py
+++ b/redwingvalve/cli/tests/test_losses.py
@@ -9,7 +9,7 @@
 
 from redwingvalve.cli import losses
 from redwingvalve.core import environment, exit_status
-from redwingvalve.observability import losing
+from redwingvalve.observability import request_losses
 
 
 def line(second, message, request='', **fields):
@@ -38,15 +38,15 @@
     line(9, 'caller left', 'j', route='q'),
 )
 CAUSES = {
-    losing.ON_TIME: 1,
-    losing.NO_PLACE: 1,
-    losing.RETURNED: 1,
-    losing.RESUMED: 1,
-    losing.WAITED: 1,
-    losing.ENDPOINT: 1,
-    losing.PAUSED: 1,
+    request_losses.ON_TIME: 1,
+    request_losses.NO_PLACE: 1,
+    request_losses.REFUSED_BEFORE: 1,
+    request_losses.RESENT: 1,
+    request_losses.WAITED_FOR_SLOT: 1,
+    request_losses.SLOW_ENDPOINT: 1,
+    request_losses.PAUSED_BETWEEN_EVENTS: 1,
     'given up: broken': 1,
-    losing.LEFT: 1,
+    request_losses.CALLER_LEFT: 1,
 }
 
 
@@ -67,18 +67,18 @@
 
 
 def test_each_request_counts_once_with_its_cause(tmp_path):
-    found = losing.read([write(tmp_path, *LINES)])
-    assert found.causes() == CAUSES
-    assert found.by('route')['r'][losing.NO_PLACE] == 1
+    found = request_losses.read([write(tmp_path, *LINES)])
+    assert found.counts_by_cause() == CAUSES
+    assert found.by('route')['r'][request_losses.NO_PLACE] == 1
     assert found.held_s(0.99) == 0.04
-    assert list(found.by_moment()) == [0.0, 2.0, 4.0, 6.0, 8.0]
+    assert list(found.counts_by_interval()) == [0.0, 2.0, 4.0, 6.0, 8.0]
 
 
 def test_text_and_json_say_the_same(tmp_path):
     path = write(tmp_path, *LINES)
     status, told, _ = run(path)
     assert status is exit_status.ExitStatus.SUCCESS
-    assert losing.RETURNED in told and '0.040 s (p99)' in told
+    assert request_losses.REFUSED_BEFORE in told and '0.040 s (p99)' in told
     status, told, _ = run(path, as_json=True)
     document = json.loads(told)
     assert document['causes'] == CAUSES
--- a/redwingvalve/observability/explaining.py
+++ b/redwingvalve/observability/request_explanation.py
@@ -7,7 +7,7 @@
 
 from redwingvalve.observability import log_files
 
-REQUEST = 'request'
+REQUEST_KEY = 'request'
 # The last line that has one of these messages decides; X stands for more.
 _CAUSES: typing.Final = (
     ('ingress: answered', 'answered whole by {endpoint} after {sends} sends'),
@@ -46,7 +46,7 @@
 
     lines: tuple[dict[str, typing.Any], ...]
     # Lines of other matters that name the same replica.
-    about_replica: tuple[dict[str, typing.Any], ...]
+    replica_lines: tuple[dict[str, typing.Any], ...]
     cause: str
 
 
@@ -59,12 +59,12 @@
     """
     read = (line.entry for path in paths for line in log_files.read(path))
     entries = sorted((entry for entry in read if entry), key=_time)
-    lines = [entry for entry in entries if entry.get(REQUEST) == request_id]
+    lines = [entry for entry in entries if entry.get(REQUEST_KEY) == request_id]
     replicas = {entry.get('replica') for entry in lines} - {None, ''}
     about = [
         entry
         for entry in entries
-        if entry.get('replica') in replicas and REQUEST not in entry
+        if entry.get('replica') in replicas and REQUEST_KEY not in entry
     ]
     return Explanation(tuple(lines), tuple(about), _cause(lines))
 
--- a/redwingvalve/observability/losing.py
+++ b/redwingvalve/observability/request_losses.py
@@ -14,16 +14,16 @@
 from redwingvalve.observability import log_files
 
 ON_TIME: typing.Final = 'on time'
-RETURNED: typing.Final = 'late: refused before'
-RESUMED: typing.Final = 'late: sent again'
-WAITED: typing.Final = 'late: waited for a place'
-PAUSED: typing.Final = 'late: pause between events'
-ENDPOINT: typing.Final = 'late: queued or slow at the endpoint'
+REFUSED_BEFORE: typing.Final = 'late: refused before'
+RESENT: typing.Final = 'late: sent again'
+WAITED_FOR_SLOT: typing.Final = 'late: waited for a place'
+PAUSED_BETWEEN_EVENTS: typing.Final = 'late: pause between events'
+SLOW_ENDPOINT: typing.Final = 'late: queued or slow at the endpoint'
 NO_PLACE: typing.Final = 'refused: no place'
-LEFT: typing.Final = 'caller left'
+CALLER_LEFT: typing.Final = 'caller left'
 BUCKET_S = 2.0
 # A wait that is this share of the time to the first event made it late.
-WAITED_SHARE = 0.25
+LATE_WAIT_FRACTION = 0.25
 # Each line of a node begins so.
 _START = '{"time"'
 _INGRESS = 'ingress: '
@@ -63,7 +63,7 @@
             found.setdefault(key, collections.Counter())[one.cause] += 1
         return found
 
-    def by_moment(self) -> dict[float, collections.Counter[str]]:
+    def counts_by_interval(self) -> dict[float, collections.Counter[str]]:
         """Return how often each cause came in each BUCKET_S, from the first."""
         found: dict[float, collections.Counter[str]] = {}
         first_s = min((one.at_s for one in self.outcomes), default=0.0)
@@ -72,7 +72,7 @@
             found.setdefault(moment_s, collections.Counter())[one.cause] += 1
         return dict(sorted(found.items()))
 
-    def causes(self) -> collections.Counter[str]:
+    def counts_by_cause(self) -> collections.Counter[str]:
         """Return how often each cause came."""
         return collections.Counter(one.cause for one in self.outcomes)
 
@@ -142,7 +142,7 @@
     if message == _NO_PLACE_LINE:
         return NO_PLACE
     if message == 'ingress: caller left':
-        return LEFT
+        return CALLER_LEFT
     if message.startswith(_GIVEN_UP):
         return message.removeprefix(_INGRESS)
     if message == _REFUSED and entry.get('status') not in _NOT_OWED:
@@ -152,14 +152,18 @@
 
 def _late_cause(entry: dict[str, typing.Any]) -> str:
     if entry.get('has_returned'):
-        return RETURNED
+        return REFUSED_BEFORE
     if entry.get('sends', 1) > 1:
-        return RESUMED
+        return RESENT
     if not entry.get('is_late_first', True):
-        return PAUSED
+        return PAUSED_BETWEEN_EVENTS
     waited_ms = entry.get('waited_ms', 0)
     first_ms = entry.get('first_ms', 0) or entry.get('took_ms', 0)
-    return WAITED if waited_ms > WAITED_SHARE * first_ms else ENDPOINT
+    return (
+        WAITED_FOR_SLOT
+        if waited_ms > LATE_WAIT_FRACTION * first_ms
+        else SLOW_ENDPOINT
+    )
 
 
 def _moment_s(entry: dict[str, typing.Any]) -> float:
