--- a/redwingvalve/ingress/answering.py
+++ b/redwingvalve/ingress/answering.py
@@ -103,7 +103,7 @@
         outcome,
         extra={
             # Each late answer has its line, whatever the load.
-            bounded_logs.ROUTINE: outcome == ANSWERED and on_time,
+            bounded_logs.ROUTINE_ATTRIBUTE: outcome == ANSWERED and on_time,
             'request': _text(caller.attempt_id),
             'route': admission.route.name,
             'endpoint': target.endpoint_id,
--- a/redwingvalve/node/daemon.py
+++ b/redwingvalve/node/daemon.py
@@ -86,7 +86,7 @@
     watches: list[kind_watch.KindWatch] = attrs.field(init=False)
     control: control_loop.ControlLoop = attrs.field(init=False)
     front_listener: listeners_module.Listener | None = None
-    log_handler: bounded_logs.BoundedHandler | None = None
+    log_handler: bounded_logs.NonBlockingHandler | None = None
 
     @property
     def peers(self) -> peers_module.Peers:
--- a/redwingvalve/node/gauges.py
+++ b/redwingvalve/node/gauges.py
@@ -18,7 +18,7 @@
 # Between two looks at the delay of the loop.
 LOOK_S = 0.5
 _STATM = pathlib.Path('/proc/self/statm')
-_Readings = list[node_metrics.Reading]
+_Readings = list[node_metrics.Sample]
 
 
 @attrs.define(eq=False)
@@ -79,7 +79,7 @@
     def _retries_left(self) -> _Readings:
         now_s = time.monotonic()
         return [
-            node_metrics.Reading(
+            node_metrics.Sample(
                 self.state.window(service.name).left(
                     now_s, self.state.node_count
                 ),
@@ -105,12 +105,12 @@
             for name in [model.name for model in models] or ['']:
                 labels = (('service', service.name), ('model', name))
                 count = read(service.name, name)
-                found.append(node_metrics.Reading(count, labels))
+                found.append(node_metrics.Sample(count, labels))
         return found
 
 
 def _one(value: float) -> _Readings:
-    return [node_metrics.Reading(value)]
+    return [node_metrics.Sample(value)]
 
 
 def _memory() -> _Readings:
--- a/redwingvalve/node/log_drop_reporter.py
+++ b/redwingvalve/node/log_drop_reporter.py
@@ -9,12 +9,12 @@
 LOOK_S = 0.5
 
 
-async def run(handler: bounded_logs.BoundedHandler | None) -> None:
+async def run(handler: bounded_logs.NonBlockingHandler | None) -> None:
     """Write what was held up, and count what was left out."""
     while handler is not None:
         await anyio.sleep(LOOK_S)
         handler.flush()
-        counts = handler.take_counts()
+        counts = handler.take_drop_counts()
         if counts is not None:
             LOG.info(
                 'log lines left out',
--- a/redwingvalve/observability/bounded_logs.py
+++ b/redwingvalve/observability/bounded_logs.py
@@ -17,7 +17,7 @@
 
 # A line takes some 30 microseconds and 300 bytes: at this rate the routine
 # takes half a hundredth of a core.
-ROUTINE_PER_S = 100
+MAX_ROUTINE_LINES_PER_S = 100
 MAX_BUFFERED_LINES = 2000
 TELL_EVERY_S = 5.0
 # Readers cut longer lines.
@@ -25,10 +25,10 @@
 # What is left of a field that makes its line too long.
 SHORTENED_CHARS = 400
 # Attribute of a record that says nothing went wrong.
-ROUTINE = 'is_routine'
+ROUTINE_ATTRIBUTE = 'is_routine'
 
 
-class BoundedHandler(logging.Handler):
+class NonBlockingHandler(logging.Handler):
     """Writes to a file descriptor without waiting for it."""
 
     def __init__(self, descriptor: int) -> None:
@@ -45,7 +45,10 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         """Take a record; it may be counted only."""
-        if record.__dict__.pop(ROUTINE, False) and not self._may_write():
+        if (
+            record.__dict__.pop(ROUTINE_ATTRIBUTE, False)
+            and not self._may_write()
+        ):
             self.routine_omitted += 1
             return
         if len(self._buffer) >= MAX_BUFFERED_LINES:
@@ -72,7 +75,7 @@
                 return
             self._buffer.popleft()
 
-    def take_counts(self) -> tuple[int, int] | None:
+    def take_drop_counts(self) -> tuple[int, int] | None:
         """Return lines omitted and dropped since the last call, if any.
 
         None if there were none, or if the last call was a moment ago.
@@ -92,12 +95,12 @@
             self._second = second
             self._routine_written = 0
         self._routine_written += 1
-        return self._routine_written <= ROUTINE_PER_S
+        return self._routine_written <= MAX_ROUTINE_LINES_PER_S
 
 
-def configure(level: str, descriptor: int, node: str) -> BoundedHandler:
+def configure(level: str, descriptor: int, node: str) -> NonBlockingHandler:
     """Send all logs of this process to a descriptor."""
-    handler = BoundedHandler(descriptor)
+    handler = NonBlockingHandler(descriptor)
     logs.attach(handler, level, node)
     return handler
 
--- a/redwingvalve/observability/node_metrics.py
+++ b/redwingvalve/observability/node_metrics.py
@@ -36,14 +36,14 @@
 
 
 @attrs.frozen
-class Reading:
+class Sample:
     """One value of a gauge."""
 
     value: float
     labels: Labels = ()
 
 
-Gauge = collections_abc.Callable[[], collections_abc.Iterable[Reading]]
+Gauge = collections_abc.Callable[[], collections_abc.Iterable[Sample]]
 
 
 def _zeros() -> list[int]:
--- a/redwingvalve/observability/tests/test_bounded_logs.py
+++ b/redwingvalve/observability/tests/test_bounded_logs.py
@@ -13,7 +13,7 @@
 @pytest.fixture
 def piped():
     reader, writer = os.pipe()
-    handler = bounded_logs.BoundedHandler(writer)
+    handler = bounded_logs.NonBlockingHandler(writer)
     logger = logging.getLogger('bounded-test')
     logger.setLevel('INFO')
     logger.propagate = False
@@ -52,13 +52,13 @@
 def test_routine_lines_are_bounded_and_counted_and_failures_are_not(piped):
     logger, handler, reader = piped
     for _ in range(500):
-        logger.info('answered', extra={bounded_logs.ROUTINE: True})
+        logger.info('answered', extra={bounded_logs.ROUTINE_ATTRIBUTE: True})
         logger.info('given up')
     lines = read_lines(reader)
     assert lines.count(b'given up') == 500
     written = lines.count(b'answered')
     # The bound holds for each second of the clock; two may be touched.
-    assert written <= 2 * bounded_logs.ROUTINE_PER_S
+    assert written <= 2 * bounded_logs.MAX_ROUTINE_LINES_PER_S
     assert written + handler.routine_omitted == 500
 
 
@@ -66,12 +66,13 @@
     reader, writer = os.pipe()
     handler = bounded_logs.configure('INFO', writer, 'node-1')
     logging.getLogger('redwingvalve.test').info(
-        'refused', extra={'request': 'a1', bounded_logs.ROUTINE: False}
+        'refused',
+        extra={'request': 'a1', bounded_logs.ROUTINE_ATTRIBUTE: False},
     )
     (line,) = read_lines(reader)
     entry = json.loads(line)
     assert entry['node'] == 'node-1' and entry['request'] == 'a1'
-    assert bounded_logs.ROUTINE not in entry
+    assert bounded_logs.ROUTINE_ATTRIBUTE not in entry
     logging.getLogger('redwingvalve').removeHandler(handler)
     os.close(reader)
     os.close(writer)
--- a/redwingvalve/observability/tests/test_node_metrics.py
+++ b/redwingvalve/observability/tests/test_node_metrics.py
@@ -9,7 +9,7 @@
     metrics.count('sends', outcome='answered')
     metrics.observe('seconds', 0.07, route_kind='stream')
     metrics.observe('seconds', 99.0, route_kind='stream')
-    metrics.gauge('age', lambda: [node_metrics.Reading(4.5)])
+    metrics.gauge('age', lambda: [node_metrics.Sample(4.5)])
     text = metrics.render().decode()
     assert 'sends_total{outcome="answered"} 2.0' in text
     assert 'seconds_bucket{le="0.1",route_kind="stream"} 1.0' in text
@@ -28,7 +28,7 @@
     metrics.gauge(
         'targets',
         lambda: [
-            node_metrics.Reading(count, (('model', model),))
+            node_metrics.Sample(count, (('model', model),))
             for model, count in (('large', 6), ('small', 15))
         ],
     )
