--- a/redwingvalve/ingress/answering.py
+++ b/redwingvalve/ingress/answering.py
@@ -42,7 +42,7 @@
             'retry_after_s': refusal.retry_after_s,
         },
     )
-    attempt = (names.ATTEMPT_ID, caller.attempt_id)
+    attempt = (names.ATTEMPT_ID_HEADER, caller.attempt_id)
     responder.answer(
         refusal.status, [attempt, *refusal.headers()], refusal.body()
     )
--- a/redwingvalve/ingress/relay.py
+++ b/redwingvalve/ingress/relay.py
@@ -167,7 +167,7 @@
         self, admission: admitting.Admission, target: placing.Target
     ) -> bytes:
         left_s = admission.caller_until_s - time.monotonic()
-        sending = caller_requests.Sending(
+        sending = caller_requests.ForwardingHeaders(
             endpoint_id=target.endpoint_id,
             deadline_ms=max(1, int(left_s * _MS_IN_S)),
             client_account=admission.account,
--- a/redwingvalve/ingress/sends.py
+++ b/redwingvalve/ingress/sends.py
@@ -50,10 +50,13 @@
 
     def accepts(self, head: messages.AnswerHead) -> bool:
         """Take only the answer that names this attempt."""
-        echoed = head.header(names.ATTEMPT_ID)
+        echoed = head.header(names.ATTEMPT_ID_HEADER)
         if echoed is None:
             # Only refusals may lack the id: nothing of them is passed on.
-            return head.header(names.NOT_RUN) is not None or head.status == 421
+            return (
+                head.header(names.NOT_RUN_HEADER) is not None
+                or head.status == 421
+            )
         return echoed == self._attempt_id
 
     def head_received(self, head: messages.AnswerHead) -> None:
@@ -83,11 +86,11 @@
         head = self.head
         if head is None:
             return Ending.BROKEN
-        if head.header(names.NOT_RUN) is not None or head.status == 421:
+        if head.header(names.NOT_RUN_HEADER) is not None or head.status == 421:
             return Ending.NOT_RUN
         if not is_success(head):
             return Ending.FAILURE
-        if head.header(names.SEAL) is None:
+        if head.header(names.SEAL_HEADER) is None:
             self.reason = 'success without a seal'
             return Ending.BROKEN
         if head.header(b'content-encoding') is not None:
--- a/redwingvalve/platform/caller_requests.py
+++ b/redwingvalve/platform/caller_requests.py
@@ -10,13 +10,13 @@
 # Set by this system alone, whatever a caller sent.
 _SET_HERE = frozenset(
     (
-        names.API_KEY,
-        names.CLIENT_ACCOUNT,
-        names.EXPECTED_ENDPOINT,
-        names.EXPECTED_WEIGHTS,
-        names.URGENCY,
-        names.DEADLINE_MS,
-        names.LAST_EVENT_ID,
+        names.API_KEY_HEADER,
+        names.CLIENT_ACCOUNT_HEADER,
+        names.EXPECTED_ENDPOINT_HEADER,
+        names.EXPECTED_VERSION_HEADER,
+        names.URGENCY_HEADER,
+        names.DEADLINE_MS_HEADER,
+        names.LAST_EVENT_ID_HEADER,
     )
 )
 
@@ -49,17 +49,17 @@
 def read_request(request: messages.Request) -> CallerRequest:
     """Read a caller's headers; unreadable numbers count as not stated."""
     stated = dict(reversed(request.headers))
-    prompt, _, answer = _text(stated, names.TOKEN_COUNTS).partition(',')
+    prompt, _, answer = _text(stated, names.TOKEN_COUNTS_HEADER).partition(',')
     return CallerRequest(
         host=_text(stated, b'host'),
         path=request.target.partition(b'?')[0].decode('latin-1'),
-        attempt_id=stated.get(names.ATTEMPT_ID, b''),
-        deadline_ms=_number(_text(stated, names.DEADLINE_MS)),
-        key=_text(stated, names.API_KEY),
-        model=_text(stated, names.MODEL),
+        attempt_id=stated.get(names.ATTEMPT_ID_HEADER, b''),
+        deadline_ms=_number(_text(stated, names.DEADLINE_MS_HEADER)),
+        key=_text(stated, names.API_KEY_HEADER),
+        model=_text(stated, names.MODEL_HEADER),
         prompt_tokens=_number(prompt) or 0,
         answer_tokens=_number(answer) or 0,
-        last_event=_number(_text(stated, names.LAST_EVENT_ID)),
+        last_event=_number(_text(stated, names.LAST_EVENT_ID_HEADER)),
         passed_headers=[
             header
             for header in messages.end_to_end(request.headers)
@@ -69,7 +69,7 @@
 
 
 @attrs.frozen
-class Sending:
+class ForwardingHeaders:
     """What one send adds to a caller's request."""
 
     endpoint_id: str
@@ -80,18 +80,20 @@
 
 
 def render_request(
-    request: messages.Request, caller: CallerRequest, sending: Sending
+    request: messages.Request, caller: CallerRequest, sending: ForwardingHeaders
 ) -> bytes:
     """Return the bytes that an endpoint gets."""
     headers = list(caller.passed_headers)
-    headers.append((names.EXPECTED_ENDPOINT, sending.endpoint_id.encode()))
-    headers.append((names.DEADLINE_MS, b'%d' % sending.deadline_ms))
-    headers.append((names.URGENCY, b'%d' % sending.urgency))
+    headers.append(
+        (names.EXPECTED_ENDPOINT_HEADER, sending.endpoint_id.encode())
+    )
+    headers.append((names.DEADLINE_MS_HEADER, b'%d' % sending.deadline_ms))
+    headers.append((names.URGENCY_HEADER, b'%d' % sending.urgency))
     if sending.client_account is not None:
         account = sending.client_account.encode()
-        headers.append((names.CLIENT_ACCOUNT, account))
+        headers.append((names.CLIENT_ACCOUNT_HEADER, account))
     if sending.last_event is not None:
-        headers.append((names.LAST_EVENT_ID, b'%d' % sending.last_event))
+        headers.append((names.LAST_EVENT_ID_HEADER, b'%d' % sending.last_event))
     if request.body or _states_body(request):
         headers.append((b'content-length', b'%d' % len(request.body)))
     start_line = b'%b %b HTTP/1.1' % (request.method, request.target)
--- a/redwingvalve/platform/endpoint_orders.py
+++ b/redwingvalve/platform/endpoint_orders.py
@@ -163,7 +163,7 @@
 
 def _addressed_to(endpoint: endpoints.Endpoint) -> messages.Headers:
     # Addresses are used again: another endpoint there must not obey.
-    return [(names.EXPECTED_ENDPOINT, endpoint.endpoint_id.encode())]
+    return [(names.EXPECTED_ENDPOINT_HEADER, endpoint.endpoint_id.encode())]
 
 
 def _decode_report(body: store.Document) -> Report | None:
--- a/redwingvalve/platform/tests/test_decoding.py
+++ b/redwingvalve/platform/tests/test_decoding.py
@@ -157,7 +157,7 @@
     caller = caller_requests.read_request(request)
     assert (caller.prompt_tokens, caller.answer_tokens) == (10, 20)
     assert (caller.deadline_ms, caller.last_event) == (900, 12)
-    sending = caller_requests.Sending('i-1', 700, 'workshop', 3, 15)
+    sending = caller_requests.ForwardingHeaders('i-1', 700, 'workshop', 3, 15)
     sent = caller_requests.render_request(request, caller, sending)
     head, _, body = sent.partition(b'\r\n\r\n')
     lines = head.split(b'\r\n')
