--- a/redwingvalve/fleet/registry.py
+++ b/redwingvalve/fleet/registry.py
@@ -115,7 +115,7 @@
             return
         try:
             endpoint = entries.decode_endpoint(change.stored)
-        except entries.EntryError as error:
+        except entries.EndpointEntryError as error:
             LOG.warning('unusable entry', extra={'error': str(error)})
             self.live.pop(change.name, None)
             return
@@ -146,7 +146,7 @@
     for stored in listed:
         try:
             endpoint = entries.decode_endpoint(stored)
-        except entries.EntryError as error:
+        except entries.EndpointEntryError as error:
             LOG.warning('unusable entry', extra={'error': str(error)})
             continue
         yield endpoint.endpoint_id, endpoint
--- a/redwingvalve/node/tests/test_watch_cache.py
+++ b/redwingvalve/node/tests/test_watch_cache.py
@@ -5,7 +5,7 @@
 
 from redwingvalve.core import clock
 from redwingvalve.node import watch_cache
-from redwingvalve.platform import store, store_pages
+from redwingvalve.platform import store, store_responses
 from redwingvalve.platform.tests import fleet as fleets
 
 
@@ -136,7 +136,7 @@
         'spec': {'version': 1, 'routes': routes},
     }
     listing = store.Listing([stored], 7)
-    page = store_pages.write_listing(listing)
+    page = store_responses.encode_listing(listing)
     bits_per_s = len(page) * 8 * 20 * 4
     assert bits_per_s < 0.5 * 20e6
 
--- a/redwingvalve/node/watch_sources.py
+++ b/redwingvalve/node/watch_sources.py
@@ -29,7 +29,7 @@
 from redwingvalve.node import peers as peers_module
 from redwingvalve.node import watch_cache
 from redwingvalve.platform import settings as settings_module
-from redwingvalve.platform import store, store_pages
+from redwingvalve.platform import store, store_responses
 
 # How long a connection to the store that fell silent may go unnoticed.
 STORE_WAIT_S = 2.5
@@ -139,7 +139,7 @@
         self, request: messages.Request, responder: server.Responder
     ) -> None:
         """Answer, at once or when something changes."""
-        asked = store_pages.read_request(request.target.decode('latin-1'))
+        asked = store_responses.parse_query(request.target.decode('latin-1'))
         cache = self._caches.get(asked.kind) if asked else None
         if asked is None or cache is None:
             responder.answer(_NOT_FOUND, [_JSON], b'{}')
@@ -153,15 +153,15 @@
     async def _answer(
         self,
         cache: watch_cache.WatchCache,
-        asked: store_pages.PageRequest,
+        asked: store_responses.StoreQuery,
         responder: server.Responder,
     ) -> None:
         if not cache.is_current:
             responder.answer(_UNAVAILABLE, [_JSON], b'{}')
             return
         if asked.after_revision is None:
-            page = store_pages.write_listing(cache.listing())
-            responder.answer(_OK, list(store_pages.HEADERS), page)
+            page = store_responses.encode_listing(cache.listing())
+            responder.answer(_OK, list(store_responses.HEADERS), page)
             return
         try:
             found = await cache.changes_after(
@@ -174,10 +174,10 @@
             responder.answer(_UNAVAILABLE, [_JSON], b'{}')
             return
         page = self._page(asked, found)
-        responder.answer(_OK, list(store_pages.HEADERS), page)
+        responder.answer(_OK, list(store_responses.HEADERS), page)
 
     def _page(
-        self, asked: store_pages.PageRequest, found: store.Changes
+        self, asked: store_responses.StoreQuery, found: store.Changes
     ) -> bytes:
         """Return the answer, made once for all nodes that wait for the same.
 
@@ -189,7 +189,9 @@
         key = (asked.after_revision, found.revision, age_s)
         known, page = self._pages.get(asked.kind, (None, b''))
         if known != key:
-            page = store_pages.write_changes(attrs.evolve(found, age_s=age_s))
+            page = store_responses.encode_changes(
+                attrs.evolve(found, age_s=age_s)
+            )
             self._pages[asked.kind] = (key, page)
         return page
 
--- a/redwingvalve/platform/entries.py
+++ b/redwingvalve/platform/entries.py
@@ -13,7 +13,7 @@
 _UNREADABLE = (KeyError, TypeError, ValueError, AttributeError)
 
 
-class EntryError(ValueError):
+class EndpointEntryError(ValueError):
     """An entry that names no usable endpoint; the text says why."""
 
 
@@ -26,13 +26,13 @@
     try:
         return _decode(stored['metadata']['name'], stored['spec'])
     except _UNREADABLE as error:
-        raise EntryError(f'{type(error).__name__}: {error}') from error
+        raise EndpointEntryError(f'{type(error).__name__}: {error}') from error
 
 
 def _decode(name: str, entry: dict[str, typing.Any]) -> endpoints.Endpoint:
     state = entry['state']
     if state not in {_READY, _DRAINING}:
-        raise EntryError(f'unknown state {state!r}')
+        raise EndpointEntryError(f'unknown state {state!r}')
     address = settings.parse_address(_text(entry['address']))
     return endpoints.Endpoint(
         endpoint_id=_text(name),
@@ -62,7 +62,7 @@
             state=endpoints.MemberState(group['state']),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise EntryError(f'group: {error}') from error
+        raise EndpointEntryError(f'group: {error}') from error
 
 
 def decode_models(models: typing.Any) -> tuple[str, ...]:
@@ -78,11 +78,11 @@
 
 def _text(value: typing.Any) -> str:
     if not isinstance(value, str) or not value:
-        raise EntryError(f'no text: {value!r}')
+        raise EndpointEntryError(f'no text: {value!r}')
     return value
 
 
 def _whole(value: typing.Any) -> int:
     if isinstance(value, bool) or not isinstance(value, int):
-        raise EntryError(f'no whole number: {value!r}')
+        raise EndpointEntryError(f'no whole number: {value!r}')
     return value
--- a/redwingvalve/platform/store_pages.py
+++ b/redwingvalve/platform/store_responses.py
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen
-class PageRequest:
+class StoreQuery:
     """What is asked of a kind: all objects, or changes after a revision."""
 
     kind: str
@@ -35,7 +35,7 @@
     wait_s: float
 
 
-def read_request(target: str) -> PageRequest | None:
+def parse_query(target: str) -> StoreQuery | None:
     """Return what a target asks for, or None if it isn't such a question."""
     path, _, query_text = target.partition('?')
     if not path.startswith(names.OBJECTS_PATH):
@@ -43,14 +43,14 @@
     query = dict(part.partition('=')[::2] for part in query_text.split('&'))
     after = query.get('watch', '')
     wait_ms = query.get('wait_ms', '')
-    return PageRequest(
+    return StoreQuery(
         kind=path.removeprefix(names.OBJECTS_PATH),
         after_revision=int(after) if after.isdecimal() else None,
         wait_s=int(wait_ms) / 1000 if wait_ms.isdecimal() else 0,
     )
 
 
-def write_listing(listing: store.Listing) -> bytes:
+def encode_listing(listing: store.Listing) -> bytes:
     """Return all objects of a kind at a revision."""
     page = {
         'items': listing.objects,
@@ -61,7 +61,7 @@
     return _compressed(page)
 
 
-def write_changes(found: store.Changes) -> bytes:
+def encode_changes(found: store.Changes) -> bytes:
     """Return changes and the revision to go on from."""
     events = [
         {'object': change.stored, 'deleted': change.is_removed}
--- a/redwingvalve/platform/tests/test_decoding.py
+++ b/redwingvalve/platform/tests/test_decoding.py
@@ -58,7 +58,7 @@
     ],
 )
 def test_an_odd_entry_names_no_endpoint(odd):
-    with pytest.raises(entries.EntryError):
+    with pytest.raises(entries.EndpointEntryError):
         entries.decode_endpoint(stored({**ENTRY, **odd}))
 
 
@@ -81,7 +81,7 @@
 def test_any_entry_is_decoded_or_refused(odd):
     try:
         entries.decode_endpoint(stored({**ENTRY, **odd}))
-    except entries.EntryError:
+    except entries.EndpointEntryError:
         return
 
 
