--- a/redwingvalve/node/tests/test_requests.py
+++ b/redwingvalve/node/tests/test_requests.py
@@ -115,7 +115,7 @@
 
     async def test(fleet):
         for name in ('p0', 'p1'):
-            fleet.endpoints[name].faults.refuses = True
+            fleet.endpoints[name].faults.rejects_requests = True
         got = await fleet.caller().ask('/quote/1')
         assert got.status == 503 and b'retry-after' in got.headers
         assert not fleet.endpoints['p0'].runs + fleet.endpoints['p1'].runs
@@ -152,7 +152,7 @@
 
 def test_a_failed_request_that_may_repeat_is_sent_elsewhere():
     async def test(fleet):
-        fleet.endpoints['p0'].faults.fails = True
+        fleet.endpoints['p0'].faults.returns_server_error = True
         caller = fleet.caller()
         for _ in range(6):
             got = await caller.ask('/card/1')
@@ -170,7 +170,7 @@
 
     async def test(fleet):
         for name in ('p0', 'p1'):
-            fleet.endpoints[name].faults.answers_twice = True
+            fleet.endpoints[name].faults.duplicates_response = True
         caller = fleet.caller()
         for _ in range(8):
             got = await caller.ask('/card/1')
@@ -193,7 +193,7 @@
     async def test(fleet):
         for target in fleet.targets():
             head = fleet.endpoints[target.endpoint_id]
-            head.faults.breaks_after_events = 3
+            head.faults.aborts_at_event = 3
         got_task = []
 
         async def ask():
@@ -208,7 +208,7 @@
             await fleet.until(lambda: any(head.runs for head in heads))
             for head in heads:
                 if not head.runs:
-                    head.faults.breaks_after_events = None
+                    head.faults.aborts_at_event = None
         assert got_task[0].events == [1, 2, 3, 4, 5, 6]
         assert got_task[0].ending == 'whole'
         resumed = [run.last_event for head in heads for run in head.runs]
@@ -270,12 +270,12 @@
         await fleet.until(lambda: taker.body.count(b'id: ') >= 2)
         (first,) = [head for head in heads if head.runs]
         (second,) = [head for head in heads if not head.runs]
-        first.faults.stands_still = True
+        first.faults.is_stalled = True
         await fleet.until(lambda: bool(second.runs), 0.5)
         await fleet.until(taker.done.done, 1)
         assert taker.done.result() == 'whole'
         assert taker.body.count(b'id: ') == 6
-        await fleet.until(lambda: bool(first.left), 0.5)
+        await fleet.until(lambda: bool(first.cancelled_attempts), 0.5)
 
     fleets.run(test)
 
@@ -286,12 +286,14 @@
             fleet.endpoints[target.endpoint_id] for target in fleet.targets()
         ]
         for head in heads:
-            head.events_in_answer = 200
+            head.events_per_response = 200
         caller = fleet.caller()
         taker = await caller.begin_draft()
         await fleet.until(lambda: b'id: ' in taker.body)
         caller.leave()
-        await fleet.until(lambda: any(head.left for head in heads), 0.5)
+        await fleet.until(
+            lambda: any(head.cancelled_attempts for head in heads), 0.5
+        )
         assert not fleet.nodes[0].state.loads.own
 
     fleets.run(test)
@@ -340,10 +342,10 @@
         taker = await caller.begin_draft()
         await fleet.until(lambda: taker.body.count(b'id: ') >= 2)
         for head in heads:
-            head.faults.stands_still = True
+            head.faults.is_stalled = True
         await anyio.sleep(0.6)
         for head in heads:
-            head.faults.stands_still = False
+            head.faults.is_stalled = False
         await fleet.until(taker.done.done, 2)
         assert taker.done.result() == 'whole'
         assert taker.body.count(b'id: ') == 6
@@ -368,7 +370,7 @@
         await fleet.until(lambda: taker.body.count(b'id: ') >= 2)
         for target in fleet.targets():
             head = fleet.endpoints[target.endpoint_id]
-            head.faults.stands_still = True
+            head.faults.is_stalled = True
         await fleet.until(taker.done.done, 5)
         assert taker.done.result() != 'whole'
 
--- a/redwingvalve/platform/standins/endpoint.py
+++ b/redwingvalve/platform/standins/endpoint.py
@@ -13,7 +13,7 @@
 import attrs
 
 from redwingvalve.http1 import messages, reading, server
-from redwingvalve.platform.standins import store as platform_store
+from redwingvalve.platform.standins import store as fake_store
 
 _LIMITS = reading.ServerLimits(65_536, 4_194_304, 10, 60)
 Document = dict[str, typing.Any]
@@ -27,20 +27,20 @@
 class EndpointFaults:
     """What the endpoint does wrong now."""
 
-    is_dark: bool = False
-    stands_still: bool = False
-    answers_twice: bool = False
-    breaks_after_events: int | None = None
-    refuses: bool = False
-    fails: bool = False
+    is_unresponsive: bool = False
+    is_stalled: bool = False
+    duplicates_response: bool = False
+    aborts_at_event: int | None = None
+    rejects_requests: bool = False
+    returns_server_error: bool = False
     # Operations that are carried out late, and never answered.
-    late_operations: tuple[str, ...] = ()
+    delayed_operations: tuple[str, ...] = ()
     order_delay_s: float = 2.5
-    omits_length: bool = False
+    omits_content_length: bool = False
     # Its entry stays as it was.
-    is_cut_off: bool = False
+    is_cut_off_from_store: bool = False
     # A close that lets requests finish never ends.
-    never_finishes: bool = False
+    never_drains: bool = False
 
 
 @attrs.frozen
@@ -53,12 +53,12 @@
     last_event: int | None
 
 
-class PlatformEndpoint(server.Application):
+class FakeEndpoint(server.Application):
     """One endpoint with its entry in the store."""
 
     def __init__(
         self,
-        store: platform_store.PlatformStore,
+        store: fake_store.FakeStore,
         endpoint_id: str,
         service: str,
         domain: str = '',
@@ -68,8 +68,8 @@
         self.faults = EndpointFaults()
         self.runs: list[Run] = []
         self.orders: list[Document] = []
-        self.left: list[bytes] = []
-        self.events_in_answer = 6
+        self.cancelled_attempts: list[bytes] = []
+        self.events_per_response = 6
         self.state = 'ready'
         self.group: Document | None = None
         self.members: list[str] = []
@@ -107,7 +107,7 @@
             connection.break_off()
         self._store.remove('servers', self.endpoint_id)
 
-    def crash_and_return(self) -> None:
+    def crash_and_restart(self) -> None:
         """Start again under the same id, without any memory."""
         for connection in self._connections:
             connection.break_off()
@@ -127,7 +127,7 @@
         """Write what it says of itself, unless the entry was removed."""
         entries = self._store.objects.get('servers', {})
         was_removed = self._sequence and self.endpoint_id not in entries
-        if was_removed or self.faults.is_cut_off:
+        if was_removed or self.faults.is_cut_off_from_store:
             return
         self._store.put('servers', self.endpoint_id, self._entry())
 
@@ -143,7 +143,7 @@
         self, request: messages.Request, responder: server.Responder
     ) -> None:
         """Answer an order, a report or a request."""
-        if self.faults.is_dark:
+        if self.faults.is_unresponsive:
             return
         expected = request.header(b'x-expect-instance')
         if expected is not None and expected.decode() != self.endpoint_id:
@@ -181,7 +181,7 @@
 
     def _order(self, order: Document, responder: server.Responder) -> None:
         self.orders.append(order)
-        if order['operation'] in self.faults.late_operations:
+        if order['operation'] in self.faults.delayed_operations:
             loop = asyncio.get_running_loop()
             loop.call_later(self.faults.order_delay_s, self._obey, order)
             return
@@ -224,7 +224,7 @@
                 return 409
             self._later(OPEN_S, self.group, 'open')
         elif operation == 'close':
-            waits = self.faults.never_finishes
+            waits = self.faults.never_drains
             state = 'closing' if waits else 'ready'
             self.group = {**self.group, 'state': state}
         elif operation == 'leave':
@@ -248,7 +248,7 @@
         self, request: messages.Request, responder: server.Responder
     ) -> None:
         attempt = request.header(b'x-attempt-id') or b''
-        if self.faults.refuses:
+        if self.faults.rejects_requests:
             responder.answer(503, [(b'x-not-run', b'1')], b'')
             return
         last = request.header(b'last-event-id')
@@ -260,12 +260,12 @@
                 int(last) if last else None,
             )
         )
-        responder.on_gone = lambda: self.left.append(attempt)
+        responder.on_gone = lambda: self.cancelled_attempts.append(attempt)
         headers = [
             (b'x-attempt-id', attempt),
             (b'x-server-seal', self.endpoint_id.encode()),
         ]
-        if self.faults.fails:
+        if self.faults.returns_server_error:
             responder.answer(500, headers, b'failed')
         elif request.header(b'x-model'):
             await self._stream(responder, headers, int(last or 0))
@@ -282,7 +282,7 @@
         body = b'body of %b' % attempt
         connection = responder.connection
         responder.answer(200, headers, body)
-        if self.faults.answers_twice:
+        if self.faults.duplicates_response:
             extra = (b'content-length', b'%d' % len(body))
             head = messages.render_head(b'HTTP/1.1 200 OK', [*headers, extra])
             connection.write(head + body)
@@ -295,11 +295,11 @@
     ) -> None:
         kind = (b'content-type', b'text/event-stream')
         responder.start(200, [*headers, kind])
-        for number in range(last + 1, self.events_in_answer + 1):
+        for number in range(last + 1, self.events_per_response + 1):
             await asyncio.sleep(EVENT_S)
-            while self.faults.stands_still:
+            while self.faults.is_stalled:
                 await asyncio.sleep(EVENT_S)
-            if number == self.faults.breaks_after_events:
+            if number == self.faults.aborts_at_event:
                 # In the middle of an event.
                 responder.write(b'id: %d\ndata: ha' % number)
                 await asyncio.sleep(0)
--- a/redwingvalve/platform/standins/store.py
+++ b/redwingvalve/platform/standins/store.py
@@ -23,9 +23,9 @@
 class StoreFaults:
     """What the store does wrong now."""
 
-    is_silent: bool = False
-    refuses_status: int = 0
-    loses_write_answers: bool = False
+    is_unresponsive: bool = False
+    error_status: int = 0
+    drops_write_responses: bool = False
 
 
 @attrs.frozen
@@ -36,7 +36,7 @@
     is_removed: bool
 
 
-class PlatformStore(server.Application):
+class FakeStore(server.Application):
     """Objects by kind and name, in memory."""
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
         self.calls = 0
         self.objects: dict[str, dict[str, Document]] = {}
         self.revision = 100
-        self.first_told = 100
+        self.first_watchable_revision = 100
         self._events: list[_Event] = []
         self._changed = asyncio.Event()
 
@@ -90,7 +90,7 @@
 
     def drop_history(self) -> None:
         """Forget all changes, so that watches from before get 410."""
-        self.first_told = self.revision
+        self.first_watchable_revision = self.revision
         self._events.clear()
 
     def serve(
@@ -98,10 +98,10 @@
     ) -> None:
         """Answer one call, now or when a watch has something to tell."""
         self.calls += 1
-        if self.faults.is_silent:
+        if self.faults.is_unresponsive:
             return
-        if self.faults.refuses_status:
-            _answer(responder, self.faults.refuses_status, {})
+        if self.faults.error_status:
+            _answer(responder, self.faults.error_status, {})
             return
         target = request.target.decode()
         path, _, query_text = target.partition('?')
@@ -110,7 +110,7 @@
         body = json.loads(request.body) if request.body else {}
         if request.method != b'GET':
             status, answer = self._write(request.method, kind, name, body)
-            if not self.faults.loses_write_answers:
+            if not self.faults.drops_write_responses:
                 _answer(responder, status, answer)
             return
         if 'watch' in query:
@@ -163,7 +163,7 @@
         loop = asyncio.get_running_loop()
         until_s = loop.time() + int(query['wait_ms']) / 1000
         while True:
-            if since < self.first_told:
+            if since < self.first_watchable_revision:
                 _answer(responder, 410, {'error': 'gone'})
                 return
             found = [
--- a/redwingvalve/platform/tests/fleet.py
+++ b/redwingvalve/platform/tests/fleet.py
@@ -12,8 +12,8 @@
 from redwingvalve.http1 import client, messages, server
 from redwingvalve.node import daemon, lease
 from redwingvalve.platform import settings
-from redwingvalve.platform.standins import endpoint as platform_endpoint
-from redwingvalve.platform.standins import store as platform_store
+from redwingvalve.platform.standins import endpoint as fake_endpoint
+from redwingvalve.platform.standins import store as fake_store
 from redwingvalve.standins import ports
 
 LARGE = 'large'
@@ -212,7 +212,7 @@
 
 @attrs.define(eq=False)
 class Fleet:
-    store: platform_store.PlatformStore
+    store: fake_store.FakeStore
     store_address: str
     endpoints: dict
     nodes: list = attrs.field(factory=list)
@@ -239,9 +239,7 @@
             await anyio.sleep(0.01)
 
     async def add_endpoint(self, name, service, domain=''):
-        endpoint = platform_endpoint.PlatformEndpoint(
-            self.store, name, service, domain
-        )
+        endpoint = fake_endpoint.FakeEndpoint(self.store, name, service, domain)
         await endpoint.start()
         self.endpoints[name] = endpoint
         return endpoint
@@ -273,7 +271,7 @@
     nodes=1, engines=4, plain=2, version=configuration, lease_term=0
 ):
     """Yield a fleet whose nodes serve."""
-    store = platform_store.PlatformStore()
+    store = fake_store.FakeStore()
     loop = asyncio.get_running_loop()
     listening = await loop.create_server(
         lambda: server.CallerConnection(store), '127.0.0.1', 0
--- a/redwingvalve/platform/tests/test_lease_and_store.py
+++ b/redwingvalve/platform/tests/test_lease_and_store.py
@@ -43,11 +43,11 @@
     """
 
     async def test(fleet):
-        fleet.store.faults.is_silent = True
+        fleet.store.faults.is_unresponsive = True
         await fleet.until(
             lambda: not fleets.holders(fleet), lease_module.LEASE_DURATION_S + 1
         )
-        fleet.store.faults.is_silent = False
+        fleet.store.faults.is_unresponsive = False
         await fleet.until(lambda: len(fleets.holders(fleet)) == 1, 6)
 
     fleets.run(test, nodes=2)
@@ -55,9 +55,9 @@
 
 def test_a_renewal_whose_answer_is_lost_does_not_lock_the_fleet_out():
     async def test(fleet):
-        fleet.store.faults.loses_write_answers = True
+        fleet.store.faults.drops_write_responses = True
         await anyio.sleep(lease_module.LEASE_DURATION_S + 1)
-        fleet.store.faults.loses_write_answers = False
+        fleet.store.faults.drops_write_responses = False
         await fleet.until(lambda: len(fleets.holders(fleet)) == 1, 6)
 
     fleets.run(test, nodes=2, engines=0)
@@ -65,11 +65,11 @@
 
 def test_requests_are_served_while_the_store_is_away():
     async def test(fleet):
-        fleet.store.faults.refuses_status = 503
+        fleet.store.faults.error_status = 503
         await anyio.sleep(0.5)
         got = await fleet.caller().stream()
         assert got.events == [1, 2, 3, 4, 5, 6]
-        fleet.store.faults.refuses_status = 0
+        fleet.store.faults.error_status = 0
 
     fleets.run(test)
 
@@ -82,13 +82,13 @@
     """
 
     async def test(fleet):
-        fleet.store.faults.refuses_status = 503
+        fleet.store.faults.error_status = 503
         await anyio.sleep(0.5)
         for name in list(fleet.endpoints):
             fleet.store.objects['servers'].pop(name)
         fleet.store.revision += 10
         fleet.store.drop_history()
-        fleet.store.faults.refuses_status = 0
+        fleet.store.faults.error_status = 0
         await anyio.sleep(0.8)
         got = await fleet.caller().ask('/card/1')
         assert got.status == 200
--- a/redwingvalve/platform/tests/test_leaving.py
+++ b/redwingvalve/platform/tests/test_leaving.py
@@ -96,7 +96,7 @@
         await fleet.add_endpoint('spare', fleets.ENGINE, 'domain-1')
         await anyio.sleep(0.5)
         before = len(member.orders)
-        head.faults.never_finishes = True
+        head.faults.never_drains = True
         fleet.store.remove('servers', head.endpoint_id)
         # It serves on for two seconds at least.
         await anyio.sleep(2.1)
@@ -121,9 +121,9 @@
         member = fleet.endpoints[head.members[1]]
         await fleet.add_endpoint('spare', fleets.ENGINE, 'domain-1')
         await anyio.sleep(0.5)
-        fleet.store.faults.refuses_status = 503
+        fleet.store.faults.error_status = 503
         await anyio.sleep(3)
-        fleet.store.faults.refuses_status = 0
+        fleet.store.faults.error_status = 0
         head.stop_listening()
         fleet.nodes[0].table.suspect(head.endpoint_id, 'refused')
         before = len(member.orders)
--- a/redwingvalve/platform/tests/test_orders.py
+++ b/redwingvalve/platform/tests/test_orders.py
@@ -35,14 +35,14 @@
         await fleet.until(lambda: bool(spare.group))
         head = fleet.head()
         dead = fleet.endpoints[head.members[1]]
-        head.faults.stands_still = True
+        head.faults.is_stalled = True
         dead.crash()
         for _ in range(3):
             got = await fleet.caller().stream()
             assert got.events == [1, 2, 3, 4, 5, 6]
 
         def is_mended():
-            head.faults.stands_still = head.members[1] == dead.endpoint_id
+            head.faults.is_stalled = head.members[1] == dead.endpoint_id
             return len(fleet.targets()) == 2
 
         await fleet.until(is_mended)
@@ -66,7 +66,7 @@
         head = fleet.head()
         member = fleet.endpoints[head.members[1]]
         before = len(member.orders)
-        head.faults.is_dark = True
+        head.faults.is_unresponsive = True
         got = await fleet.caller().stream()
         assert got.ending == 'whole' or got.status == 502
         await anyio.sleep(1.5)
@@ -109,8 +109,8 @@
         head = fleet.head()
         dead = fleet.endpoints[head.members[1]]
         before = len(dead.orders)
-        dead.faults.is_dark = True
-        head.faults.stands_still = True
+        dead.faults.is_unresponsive = True
+        head.faults.is_stalled = True
         await fleet.caller().stream()
         await anyio.sleep(4)
         assert len(dead.orders) == before
@@ -152,8 +152,8 @@
         await fleet.until(lambda: bool(spare.group))
         await fleet.caller().stream()
         # The replica is formed anew, and the head keeps the next order back.
-        head.faults.late_operations = ('open',)
-        head.crash_and_return()
+        head.faults.delayed_operations = ('open',)
+        head.crash_and_restart()
         joined = []
 
         def is_in_two():
@@ -198,11 +198,11 @@
             write_entry()
             state = (head.group or {}).get('state')
             if state == 'ready' and len(head.members) == 2:
-                head.faults.is_cut_off = True
+                head.faults.is_cut_off_from_store = True
 
         head.write_entry = write_and_be_cut_off
         await fleet.until(lambda: (head.group or {}).get('state') == 'open')
-        assert head.faults.is_cut_off
+        assert head.faults.is_cut_off_from_store
         fleet.store.remove('servers', head.endpoint_id)
         other = await fleet.add_endpoint('e7', fleets.ENGINE, 'domain-2')
         other.staged = [fleets.SMALL]
@@ -248,7 +248,7 @@
         member = fleet.endpoints[head.members[1]]
         # The next joins stay unanswered and are carried out late.
         for endpoint in (head, member):
-            endpoint.faults.late_operations = ('join',)
+            endpoint.faults.delayed_operations = ('join',)
             endpoint.faults.order_delay_s = 4.5
         (control,) = fleet.nodes[0].control.controllers.values()
         await fleet.nodes[0].endpoint_client.close(
--- a/redwingvalve/platform/tests/test_starting.py
+++ b/redwingvalve/platform/tests/test_starting.py
@@ -45,7 +45,7 @@
     """Without a configuration, a node that has started says so at once."""
 
     async def test(fleet):
-        fleet.store.faults.refuses_status = 503
+        fleet.store.faults.error_status = 503
         settings = fleets.node_settings('node-0', fleet.store_address)
         node = daemon.make_node(settings)
         async with anyio.create_task_group() as group:
--- a/tests/integration/node_faults.py
+++ b/tests/integration/node_faults.py
@@ -8,10 +8,10 @@
 
 # How an endpoint spoils its answers: a fault, its value, and without it.
 SPOILED = (
-    ('answers_twice', True, False),
-    ('omits_length', True, False),
-    ('breaks_after_events', 2, None),
-    ('fails', True, False),
+    ('duplicates_response', True, False),
+    ('omits_content_length', True, False),
+    ('aborts_at_event', 2, None),
+    ('returns_server_error', True, False),
 )
 
 
@@ -72,13 +72,13 @@
             node.start()
 
     async def silence_store(self):
-        await self._store_fault('is_silent', True, False)
+        await self._store_fault('is_unresponsive', True, False)
 
     async def refuse_calls(self):
-        await self._store_fault('refuses_status', 503, 0)
+        await self._store_fault('error_status', 503, 0)
 
     async def lose_answers(self):
-        await self._store_fault('loses_write_answers', True, False)
+        await self._store_fault('drops_write_responses', True, False)
 
     async def drop_history(self):
         self.world.store.drop_history()
@@ -105,14 +105,14 @@
         await self.world.add(service, domain)
 
     async def restart_endpoint(self):
-        self.chance.choice(self.world.living(fleets.ENGINE)).crash_and_return()
+        self.chance.choice(self.world.living(fleets.ENGINE)).crash_and_restart()
 
     async def obey_late(self):
         endpoint = self.chance.choice(self.world.living(fleets.ENGINE))
         name = self.chance.choice(('join', 'open', 'close'))
-        endpoint.faults.late_operations = (name,)
+        endpoint.faults.delayed_operations = (name,)
         await anyio.sleep(2)
-        endpoint.faults.late_operations = ()
+        endpoint.faults.delayed_operations = ()
 
     async def spoil_answers(self):
         service = self.chance.choice((fleets.ENGINE, fleets.PLAIN))
@@ -124,9 +124,9 @@
 
     async def cut_endpoint_off(self):
         endpoint = self.chance.choice(self.world.living(fleets.ENGINE))
-        endpoint.faults.is_cut_off = True
+        endpoint.faults.is_cut_off_from_store = True
         await anyio.sleep(self.chance.uniform(0.5, 3))
-        endpoint.faults.is_cut_off = False
+        endpoint.faults.is_cut_off_from_store = False
 
     async def change_configuration(self):
         for _ in range(self.chance.randint(1, 3)):
--- a/tests/integration/node_soak.py
+++ b/tests/integration/node_soak.py
@@ -14,7 +14,7 @@
 import anyio
 import attrs
 
-from redwingvalve.platform.standins import store as platform_store
+from redwingvalve.platform.standins import store as fake_store
 from redwingvalve.platform.tests import fleet as fleets
 from tests.integration import node_faults, node_versions, node_world
 
@@ -132,7 +132,7 @@
 
 async def heal(world):
     """End all faults and start what is down."""
-    world.store.faults = platform_store.StoreFaults()
+    world.store.faults = fake_store.StoreFaults()
     for node in world.nodes:
         node.proxy.heal()
         node.send(signal.SIGCONT)
--- a/tests/integration/node_world.py
+++ b/tests/integration/node_world.py
@@ -17,8 +17,8 @@
 import attrs
 
 from redwingvalve.http1 import server
-from redwingvalve.platform.standins import endpoint as platform_endpoint
-from redwingvalve.platform.standins import store as platform_store
+from redwingvalve.platform.standins import endpoint as fake_endpoint
+from redwingvalve.platform.standins import store as fake_store
 from redwingvalve.platform.tests import fleet as fleets
 from tests.integration import fault_proxy
 
@@ -35,7 +35,7 @@
 _SERVES = frozenset(('open', 'closing'))
 
 
-class WatchedEndpoint(platform_endpoint.PlatformEndpoint):
+class WatchedEndpoint(fake_endpoint.FakeEndpoint):
     """An endpoint that knows when an order breaks a promise."""
 
     def __init__(self, world, name, service, domain=''):
@@ -57,7 +57,7 @@
         super().crash()
         if head is not None and head is not self:
             # It goes on accepting requests, and nothing moves.
-            head.faults.stands_still = True
+            head.faults.is_stalled = True
 
     def _join(self, order):
         old = self.group
@@ -71,7 +71,7 @@
             )
         status = super()._join(order)
         if status == 202:
-            self.faults.stands_still = False
+            self.faults.is_stalled = False
         return status
 
 
@@ -151,7 +151,7 @@
 
     def __init__(self, seed, nodes, folder):
         self.chance = random.Random(seed)
-        self.store = platform_store.PlatformStore()
+        self.store = fake_store.FakeStore()
         self.endpoints = {}
         self.nodes = []
         self.breaches = []
--- a/tests/integration/test_node_soak.py
+++ b/tests/integration/test_node_soak.py
@@ -3,7 +3,7 @@
 import anyio
 import pytest
 
-from redwingvalve.platform.standins import endpoint as platform_endpoint
+from redwingvalve.platform.standins import endpoint as fake_endpoint
 from redwingvalve.platform.tests import fleet as fleets
 from tests.integration import node_soak, node_versions, node_world
 
@@ -45,7 +45,7 @@
 
 
 def run_of(attempt):
-    return platform_endpoint.Run(attempt, b'/quote/1', (), None)
+    return fake_endpoint.Run(attempt, b'/quote/1', (), None)
 
 
 def test_a_quote_that_ran_twice_is_noticed(world):
