--- a/redwingvalve/node/tests/test_hubs.py
+++ b/redwingvalve/node/tests/test_hubs.py
@@ -13,7 +13,7 @@
     status_messages,
     update_forwarding,
 )
-from redwingvalve.platform.tests import fleet as fleets
+from redwingvalve.platform.tests import fleet_harness
 
 NODES = 6
 # What callers may be told of a dead node, and how long a suspicion may take.
@@ -34,13 +34,13 @@
 
 async def met(fleet):
     """Wait until all nodes know each other and the same hubs."""
-    await fleet.until(
+    await fleet.wait_until(
         lambda: all(
             len(node.peers.known) == len(fleet.nodes) - 1
             for node in fleet.nodes
         )
     )
-    await fleet.until(lambda: len(by_duty(fleet)[0]) == 2)
+    await fleet.wait_until(lambda: len(by_duty(fleet)[0]) == 2)
 
 
 def silence(node):
@@ -64,12 +64,12 @@
         front = dead.peers.local.front
         assert all(front in fronts(node) for node in others)
         silence(dead)
-        await fleet.until(
+        await fleet.wait_until(
             lambda: not any(front in fronts(node) for node in others), GONE_S
         )
         assert all(len(fronts(node)) == NODES - 2 for node in others)
 
-    fleets.run(test, nodes=NODES, engines=0, plain=1)
+    fleet_harness.run(test, nodes=NODES, engines=0, plain=1)
 
 
 def test_a_suspicion_reaches_all_nodes_soon(large):
@@ -78,14 +78,16 @@
     async def test(fleet):
         await met(fleet)
         plain = by_duty(fleet)[1][0]
-        head = plain.table.of(fleets.ENGINE, fleets.SMALL)[0].endpoint_id
+        head = plain.table.of(
+            fleet_harness.ENGINE_SERVICE, fleet_harness.SMALL_MODEL
+        )[0].endpoint_id
         plain.table.suspect(head, 'silent')
-        await fleet.until(
+        await fleet.wait_until(
             lambda: all(node.table.is_suspect(head) for node in fleet.nodes),
             SPREAD_S,
         )
 
-    fleets.run(test, nodes=NODES, plain=0)
+    fleet_harness.run(test, nodes=NODES, plain=0)
 
 
 def test_a_node_that_leaves_is_told_to_all(large):
@@ -98,11 +100,11 @@
         leaving.status_exchange.broadcast_now()
         front = leaving.peers.local.front
         others = [node for node in fleet.nodes if node is not leaving]
-        await fleet.until(
+        await fleet.wait_until(
             lambda: not any(front in fronts(node) for node in others), SPREAD_S
         )
 
-    fleets.run(test, nodes=NODES, engines=0, plain=1)
+    fleet_harness.run(test, nodes=NODES, engines=0, plain=1)
 
 
 def test_a_hub_that_was_deaf_takes_nobody_for_dead(large):
@@ -121,7 +123,7 @@
             down += [one for one in hub.peers.known.values() if one.is_down]
         assert not down
 
-    fleets.run(test, nodes=NODES, engines=0, plain=1)
+    fleet_harness.run(test, nodes=NODES, engines=0, plain=1)
 
 
 def count_words(nodes):
@@ -144,7 +146,7 @@
         await anyio.sleep(2)
         sent.append(max(counts.values()) / 2)
 
-    fleets.run(test, nodes=nodes, engines=0, plain=1)
+    fleet_harness.run(test, nodes=nodes, engines=0, plain=1)
     return sent[0]
 
 
@@ -183,7 +185,7 @@
             hub.peers.send_status = note
         await anyio.sleep(3)
 
-    fleets.run(test, nodes=4, engines=0, plain=1)
+    fleet_harness.run(test, nodes=4, engines=0, plain=1)
     # To hubs and to nodes, from two hubs, and half again.
     assert len(sent) <= 3 / peers.HUB_WORD_S * 2 * 2 * 1.5
 
--- a/redwingvalve/node/tests/test_peer_discovery.py
+++ b/redwingvalve/node/tests/test_peer_discovery.py
@@ -12,7 +12,7 @@
     status_messages,
 )
 from redwingvalve.platform import store
-from redwingvalve.platform.tests import fleet as fleets
+from redwingvalve.platform.tests import fleet_harness
 
 NODES = 6
 # Writing the own object, perhaps in place of an older one, and reading all;
@@ -78,10 +78,10 @@
     """
 
     async def test(fleet):
-        await fleet.until(lambda: know(fleet), 2)
+        await fleet.wait_until(lambda: know(fleet), 2)
         assert fleet.store.calls <= NODES * (CALLS_TO_MEET + CALLS_OTHERWISE)
 
-    fleets.run(test, nodes=NODES, engines=0, plain=0)
+    fleet_harness.run(test, nodes=NODES, engines=0, plain=0)
 
 
 def test_a_node_that_starts_again_elsewhere_is_known_there():
@@ -121,7 +121,7 @@
     monkeypatch.setattr(peer_discovery, 'READ_AGAIN_S', 0.4)
 
     async def test(fleet):
-        await fleet.until(lambda: len(fleet.nodes[0].peers.known) == 1)
+        await fleet.wait_until(lambda: len(fleet.nodes[0].peers.known) == 1)
         asked = []
         node = fleet.nodes[0].peer_discovery
 
@@ -134,7 +134,7 @@
         assert 1 <= len(asked) <= 4
         assert all(asked)
 
-    fleets.run(test, nodes=2, engines=0, plain=0)
+    fleet_harness.run(test, nodes=2, engines=0, plain=0)
 
 
 def test_a_node_that_starts_again_with_a_clock_set_back_is_heard(monkeypatch):
--- a/redwingvalve/node/tests/test_relays.py
+++ b/redwingvalve/node/tests/test_relays.py
@@ -14,10 +14,10 @@
     watch_sources,
 )
 from redwingvalve.platform import store
-from redwingvalve.platform.tests import fleet as fleets
+from redwingvalve.platform.tests import fleet_harness
 
 # In which a change must be known.
-BOUND_S = fleets.BOUNDS['config_apply_ms'] / 1000
+BOUND_S = fleet_harness.BOUNDS['config_apply_ms'] / 1000
 # How old knowledge may be in the tests of one watch.
 RELIED_ON_S = 0.3
 
@@ -33,8 +33,10 @@
     async def test(fleet):
         await anyio.sleep(1.5)
         calls = fleet.store.calls
-        fleet.store.put('config', 'main', fleets.configuration(version=2))
-        await fleet.until(
+        fleet.store.put(
+            'config', 'main', fleet_harness.configuration(version=2)
+        )
+        await fleet.wait_until(
             lambda: all(
                 node.state.configuration.version == 2 for node in fleet.nodes
             ),
@@ -42,7 +44,7 @@
         )
         assert fleet.store.calls - calls < 12
 
-    fleets.run(test, nodes=5, engines=0)
+    fleet_harness.run(test, nodes=5, engines=0)
 
 
 def test_a_node_behind_silent_relays_turns_to_the_store(relayed):
@@ -59,11 +61,12 @@
                 watch.cache.changes_after = hang
         fleet.endpoints['p0'].drain()
         last = fleet.nodes[-1]
-        await fleet.until(
-            lambda: len(last.table.of(fleets.PLAIN, '')) == 1, 3.5
+        await fleet.wait_until(
+            lambda: len(last.table.of(fleet_harness.PLAIN_SERVICE, '')) == 1,
+            3.5,
         )
 
-    fleets.run(test, nodes=5, engines=0)
+    fleet_harness.run(test, nodes=5, engines=0)
 
 
 async def hang(after_revision, wait_s):
@@ -85,13 +88,15 @@
                 watch.cache.changes_after = hang
         # Questions that the relays had taken before are answered.
         await anyio.sleep(1.2)
-        fleet.store.put('config', 'main', fleets.configuration(version=2))
+        fleet.store.put(
+            'config', 'main', fleet_harness.configuration(version=2)
+        )
         last = fleet.nodes[-1]
-        await fleet.until(
+        await fleet.wait_until(
             lambda: last.state.configuration.version == 2, BOUND_S
         )
 
-    fleets.run(test, nodes=5, engines=0)
+    fleet_harness.run(test, nodes=5, engines=0)
 
 
 @pytest.mark.parametrize('age_s', [0.1, 5.0])
@@ -228,7 +233,7 @@
             await anyio.sleep(0.05)
         assert fleet.store.calls - calls < 85
 
-    fleets.run(test, nodes=6, engines=0)
+    fleet_harness.run(test, nodes=6, engines=0)
 
 
 def test_changes_in_series_cost_a_node_few_calls():
@@ -243,9 +248,11 @@
         await anyio.sleep(1)
         calls = fleet.store.calls
         for version in range(2, 22):
-            fleet.store.put('config', 'main', fleets.configuration(version))
+            fleet.store.put(
+                'config', 'main', fleet_harness.configuration(version)
+            )
             await anyio.sleep(0.05)
-        await fleet.until(
+        await fleet.wait_until(
             lambda: all(
                 node.state.configuration.version == 21 for node in fleet.nodes
             ),
@@ -253,7 +260,7 @@
         )
         assert fleet.store.calls - calls < 60
 
-    fleets.run(test, nodes=6, engines=0)
+    fleet_harness.run(test, nodes=6, engines=0)
 
 
 def test_a_relay_in_touch_is_never_too_old_for_those_behind_it():
--- a/redwingvalve/node/tests/test_requests.py
+++ b/redwingvalve/node/tests/test_requests.py
@@ -6,7 +6,7 @@
 import pytest
 
 from redwingvalve.allocation import messages
-from redwingvalve.platform.tests import fleet as fleets
+from redwingvalve.platform.tests import fleet_harness
 
 
 def test_a_stream_arrives_whole_and_in_order():
@@ -20,7 +20,7 @@
             or len(fleet.targets()) > 1
         )
 
-    fleets.run(test)
+    fleet_harness.run(test)
 
 
 def test_a_body_is_passed_unchanged_and_the_key_is_not():
@@ -37,13 +37,13 @@
         assert 0 < int(sent[b'x-deadline-ms']) <= 3000
         assert got.body == b'body of %b' % ran.attempt_id
 
-    fleets.run(test, engines=0)
+    fleet_harness.run(test, engines=0)
 
 
 @pytest.mark.parametrize(
     ('path', 'key', 'status'),
     [
-        ('/none/1', fleets.KEY, 404),
+        ('/none/1', fleet_harness.API_KEY, 404),
         ('/card/1', 'unknown', 401),
         ('/card/1', '', 401),
         ('/open/1', '', 200),
@@ -55,7 +55,7 @@
         got = await fleet.caller().ask(path, key=key)
         assert got.status == status
 
-    fleets.run(test, engines=0)
+    fleet_harness.run(test, engines=0)
 
 
 def test_a_caller_cannot_choose_its_account():
@@ -69,17 +69,17 @@
         ]
         assert accounts == [b'workshop']
 
-    fleets.run(test, engines=0)
+    fleet_harness.run(test, engines=0)
 
 
 def test_without_a_configuration_requests_are_refused_as_not_run():
     async def test(fleet):
-        await fleet.until(lambda: fleet.nodes[0].is_listening)
+        await fleet.wait_until(lambda: fleet.nodes[0].is_listening)
         await anyio.sleep(0.1)
         got = await fleet.caller().ask('/card/1')
         assert got.status == 503 and float(got.headers[b'retry-after']) > 0
 
-    fleets.run(test, engines=0, version=None)
+    fleet_harness.run(test, engines=0, version=None)
 
 
 def test_a_key_that_is_taken_away_is_refused_within_a_second():
@@ -87,14 +87,14 @@
         caller = fleet.caller()
         assert (await caller.ask('/card/1')).status == 200
         fleet.store.put(
-            'config', 'main', fleets.configuration(version=2, tenants=[])
+            'config', 'main', fleet_harness.configuration(version=2, tenants=[])
         )
-        await fleet.until(
+        await fleet.wait_until(
             lambda: fleet.nodes[0].state.configuration.version == 2, 1
         )
         assert (await caller.ask('/card/1')).status == 401
 
-    fleets.run(test, engines=0)
+    fleet_harness.run(test, engines=0)
 
 
 def test_an_unusable_configuration_changes_nothing():
@@ -104,7 +104,7 @@
         assert fleet.nodes[0].state.configuration.version == 1
         assert (await fleet.caller().ask('/card/1')).status == 200
 
-    fleets.run(test, engines=0)
+    fleet_harness.run(test, engines=0)
 
 
 def test_a_refused_request_that_may_not_repeat_is_not_sent_again():
@@ -120,7 +120,7 @@
         assert got.status == 503 and b'retry-after' in got.headers
         assert not fleet.endpoints['p0'].runs + fleet.endpoints['p1'].runs
 
-    fleets.run(test, engines=0)
+    fleet_harness.run(test, engines=0)
 
 
 def test_a_request_of_unknown_fate_is_not_called_not_run():
@@ -131,7 +131,7 @@
 
     async def test(fleet):
         caller = fleet.caller()
-        taker = await caller.begin('/quote/1')
+        taker = await caller.start_request('/quote/1')
         ran = []
 
         def has_run():
@@ -140,14 +140,14 @@
                     ran.append(name)
             return bool(ran)
 
-        await fleet.until(has_run)
+        await fleet.wait_until(has_run)
         fleet.endpoints[ran[0]].crash()
-        await fleet.until(taker.done.done)
+        await fleet.wait_until(taker.done.done)
         assert taker.head.status == 502
         total = sum(len(fleet.endpoints[name].runs) for name in ('p0', 'p1'))
         assert total == 1
 
-    fleets.run(test, engines=0)
+    fleet_harness.run(test, engines=0)
 
 
 def test_a_failed_request_that_may_repeat_is_sent_elsewhere():
@@ -158,7 +158,7 @@
             got = await caller.ask('/card/1')
             assert got.status == 200
 
-    fleets.run(test, engines=0)
+    fleet_harness.run(test, engines=0)
 
 
 def test_an_answer_that_comes_twice_reaches_nobody_else():
@@ -177,10 +177,10 @@
             ran = fleet.endpoints['p0'].runs + fleet.endpoints['p1'].runs
             assert got.status == 200
             assert got.body in {b'body of %b' % run.attempt_id for run in ran}
-            expected = caller.attempt(caller.number)
+            expected = caller.attempt_id(caller.number)
             assert got.body == b'body of ' + expected
 
-    fleets.run(test, engines=0)
+    fleet_harness.run(test, engines=0)
 
 
 def test_a_stream_that_breaks_inside_an_event_goes_on_elsewhere():
@@ -205,7 +205,7 @@
                 fleet.endpoints[target.endpoint_id]
                 for target in fleet.targets()
             ]
-            await fleet.until(lambda: any(head.runs for head in heads))
+            await fleet.wait_until(lambda: any(head.runs for head in heads))
             for head in heads:
                 if not head.runs:
                     head.faults.aborts_at_event = None
@@ -214,7 +214,7 @@
         resumed = [run.last_event for head in heads for run in head.runs]
         assert sorted(resumed, key=str) == [2, None]
 
-    fleets.run(test)
+    fleet_harness.run(test)
 
 
 def test_an_endpoint_that_broke_off_is_not_granted_to_those_that_wait():
@@ -225,26 +225,26 @@
     """
 
     async def test(fleet):
-        taker = await fleet.caller().begin('/quote/1')
+        taker = await fleet.caller().start_request('/quote/1')
         names = ('p0', 'p1')
-        await fleet.until(
+        await fleet.wait_until(
             lambda: any(fleet.endpoints[name].runs for name in names)
         )
         ran, idle = sorted(
             names, key=lambda name: not fleet.endpoints[name].runs
         )
         fleet.endpoints[ran].crash()
-        await fleet.until(taker.done.done)
-        pool = messages.Pool(fleets.PLAIN, '', '')
+        await fleet.wait_until(taker.done.done)
+        pool = messages.Pool(fleet_harness.PLAIN_SERVICE, '', '')
         places = fleet.nodes[0].allocation.allocator.pool(pool)
         (target,) = [
             one
-            for one in fleet.nodes[0].table.of(fleets.PLAIN, '')
+            for one in fleet.nodes[0].table.of(fleet_harness.PLAIN_SERVICE, '')
             if one.endpoint_id == idle
         ]
         assert places.free_slots() == 2 * target.slots - 1
 
-    fleets.run(test, engines=0)
+    fleet_harness.run(test, engines=0)
 
 
 def test_a_stream_of_a_silent_head_goes_on_elsewhere_soon():
@@ -259,25 +259,25 @@
             fleet.endpoints[target.endpoint_id] for target in fleet.targets()
         ]
         caller = fleet.caller()
-        taker = await caller.begin(
+        taker = await caller.start_request(
             '/draft/1',
             b'prompt',
             headers=[
-                (b'X-Model', fleets.SMALL.encode()),
+                (b'X-Model', fleet_harness.SMALL_MODEL.encode()),
                 (b'X-Token-Counts', b'100,20'),
             ],
         )
-        await fleet.until(lambda: taker.body.count(b'id: ') >= 2)
+        await fleet.wait_until(lambda: taker.body.count(b'id: ') >= 2)
         (first,) = [head for head in heads if head.runs]
         (second,) = [head for head in heads if not head.runs]
         first.faults.is_stalled = True
-        await fleet.until(lambda: bool(second.runs), 0.5)
-        await fleet.until(taker.done.done, 1)
+        await fleet.wait_until(lambda: bool(second.runs), 0.5)
+        await fleet.wait_until(taker.done.done, 1)
         assert taker.done.result() == 'whole'
         assert taker.body.count(b'id: ') == 6
-        await fleet.until(lambda: bool(first.cancelled_attempts), 0.5)
+        await fleet.wait_until(lambda: bool(first.cancelled_attempts), 0.5)
 
-    fleets.run(test)
+    fleet_harness.run(test)
 
 
 def test_a_caller_that_leaves_frees_its_replica():
@@ -288,15 +288,15 @@
         for head in heads:
             head.events_per_response = 200
         caller = fleet.caller()
-        taker = await caller.begin_draft()
-        await fleet.until(lambda: b'id: ' in taker.body)
-        caller.leave()
-        await fleet.until(
+        taker = await caller.start_stream()
+        await fleet.wait_until(lambda: b'id: ' in taker.body)
+        caller.disconnect()
+        await fleet.wait_until(
             lambda: any(head.cancelled_attempts for head in heads), 0.5
         )
         assert not fleet.nodes[0].state.loads.own
 
-    fleets.run(test)
+    fleet_harness.run(test)
 
 
 def test_a_request_with_a_long_head_or_body_is_refused():
@@ -309,20 +309,20 @@
         got = await fleet.caller().ask('/card/1', b'x' * 100000)
         assert got.status == 200
 
-    fleets.run(test, engines=0)
+    fleet_harness.run(test, engines=0)
 
 
 def test_metrics_are_read_at_their_own_address():
     async def test(fleet):
         await fleet.caller().ask('/card/1')
         settings = fleet.nodes[0].settings
-        reader = fleets.Caller((settings.ip, settings.metrics_port))
+        reader = fleet_harness.Caller((settings.ip, settings.metrics_port))
         got = await reader.ask('/metrics')
         assert got.status == 200
         assert b'redwingvalve_sends_total{outcome="answered"' in got.body
         assert b'redwingvalve_calls_total' in got.body
 
-    fleets.run(test, engines=0)
+    fleet_harness.run(test, engines=0)
 
 
 def test_a_slow_stream_is_waited_for_when_no_retry_is_left():
@@ -333,25 +333,25 @@
     """
 
     async def test(fleet):
-        window = fleet.nodes[0].state.window(fleets.ENGINE)
+        window = fleet.nodes[0].state.window(fleet_harness.ENGINE_SERVICE)
         window.try_spend = lambda now_s, nodes: False
         heads = [
             fleet.endpoints[target.endpoint_id] for target in fleet.targets()
         ]
         caller = fleet.caller()
-        taker = await caller.begin_draft()
-        await fleet.until(lambda: taker.body.count(b'id: ') >= 2)
+        taker = await caller.start_stream()
+        await fleet.wait_until(lambda: taker.body.count(b'id: ') >= 2)
         for head in heads:
             head.faults.is_stalled = True
         await anyio.sleep(0.6)
         for head in heads:
             head.faults.is_stalled = False
-        await fleet.until(taker.done.done, 2)
+        await fleet.wait_until(taker.done.done, 2)
         assert taker.done.result() == 'whole'
         assert taker.body.count(b'id: ') == 6
         assert sum(len(head.runs) for head in heads) == 1
 
-    fleets.run(test)
+    fleet_harness.run(test)
 
 
 def test_a_stream_that_reaches_its_time_is_found_in_the_logs(caplog):
@@ -363,19 +363,19 @@
 
     async def test(fleet):
         logging.getLogger('redwingvalve').propagate = True
-        window = fleet.nodes[0].state.window(fleets.ENGINE)
+        window = fleet.nodes[0].state.window(fleet_harness.ENGINE_SERVICE)
         window.try_spend = lambda now_s, nodes: False
         caller = fleet.caller()
-        taker = await caller.begin_draft()
-        await fleet.until(lambda: taker.body.count(b'id: ') >= 2)
+        taker = await caller.start_stream()
+        await fleet.wait_until(lambda: taker.body.count(b'id: ') >= 2)
         for target in fleet.targets():
             head = fleet.endpoints[target.endpoint_id]
             head.faults.is_stalled = True
-        await fleet.until(taker.done.done, 5)
+        await fleet.wait_until(taker.done.done, 5)
         assert taker.done.result() != 'whole'
 
     with caplog.at_level('INFO', logger='redwingvalve'):
-        fleets.run(test)
+        fleet_harness.run(test)
     found = [
         line
         for line in caplog.records
--- a/redwingvalve/node/tests/test_status_exchange.py
+++ b/redwingvalve/node/tests/test_status_exchange.py
@@ -7,7 +7,7 @@
 from redwingvalve.allocation import messages
 from redwingvalve.ingress import reserving, waiting
 from redwingvalve.node import peers
-from redwingvalve.platform.tests import fleet as fleets
+from redwingvalve.platform.tests import fleet_harness
 
 FOUND = 40
 
@@ -32,7 +32,7 @@
         assert len(said) - before <= 3
         assert len(said[-1].cleared) == FOUND
 
-    fleets.run(test, nodes=2, engines=0, plain=0)
+    fleet_harness.run(test, nodes=2, engines=0, plain=0)
 
 
 def test_places_of_a_killed_node_are_free_within_half_a_second():
@@ -43,25 +43,25 @@
     """
 
     async def test(fleet):
-        await fleet.until(lambda: granters(fleet))
+        await fleet.wait_until(lambda: granters(fleet))
         killed, granter = granters(fleet)
         await reserve_plain(killed)
         pool = granter.allocation.allocator.pool(PLAIN_POOL)
-        await fleet.until(lambda: len(pool.holds) == 1)
+        await fleet.wait_until(lambda: len(pool.holds) == 1)
         peer = granter.peers.known[killed.settings.vm]
-        await fleet.until(lambda: peer.last_received_s is not None)
+        await fleet.wait_until(lambda: peer.last_received_s is not None)
         killed.peers.send_status = lambda word, names: None
         killed.peers.send_tagged = lambda packed, address: None
-        await fleet.until(lambda: not len(pool.holds), 0.6)
+        await fleet.wait_until(lambda: not len(pool.holds), 0.6)
 
-    fleets.run(test, nodes=2, engines=0, plain=1)
+    fleet_harness.run(test, nodes=2, engines=0, plain=1)
 
 
 def test_a_place_of_a_living_node_is_held_all_the_time():
     """An endpoint isn't filled twice while its answers take seconds."""
 
     async def test(fleet):
-        await fleet.until(lambda: granters(fleet))
+        await fleet.wait_until(lambda: granters(fleet))
         holder, granter = granters(fleet)
         await reserve_plain(holder)
         pool = granter.allocation.allocator.pool(PLAIN_POOL)
@@ -69,16 +69,18 @@
             await anyio.sleep(0.05)
             assert len(pool.holds) == 1
 
-    fleets.run(test, nodes=2, engines=0, plain=1)
+    fleet_harness.run(test, nodes=2, engines=0, plain=1)
 
 
 def test_a_freed_place_reaches_the_request_that_waits_at_another_node():
     """Nobody waits for the next heartbeat to hear of a place."""
 
     async def test(fleet):
-        await fleet.until(lambda: granters(fleet))
+        await fleet.wait_until(lambda: granters(fleet))
         holder, waits = granters(fleet)
-        slots = fleet.nodes[0].table.of(fleets.PLAIN, '')[0].slots
+        slots = (
+            fleet.nodes[0].table.of(fleet_harness.PLAIN_SERVICE, '')[0].slots
+        )
         held = [await reserve_plain(holder) for _ in range(slots)]
         got = []
 
@@ -90,12 +92,12 @@
             await anyio.sleep(0.1)
             assert not got
             held[0].release(reserving.Leaving.FREE)
-            await fleet.until(lambda: got, 0.1)
+            await fleet.wait_until(lambda: got, 0.1)
 
-    fleets.run(test, nodes=2, engines=0, plain=1)
+    fleet_harness.run(test, nodes=2, engines=0, plain=1)
 
 
-PLAIN_POOL = messages.Pool(fleets.PLAIN, '', '')
+PLAIN_POOL = messages.Pool(fleet_harness.PLAIN_SERVICE, '', '')
 
 
 def granters(fleet):
@@ -113,7 +115,9 @@
 async def reserve_plain(node):
     """Reserve a place at a plain endpoint."""
     need = waiting.Ask(urgency=1, on_time_s=0.3, wait_s=1.0)
-    return await node.state.reserver.reserve(fleets.PLAIN, '', need, (), ())
+    return await node.state.reserver.reserve(
+        fleet_harness.PLAIN_SERVICE, '', need, (), ()
+    )
 
 
 def test_a_head_found_sound_is_told_with_the_next_word():
@@ -123,12 +127,14 @@
         asked, other = fleet.nodes
         told = []
         other.table.on_told_sound = lambda head, found_s: told.append(head)
-        head = asked.table.of(fleets.ENGINE, fleets.SMALL)[0].endpoint_id
+        head = asked.table.of(
+            fleet_harness.ENGINE_SERVICE, fleet_harness.SMALL_MODEL
+        )[0].endpoint_id
         asked.table.tell_sound(head)
-        await fleet.until(lambda: told, 1)
+        await fleet.wait_until(lambda: told, 1)
         assert set(told) == {head}
 
-    fleets.run(test, nodes=2, plain=0)
+    fleet_harness.run(test, nodes=2, plain=0)
 
 
 def test_nodes_of_a_large_fleet_speak_before_they_count_as_gone():
--- a/redwingvalve/node/tests/test_watch_cache.py
+++ b/redwingvalve/node/tests/test_watch_cache.py
@@ -6,7 +6,7 @@
 from redwingvalve.core import clock
 from redwingvalve.node import watch_cache
 from redwingvalve.platform import store, store_responses
-from redwingvalve.platform.tests import fleet as fleets
+from redwingvalve.platform.tests import fleet_harness
 
 
 def change(name, revision, is_removed=False):
@@ -128,7 +128,9 @@
 def test_a_configuration_takes_little_of_a_relays_link():
     """Twenty nodes hear of four versions a second over 20 Mbit/s."""
     routes = [
-        fleets.route(f'r{number}', f'/{number * 7919:x}/', 'stream', 'one')
+        fleet_harness.route(
+            f'r{number}', f'/{number * 7919:x}/', 'stream', 'one'
+        )
         for number in range(400)
     ]
     stored = {
--- a/redwingvalve/platform/tests/fleet.py
+++ b/redwingvalve/platform/tests/fleet_harness.py
@@ -17,10 +17,10 @@
 from redwingvalve.standins import ports
 
 LARGE = 'large'
-SMALL = 'small'
-ENGINE = 'engine-service'
-PLAIN = 'plain-service'
-KEY = 'key-of-workshop'
+SMALL_MODEL = 'small'
+ENGINE_SERVICE = 'engine-service'
+PLAIN_SERVICE = 'plain-service'
+API_KEY = 'key-of-workshop'
 HOST = 'caller.example'
 BOUNDS = {
     'drain_ms': 2000,
@@ -54,22 +54,30 @@
     return {
         'version': version,
         'routes': [
-            route('draft', '/draft/', 'stream', ENGINE, resumable=True),
-            route('quote', '/quote/', 'non_idempotent', PLAIN, max_attempts=1),
-            route('card', '/card/', 'idempotent', PLAIN),
-            route('open', '/open/', 'idempotent', PLAIN, anonymous=True),
+            route('draft', '/draft/', 'stream', ENGINE_SERVICE, resumable=True),
+            route(
+                'quote',
+                '/quote/',
+                'non_idempotent',
+                PLAIN_SERVICE,
+                max_attempts=1,
+            ),
+            route('card', '/card/', 'idempotent', PLAIN_SERVICE),
+            route(
+                'open', '/open/', 'idempotent', PLAIN_SERVICE, anonymous=True
+            ),
         ],
         'services': [
-            {'name': PLAIN, 'health_path': '/health', 'max_conns': 50},
+            {'name': PLAIN_SERVICE, 'health_path': '/health', 'max_conns': 50},
             {
-                'name': ENGINE,
+                'name': ENGINE_SERVICE,
                 'health_path': '/health',
                 'max_conns': 50,
                 'engine': {
                     'slots': 4,
                     'models': [
                         {
-                            'name': SMALL,
+                            'name': SMALL_MODEL,
                             'size': 2,
                             'share': 1.0,
                             'pace': 1.0,
@@ -93,13 +101,13 @@
             'header_timeout_ms': 1000,
             'idle_timeout_ms': 5000,
         },
-        'tenants': [{'name': 'workshop', 'api_keys': [KEY], 'priority': 0}],
+        'tenants': [{'name': 'workshop', 'api_keys': [API_KEY], 'priority': 0}],
         **more,
     }
 
 
 @attrs.frozen
-class Answer:
+class Response:
     status: int
     headers: dict
     body: bytes
@@ -115,7 +123,7 @@
         ]
 
 
-class _Taker(client.Exchange):
+class _ResponseReader(client.Exchange):
     def __init__(self):
         self.done = asyncio.get_running_loop().create_future()
         self.head = None
@@ -151,34 +159,36 @@
     number: int = 0
     serial: int = attrs.field(factory=itertools.count(1).__next__)
 
-    def attempt(self, number):
+    def attempt_id(self, number):
         return b'a%d-%d' % (self.serial, number)
 
-    async def ask(self, path, body=b'', *, key=KEY, headers=(), host=HOST):
-        taker = await self.begin(
+    async def ask(self, path, body=b'', *, key=API_KEY, headers=(), host=HOST):
+        taker = await self.start_request(
             path, body, key=key, headers=headers, host=host
         )
         async with asyncio.timeout(8):
             ending = await taker.done
         head = taker.head
-        return Answer(
+        return Response(
             head.status if head else 0,
             dict(head.headers) if head else {},
             taker.body,
             ending,
         )
 
-    async def begin(self, path, body=b'', *, key=KEY, headers=(), host=HOST):
+    async def start_request(
+        self, path, body=b'', *, key=API_KEY, headers=(), host=HOST
+    ):
         if self.connection is None or not self.connection.is_open:
             loop = asyncio.get_running_loop()
             _, self.connection = await loop.create_connection(
                 client.Connection, *self.address
             )
         self.number += 1
-        taker = _Taker()
+        taker = _ResponseReader()
         sent = [
             (b'Host', host.encode()),
-            (b'X-Attempt-Id', self.attempt(self.number)),
+            (b'X-Attempt-Id', self.attempt_id(self.number)),
             (b'X-Deadline-Ms', b'3000'),
             (b'Content-Length', b'%d' % len(body)),
             *headers,
@@ -194,19 +204,19 @@
             '/draft/1',
             b'prompt',
             headers=[
-                (b'X-Model', SMALL.encode()),
+                (b'X-Model', SMALL_MODEL.encode()),
                 (b'X-Token-Counts', b'100,20'),
             ],
             **more,
         )
 
-    async def begin_draft(self):
+    async def start_stream(self):
         """Begin a stream without hints of its size."""
-        return await self.begin(
-            '/draft/1', b'prompt', headers=[(b'X-Model', SMALL.encode())]
+        return await self.start_request(
+            '/draft/1', b'prompt', headers=[(b'X-Model', SMALL_MODEL.encode())]
         )
 
-    def leave(self):
+    def disconnect(self):
         self.connection.abandon()
 
 
@@ -226,13 +236,13 @@
         return Caller((address.host, address.port))
 
     def targets(self, index=0):
-        return self.nodes[index].table.of(ENGINE, SMALL)
+        return self.nodes[index].table.of(ENGINE_SERVICE, SMALL_MODEL)
 
     def head(self, index=0):
         target = self.targets(index)[0]
         return self.endpoints[target.endpoint_id]
 
-    async def until(self, is_so, timeout_s=6.0):
+    async def wait_until(self, is_so, timeout_s=6.0):
         limit_s = time.monotonic() + timeout_s
         while not is_so():
             assert time.monotonic() < limit_s, 'not so in time'
@@ -284,9 +294,9 @@
     if version is not None:
         store.put('config', 'main', version())
     for number in range(engines):
-        await fleet.add_endpoint(f'e{number}', ENGINE, 'domain-1')
+        await fleet.add_endpoint(f'e{number}', ENGINE_SERVICE, 'domain-1')
     for number in range(plain):
-        await fleet.add_endpoint(f'p{number}', PLAIN)
+        await fleet.add_endpoint(f'p{number}', PLAIN_SERVICE)
     async with anyio.create_task_group() as group:
         for number in range(nodes):
             made = daemon.make_node(
@@ -300,7 +310,7 @@
         if version is not None and plain:
             await fleet.until(
                 lambda: all(
-                    len(node.table.of(PLAIN, '')) == plain
+                    len(node.table.of(PLAIN_SERVICE, '')) == plain
                     for node in fleet.nodes
                 )
             )
@@ -326,11 +336,11 @@
     anyio.run(main)
 
 
-def holders(fleet):
+def lease_holders(fleet):
     return [node for node in fleet.nodes if node.lease.is_held()]
 
 
-def member_ids(fleet):
+def open_replica_members(fleet):
     return {
         name: tuple(endpoint.members)
         for name, endpoint in fleet.endpoints.items()
--- a/redwingvalve/platform/tests/test_lease_and_store.py
+++ b/redwingvalve/platform/tests/test_lease_and_store.py
@@ -5,34 +5,43 @@
 
 from redwingvalve.node import controller
 from redwingvalve.node import lease as lease_module
-from redwingvalve.platform.tests import fleet as fleets
+from redwingvalve.platform.tests import fleet_harness
 
 
 def test_the_lease_passes_on_soon_after_its_holder_stops():
     async def test(fleet):
-        (holder,) = fleets.holders(fleet)
+        (holder,) = fleet_harness.lease_holders(fleet)
         holder.lease.is_releasing = True
         # As after a kill: it says and renews nothing more.
         holder.peers.send_status = lambda word, names: None
         limit_s = lease_module.LEASE_DURATION_S * 2 + 1
-        await fleet.until(
-            lambda: any(node is not holder for node in fleets.holders(fleet)),
+        await fleet.wait_until(
+            lambda: any(
+                node is not holder
+                for node in fleet_harness.lease_holders(fleet)
+            ),
             limit_s,
         )
-        (new,) = [node for node in fleets.holders(fleet) if node is not holder]
+        (new,) = [
+            node
+            for node in fleet_harness.lease_holders(fleet)
+            if node is not holder
+        ]
         assert new.lease.term == holder.lease.term + 1
 
-    fleets.run(test, nodes=3)
+    fleet_harness.run(test, nodes=3)
 
 
 def test_a_released_lease_is_taken_at_once():
     async def test(fleet):
-        (holder,) = fleets.holders(fleet)
+        (holder,) = fleet_harness.lease_holders(fleet)
         await holder.lease.release()
         holder.status_exchange.broadcast_now()
-        await fleet.until(lambda: bool(fleets.holders(fleet)), 1)
+        await fleet.wait_until(
+            lambda: bool(fleet_harness.lease_holders(fleet)), 1
+        )
 
-    fleets.run(test, nodes=3)
+    fleet_harness.run(test, nodes=3)
 
 
 def test_a_holder_that_lost_the_store_stops_ordering():
@@ -44,13 +53,16 @@
 
     async def test(fleet):
         fleet.store.faults.is_unresponsive = True
-        await fleet.until(
-            lambda: not fleets.holders(fleet), lease_module.LEASE_DURATION_S + 1
+        await fleet.wait_until(
+            lambda: not fleet_harness.lease_holders(fleet),
+            lease_module.LEASE_DURATION_S + 1,
         )
         fleet.store.faults.is_unresponsive = False
-        await fleet.until(lambda: len(fleets.holders(fleet)) == 1, 6)
+        await fleet.wait_until(
+            lambda: len(fleet_harness.lease_holders(fleet)) == 1, 6
+        )
 
-    fleets.run(test, nodes=2)
+    fleet_harness.run(test, nodes=2)
 
 
 def test_a_renewal_whose_answer_is_lost_does_not_lock_the_fleet_out():
@@ -58,9 +70,11 @@
         fleet.store.faults.drops_write_responses = True
         await anyio.sleep(lease_module.LEASE_DURATION_S + 1)
         fleet.store.faults.drops_write_responses = False
-        await fleet.until(lambda: len(fleets.holders(fleet)) == 1, 6)
+        await fleet.wait_until(
+            lambda: len(fleet_harness.lease_holders(fleet)) == 1, 6
+        )
 
-    fleets.run(test, nodes=2, engines=0)
+    fleet_harness.run(test, nodes=2, engines=0)
 
 
 def test_requests_are_served_while_the_store_is_away():
@@ -71,7 +85,7 @@
         assert got.events == [1, 2, 3, 4, 5, 6]
         fleet.store.faults.error_status = 0
 
-    fleets.run(test)
+    fleet_harness.run(test)
 
 
 def test_entries_that_lapsed_with_the_store_stay_in_use_for_a_moment():
@@ -93,9 +107,9 @@
         got = await fleet.caller().ask('/card/1')
         assert got.status == 200
         await anyio.sleep(2.2)
-        assert not fleet.nodes[0].table.of(fleets.PLAIN, '')
+        assert not fleet.nodes[0].table.of(fleet_harness.PLAIN_SERVICE, '')
 
-    fleets.run(test, engines=0)
+    fleet_harness.run(test, engines=0)
 
 
 def test_entries_of_another_writer_name_no_endpoint():
@@ -109,7 +123,7 @@
         assert len(fleet.nodes[0].registry.live) == known
         assert (await fleet.caller().ask('/card/1')).status == 200
 
-    fleets.run(test, engines=0)
+    fleet_harness.run(test, engines=0)
 
 
 def test_a_holder_that_was_suspended_gives_no_more_orders(monkeypatch):
@@ -131,7 +145,7 @@
         assert not control._orders._may_order()
         monkeypatch.undo()
 
-    fleets.run(test)
+    fleet_harness.run(test)
 
 
 def test_a_new_holder_reads_the_endpoints_before_its_first_order():
@@ -143,7 +157,7 @@
     """
 
     async def test(fleet):
-        (holder,) = fleets.holders(fleet)
+        (holder,) = fleet_harness.lease_holders(fleet)
         (other,) = [node for node in fleet.nodes if node is not holder]
         looked = []
 
@@ -160,7 +174,7 @@
             await anyio.sleep(3)
             await holder.lease.release()
             holder.status_exchange.broadcast_now()
-            await fleet.until(other.lease.is_held, 2)
+            await fleet.wait_until(other.lease.is_held, 2)
             await anyio.sleep(0.3)
             assert not set(looked) & set(other.control.controllers.values())
             patched.undo()
@@ -170,11 +184,11 @@
                 lambda made, engine: looked.append(made),
             )
             other.endpoint_watch.refresh_now()
-            await fleet.until(
+            await fleet.wait_until(
                 lambda: bool(
                     set(looked) & set(other.control.controllers.values())
                 ),
                 1,
             )
 
-    fleets.run(test, nodes=2)
+    fleet_harness.run(test, nodes=2)
--- a/redwingvalve/platform/tests/test_leaving.py
+++ b/redwingvalve/platform/tests/test_leaving.py
@@ -5,16 +5,18 @@
 
 import anyio
 
-from redwingvalve.platform.tests import fleet as fleets
+from redwingvalve.platform.tests import fleet_harness
 
 
 def test_a_leaving_member_lets_the_replica_finish_and_no_new_work_in():
     async def test(fleet):
         head = fleet.head()
         member = fleet.endpoints[head.members[1]]
-        await fleet.add_endpoint('spare', fleets.ENGINE, 'domain-1')
+        await fleet.add_endpoint(
+            'spare', fleet_harness.ENGINE_SERVICE, 'domain-1'
+        )
         member.drain()
-        await fleet.until(
+        await fleet.wait_until(
             lambda: (
                 head.endpoint_id
                 not in {target.endpoint_id for target in fleet.targets()}
@@ -22,19 +24,21 @@
             1,
         )
         closes = [o for o in head.orders if o['operation'] == 'close']
-        await fleet.until(
+        await fleet.wait_until(
             lambda: any(o['operation'] == 'close' for o in head.orders)
         )
         closes = [o for o in head.orders if o['operation'] == 'close']
         assert closes[0]['close_mode'] == 'queue'
-        await fleet.until(
+        await fleet.wait_until(
             lambda: all(
                 member.endpoint_id not in members
-                for members in fleets.member_ids(fleet).values()
+                for members in fleet_harness.open_replica_members(
+                    fleet
+                ).values()
             )
         )
 
-    fleets.run(test)
+    fleet_harness.run(test)
 
 
 def test_callers_are_told_living_nodes_only():
@@ -44,7 +48,7 @@
 
         async def told():
             got = await fleet.directory().ask(path)
-            return set(fleets.json.loads(got.body)['addresses'])
+            return set(fleet_harness.json.loads(got.body)['addresses'])
 
         await anyio.sleep(0.5)
         assert await told() == fronts
@@ -54,7 +58,7 @@
         await anyio.sleep(1.5)
         assert await told() == fronts - {str(gone.settings.front)}
 
-    fleets.run(test, nodes=3, engines=0)
+    fleet_harness.run(test, nodes=3, engines=0)
 
 
 def test_a_node_that_stops_finishes_its_requests():
@@ -67,20 +71,20 @@
     async def test(fleet):
         node = fleet.nodes[0]
         caller = fleet.caller()
-        taker = await caller.begin_draft()
-        await fleet.until(lambda: b'id: ' in taker.body)
+        taker = await caller.start_stream()
+        await fleet.wait_until(lambda: b'id: ' in taker.body)
         address = node.settings.ready
         async with anyio.create_task_group() as group:
             group.start_soon(node._stop)
             await anyio.sleep(0.05)
-            ready = fleets.Caller((address.host, address.port))
+            ready = fleet_harness.Caller((address.host, address.port))
             got = await ready.ask('/redwingvalve/ready')
             assert got.status == 503
-            await fleet.until(taker.done.done, 2)
+            await fleet.wait_until(taker.done.done, 2)
             assert taker.done.result() == 'whole'
             assert taker.body.count(b'id: ') == 6
 
-    fleets.run(test)
+    fleet_harness.run(test)
 
 
 def test_members_stay_while_a_head_that_left_finishes_its_requests():
@@ -93,7 +97,9 @@
     async def test(fleet):
         head = fleet.head()
         member = fleet.endpoints[head.members[1]]
-        await fleet.add_endpoint('spare', fleets.ENGINE, 'domain-1')
+        await fleet.add_endpoint(
+            'spare', fleet_harness.ENGINE_SERVICE, 'domain-1'
+        )
         await anyio.sleep(0.5)
         before = len(member.orders)
         head.faults.never_drains = True
@@ -105,7 +111,7 @@
         await anyio.sleep(4)
         assert len(member.orders) == before
 
-    fleets.run(test)
+    fleet_harness.run(test)
 
 
 def test_a_head_that_left_while_the_store_was_away_is_not_taken_for_dead():
@@ -119,7 +125,9 @@
         await fleet.caller().stream()
         head = fleet.head()
         member = fleet.endpoints[head.members[1]]
-        await fleet.add_endpoint('spare', fleets.ENGINE, 'domain-1')
+        await fleet.add_endpoint(
+            'spare', fleet_harness.ENGINE_SERVICE, 'domain-1'
+        )
         await anyio.sleep(0.5)
         fleet.store.faults.error_status = 503
         await anyio.sleep(3)
@@ -132,7 +140,7 @@
         await anyio.sleep(3)
         assert len(member.orders) == before
 
-    fleets.run(test)
+    fleet_harness.run(test)
 
 
 def test_a_node_that_ends_gives_its_addresses_back():
@@ -143,7 +151,7 @@
     """
 
     async def run():
-        async with fleets.running(nodes=1, engines=0, plain=0) as fleet:
+        async with fleet_harness.running(nodes=1, engines=0, plain=0) as fleet:
             node = fleet.nodes[0]
         return node.settings.ip, node.settings.peer_port
 
--- a/redwingvalve/platform/tests/test_orders.py
+++ b/redwingvalve/platform/tests/test_orders.py
@@ -6,12 +6,12 @@
 import anyio
 
 from redwingvalve.platform import endpoint_orders
-from redwingvalve.platform.tests import fleet as fleets
+from redwingvalve.platform.tests import fleet_harness
 
 
 def test_only_one_node_gives_orders():
     async def test(fleet):
-        assert len(fleets.holders(fleet)) == 1
+        assert len(fleet_harness.lease_holders(fleet)) == 1
         joins = [
             order
             for endpoint in fleet.endpoints.values()
@@ -20,7 +20,7 @@
         ]
         assert len(joins) == 4
 
-    fleets.run(test, nodes=3)
+    fleet_harness.run(test, nodes=3)
 
 
 def test_a_dead_member_is_replaced_by_the_spare():
@@ -31,8 +31,10 @@
     """
 
     async def test(fleet):
-        spare = await fleet.add_endpoint('spare', fleets.ENGINE, 'domain-1')
-        await fleet.until(lambda: bool(spare.group))
+        spare = await fleet.add_endpoint(
+            'spare', fleet_harness.ENGINE_SERVICE, 'domain-1'
+        )
+        await fleet.wait_until(lambda: bool(spare.group))
         head = fleet.head()
         dead = fleet.endpoints[head.members[1]]
         head.faults.is_stalled = True
@@ -45,14 +47,14 @@
             head.faults.is_stalled = head.members[1] == dead.endpoint_id
             return len(fleet.targets()) == 2
 
-        await fleet.until(is_mended)
-        for name, members in fleets.member_ids(fleet).items():
+        await fleet.wait_until(is_mended)
+        for name, members in fleet_harness.open_replica_members(fleet).items():
             assert name == members[0] and dead.endpoint_id not in members
         operations = [order['operation'] for order in head.orders]
         closed = operations.index('close')
         assert operations[closed + 1 :].count('join') == 1
 
-    fleets.run(test)
+    fleet_harness.run(test)
 
 
 def test_a_dark_head_is_not_replaced_before_its_entry_is_gone():
@@ -72,11 +74,13 @@
         await anyio.sleep(1.5)
         assert len(member.orders) == before
         fleet.store.remove('servers', head.endpoint_id)
-        spare = await fleet.add_endpoint('spare', fleets.ENGINE, 'domain-1')
-        await fleet.until(lambda: bool(member.orders[before:]))
-        await fleet.until(lambda: bool(spare.orders))
+        spare = await fleet.add_endpoint(
+            'spare', fleet_harness.ENGINE_SERVICE, 'domain-1'
+        )
+        await fleet.wait_until(lambda: bool(member.orders[before:]))
+        await fleet.wait_until(lambda: bool(spare.orders))
 
-    fleets.run(test)
+    fleet_harness.run(test)
 
 
 def test_a_spare_that_still_loads_is_not_dealt_another_model():
@@ -96,7 +100,7 @@
         # Two replicas of two, and one spare that joins alone, once.
         assert len(joined) == 5
 
-    fleets.run(test, engines=5)
+    fleet_harness.run(test, engines=5)
 
 
 def test_an_endpoint_that_did_not_answer_is_not_asked_to_join():
@@ -115,7 +119,7 @@
         await anyio.sleep(4)
         assert len(dead.orders) == before
 
-    fleets.run(test)
+    fleet_harness.run(test)
 
 
 def test_a_suspicion_after_an_all_clear_stands():
@@ -131,11 +135,11 @@
         table.suspect(target.endpoint_id, 'silent')
         table.clear_older(target.endpoint_id, target.epoch, 0.0)
         assert table.is_suspect(target.endpoint_id)
-        now_s = fleets.time.monotonic()
+        now_s = fleet_harness.time.monotonic()
         table.clear_older(target.endpoint_id, target.epoch, now_s)
         assert not table.is_suspect(target.endpoint_id)
 
-    fleets.run(test, nodes=2)
+    fleet_harness.run(test, nodes=2)
 
 
 def test_a_head_that_may_still_be_opened_keeps_its_members():
@@ -148,8 +152,10 @@
     async def test(fleet):
         head = fleet.head()
         member = fleet.endpoints[head.members[1]]
-        spare = await fleet.add_endpoint('spare', fleets.ENGINE, 'domain-1')
-        await fleet.until(lambda: bool(spare.group))
+        spare = await fleet.add_endpoint(
+            'spare', fleet_harness.ENGINE_SERVICE, 'domain-1'
+        )
+        await fleet.wait_until(lambda: bool(spare.group))
         await fleet.caller().stream()
         # The replica is formed anew, and the head keeps the next order back.
         head.faults.delayed_operations = ('open',)
@@ -166,14 +172,14 @@
                     if other and other['name'] != group['name']:
                         joined.append((name, other['name'], group['name']))
 
-        limit_s = fleets.time.monotonic() + 8
-        while fleets.time.monotonic() < limit_s:
+        limit_s = fleet_harness.time.monotonic() + 8
+        while fleet_harness.time.monotonic() < limit_s:
             is_in_two()
             assert not joined
             await anyio.sleep(0.02)
         assert member.group
 
-    fleets.run(test)
+    fleet_harness.run(test)
 
 
 def test_a_head_that_opened_beyond_a_cut_keeps_its_member():
@@ -185,10 +191,14 @@
 
     async def test(fleet):
         await fleet.caller().stream()
-        head = await fleet.add_endpoint('e8', fleets.ENGINE, 'domain-2')
-        member = await fleet.add_endpoint('e9', fleets.ENGINE, 'domain-2')
+        head = await fleet.add_endpoint(
+            'e8', fleet_harness.ENGINE_SERVICE, 'domain-2'
+        )
+        member = await fleet.add_endpoint(
+            'e9', fleet_harness.ENGINE_SERVICE, 'domain-2'
+        )
         for endpoint in (head, member):
-            endpoint.staged = [fleets.SMALL]
+            endpoint.staged = [fleet_harness.SMALL_MODEL]
             endpoint.write_entry()
 
         write_entry = head.write_entry
@@ -201,20 +211,24 @@
                 head.faults.is_cut_off_from_store = True
 
         head.write_entry = write_and_be_cut_off
-        await fleet.until(lambda: (head.group or {}).get('state') == 'open')
+        await fleet.wait_until(
+            lambda: (head.group or {}).get('state') == 'open'
+        )
         assert head.faults.is_cut_off_from_store
         fleet.store.remove('servers', head.endpoint_id)
-        other = await fleet.add_endpoint('e7', fleets.ENGINE, 'domain-2')
-        other.staged = [fleets.SMALL]
+        other = await fleet.add_endpoint(
+            'e7', fleet_harness.ENGINE_SERVICE, 'domain-2'
+        )
+        other.staged = [fleet_harness.SMALL_MODEL]
         other.write_entry()
-        limit_s = fleets.time.monotonic() + 4
-        while fleets.time.monotonic() < limit_s:
+        limit_s = fleet_harness.time.monotonic() + 4
+        while fleet_harness.time.monotonic() < limit_s:
             if head.group and head.group['state'] == 'open':
                 assert member.group['name'] == head.group['name']
             await anyio.sleep(0.02)
         assert member.group['name'] != head.group['name']
 
-    fleets.run(test)
+    fleet_harness.run(test)
 
 
 def test_a_fleet_starts_at_once_though_the_lease_passes_on():
@@ -232,7 +246,7 @@
         ]
         assert joins.count('join') == 8 and 'stage' not in joins
 
-    fleets.run(test, engines=8, lease_term=1)
+    fleet_harness.run(test, engines=8, lease_term=1)
 
 
 def test_a_replica_is_not_opened_while_a_later_join_may_reach_a_member():
@@ -260,22 +274,22 @@
         old = head.group['name']
         past = control._history.of((old, head.group['epoch']))
         past.is_ended = True
-        await fleet.until(
+        await fleet.wait_until(
             lambda: any(
                 order['operation'] == 'join' and order['group'] != old
                 for order in head.orders
             )
         )
         past.is_ended = False
-        limit_s = fleets.time.monotonic() + 5
-        while fleets.time.monotonic() < limit_s:
+        limit_s = fleet_harness.time.monotonic() + 5
+        while fleet_harness.time.monotonic() < limit_s:
             group = head.group
             is_old = group and group['name'] == old
             assert not (is_old and group['state'] == 'open')
             await anyio.sleep(0.02)
         assert member.group
 
-    fleets.run(test)
+    fleet_harness.run(test)
 
 
 def test_a_pause_while_members_join_leaves_no_endpoint_out(monkeypatch):
@@ -301,5 +315,5 @@
         assert len(joined) > 4
 
     began_s = time.monotonic()
-    fleets.run(test)
+    fleet_harness.run(test)
     assert time.monotonic() - began_s < 5
--- a/redwingvalve/platform/tests/test_starting.py
+++ b/redwingvalve/platform/tests/test_starting.py
@@ -7,7 +7,7 @@
 import pytest
 
 from redwingvalve.node import daemon, early_sockets
-from redwingvalve.platform.tests import fleet as fleets
+from redwingvalve.platform.tests import fleet_harness
 
 IMPORTED_LATE = ('asyncio', 'anyio', 'thriftpy2', 'redwingvalve.node.daemon')
 
@@ -21,9 +21,11 @@
     """
 
     async def test(fleet):
-        settings = fleets.node_settings('node-0', fleet.store_address)
+        settings = fleet_harness.node_settings('node-0', fleet.store_address)
         early = early_sockets.listen_early(settings)
-        caller = fleets.Caller((settings.front.host, settings.front.port))
+        caller = fleet_harness.Caller(
+            (settings.front.host, settings.front.port)
+        )
         answers = []
 
         async def ask():
@@ -34,11 +36,11 @@
             await anyio.sleep(0.1)
             node = daemon.make_node(settings, early)
             group.start_soon(node.run, anyio.Event())
-            await fleet.until(lambda: answers)
+            await fleet.wait_until(lambda: answers)
             group.cancel_scope.cancel()
         assert answers[0].status == 200
 
-    fleets.run(test, nodes=0, engines=0)
+    fleet_harness.run(test, nodes=0, engines=0)
 
 
 def test_callers_are_told_to_come_back_when_the_store_is_away():
@@ -46,19 +48,21 @@
 
     async def test(fleet):
         fleet.store.faults.error_status = 503
-        settings = fleets.node_settings('node-0', fleet.store_address)
+        settings = fleet_harness.node_settings('node-0', fleet.store_address)
         node = daemon.make_node(settings)
         async with anyio.create_task_group() as group:
             group.start_soon(node.run, anyio.Event())
             limit_s = daemon.START_TIMEOUT_S + 0.5
-            await fleet.until(lambda: node.is_listening, limit_s)
-            caller = fleets.Caller((settings.front.host, settings.front.port))
+            await fleet.wait_until(lambda: node.is_listening, limit_s)
+            caller = fleet_harness.Caller(
+                (settings.front.host, settings.front.port)
+            )
             answer = await caller.ask('/card/1', b'body')
             group.cancel_scope.cancel()
         assert answer.status == 503
         assert b'retry-after' in answer.headers
 
-    fleets.run(test, nodes=0, engines=0)
+    fleet_harness.run(test, nodes=0, engines=0)
 
 
 @pytest.mark.parametrize('module', IMPORTED_LATE)
@@ -73,7 +77,7 @@
 
 
 def test_an_address_in_use_is_named():
-    settings = fleets.node_settings('node-0', '127.0.0.1:1')
+    settings = fleet_harness.node_settings('node-0', '127.0.0.1:1')
     held = early_sockets.listen_at(settings.front)
     with pytest.raises(OSError, match=str(settings.front)):
         early_sockets.listen_early(settings)
--- a/tests/integration/node_faults.py
+++ b/tests/integration/node_faults.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from redwingvalve.platform.tests import fleet as fleets
+from redwingvalve.platform.tests import fleet_harness
 
 # How an endpoint spoils its answers: a fault, its value, and without it.
 SPOILED = (
@@ -95,27 +95,37 @@
 
     async def crash_endpoint(self):
         service = self.chance.choice(
-            (fleets.ENGINE, fleets.ENGINE, fleets.PLAIN)
+            (
+                fleet_harness.ENGINE_SERVICE,
+                fleet_harness.ENGINE_SERVICE,
+                fleet_harness.PLAIN_SERVICE,
+            )
         )
         living = self.world.living(service)
         if len(living) > 2:
             self.chance.choice(living).crash()
-        domain = 'domain-1' if service == fleets.ENGINE else ''
+        domain = 'domain-1' if service == fleet_harness.ENGINE_SERVICE else ''
         await anyio.sleep(1)
         await self.world.add(service, domain)
 
     async def restart_endpoint(self):
-        self.chance.choice(self.world.living(fleets.ENGINE)).crash_and_restart()
+        self.chance.choice(
+            self.world.living(fleet_harness.ENGINE_SERVICE)
+        ).crash_and_restart()
 
     async def obey_late(self):
-        endpoint = self.chance.choice(self.world.living(fleets.ENGINE))
+        endpoint = self.chance.choice(
+            self.world.living(fleet_harness.ENGINE_SERVICE)
+        )
         name = self.chance.choice(('join', 'open', 'close'))
         endpoint.faults.delayed_operations = (name,)
         await anyio.sleep(2)
         endpoint.faults.delayed_operations = ()
 
     async def spoil_answers(self):
-        service = self.chance.choice((fleets.ENGINE, fleets.PLAIN))
+        service = self.chance.choice(
+            (fleet_harness.ENGINE_SERVICE, fleet_harness.PLAIN_SERVICE)
+        )
         endpoint = self.chance.choice(self.world.living(service))
         name, value, healed = self.chance.choice(SPOILED)
         setattr(endpoint.faults, name, value)
@@ -123,7 +133,9 @@
         setattr(endpoint.faults, name, healed)
 
     async def cut_endpoint_off(self):
-        endpoint = self.chance.choice(self.world.living(fleets.ENGINE))
+        endpoint = self.chance.choice(
+            self.world.living(fleet_harness.ENGINE_SERVICE)
+        )
         endpoint.faults.is_cut_off_from_store = True
         await anyio.sleep(self.chance.uniform(0.5, 3))
         endpoint.faults.is_cut_off_from_store = False
--- a/tests/integration/node_soak.py
+++ b/tests/integration/node_soak.py
@@ -15,7 +15,7 @@
 import attrs
 
 from redwingvalve.platform.standins import store as fake_store
-from redwingvalve.platform.tests import fleet as fleets
+from redwingvalve.platform.tests import fleet_harness
 from tests.integration import node_faults, node_versions, node_world
 
 CALLERS = 6
@@ -23,7 +23,7 @@
 RECOVER_S = 4.0
 RECOVERED_SHARE = 0.9
 # From an entry that says 'draining' to the last request that may be sent.
-DRAIN_S = fleets.BOUNDS['drain_ms'] / 1000
+DRAIN_S = fleet_harness.BOUNDS['drain_ms'] / 1000
 CALM_S = 2.5
 EVENTS = list(range(1, 7))
 NOT_RUN = frozenset((408, 421, 429, 503))
@@ -49,13 +49,13 @@
     world: node_world.World
     tally: Tally
     chance: object
-    connection: fleets.Caller | None = None
+    connection: fleet_harness.Caller | None = None
 
     async def run(self):
         while True:
             if self.connection is None or self.chance.random() < 0.3:
                 node = self.chance.choice(self.world.nodes)
-                self.connection = fleets.Caller(
+                self.connection = fleet_harness.Caller(
                     (node.ip, node_world.FRONT_PORT)
                 )
             await self._ask()
@@ -79,12 +79,12 @@
             return await self.connection.stream()
         if kind == 'quote':
             number = self.connection.number + 1
-            self.tally.quotes.append(self.connection.attempt(number))
+            self.tally.quotes.append(self.connection.attempt_id(number))
         return await self.connection.ask(f'/{kind}/1', b'body')
 
     def _judge(self, kind, answer):
         """Return whether the request was served; note what must not be."""
-        attempt = self.connection.attempt(self.connection.number)
+        attempt = self.connection.attempt_id(self.connection.number)
         if answer.ending != 'whole':
             self.connection = None
             return False
@@ -121,7 +121,7 @@
 
 async def drain_one(world):
     """Let an endpoint leave in a calm moment; return what went there late."""
-    endpoint = world.chance.choice(world.living(fleets.PLAIN))
+    endpoint = world.chance.choice(world.living(fleet_harness.PLAIN_SERVICE))
     endpoint.drain()
     await anyio.sleep(DRAIN_S)
     before = len(endpoint.runs)
--- a/tests/integration/node_versions.py
+++ b/tests/integration/node_versions.py
@@ -8,7 +8,7 @@
 import anyio
 import attrs
 
-from redwingvalve.platform.tests import fleet as fleets
+from redwingvalve.platform.tests import fleet_harness
 from tests.integration import node_world
 
 PROBE_S = 0.1
@@ -28,18 +28,18 @@
 
 def document(version):
     """Return a configuration with the routes of all versions so far."""
-    made = fleets.configuration(version)
+    made = fleet_harness.configuration(version)
     made['routes'] += [
-        fleets.route(
+        fleet_harness.route(
             f'version-{number}',
             path_of(number),
             'idempotent',
-            fleets.PLAIN,
+            fleet_harness.PLAIN_SERVICE,
             anonymous=True,
         )
         for number in range(1, version + 1)
     ]
-    keys = [fleets.KEY, key_of(version)]
+    keys = [fleet_harness.API_KEY, key_of(version)]
     made['tenants'] = [{'name': 'workshop', 'api_keys': keys, 'priority': 0}]
     return made
 
@@ -105,7 +105,7 @@
 
 async def _ask(node, path, key):
     """Return the status, or 0 without an answer."""
-    caller = fleets.Caller((node.ip, node_world.FRONT_PORT))
+    caller = fleet_harness.Caller((node.ip, node_world.FRONT_PORT))
     try:
         answer = await caller.ask(path, b'body', key=key)
     except (OSError, TimeoutError):
--- a/tests/integration/node_world.py
+++ b/tests/integration/node_world.py
@@ -19,7 +19,7 @@
 from redwingvalve.http1 import server
 from redwingvalve.platform.standins import endpoint as fake_endpoint
 from redwingvalve.platform.standins import store as fake_store
-from redwingvalve.platform.tests import fleet as fleets
+from redwingvalve.platform.tests import fleet_harness
 from tests.integration import fault_proxy
 
 ROOT = pathlib.Path(__file__).parents[2]
@@ -99,7 +99,7 @@
             },
             'internal_ports': [PEER_PORT, PEER_PORT],
             'heartbeat_ms': 1200,
-            'bounds': fleets.BOUNDS,
+            'bounds': fleet_harness.BOUNDS,
             'platform': {'address': self.proxy.address},
         }
         self.settings_path.write_text(json.dumps(document))
@@ -164,11 +164,11 @@
 
     async def start(self, group):
         listening = await _listen(self.store)
-        self.store.put('config', 'main', fleets.configuration())
+        self.store.put('config', 'main', fleet_harness.configuration())
         for _ in range(ENGINES):
-            await self.add(fleets.ENGINE, 'domain-1')
+            await self.add(fleet_harness.ENGINE_SERVICE, 'domain-1')
         for _ in range(PLAIN):
-            await self.add(fleets.PLAIN)
+            await self.add(fleet_harness.PLAIN_SERVICE)
         for number in range(self._count):
             proxy = fault_proxy.FaultProxy(listening, group)
             await proxy.start()
--- a/tests/integration/test_node_soak.py
+++ b/tests/integration/test_node_soak.py
@@ -4,7 +4,7 @@
 import pytest
 
 from redwingvalve.platform.standins import endpoint as fake_endpoint
-from redwingvalve.platform.tests import fleet as fleets
+from redwingvalve.platform.tests import fleet_harness
 from tests.integration import node_soak, node_versions, node_world
 
 GUARD_S = 120
@@ -14,7 +14,7 @@
 # 45: a new holder of the lease ordered by what it had known before an outage.
 BROKEN_SEEDS = (45,)
 NODES = 4
-JOIN = {'operation': 'join', 'model': fleets.SMALL}
+JOIN = {'operation': 'join', 'model': fleet_harness.SMALL_MODEL}
 
 
 @pytest.mark.slow
@@ -49,7 +49,9 @@
 
 
 def test_a_quote_that_ran_twice_is_noticed(world):
-    endpoint = node_world.WatchedEndpoint(world, 'e1', fleets.PLAIN)
+    endpoint = node_world.WatchedEndpoint(
+        world, 'e1', fleet_harness.PLAIN_SERVICE
+    )
     world.endpoints['e1'] = endpoint
     endpoint.runs += [run_of(b'a1-1'), run_of(b'a1-1')]
     tally = served_tally()
@@ -58,7 +60,9 @@
 
 
 def test_a_refusal_that_is_not_true_is_noticed(world):
-    endpoint = node_world.WatchedEndpoint(world, 'e1', fleets.PLAIN)
+    endpoint = node_world.WatchedEndpoint(
+        world, 'e1', fleet_harness.PLAIN_SERVICE
+    )
     world.endpoints['e1'] = endpoint
     endpoint.runs.append(run_of(b'a1-1'))
     tally = served_tally()
@@ -76,7 +80,9 @@
 
     async def scenario():
         for name in ('e1', 'e2'):
-            one = node_world.WatchedEndpoint(world, name, fleets.ENGINE)
+            one = node_world.WatchedEndpoint(
+                world, name, fleet_harness.ENGINE_SERVICE
+            )
             world.endpoints[name] = one
             one._join(
                 {**JOIN, 'group': 'g', 'epoch': 1, 'members': ['e1', 'e2']}
@@ -100,9 +106,11 @@
 def test_another_answer_is_noticed(world, status, body, is_breach):
     tally = node_soak.Tally()
     caller = node_soak.Caller(world, tally, world.chance)
-    caller.connection = fleets.Caller(('127.0.0.1', 1))
-    attempt = caller.connection.attempt(0)
-    answer = fleets.Answer(status, {}, body.replace(b'%b', attempt), 'whole')
+    caller.connection = fleet_harness.Caller(('127.0.0.1', 1))
+    attempt = caller.connection.attempt_id(0)
+    answer = fleet_harness.Response(
+        status, {}, body.replace(b'%b', attempt), 'whole'
+    )
     caller._judge('card', answer)
     assert bool(tally.breaches) == is_breach
 
