--- a/redwingvalve/node/gauges.py
+++ b/redwingvalve/node/gauges.py
@@ -18,7 +18,7 @@
 # Between two measurements of the event loop's delay.
 LOOP_DELAY_INTERVAL_S = 0.5
 _STATM = pathlib.Path('/proc/self/statm')
-_Readings = list[node_metrics.Reading]
+_Samples = list[node_metrics.Sample]
 
 
 @attrs.define(eq=False)
@@ -57,33 +57,33 @@
             late_s = time.monotonic() - due_s
             self._loop_delay_s = max(self._loop_delay_s, late_s)
 
-    def _configuration_version(self) -> _Readings:
+    def _configuration_version(self) -> _Samples:
         configuration = self.state.configuration
-        return _single_reading(configuration.version if configuration else 0)
+        return _single_sample(configuration.version if configuration else 0)
 
-    def _lease_held(self) -> _Readings:
-        return _single_reading(float(self.lease.is_held()))
+    def _lease_held(self) -> _Samples:
+        return _single_sample(float(self.lease.is_held()))
 
-    def _lease_term(self) -> _Readings:
-        return _single_reading(self.lease.term)
+    def _lease_term(self) -> _Samples:
+        return _single_sample(self.lease.term)
 
-    def _nodes_alive(self) -> _Readings:
-        return _single_reading(1 + len(self.peers.alive()))
+    def _nodes_alive(self) -> _Samples:
+        return _single_sample(1 + len(self.peers.alive()))
 
-    def _targets(self) -> _Readings:
+    def _targets(self) -> _Samples:
         table = self.table
         return self._by_model(lambda *model: len(table.of(*model)))
 
-    def _requests_in_progress(self) -> _Readings:
+    def _requests_in_progress(self) -> _Samples:
         return self._by_model(self.state.in_use)
 
-    def _requests_waiting(self) -> _Readings:
+    def _requests_waiting(self) -> _Samples:
         return self._by_model(self.state.waiting)
 
-    def _retries_left(self) -> _Readings:
+    def _retries_left(self) -> _Samples:
         now_s = time.monotonic()
         return [
-            node_metrics.Reading(
+            node_metrics.Sample(
                 self.state.window(service.name).left(
                     now_s, self.state.node_count
                 ),
@@ -92,16 +92,16 @@
             for service in self._services()
         ]
 
-    def _take_loop_delay(self) -> _Readings:
+    def _take_loop_delay(self) -> _Samples:
         late_s = self._loop_delay_s
         self._loop_delay_s = 0
-        return _single_reading(late_s)
+        return _single_sample(late_s)
 
     def _services(self) -> list[routes.Service]:
         configuration = self.state.configuration
         return list(configuration.services.values()) if configuration else []
 
-    def _by_model(self, read: typing.Callable[[str, str], float]) -> _Readings:
+    def _by_model(self, read: typing.Callable[[str, str], float]) -> _Samples:
         """Read a value per service and model ('' for a service without)."""
         found = []
         for service in self._services():
@@ -109,14 +109,14 @@
             for name in [model.name for model in models] or ['']:
                 labels = (('service', service.name), ('model', name))
                 count = read(service.name, name)
-                found.append(node_metrics.Reading(count, labels))
+                found.append(node_metrics.Sample(count, labels))
         return found
 
 
-def _single_reading(value: float) -> _Readings:
-    return [node_metrics.Reading(value)]
+def _single_sample(value: float) -> _Samples:
+    return [node_metrics.Sample(value)]
 
 
-def _memory() -> _Readings:
+def _memory() -> _Samples:
     pages = int(_STATM.read_text().split()[1])
-    return _single_reading(pages * resource.getpagesize())
+    return _single_sample(pages * resource.getpagesize())
--- a/redwingvalve/node/log_drop_reporter.py
+++ b/redwingvalve/node/log_drop_reporter.py
@@ -10,12 +10,12 @@
 FLUSH_INTERVAL_S = 0.5
 
 
-async def run(handler: bounded_logs.BoundedHandler | None) -> None:
+async def run(handler: bounded_logs.NonBlockingHandler | None) -> None:
     """Flush held-back lines and log counts of dropped ones until cancelled."""
     while handler is not None:
         await anyio.sleep(FLUSH_INTERVAL_S)
         handler.flush()
-        counts = handler.take_counts()
+        counts = handler.take_drop_counts()
         if counts is not None:
             LOG.info(
                 'log lines left out',
--- a/redwingvalve/platform/tests/test_decoding.py
+++ b/redwingvalve/platform/tests/test_decoding.py
@@ -58,7 +58,7 @@
     ],
 )
 def test_an_odd_entry_names_no_endpoint(odd):
-    with pytest.raises(entries.EntryError):
+    with pytest.raises(entries.EndpointEntryError):
         entries.decode_endpoint(stored({**ENTRY, **odd}))
 
 
@@ -81,7 +81,7 @@
 def test_any_entry_is_decoded_or_refused(odd):
     try:
         entries.decode_endpoint(stored({**ENTRY, **odd}))
-    except entries.EntryError:
+    except entries.EndpointEntryError:
         return
 
 
@@ -157,7 +157,7 @@
     caller = caller_requests.read_request(request)
     assert (caller.prompt_tokens, caller.answer_tokens) == (10, 20)
     assert (caller.deadline_ms, caller.last_event) == (900, 12)
-    sending = caller_requests.Sending('i-1', 700, 'workshop', 3, 15)
+    sending = caller_requests.ForwardingHeaders('i-1', 700, 'workshop', 3, 15)
     sent = caller_requests.render_request(request, caller, sending)
     head, _, body = sent.partition(b'\r\n\r\n')
     lines = head.split(b'\r\n')
--- a/tests/integration/node_world.py
+++ b/tests/integration/node_world.py
@@ -17,9 +17,9 @@
 import attrs
 
 from redwingvalve.http1 import server
-from redwingvalve.platform.standins import endpoint as platform_endpoint
-from redwingvalve.platform.standins import store as platform_store
-from redwingvalve.platform.tests import fleet as fleets
+from redwingvalve.platform.standins import endpoint as fake_endpoint
+from redwingvalve.platform.standins import store as fake_store
+from redwingvalve.platform.tests import fleet_harness
 from tests.integration import fault_proxy
 
 ROOT = pathlib.Path(__file__).parents[2]
@@ -35,7 +35,7 @@
 _SERVES = frozenset(('open', 'closing'))
 
 
-class WatchedEndpoint(platform_endpoint.PlatformEndpoint):
+class WatchedEndpoint(fake_endpoint.FakeEndpoint):
     """An endpoint that knows when an order breaks a promise."""
 
     def __init__(self, world, name, service, domain=''):
@@ -57,7 +57,7 @@
         super().crash()
         if head is not None and head is not self:
             # It goes on accepting requests, and nothing moves.
-            head.faults.stands_still = True
+            head.faults.is_stalled = True
 
     def _join(self, order):
         old = self.group
@@ -71,7 +71,7 @@
             )
         status = super()._join(order)
         if status == 202:
-            self.faults.stands_still = False
+            self.faults.is_stalled = False
         return status
 
 
@@ -99,7 +99,7 @@
             },
             'internal_ports': [PEER_PORT, PEER_PORT],
             'heartbeat_ms': 1200,
-            'bounds': fleets.BOUNDS,
+            'bounds': fleet_harness.BOUNDS,
             'platform': {'address': self.proxy.address},
         }
         self.settings_path.write_text(json.dumps(document))
@@ -151,7 +151,7 @@
 
     def __init__(self, seed, nodes, folder):
         self.chance = random.Random(seed)
-        self.store = platform_store.PlatformStore()
+        self.store = fake_store.FakeStore()
         self.endpoints = {}
         self.nodes = []
         self.breaches = []
@@ -164,11 +164,11 @@
 
     async def start(self, group):
         listening = await _listen(self.store)
-        self.store.put('config', 'main', fleets.configuration())
+        self.store.put('config', 'main', fleet_harness.configuration())
         for _ in range(ENGINES):
-            await self.add(fleets.ENGINE, 'domain-1')
+            await self.add(fleet_harness.ENGINE_SERVICE, 'domain-1')
         for _ in range(PLAIN):
-            await self.add(fleets.PLAIN)
+            await self.add(fleet_harness.PLAIN_SERVICE)
         for number in range(self._count):
             proxy = fault_proxy.FaultProxy(listening, group)
             await proxy.start()
