--- a/redwingvalve/allocation/hold_table.py
+++ b/redwingvalve/allocation/hold_table.py
@@ -99,7 +99,7 @@
             self.release(key)
         return bool(found)
 
-    def drop_lapsed(self, now_s: float) -> bool:
+    def drop_expired(self, now_s: float) -> bool:
         """Free the places of holders that fell silent; return if any."""
         lapsed = [
             key
--- a/redwingvalve/allocation/pool.py
+++ b/redwingvalve/allocation/pool.py
@@ -106,7 +106,7 @@
     def tick(self) -> None:
         """Forget what is over, and let those that wait look again."""
         now_s = self.clock()
-        self.holds.drop_lapsed(now_s)
+        self.holds.drop_expired(now_s)
         self._refused_until_s = _unexpired(self._refused_until_s, now_s)
         self._slow_until_s = _unexpired(self._slow_until_s, now_s)
         self._unsure = [one for one in self._unsure if one.until_s > now_s]
--- a/redwingvalve/allocation/tests/test_hold_table.py
+++ b/redwingvalve/allocation/tests/test_hold_table.py
@@ -47,7 +47,7 @@
     table.hold((NODE, 1), 'e1', 0.0)
     table.hold((OTHER, 1), 'e1', 0.0)
     table.confirm(OTHER, {1: 'e1'}, 1.5)
-    table.drop_lapsed(hold_table.LAPSE_S + 0.1)
+    table.drop_expired(hold_table.LAPSE_S + 0.1)
     assert table.count('e1') == 1
 
 
@@ -77,7 +77,7 @@
         elif step == 'confirm':
             table.confirm(sender, {number: endpoint_id}, now_s)
         else:
-            table.drop_lapsed(now_s)
+            table.drop_expired(now_s)
         held = [
             table.find((one, other)).endpoint_id
             for one in (NODE, OTHER)
@@ -88,5 +88,5 @@
         assert all(
             table.count(name) == held.count(name) for name in ('e1', 'e2')
         )
-    table.drop_lapsed(now_s + hold_table.LAPSE_S + 0.1)
+    table.drop_expired(now_s + hold_table.LAPSE_S + 0.1)
     assert not len(table)
--- a/redwingvalve/fleet/demand.py
+++ b/redwingvalve/fleet/demand.py
@@ -35,7 +35,7 @@
         """Start without requests."""
         self._used: dict[str, _Use] = {}
 
-    def note(self, model: str, places: float, now_s: float) -> None:
+    def record(self, model: str, places: float, now_s: float) -> None:
         """Take the places in use and the requests that wait for one."""
         peak = max(places, self._faded(model, now_s))
         self._used[model] = _Use(peak, now_s)
--- a/redwingvalve/fleet/endpoints.py
+++ b/redwingvalve/fleet/endpoints.py
@@ -97,7 +97,7 @@
     return name.split('.', 1)[0]
 
 
-def find_replicas(endpoints: list[Endpoint]) -> dict[str, list[Replica]]:
+def group_replicas(endpoints: list[Endpoint]) -> dict[str, list[Replica]]:
     """Return the replicas of each service, whole or not."""
     members: dict[tuple[str, str, int], list[Endpoint]] = {}
     for endpoint in endpoints:
--- a/redwingvalve/fleet/history.py
+++ b/redwingvalve/fleet/history.py
@@ -19,18 +19,18 @@
 
 
 @attrs.define(eq=False)
-class Past:
+class ReplicaRecord:
     """What is known of one forming of a replica."""
 
     # None if it was never seen with all its members.
     whole: endpoints.Replica | None
     seen_s: float
-    head_gone_s: float | None = None
+    head_missing_since_s: float | None = None
     has_served: bool = False
     # All members were ready at once: an order to open it may be under way.
     was_ready: bool = False
     # Its head is known to serve no more.
-    is_ended: bool = False
+    is_head_stopped: bool = False
 
 
 class ReplicaHistory:
@@ -38,9 +38,9 @@
 
     def __init__(self) -> None:
         """Start with none."""
-        self._past: dict[Key, Past] = {}
+        self._past: dict[Key, ReplicaRecord] = {}
 
-    def note(
+    def update(
         self,
         replicas: list[endpoints.Replica],
         engine: routes.Engine,
@@ -48,7 +48,7 @@
     ) -> None:
         """Take replicas as they are seen now."""
         for replica in replicas:
-            self._note_one(replica, engine, now_s)
+            self._update_one(replica, engine, now_s)
         forgotten = [
             key
             for key, past in self._past.items()
@@ -57,21 +57,21 @@
         for key in forgotten:
             self._past.pop(key)
 
-    def of(self, key: Key) -> Past | None:
+    def get(self, key: Key) -> ReplicaRecord | None:
         """Return what is known of a replica."""
         return self._past.get(key)
 
-    def _note_one(
+    def _update_one(
         self, replica: endpoints.Replica, engine: routes.Engine, now_s: float
     ) -> None:
-        past = self._past.setdefault(replica.key, Past(None, now_s))
+        past = self._past.setdefault(replica.key, ReplicaRecord(None, now_s))
         past.seen_s = now_s
         head = replica.head
         if head is None:
-            if past.head_gone_s is None:
-                past.head_gone_s = now_s
+            if past.head_missing_since_s is None:
+                past.head_missing_since_s = now_s
             return
-        past.head_gone_s = None
+        past.head_missing_since_s = None
         past.has_served = past.has_served or head.membership.state in _ACTIVE
         model = engine.find_model(replica.model)
         if model is None or len(replica.members) != model.size:
--- a/redwingvalve/fleet/planning.py
+++ b/redwingvalve/fleet/planning.py
@@ -32,7 +32,7 @@
 Domains: typing.TypeAlias = dict[str, list[endpoints.Endpoint]]
 
 
-def by_domain(
+def group_by_domain(
     found: collections_abc.Iterable[endpoints.Endpoint],
 ) -> Domains:
     """Return endpoints by fabric domain, each in the order of their ids."""
@@ -42,7 +42,7 @@
     return domains
 
 
-def deal_models(
+def assign_models(
     domains: Domains, models: tuple[routes.Model, ...]
 ) -> dict[str, str]:
     """Return a model for each empty endpoint of a fleet that starts.
@@ -118,7 +118,7 @@
 
 
 @attrs.frozen
-class Stock:
+class ModelInventory:
     """How many VMs have or load each model, beside what it needs."""
 
     held: tuple[tuple[endpoints.Endpoint, str], ...]
@@ -164,9 +164,9 @@
         )
 
 
-def newcomer_model(
+def model_to_load(
     endpoint: endpoints.Endpoint,
-    stock: Stock,
+    stock: ModelInventory,
     models: tuple[routes.Model, ...],
 ) -> str:
     """Return the model that an empty VM should load."""
@@ -175,9 +175,9 @@
     ).name
 
 
-def surplus_spare(
+def pick_spare_to_reload(
     spares: list[endpoints.Endpoint],
-    stock: Stock,
+    stock: ModelInventory,
     models: tuple[routes.Model, ...],
 ) -> tuple[endpoints.Endpoint, str] | None:
     """Return a spare of a model that is well off, and what it should load.
@@ -228,7 +228,7 @@
     """
     best: tuple[endpoints.Endpoint, ...] | None = None
     best_cold = 0
-    for members in by_domain(free).values():
+    for members in group_by_domain(free).values():
         if len(members) < model.size:
             continue
         warm_first = [one for one in members if is_warm(one)]
@@ -242,27 +242,27 @@
 
 
 @attrs.define
-class LoadBudget:
+class LoadLimiter:
     """Loads from the weight store: so many a second and so many at once."""
 
-    per_s: float
-    at_once: int
+    rate_per_s: float
+    max_concurrent: int
     tokens: float = 0.0
     filled_s: float | None = None
     running_until_s: list[float] = attrs.field(factory=list)
 
-    def try_take(self, now_s: float, load_s: float) -> bool:
+    def try_acquire(self, now_s: float, load_s: float) -> bool:
         """Count one more load if it may begin now."""
         if self.filled_s is None:
             self.filled_s = now_s
-        self.tokens += (now_s - self.filled_s) * self.per_s
+        self.tokens += (now_s - self.filled_s) * self.rate_per_s
         # Saved tokens would let more begin within a second than allowed.
-        self.tokens = min(self.tokens, self.per_s / 2)
+        self.tokens = min(self.tokens, self.rate_per_s / 2)
         self.filled_s = now_s
         self.running_until_s = [
             until_s for until_s in self.running_until_s if until_s > now_s
         ]
-        if self.tokens < 1 or len(self.running_until_s) >= self.at_once:
+        if self.tokens < 1 or len(self.running_until_s) >= self.max_concurrent:
             return False
         self.tokens -= 1
         self.running_until_s.append(now_s + load_s)
--- a/redwingvalve/fleet/registry.py
+++ b/redwingvalve/fleet/registry.py
@@ -38,7 +38,7 @@
     ) -> None:
         """Start without endpoints."""
         self.live: dict[str, endpoints.Endpoint] = {}
-        self.is_known = False
+        self.is_synced = False
         self.on_change: list[collections_abc.Callable[[], None]] = []
         self._clock = clock
         self._lapsed: dict[str, _Lapsed] = {}
@@ -54,7 +54,7 @@
             self._lapse(name)
         for endpoint in found.values():
             self._take(endpoint)
-        self.is_known = True
+        self.is_synced = True
         self._tell()
 
     def on_changes(self, changes: list[store.Change]) -> None:
@@ -68,7 +68,9 @@
         """Note that the store gives no usable answers."""
         self._trouble_s = self._clock()
 
-    def may_leave(self, endpoint: endpoints.Endpoint, within_s: float) -> bool:
+    def may_be_leaving(
+        self, endpoint: endpoints.Endpoint, within_s: float
+    ) -> bool:
         """Return whether an endpoint may be leaving rather than dead.
 
         It said so, or the store has been away within within_s and could not
@@ -95,7 +97,7 @@
         """Return the lives that the store tells of."""
         return {endpoint.incarnation for endpoint in self.usable()}
 
-    def drop_lapsed(self) -> None:
+    def drop_expired(self) -> None:
         """Forget endpoints that did not come back in time."""
         until_s = self._clock() - LAPSE_GRACE_S
         gone = [
--- a/redwingvalve/fleet/serving.py
+++ b/redwingvalve/fleet/serving.py
@@ -40,14 +40,18 @@
         self.on_suspect = None
         self.on_doubt: collections_abc.Callable[[str, str], None] | None
         self.on_doubt = None
-        self.on_clear: collections_abc.Callable[[str, int], None] | None
-        self.on_clear = None
-        self.on_tell_sound: collections_abc.Callable[[str, int], None] | None
-        self.on_tell_sound = None
-        self.on_told_sound: collections_abc.Callable[[str, float], None] | None
-        self.on_told_sound = None
-        self.on_sound: collections_abc.Callable[[str, float], None] | None
-        self.on_sound = None
+        self.on_cleared: collections_abc.Callable[[str, int], None] | None
+        self.on_cleared = None
+        self.on_announce_healthy: (
+            collections_abc.Callable[[str, int], None] | None
+        )
+        self.on_announce_healthy = None
+        self.on_reported_healthy: (
+            collections_abc.Callable[[str, float], None] | None
+        )
+        self.on_reported_healthy = None
+        self.on_reinstated: collections_abc.Callable[[str, float], None] | None
+        self.on_reinstated = None
         self.on_rebuilt: collections_abc.Callable[[], None] | None = None
         self._registry = registry
         self._configuration: routes.Configuration | None = None
@@ -78,7 +82,7 @@
         now_s = time.monotonic()
         suspicion = Suspicion(endpoint_id, epoch, now_s + wait_s, now_s)
         self._own.add(endpoint_id)
-        if self.take_suspicion(suspicion):
+        if self.add_suspicion(suspicion):
             node_metrics.METRICS.count('redwingvalve_suspicions')
             LOG.warning(
                 'endpoint out of use',
@@ -98,7 +102,7 @@
         elif not self.is_suspect(endpoint_id):
             self.on_doubt(endpoint_id, reason)
 
-    def take_suspicion(self, suspicion: Suspicion) -> bool:
+    def add_suspicion(self, suspicion: Suspicion) -> bool:
         """Take an endpoint out of use; return whether that is new."""
         known = self._suspicions.get(suspicion.endpoint_id)
         is_known = known is not None and known.epoch >= suspicion.epoch
@@ -108,41 +112,41 @@
         self.rebuild()
         return True
 
-    def found_sound(self, endpoint_id: str) -> None:
+    def mark_healthy(self, endpoint_id: str) -> None:
         """Put an endpoint back into use here and elsewhere."""
         suspicion = self._suspicions.get(endpoint_id)
-        if suspicion is not None and self.on_clear is not None:
-            self.on_clear(endpoint_id, suspicion.epoch)
-        self.clear(endpoint_id)
+        if suspicion is not None and self.on_cleared is not None:
+            self.on_cleared(endpoint_id, suspicion.epoch)
+        self.clear_suspicion(endpoint_id)
 
-    def tell_sound(self, endpoint_id: str) -> None:
+    def announce_healthy(self, endpoint_id: str) -> None:
         """Let other nodes know that an endpoint in use was found sound."""
         endpoint = self._registry.live.get(endpoint_id)
         if endpoint is None or endpoint.membership is None:
             return
-        if self.on_tell_sound is not None:
-            self.on_tell_sound(endpoint_id, endpoint.membership.epoch)
+        if self.on_announce_healthy is not None:
+            self.on_announce_healthy(endpoint_id, endpoint.membership.epoch)
 
-    def clear(self, endpoint_id: str) -> None:
+    def clear_suspicion(self, endpoint_id: str) -> None:
         """Put an endpoint back into use."""
         self._own.discard(endpoint_id)
         if self._suspicions.pop(endpoint_id, None) is None:
             return
-        if self.on_sound is not None:
-            self.on_sound(endpoint_id, time.monotonic())
+        if self.on_reinstated is not None:
+            self.on_reinstated(endpoint_id, time.monotonic())
         self.rebuild()
 
-    def clear_older(
+    def clear_if_older(
         self, endpoint_id: str, epoch: int, cleared_s: float
     ) -> None:
         """Put an endpoint back into use unless it is suspect anew."""
-        if self.on_told_sound is not None:
-            self.on_told_sound(endpoint_id, cleared_s)
+        if self.on_reported_healthy is not None:
+            self.on_reported_healthy(endpoint_id, cleared_s)
         suspicion = self._suspicions.get(endpoint_id)
         if suspicion is None or suspicion.epoch > epoch:
             return
         if suspicion.since_s < cleared_s:
-            self.clear(endpoint_id)
+            self.clear_suspicion(endpoint_id)
 
     def replica_of(self, head_id: str) -> endpoints.Replica | None:
         """Return the replica of a head with all its members, if known."""
@@ -151,7 +155,7 @@
             return None
         return self._whole.get(head.membership.key)
 
-    def own_suspicions(self) -> list[Suspicion]:
+    def local_suspicions(self) -> list[Suspicion]:
         """Return suspicions that this node itself holds."""
         now_s = time.monotonic()
         return [
@@ -179,7 +183,7 @@
             return
         usable = self._registry.usable()
         by_id = {endpoint.endpoint_id: endpoint for endpoint in usable}
-        replicas = endpoints.find_replicas(usable)
+        replicas = endpoints.group_replicas(usable)
         targets: dict[tuple[str, str], tuple[placing.Target, ...]] = {}
         for service in configuration.services.values():
             if service.engine is None:
--- a/redwingvalve/fleet/tests/test_losses_played.py
+++ b/redwingvalve/fleet/tests/test_losses_played.py
@@ -43,7 +43,7 @@
 
     def start(self):
         found = [self.vm(domain) for domain in self.domains for _ in range(10)]
-        dealt = planning.deal_models(planning.by_domain(found), MODELS)
+        dealt = planning.assign_models(planning.group_by_domain(found), MODELS)
         for one in found:
             staged = (dealt[one.endpoint_id],)
             self.free[one.endpoint_id] = attrs.evolve(one, staged=staged)
@@ -102,7 +102,7 @@
             if not one.staged and one.endpoint_id not in self.loading
         ]
         for one in empty:
-            name = planning.newcomer_model(one, self.stock(needed), MODELS)
+            name = planning.model_to_load(one, self.stock(needed), MODELS)
             self._load(one, name)
         if empty:
             return
@@ -111,7 +111,9 @@
             for one in self.free.values()
             if one.endpoint_id not in self.loading
         ]
-        moved = planning.surplus_spare(spares, self.stock(needed), MODELS)
+        moved = planning.pick_spare_to_reload(
+            spares, self.stock(needed), MODELS
+        )
         if moved is not None:
             self._load(*moved)
 
@@ -131,7 +133,7 @@
         for one in self.free.values():
             name = self.loading.get(one.endpoint_id, ('', 0))[0]
             held.append((one, name or (one.staged or ('',))[-1]))
-        return planning.Stock(tuple(held), needed)
+        return planning.ModelInventory(tuple(held), needed)
 
     def count(self):
         for model in MODELS:
--- a/redwingvalve/fleet/tests/test_planning.py
+++ b/redwingvalve/fleet/tests/test_planning.py
@@ -30,8 +30,8 @@
 
 
 def test_each_domain_is_dealt_one_model_by_share():
-    found = planning.by_domain(fleet(6, 10))
-    dealt = planning.deal_models(found, (LARGE, SMALL))
+    found = planning.group_by_domain(fleet(6, 10))
+    dealt = planning.assign_models(found, (LARGE, SMALL))
     by_domain = [
         {dealt[one.endpoint_id] for one in members}
         for members in found.values()
@@ -41,8 +41,8 @@
 
 
 def test_a_fleet_of_one_domain_serves_all_models():
-    found = planning.by_domain(fleet(1, 10))
-    dealt = planning.deal_models(found, (LARGE, SMALL))
+    found = planning.group_by_domain(fleet(1, 10))
+    dealt = planning.assign_models(found, (LARGE, SMALL))
     names = list(dealt.values())
     assert names.count('large') >= 4 and names.count('small') >= 2
 
@@ -55,8 +55,8 @@
 )
 def test_dealing_gives_each_vm_one_model_at_most(domains, size, large, share):
     models = (model('large', large, share), model('small', 1, 1 - share))
-    found = planning.by_domain(fleet(domains, size))
-    dealt = planning.deal_models(found, models)
+    found = planning.group_by_domain(fleet(domains, size))
+    dealt = planning.assign_models(found, models)
     assert set(dealt) <= {f'e{number:03}' for number in range(domains * size)}
     assert set(dealt.values()) <= {'large', 'small'}
 
@@ -77,13 +77,13 @@
     held += [
         (vm(100 + number, 'd2', ('large',)), 'large') for number in range(large)
     ]
-    return planning.Stock(
+    return planning.ModelInventory(
         tuple(held), needed_vms or {'large': 0.5, 'small': 0.5}
     )
 
 
 def test_a_newcomer_loads_what_the_fleet_lacks_most():
-    found = planning.newcomer_model(vm(99, 'd2'), stock(8, 30), (LARGE, SMALL))
+    found = planning.model_to_load(vm(99, 'd2'), stock(8, 30), (LARGE, SMALL))
     assert found == 'large'
 
 
@@ -94,10 +94,10 @@
     66: the small model runs out first, though it has more replicas.
     """
     uses = demand.ModelDemand()
-    uses.note('large', 20, 0.0)
-    uses.note('small', 66, 0.0)
+    uses.record('large', 20, 0.0)
+    uses.record('small', 66, 0.0)
     needed = uses.needed_vms((LARGE, SMALL), 9)
-    found = planning.newcomer_model(
+    found = planning.model_to_load(
         vm(99, 'd2'), stock(26, 20, needed), (LARGE, SMALL)
     )
     assert found == 'small'
@@ -116,15 +116,15 @@
         for number in range(7)
     ]
     held += [(vm(100 + one, 'd4', ('small',)), 'small') for one in range(16)]
-    found = planning.Stock(tuple(held), {'large': 9.8, 'small': 16.0})
-    chosen = planning.newcomer_model(vm(99, 'd1'), found, (LARGE, SMALL))
+    found = planning.ModelInventory(tuple(held), {'large': 9.8, 'small': 16.0})
+    chosen = planning.model_to_load(vm(99, 'd1'), found, (LARGE, SMALL))
     assert chosen == 'large'
 
 
 def test_a_spare_of_a_rich_model_loads_a_poor_one():
     spares = [vm(100 + number, 'd2', ('large',)) for number in range(2)]
     needed = {'large': 9.0, 'small': 18.0}
-    moved = planning.surplus_spare(
+    moved = planning.pick_spare_to_reload(
         spares, stock(26, 20, needed), (LARGE, SMALL)
     )
     assert moved is not None and moved[1] == 'small'
@@ -145,33 +145,33 @@
     spares = [vm(100 + one, 'd2', ('large',)) for one in range(spare_count)]
     needed = {'large': 9.0, 'small': 18.0}
     held = stock(large, small, needed)
-    assert planning.surplus_spare(spares, held, (LARGE, SMALL)) is None
+    assert planning.pick_spare_to_reload(spares, held, (LARGE, SMALL)) is None
 
 
 def test_demand_keeps_the_peak_of_a_wave():
     uses = demand.ModelDemand()
-    uses.note('small', 90, 0.0)
-    uses.note('small', 30, 5.0)
+    uses.record('small', 90, 0.0)
+    uses.record('small', 30, 5.0)
     assert 50 < uses.needed_vms((SMALL,), 9)['small'] / 2 * 9 < 60
-    uses.note('small', 30, 60.0)
+    uses.record('small', 30, 60.0)
     assert round(uses.needed_vms((SMALL,), 9)['small'] / 2 * 9) == 30
 
 
 def test_before_traffic_shares_count():
     uses = demand.ModelDemand()
-    uses.note('small', 1, 0.0)
+    uses.record('small', 1, 0.0)
     assert uses.needed_vms((LARGE, SMALL), 9) == {'large': 0.5, 'small': 0.5}
 
 
 def test_loads_keep_to_the_stores_rate():
     """No more begin in any five seconds than the store allows, and so many
     at once."""
-    budget = planning.LoadBudget(per_s=5.0, at_once=100)
+    budget = planning.LoadLimiter(rate_per_s=5.0, max_concurrent=100)
     begun = []
     now_s = 0.0
     chance = random.Random(1)
     while now_s < 30:
-        if budget.try_take(now_s, 16.0):
+        if budget.try_acquire(now_s, 16.0):
             begun.append(now_s)
         now_s += chance.uniform(0, 0.05)
     for start_s in begun:
@@ -181,8 +181,10 @@
 
 
 def test_loads_at_once_are_bounded():
-    budget = planning.LoadBudget(per_s=100.0, at_once=7)
-    assert not budget.try_take(0.0, 16.0)
-    taken = sum(budget.try_take(1 + number / 100, 16.0) for number in range(50))
+    budget = planning.LoadLimiter(rate_per_s=100.0, max_concurrent=7)
+    assert not budget.try_acquire(0.0, 16.0)
+    taken = sum(
+        budget.try_acquire(1 + number / 100, 16.0) for number in range(50)
+    )
     assert taken == 7
-    assert budget.try_take(20.0, 16.0)
+    assert budget.try_acquire(20.0, 16.0)
--- a/redwingvalve/node/control_loop.py
+++ b/redwingvalve/node/control_loop.py
@@ -47,7 +47,7 @@
         while True:
             await self._pause()
             configuration = self.state.configuration
-            if configuration is None or not self.registry.is_known:
+            if configuration is None or not self.registry.is_synced:
                 continue
             for service in configuration.services.values():
                 if service.engine is not None:
--- a/redwingvalve/node/controller.py
+++ b/redwingvalve/node/controller.py
@@ -92,8 +92,8 @@
         live = self._live()
         for endpoint in live:
             self._scheduler.note(endpoint)
-        replicas = endpoints.find_replicas(live).get(self._service, [])
-        self._history.note(replicas, engine, clock.boot_s())
+        replicas = endpoints.group_replicas(live).get(self._service, [])
+        self._history.update(replicas, engine, clock.boot_s())
 
     def reconcile(self, engine: routes.Engine) -> None:
         """Start what is to be done now."""
@@ -101,7 +101,7 @@
         if not self._is_settled(live):
             return
         self._scheduler.term = self.term
-        replicas = endpoints.find_replicas(live).get(self._service, [])
+        replicas = endpoints.group_replicas(live).get(self._service, [])
         for replica in replicas:
             self._look_at(replica, engine)
         free = self._free(live, replicas)
@@ -115,7 +115,7 @@
         now_s = clock.boot_s()
         for model in engine.models:
             places = self._in_use(self._service, model.name)
-            self._demand.note(model.name, places, now_s)
+            self._demand.record(model.name, places, now_s)
         return self._demand.needed_vms(engine.models, engine.slots)
 
     def _is_early(self) -> bool:
@@ -165,7 +165,7 @@
         if now_s - asked_s < again_s:
             return
         self._inspected_s[replica.key] = now_s
-        past = self._history.of(replica.key)
+        past = self._history.get(replica.key)
         known = past.whole if past and past.whole else replica
         self._tasks.start(known.members, self._inspect(known))
 
@@ -181,7 +181,7 @@
 
     async def _settle(self, replica: endpoints.Replica) -> None:
         """Open a replica that is ready, or see to it that it never opens."""
-        past = self._history.of(replica.key)
+        past = self._history.get(replica.key)
         known = past.whole if past is not None else None
         is_whole = known and len(known.members) == len(replica.members)
         if is_whole and await self._orders.open_ready(replica):
@@ -190,9 +190,9 @@
             self._mark_ended(replica.key)
 
     def _mark_ended(self, key: replica_orders.Key) -> None:
-        past = self._history.of(key)
+        past = self._history.get(key)
         if past is not None:
-            past.is_ended = True
+            past.is_head_stopped = True
 
     async def _inspect(self, replica: endpoints.Replica) -> None:
         is_whole = await self._orders.inspect(replica.members)
@@ -200,7 +200,7 @@
             self._mark_ended(replica.key)
             return
         LOG.info('replica is whole', extra={'replica': replica.name})
-        self._table.found_sound(replica.members[0].endpoint_id)
+        self._table.mark_healthy(replica.members[0].endpoint_id)
 
     def _free(
         self,
@@ -235,8 +235,12 @@
         """
         if head.membership.state in _ACTIVE:
             return True
-        past = self._history.of(replica.key)
-        if past is None or past.is_ended or not self._was_ready(past, replica):
+        past = self._history.get(replica.key)
+        if (
+            past is None
+            or past.is_head_stopped
+            or not self._was_ready(past, replica)
+        ):
             return False
         if head.membership.state is endpoints.MemberState.BROKEN:
             return False
@@ -245,7 +249,7 @@
         return True
 
     def _was_ready(
-        self, past: history.Past, replica: endpoints.Replica
+        self, past: history.ReplicaRecord, replica: endpoints.Replica
     ) -> bool:
         # The states in between may pass too fast to be seen.
         return past.was_ready or replica.key in self._orders.told_to_open
@@ -254,10 +258,14 @@
         head = replica.head
         if head is not None:
             return self._may_open(replica, head)
-        past = self._history.of(replica.key)
-        if past is None or past.is_ended or past.head_gone_s is None:
+        past = self._history.get(replica.key)
+        if (
+            past is None
+            or past.is_head_stopped
+            or past.head_missing_since_s is None
+        ):
             return False
-        gone_s = past.head_gone_s
+        gone_s = past.head_missing_since_s
         is_seen_ready = past.has_served or self._was_ready(past, replica)
         if past.whole is None or not is_seen_ready:
             # Nobody here knows the head, or saw it get ready: it may have
--- a/redwingvalve/node/daemon.py
+++ b/redwingvalve/node/daemon.py
@@ -107,10 +107,10 @@
 
     async def run(self, stop: anyio.Event) -> None:
         """Run until stop is set, and then until all requests have ended."""
-        self.table.on_sound = self.state.silence.found_sound
+        self.table.on_reinstated = self.state.silence.found_sound
         self.table.on_rebuilt = self.allocation.allocator.tick
         self.table.on_doubt = self.detector.doubt
-        self.table.on_told_sound = self.detector.told_sound
+        self.table.on_reported_healthy = self.detector.told_sound
         self.watches = self._make_watches()
         self.control = self._make_control()
         self.lease.on_acquired = self._lease_taken
@@ -172,7 +172,7 @@
         has_routes = self.state.configuration is not None
         return (
             has_routes
-            and self.registry.is_known
+            and self.registry.is_synced
             and self.peer_discovery.is_complete
         )
 
--- a/redwingvalve/node/endpoint_scheduler.py
+++ b/redwingvalve/node/endpoint_scheduler.py
@@ -43,7 +43,7 @@
         self._number = 0
         self._loading: dict[tuple[str, int], _Loading] = {}
         self._last_model: dict[tuple[str, int], str] = {}
-        self._loads: planning.LoadBudget | None = None
+        self._loads: planning.LoadLimiter | None = None
 
     def note(self, endpoint: endpoints.Endpoint) -> None:
         """Remember the model of an endpoint's last replica."""
@@ -59,12 +59,14 @@
             for one in free
             if not one.staged and one.incarnation not in self._loading
         ]
-        dealt = planning.deal_models(planning.by_domain(empty), engine.models)
+        dealt = planning.assign_models(
+            planning.group_by_domain(empty), engine.models
+        )
         for model in engine.models:
             chosen = [
                 one for one in empty if dealt.get(one.endpoint_id) == model.name
             ]
-            for members in planning.by_domain(chosen).values():
+            for members in planning.group_by_domain(chosen).values():
                 self._start_domain(members, model)
 
     def form_all(self, free: Endpoints, engine: routes.Engine) -> None:
@@ -88,20 +90,20 @@
         is short.
         """
         if self._loads is None:
-            self._loads = planning.LoadBudget(
+            self._loads = planning.LoadLimiter(
                 engine.loads_per_s, engine.loads_at_once
             )
         empty = [one for one in free if not self._model_held(one)]
         for endpoint in empty:
             stock = self._stock(live, needed_vms)
-            name = planning.newcomer_model(endpoint, stock, engine.models)
+            name = planning.model_to_load(endpoint, stock, engine.models)
             if not self._load(endpoint, engine.find_model(name)):
                 return
         if empty:
             return
         spares = [one for one in free if not self._model_loading(one)]
         stock = self._stock(live, needed_vms)
-        moved = planning.surplus_spare(spares, stock, engine.models)
+        moved = planning.pick_spare_to_reload(spares, stock, engine.models)
         if moved is not None:
             self._load(moved[0], engine.find_model(moved[1]))
 
@@ -112,7 +114,7 @@
         now_s = clock.boot_s()
         if model is None or self._loads is None:
             return False
-        if not self._loads.try_take(now_s, model.load_s):
+        if not self._loads.try_acquire(now_s, model.load_s):
             return False
         self._loading[endpoint.incarnation] = _Loading(
             model.name, now_s + model.load_s * LOAD_PATIENCE
@@ -122,9 +124,9 @@
 
     def _stock(
         self, live: Endpoints, needed_vms: dict[str, float]
-    ) -> planning.Stock:
+    ) -> planning.ModelInventory:
         held = ((one, self._model_held(one)) for one in live)
-        return planning.Stock(tuple(held), needed_vms)
+        return planning.ModelInventory(tuple(held), needed_vms)
 
     def _model_held(self, endpoint: endpoints.Endpoint) -> str:
         """Return the model that an endpoint loads, or else has."""
--- a/redwingvalve/node/failure_detector.py
+++ b/redwingvalve/node/failure_detector.py
@@ -98,7 +98,7 @@
     def _recheck(self, group: anyio.abc.TaskGroup) -> None:
         if self.lease.has_known_holder():
             return
-        for suspicion in self.table.own_suspicions():
+        for suspicion in self.table.local_suspicions():
             self._start(group, suspicion.endpoint_id, self._clear_if_sound)
 
     def _start(
@@ -131,12 +131,12 @@
         LOG.info('head is sound', extra={'endpoint': head, 'doubt': reason})
         if reason == SILENT:
             self.state.silence.found_sound(head, time.monotonic())
-            self.table.tell_sound(head)
+            self.table.announce_healthy(head)
 
     async def _clear_if_sound(self, head: str) -> None:
         if await self._is_whole(head):
             LOG.info('suspicion cleared', extra={'endpoint': head})
-            self.table.found_sound(head)
+            self.table.mark_healthy(head)
 
     async def _is_whole(self, head: str) -> bool:
         replica = self.table.replica_of(head)
--- a/redwingvalve/node/replica_orders.py
+++ b/redwingvalve/node/replica_orders.py
@@ -304,7 +304,7 @@
     def _is_dead(self, head: endpoints.Endpoint) -> bool:
         # A dark head's entry lapses after three heartbeats; so does that of one
         # that is cut off from the store, whose answers may be lost here.
-        if self._registry.may_leave(head, LEAVING_S):
+        if self._registry.may_be_leaving(head, LEAVING_S):
             return False
         if self._prober.is_doubtful():
             return False
--- a/redwingvalve/node/status_exchange.py
+++ b/redwingvalve/node/status_exchange.py
@@ -59,8 +59,8 @@
             self.peers, self.hubs
         )
         self.table.on_suspect = self._suspected
-        self.table.on_clear = self._found_sound
-        self.table.on_tell_sound = self._note_sound
+        self.table.on_cleared = self._found_sound
+        self.table.on_announce_healthy = self._note_sound
         self.lease.on_renewed = self.broadcast_soon
 
     @property
@@ -155,9 +155,9 @@
         self.others_served = self.others_served or bool(word.has_served)
         self.state.poison.heard(word.crashes or {})
         for suspicion in status_fields.read_suspicions(word):
-            self.table.take_suspicion(suspicion)
+            self.table.add_suspicion(suspicion)
         for clear in status_fields.read_clears(word):
-            self.table.clear_older(
+            self.table.clear_if_older(
                 clear.endpoint_id, clear.epoch, clear.since_s
             )
 
@@ -185,7 +185,7 @@
             self.hubs.drop_silent()
         else:
             self.peers.drop_silent()
-        self.registry.drop_lapsed()
+        self.registry.drop_expired()
         if self.state.poison.has_breaks:
             self.state.poison.look(self.registry.incarnations())
         self.state.node_count = 1 + len(self.peers.alive())
--- a/redwingvalve/node/status_fields.py
+++ b/redwingvalve/node/status_fields.py
@@ -37,7 +37,7 @@
 
 def suspect_words(table: serving.ServingTable) -> list[typing.Any]:
     """Return the endpoints that this node has taken out of use."""
-    return suspicion_words(table.own_suspicions())
+    return suspicion_words(table.local_suspicions())
 
 
 def suspicion_words(
--- a/redwingvalve/node/tests/test_failure_detector.py
+++ b/redwingvalve/node/tests/test_failure_detector.py
@@ -20,7 +20,7 @@
     cleared: list = attrs.field(factory=list)
     told: list = attrs.field(factory=list)
 
-    def tell_sound(self, head):
+    def announce_healthy(self, head):
         self.told.append(head)
 
     def replica_of(self, head):
@@ -29,10 +29,10 @@
     def suspect(self, head, reason):
         self.suspects.append(head)
 
-    def own_suspicions(self):
+    def local_suspicions(self):
         return [Suspicion(head) for head in self.suspects]
 
-    def found_sound(self, head):
+    def mark_healthy(self, head):
         self.cleared.append(head)
 
 
--- a/redwingvalve/node/tests/test_status_exchange.py
+++ b/redwingvalve/node/tests/test_status_exchange.py
@@ -27,7 +27,7 @@
         await anyio.sleep(0.1)
         before = len(said)
         for number in range(FOUND):
-            node.table.on_clear(f'e{number}', 1)
+            node.table.on_cleared(f'e{number}', 1)
         await anyio.sleep(0.05)
         assert len(said) - before <= 3
         assert len(said[-1].cleared) == FOUND
@@ -126,11 +126,13 @@
     async def test(fleet):
         asked, other = fleet.nodes
         told = []
-        other.table.on_told_sound = lambda head, found_s: told.append(head)
+        other.table.on_reported_healthy = lambda head, found_s: told.append(
+            head
+        )
         head = asked.table.of(
             fleet_harness.ENGINE_SERVICE, fleet_harness.SMALL_MODEL
         )[0].endpoint_id
-        asked.table.tell_sound(head)
+        asked.table.announce_healthy(head)
         await fleet.wait_until(lambda: told, 1)
         assert set(told) == {head}
 
--- a/redwingvalve/platform/tests/test_orders.py
+++ b/redwingvalve/platform/tests/test_orders.py
@@ -133,10 +133,10 @@
         table = fleet.nodes[1].table
         target = fleet.targets(1)[0]
         table.suspect(target.endpoint_id, 'silent')
-        table.clear_older(target.endpoint_id, target.epoch, 0.0)
+        table.clear_if_older(target.endpoint_id, target.epoch, 0.0)
         assert table.is_suspect(target.endpoint_id)
         now_s = fleet_harness.time.monotonic()
-        table.clear_older(target.endpoint_id, target.epoch, now_s)
+        table.clear_if_older(target.endpoint_id, target.epoch, now_s)
         assert not table.is_suspect(target.endpoint_id)
 
     fleet_harness.run(test, nodes=2)
@@ -272,15 +272,15 @@
             False,
         )
         old = head.group['name']
-        past = control._history.of((old, head.group['epoch']))
-        past.is_ended = True
+        past = control._history.get((old, head.group['epoch']))
+        past.is_head_stopped = True
         await fleet.wait_until(
             lambda: any(
                 order['operation'] == 'join' and order['group'] != old
                 for order in head.orders
             )
         )
-        past.is_ended = False
+        past.is_head_stopped = False
         limit_s = fleet_harness.time.monotonic() + 5
         while fleet_harness.time.monotonic() < limit_s:
             group = head.group
