--- a/redwingvalve/node/controller.py
+++ b/redwingvalve/node/controller.py
@@ -66,7 +66,7 @@
         self._scheduler = endpoint_scheduler.EndpointScheduler(
             client, self._orders, self._tasks
         )
-        self._inspected_s: dict[replica_orders.Key, float] = {}
+        self._inspected_s: dict[replica_orders.ReplicaKey, float] = {}
         self._history = history.ReplicaHistory()
         self._demand = demand.ModelDemand()
         self._in_use = in_use
@@ -170,13 +170,13 @@
         self._tasks.start(known.members, self._inspect(known))
 
     async def _retire(self, replica: endpoints.Replica) -> None:
-        await self._orders.retire(replica.members[0], clock.boot_s())
+        await self._orders.drain(replica.members[0], clock.boot_s())
         self._mark_ended(replica.key)
 
     async def _end_missing(
         self, replica: endpoints.Replica, gone_s: float
     ) -> None:
-        if await self._orders.end_missing(replica.members[0], gone_s):
+        if await self._orders.stop_missing_head(replica.members[0], gone_s):
             self._mark_ended(replica.key)
 
     async def _settle(self, replica: endpoints.Replica) -> None:
@@ -184,18 +184,18 @@
         past = self._history.get(replica.key)
         known = past.whole if past is not None else None
         is_whole = known and len(known.members) == len(replica.members)
-        if is_whole and await self._orders.open_ready(replica):
+        if is_whole and await self._orders.open_if_ready(replica):
             return
-        if await self._orders.abandon(replica.members[0]):
+        if await self._orders.make_head_leave(replica.members[0]):
             self._mark_ended(replica.key)
 
-    def _mark_ended(self, key: replica_orders.Key) -> None:
+    def _mark_ended(self, key: replica_orders.ReplicaKey) -> None:
         past = self._history.get(key)
         if past is not None:
             past.is_head_stopped = True
 
     async def _inspect(self, replica: endpoints.Replica) -> None:
-        is_whole = await self._orders.inspect(replica.members)
+        is_whole = await self._orders.check_replica(replica.members)
         if not is_whole:
             self._mark_ended(replica.key)
             return
@@ -222,7 +222,7 @@
         ]
 
     def _is_lost(self, endpoint: endpoints.Endpoint) -> bool:
-        lost_s = self._orders.lost.get(endpoint.incarnation)
+        lost_s = self._orders.unresponsive_since_s.get(endpoint.incarnation)
         return lost_s is not None and clock.boot_s() - lost_s < LOST_S
 
     def _may_open(
@@ -252,7 +252,7 @@
         self, past: history.ReplicaRecord, replica: endpoints.Replica
     ) -> bool:
         # The states in between may pass too fast to be seen.
-        return past.was_ready or replica.key in self._orders.told_to_open
+        return past.was_ready or replica.key in self._orders.open_ordered
 
     def _may_serve(self, replica: endpoints.Replica) -> bool:
         head = replica.head
@@ -270,7 +270,7 @@
         if past.whole is None or not is_seen_ready:
             # Nobody here knows the head, or saw it get ready: it may have
             # opened while the store was away, and has time to finish.
-            return clock.boot_s() - gone_s < replica_orders.LEAVING_S
+            return clock.boot_s() - gone_s < replica_orders.LEAVE_TIMEOUT_S
         if not self._tasks.is_any_busy(past.whole.members):
             self._tasks.start(
                 past.whole.members, self._end_missing(past.whole, gone_s)
--- a/redwingvalve/node/endpoint_scheduler.py
+++ b/redwingvalve/node/endpoint_scheduler.py
@@ -156,10 +156,10 @@
             picked = planning.pick_members(staged, model, is_warm)
             if picked is None:
                 return staged
-            join_s = model.load_from_host_s
+            expected_join_s = model.load_from_host_s
             if all(map(is_warm, picked)):
-                join_s = WARM_JOIN_S
-            self._form(picked, model, join_s)
+                expected_join_s = WARM_JOIN_S
+            self._form(picked, model, expected_join_s)
 
     def _model_loading(self, endpoint: endpoints.Endpoint) -> str:
         loading = self._loading.get(endpoint.incarnation)
@@ -173,37 +173,46 @@
         return self._last_model.get(endpoint.incarnation) == model.name
 
     def _form(
-        self, members: tasks.Members, model: routes.Model, join_s: float
+        self,
+        members: tasks.Members,
+        model: routes.Model,
+        expected_join_s: float,
     ) -> None:
-        forming = self._make_forming(members, model, join_s)
+        forming = self._make_forming(members, model, expected_join_s)
         LOG.info(
             'replica forming',
             extra={
                 'replica': forming.name,
                 'domain': members[0].domain,
                 'members': forming.member_ids,
-                'expected_s': join_s,
+                'expected_s': expected_join_s,
             },
         )
         self._tasks.start(members, self._orders.form(forming))
 
     def _warm(
-        self, spare: endpoints.Endpoint, model: routes.Model, join_s: float
+        self,
+        spare: endpoints.Endpoint,
+        model: routes.Model,
+        expected_join_s: float,
     ) -> None:
         """Let a spare join alone, so that its next join takes a moment."""
-        forming = self._make_forming((spare,), model, join_s)
+        forming = self._make_forming((spare,), model, expected_join_s)
         self._last_model[spare.incarnation] = model.name
         self._tasks.start((spare,), self._orders.form(forming, opens=False))
 
     def _make_forming(
-        self, members: tasks.Members, model: routes.Model, join_s: float
-    ) -> replica_orders.Forming:
+        self,
+        members: tasks.Members,
+        model: routes.Model,
+        expected_join_s: float,
+    ) -> replica_orders.ReplicaSpec:
         self._number += 1
-        return replica_orders.Forming(
+        return replica_orders.ReplicaSpec(
             name=endpoints.replica_name(model.name, self.term, self._number),
             epoch=self.term * replica_orders.EPOCHS_PER_TERM + self._number,
             members=members,
-            join_s=join_s,
+            expected_join_s=expected_join_s,
         )
 
     async def _stage(self, endpoint: endpoints.Endpoint, model: str) -> None:
