--- a/redwingvalve/node/controller.py
+++ b/redwingvalve/node/controller.py
@@ -91,7 +91,7 @@
             return
         live = self._live()
         for endpoint in live:
-            self._scheduler.note(endpoint)
+            self._scheduler.record_model(endpoint)
         replicas = endpoints.group_replicas(live).get(self._service, [])
         self._history.update(replicas, engine, clock.boot_s())
 
@@ -106,10 +106,12 @@
             self._look_at(replica, engine)
         free = self._free(live, replicas)
         if self._is_early() and any(not one.staged for one in free):
-            self._scheduler.start_all(free, engine)
+            self._scheduler.assign_initial_models(free, engine)
             return
-        self._scheduler.form_all(free, engine)
-        self._scheduler.load_all(free, live, engine, self._needed_vms(engine))
+        self._scheduler.form_replicas(free, engine)
+        self._scheduler.load_models(
+            free, live, engine, self._needed_vms(engine)
+        )
 
     def _needed_vms(self, engine: routes.Engine) -> dict[str, float]:
         now_s = clock.boot_s()
