--- a/redwingvalve/node/control_loop.py
+++ b/redwingvalve/node/control_loop.py
@@ -1,4 +1,4 @@
-"""Looks at the fleet again and again, and mends it while the lease is held."""
+"""Reconciles all services periodically while this node holds the lease."""
 
 import typing
 
@@ -16,14 +16,14 @@
 from redwingvalve.node import status_exchange as status_exchange_module
 from redwingvalve.platform import endpoint_orders
 
-# Between two looks of a node that may give no orders: it only follows the
-# services of the configuration. Each wake-up has its price, on all nodes.
-IDLE_LOOK_S = 1.0
+# Interval on a node without the lease, which only follows the services of the
+# configuration. Each wake-up has a cost, on all nodes.
+IDLE_RECONCILE_INTERVAL_S = 1.0
 
 
 @attrs.define(eq=False)
 class ControlLoop:
-    """The controllers of all services with an engine."""
+    """Runs the controllers of all services with an engine."""
 
     state: state_module.IngressState
     registry: registry_module.Registry
@@ -36,14 +36,14 @@
     controllers: dict[str, controller_module.Controller] = attrs.field(
         factory=dict
     )
-    _woken: anyio.Event = attrs.field(factory=anyio.Event)
+    _wake_up: anyio.Event = attrs.field(factory=anyio.Event)
 
     def wake(self) -> None:
-        """Look at once: the lease has been taken."""
-        self._woken.set()
+        """End an idle wait at once: lease or configuration has changed."""
+        self._wake_up.set()
 
     async def run(self, group: anyio.abc.TaskGroup) -> typing.NoReturn:
-        """Look until cancelled; orders run in group."""
+        """Reconcile until cancelled; orders are sent from tasks in group."""
         while True:
             await self._pause()
             configuration = self.state.configuration
@@ -51,25 +51,25 @@
                 continue
             for service in configuration.services.values():
                 if service.engine is not None:
-                    self._look_at(service, service.engine, group)
+                    self._reconcile_service(service, service.engine, group)
 
     async def _pause(self) -> None:
         if self.lease.is_held():
-            await anyio.sleep(controller_module.LOOK_S)
+            await anyio.sleep(controller_module.RECONCILE_INTERVAL_S)
             return
-        self._woken = anyio.Event()
-        with anyio.move_on_after(IDLE_LOOK_S):
-            await self._woken.wait()
+        self._wake_up = anyio.Event()
+        with anyio.move_on_after(IDLE_RECONCILE_INTERVAL_S):
+            await self._wake_up.wait()
 
-    def _look_at(
+    def _reconcile_service(
         self,
         service: routes.Service,
         engine: routes.Engine,
         group: anyio.abc.TaskGroup,
     ) -> None:
-        control = self.controllers.get(service.name)
-        if control is None:
-            control = controller_module.Controller(
+        controller = self.controllers.get(service.name)
+        if controller is None:
+            controller = controller_module.Controller(
                 service.name,
                 self.registry,
                 self.table,
@@ -79,20 +79,23 @@
                 self.lease.is_held,
                 self.state.in_use,
             )
-            self.controllers[service.name] = control
-        control.configure(engine)
-        control.term = self.lease.term
-        control.has_served = self.status_exchange.fleet_has_served
+            self.controllers[service.name] = controller
+        controller.configure(engine)
+        controller.term = self.lease.term
+        controller.has_served = self.status_exchange.fleet_has_served
         if self._may_order():
-            control.reconcile(engine)
+            controller.reconcile(engine)
 
     def _may_order(self) -> bool:
-        """Return whether the lease is held, and its last holder's work known.
+        """Return whether the lease is held and the endpoint watch is current.
 
-        Endpoints are heard of by a watch that may be a few hundred
-        milliseconds behind, or seconds after an outage. A replica that the
-        last holder opened just before would look like one that is not ready,
-        and its members would be told to join another.
+        The watch may be a few hundred milliseconds behind, or seconds after an
+        outage. Until it has reached the revision at which the lease was
+        acquired, a replica that the previous holder had just opened would look
+        like one that is not ready, and its members would be ordered to join
+        another one.
         """
-        is_read = self.endpoint_watch.revision >= self.lease.acquired_revision
-        return self.lease.is_held() and is_read
+        is_watch_current = (
+            self.endpoint_watch.revision >= self.lease.acquired_revision
+        )
+        return self.lease.is_held() and is_watch_current
--- a/redwingvalve/node/controller.py
+++ b/redwingvalve/node/controller.py
@@ -1,4 +1,4 @@
-"""Keeps the fleet in replicas while this node holds the lease."""
+"""Reconciles the replicas of a service while this node holds the lease."""
 
 import typing
 
@@ -18,23 +18,23 @@
 from redwingvalve.platform import endpoint_orders
 
 LOG = logs.make_logger('controller')
-# Between two looks at the fleet; a loss is mended in about a second.
-LOOK_S = 0.05
-# A replica that was found whole is not asked again sooner than this, unless
-# it is suspect anew: until it is asked it serves nobody.
-INSPECT_AGAIN_S = 1.5
-SUSPECT_AGAIN_S = 0.3
-# An endpoint that did not answer is left alone until its entry has surely
-# lapsed, which takes three heartbeats: ordered to join, it would hold up three
-# others that live.
-LOST_S = 5.0
-# All endpoints of a fleet that starts are listed within this of the first.
-SETTLE_S = 0.8
+# The replacement of a lost replica member takes about a second in total.
+RECONCILE_INTERVAL_S = 0.05
+# Minimum time between two checks of a replica. It is shorter for a suspect one,
+# which gets no requests until it has been checked.
+RECHECK_INTERVAL_S = 1.5
+SUSPECT_RECHECK_INTERVAL_S = 0.3
+# An endpoint that did not answer is not used until its entry is certain to have
+# expired, which takes three heartbeats: if it were ordered to join a replica,
+# it would delay three live endpoints.
+UNRESPONSIVE_HOLD_S = 5.0
+# When a fleet starts, all endpoints are listed within this time of the first.
+STARTUP_SETTLE_S = 0.8
 _ACTIVE = frozenset((endpoints.MemberState.OPEN, endpoints.MemberState.CLOSING))
 
 
 class Controller:
-    """Decides what is done next for one service with an engine."""
+    """Reconciles one service with an engine."""
 
     def __init__(
         self,
@@ -44,15 +44,15 @@
         client: endpoint_orders.EndpointClient,
         prober: endpoint_prober.EndpointProber,
         group: anyio.abc.TaskGroup,
-        holds_lease: typing.Callable[[], bool],
-        in_use: typing.Callable[[str, str], float],
+        may_order: typing.Callable[[], bool],
+        slots_in_use: typing.Callable[[str, str], float],
     ) -> None:
-        """Run tasks in group; give orders while holds_lease says so.
+        """Run tasks in group; send orders only while may_order returns True.
 
-        in_use returns the places that a service's model has in use.
+        It is called before each order: after a pause of the whole process, a
+        task may resume before anything else notices that the lease has expired.
 
-        It is asked before each order: a task that was held up with the whole
-        process goes on before anything else notices.
+        slots_in_use returns the number of slots in use by a service's model.
         """
         self.term = 0
         self.has_served = False
@@ -61,51 +61,52 @@
         self._table = table
         self._tasks = tasks.EndpointTasks(group)
         self._orders = replica_orders.ReplicaOrders(
-            client, prober, registry, holds_lease
+            client, prober, registry, may_order
         )
         self._scheduler = endpoint_scheduler.EndpointScheduler(
             client, self._orders, self._tasks
         )
-        self._inspected_s: dict[replica_orders.ReplicaKey, float] = {}
+        self._checked_s: dict[replica_orders.ReplicaKey, float] = {}
         self._history = history.ReplicaHistory()
         self._demand = demand.ModelDemand()
-        self._in_use = in_use
+        self._slots_in_use = slots_in_use
         self._engine: routes.Engine | None = None
-        self._count = 0
-        self._changed_s = 0.0
+        self._endpoint_count = 0
+        self._count_changed_s = 0.0
         registry.on_change.append(self.record_fleet_state)
 
     def configure(self, engine: routes.Engine) -> None:
-        """Take how the service's endpoints work."""
+        """Set the engine configuration of the service's endpoints."""
         is_first = self._engine is None
         self._engine = engine
         if is_first:
-            # Endpoints may be listed before the configuration is known. Not
-            # noted, members whose head isn't listed yet would count as free.
+            # Endpoints may be listed before the configuration is known. If they
+            # were not recorded here, members whose head isn't listed yet would
+            # count as free.
             self.record_fleet_state()
 
     def record_fleet_state(self) -> None:
-        """Remember what is only told by passing states."""
+        """Record transient states that later ones would not reveal."""
         engine = self._engine
         if engine is None:
             return
-        live = self._live()
+        live = self._live_endpoints()
         for endpoint in live:
             self._scheduler.record_model(endpoint)
         replicas = endpoints.group_replicas(live).get(self._service, [])
         self._history.update(replicas, engine, clock.boot_s())
 
     def reconcile(self, engine: routes.Engine) -> None:
-        """Start what is to be done now."""
-        live = self._live()
+        """Start the tasks that move the service towards its desired state."""
+        live = self._live_endpoints()
         if not self._is_settled(live):
             return
         self._scheduler.term = self.term
         replicas = endpoints.group_replicas(live).get(self._service, [])
         for replica in replicas:
-            self._look_at(replica, engine)
-        free = self._free(live, replicas)
-        if self._is_early() and any(not one.staged for one in free):
+            self._reconcile_replica(replica, engine)
+        free = self._free_endpoints(live, replicas)
+        if self._is_fleet_starting() and any(not one.staged for one in free):
             self._scheduler.assign_initial_models(free, engine)
             return
         self._scheduler.form_replicas(free, engine)
@@ -116,16 +117,17 @@
     def _needed_vms(self, engine: routes.Engine) -> dict[str, float]:
         now_s = clock.boot_s()
         for model in engine.models:
-            places = self._in_use(self._service, model.name)
-            self._demand.record(model.name, places, now_s)
+            slots = self._slots_in_use(self._service, model.name)
+            self._demand.record(model.name, slots, now_s)
         return self._demand.needed_vms(engine.models, engine.slots)
 
-    def _is_early(self) -> bool:
-        # Whoever holds the lease: it may pass on before the first replica is
-        # formed, and loads are free only until the first request.
+    def _is_fleet_starting(self) -> bool:
+        # Fleet-wide rather than per lease holder: the lease may change hands
+        # before the first replica is formed, and loads are cheap only until the
+        # first request.
         return not self.has_served
 
-    def _live(self) -> list[endpoints.Endpoint]:
+    def _live_endpoints(self) -> list[endpoints.Endpoint]:
         return [
             endpoint
             for endpoint in self._registry.live.values()
@@ -133,148 +135,164 @@
         ]
 
     def _is_settled(self, live: list[endpoints.Endpoint]) -> bool:
-        if not self._is_early():
+        if not self._is_fleet_starting():
             return True
         now_s = clock.boot_s()
-        if len(live) != self._count:
-            self._count = len(live)
-            self._changed_s = now_s
-        return bool(live) and now_s - self._changed_s >= SETTLE_S
+        if len(live) != self._endpoint_count:
+            self._endpoint_count = len(live)
+            self._count_changed_s = now_s
+        return bool(live) and now_s - self._count_changed_s >= STARTUP_SETTLE_S
 
-    def _look_at(
+    def _reconcile_replica(
         self, replica: endpoints.Replica, engine: routes.Engine
     ) -> None:
         head = replica.head
         model = engine.find_model(replica.model)
-        is_missing = model is None or len(replica.members) != model.size
+        is_incomplete = model is None or len(replica.members) != model.size
         if head is None or self._tasks.is_any_busy(replica.members):
             return
         state = head.membership.state
         if state is endpoints.MemberState.OPEN and replica.is_leaving:
-            self._tasks.start(replica.members, self._retire(replica))
+            self._tasks.start(replica.members, self._drain(replica))
             return
         is_suspect = self._table.is_suspect(head.endpoint_id)
         if state in _ACTIVE and is_suspect:
-            self._start_inspection(replica, SUSPECT_AGAIN_S)
-        elif state in _ACTIVE and is_missing:
-            self._start_inspection(replica, INSPECT_AGAIN_S)
+            self._start_health_check(replica, SUSPECT_RECHECK_INTERVAL_S)
+        elif state in _ACTIVE and is_incomplete:
+            self._start_health_check(replica, RECHECK_INTERVAL_S)
 
-    def _start_inspection(
-        self, replica: endpoints.Replica, again_s: float
+    def _start_health_check(
+        self, replica: endpoints.Replica, min_interval_s: float
     ) -> None:
         now_s = clock.boot_s()
-        asked_s = self._inspected_s.get(replica.key, 0)
-        if now_s - asked_s < again_s:
+        checked_s = self._checked_s.get(replica.key, 0)
+        if now_s - checked_s < min_interval_s:
             return
-        self._inspected_s[replica.key] = now_s
-        past = self._history.get(replica.key)
-        known = past.whole if past and past.whole else replica
-        self._tasks.start(known.members, self._inspect(known))
+        self._checked_s[replica.key] = now_s
+        record = self._history.get(replica.key)
+        last_complete = record.whole if record and record.whole else replica
+        self._tasks.start(
+            last_complete.members, self._check_replica(last_complete)
+        )
 
-    async def _retire(self, replica: endpoints.Replica) -> None:
+    async def _drain(self, replica: endpoints.Replica) -> None:
         await self._orders.drain(replica.members[0], clock.boot_s())
-        self._mark_ended(replica.key)
+        self._mark_head_stopped(replica.key)
 
-    async def _end_missing(
-        self, replica: endpoints.Replica, gone_s: float
+    async def _stop_missing_head(
+        self, replica: endpoints.Replica, missing_since_s: float
     ) -> None:
-        if await self._orders.stop_missing_head(replica.members[0], gone_s):
-            self._mark_ended(replica.key)
+        if await self._orders.stop_missing_head(
+            replica.members[0], missing_since_s
+        ):
+            self._mark_head_stopped(replica.key)
 
-    async def _settle(self, replica: endpoints.Replica) -> None:
-        """Open a replica that is ready, or see to it that it never opens."""
-        past = self._history.get(replica.key)
-        known = past.whole if past is not None else None
-        is_whole = known and len(known.members) == len(replica.members)
-        if is_whole and await self._orders.open_if_ready(replica):
+    async def _open_or_dissolve(self, replica: endpoints.Replica) -> None:
+        """Open a ready replica, or make sure that it can never open."""
+        record = self._history.get(replica.key)
+        last_complete = record.whole if record is not None else None
+        is_complete = last_complete and len(last_complete.members) == len(
+            replica.members
+        )
+        if is_complete and await self._orders.open_if_ready(replica):
             return
         if await self._orders.make_head_leave(replica.members[0]):
-            self._mark_ended(replica.key)
+            self._mark_head_stopped(replica.key)
 
-    def _mark_ended(self, key: replica_orders.ReplicaKey) -> None:
-        past = self._history.get(key)
-        if past is not None:
-            past.is_head_stopped = True
+    def _mark_head_stopped(self, key: replica_orders.ReplicaKey) -> None:
+        record = self._history.get(key)
+        if record is not None:
+            record.is_head_stopped = True
 
-    async def _inspect(self, replica: endpoints.Replica) -> None:
-        is_whole = await self._orders.check_replica(replica.members)
-        if not is_whole:
-            self._mark_ended(replica.key)
+    async def _check_replica(self, replica: endpoints.Replica) -> None:
+        is_complete = await self._orders.check_replica(replica.members)
+        if not is_complete:
+            self._mark_head_stopped(replica.key)
             return
         LOG.info('replica is whole', extra={'replica': replica.name})
         self._table.mark_healthy(replica.members[0].endpoint_id)
 
-    def _free(
+    def _free_endpoints(
         self,
         live: list[endpoints.Endpoint],
         replicas: list[endpoints.Replica],
     ) -> list[endpoints.Endpoint]:
-        """Return endpoints that belong to no replica that may serve."""
-        taken: set[str] = set()
+        """Return available endpoints that are in no replica that may serve."""
+        in_replicas: set[str] = set()
         for replica in replicas:
             if self._may_serve(replica):
-                taken.update(one.endpoint_id for one in replica.members)
+                in_replicas.update(one.endpoint_id for one in replica.members)
         return [
             endpoint
             for endpoint in live
-            if endpoint.endpoint_id not in taken
+            if endpoint.endpoint_id not in in_replicas
             and not endpoint.draining
             and not self._tasks.is_busy(endpoint)
-            and not self._is_lost(endpoint)
+            and not self._is_unresponsive(endpoint)
         ]
 
-    def _is_lost(self, endpoint: endpoints.Endpoint) -> bool:
-        lost_s = self._orders.unresponsive_since_s.get(endpoint.incarnation)
-        return lost_s is not None and clock.boot_s() - lost_s < LOST_S
+    def _is_unresponsive(self, endpoint: endpoints.Endpoint) -> bool:
+        unresponsive_s = self._orders.unresponsive_since_s.get(
+            endpoint.incarnation
+        )
+        return (
+            unresponsive_s is not None
+            and clock.boot_s() - unresponsive_s < UNRESPONSIVE_HOLD_S
+        )
 
     def _may_open(
         self, replica: endpoints.Replica, head: endpoints.Endpoint
     ) -> bool:
-        """Return whether a head serves, or may begin to by a late order.
+        """Return whether a head serves, or may still open by a late order.
 
-        An order to open that was never answered may be carried out seconds
-        later, when the other members have joined another replica.
+        An order to open that was never answered may be executed seconds later,
+        when the other members have joined another replica.
         """
         if head.membership.state in _ACTIVE:
             return True
-        past = self._history.get(replica.key)
+        record = self._history.get(replica.key)
         if (
-            past is None
-            or past.is_head_stopped
-            or not self._was_ready(past, replica)
+            record is None
+            or record.is_head_stopped
+            or not self._was_ready(record, replica)
         ):
             return False
         if head.membership.state is endpoints.MemberState.BROKEN:
             return False
         if not self._tasks.is_any_busy(replica.members):
-            self._tasks.start(replica.members, self._settle(replica))
+            self._tasks.start(replica.members, self._open_or_dissolve(replica))
         return True
 
     def _was_ready(
-        self, past: history.ReplicaRecord, replica: endpoints.Replica
+        self, record: history.ReplicaRecord, replica: endpoints.Replica
     ) -> bool:
-        # The states in between may pass too fast to be seen.
-        return past.was_ready or replica.key in self._orders.open_ordered
+        # The ready state may pass too quickly to be observed.
+        return record.was_ready or replica.key in self._orders.open_ordered
 
     def _may_serve(self, replica: endpoints.Replica) -> bool:
         head = replica.head
         if head is not None:
             return self._may_open(replica, head)
-        past = self._history.get(replica.key)
+        record = self._history.get(replica.key)
         if (
-            past is None
-            or past.is_head_stopped
-            or past.head_missing_since_s is None
+            record is None
+            or record.is_head_stopped
+            or record.head_missing_since_s is None
         ):
             return False
-        gone_s = past.head_missing_since_s
-        is_seen_ready = past.has_served or self._was_ready(past, replica)
-        if past.whole is None or not is_seen_ready:
-            # Nobody here knows the head, or saw it get ready: it may have
-            # opened while the store was away, and has time to finish.
-            return clock.boot_s() - gone_s < replica_orders.LEAVE_TIMEOUT_S
-        if not self._tasks.is_any_busy(past.whole.members):
+        missing_since_s = record.head_missing_since_s
+        was_seen_ready = record.has_served or self._was_ready(record, replica)
+        if record.whole is None or not was_seen_ready:
+            # This node doesn't know the head, or never saw it ready: it may
+            # have opened while the store was unavailable, and gets time to
+            # finish its requests.
+            return (
+                clock.boot_s() - missing_since_s
+                < replica_orders.LEAVE_TIMEOUT_S
+            )
+        if not self._tasks.is_any_busy(record.whole.members):
             self._tasks.start(
-                past.whole.members, self._end_missing(past.whole, gone_s)
+                record.whole.members,
+                self._stop_missing_head(record.whole, missing_since_s),
             )
         return True
--- a/redwingvalve/node/tests/test_new_lease_holder.py
+++ b/redwingvalve/node/tests/test_new_lease_holder.py
@@ -1,4 +1,4 @@
-"""A process that has just started and takes the lease knows no history."""
+"""A new process that acquires the lease knows nothing of earlier states."""
 
 import anyio
 import attrs
@@ -26,12 +26,12 @@
 
 @attrs.define(eq=False)
 class Client:
-    """Notes who is told to join; nobody answers questions."""
+    """Records which endpoints are ordered to join; probes are unanswered."""
 
-    joins: list = attrs.field(factory=list)
+    joined: list = attrs.field(factory=list)
 
     async def join(self, endpoint, replica, epoch, member_ids):
-        self.joins.append(endpoint.endpoint_id)
+        self.joined.append(endpoint.endpoint_id)
         return endpoint_orders.OrderResult.ACCEPTED
 
     async def report(self, endpoint):
@@ -39,22 +39,22 @@
 
 
 def member(number):
-    """The second member of a replica whose head isn't listed."""
+    """Return the second member of a replica whose head isn't listed."""
     return members.make_member(
         f'e{number}', number, 1, endpoints.MemberState.READY
     )
 
 
-def reconcile(registry, change=lambda made: None):
-    """Let a new holder look at the fleet a few times; return who joined.
+def reconcile_repeatedly(registry, before_reconcile=lambda _: None):
+    """Let a new lease holder reconcile five times; return join orders.
 
-    change is called once the controller knows the engine.
+    before_reconcile is called once the controller knows the engine.
     """
     client = Client()
 
     async def main():
         async with anyio.create_task_group() as group:
-            made = controller.Controller(
+            new_controller = controller.Controller(
                 'engine',
                 registry,
                 serving.ServingTable(registry),
@@ -64,37 +64,37 @@
                 lambda: True,
                 lambda service, model: 0,
             )
-            made.has_served = True
-            made.configure(ENGINE)
-            change(made)
+            new_controller.has_served = True
+            new_controller.configure(ENGINE)
+            before_reconcile(new_controller)
             for _ in range(5):
-                made.reconcile(ENGINE)
+                new_controller.reconcile(ENGINE)
                 await anyio.sleep(0.01)
             group.cancel_scope.cancel()
 
     anyio.run(main)
-    return client.joins
+    return client.joined
 
 
-def test_members_of_heads_that_are_not_back_yet_stay_where_they_are():
+def test_members_whose_head_is_not_listed_yet_do_not_join_elsewhere():
     """No VM is in two replicas after an outage of the store.
 
-    Entries lapsed with the store and return one by one within two seconds.
-    The holder was killed meanwhile; its next process is told of the members
-    first, takes the lease at once and looks at the fleet. Both heads live,
-    are open, and are not listed yet.
+    Entries expired during the outage and return one by one within two seconds.
+    The holder was killed in the meantime; its new process first receives the
+    entries of the members, acquires the lease at once and reconciles. Both
+    heads are alive and open, but not listed yet.
     """
     registry = registry_module.Registry()
     registry.live = {f'e{number}': member(number) for number in (1, 2)}
-    assert not reconcile(registry)
+    assert not reconcile_repeatedly(registry)
 
 
-def test_members_stay_if_their_replica_may_have_opened_unseen():
+def test_members_of_a_replica_that_may_have_opened_do_not_join_elsewhere():
     """No VM is in two replicas when a replica opens just before an outage.
 
-    The next holder of the lease saw two replicas while their members joined.
-    The store went away, both were opened meanwhile, and the entries of the
-    members are back before those of the heads.
+    The next lease holder saw two replicas while their members were joining.
+    Then the store became unavailable, both replicas were opened, and the
+    entries of the members return before those of the heads.
     """
     registry = registry_module.Registry()
     seen = [
@@ -106,10 +106,10 @@
     ]
     registry.live = {one.endpoint_id: one for one in seen}
 
-    def lose_heads(made):
+    def remove_heads(new_controller):
         registry.live = {
             one.endpoint_id: one for one in seen if one.membership.rank == 1
         }
-        made.record_fleet_state()
+        new_controller.record_fleet_state()
 
-    assert not reconcile(registry, lose_heads)
+    assert not reconcile_repeatedly(registry, remove_heads)
