--- a/redwingvalve/allocation/allocator.py
+++ b/redwingvalve/allocation/allocator.py
@@ -14,7 +14,7 @@
 from redwingvalve.allocation import messages
 from redwingvalve.allocation import pool as pool_module
 from redwingvalve.allocation import usage as usage_module
-from redwingvalve.ingress import placing
+from redwingvalve.ingress import load_balancing
 from redwingvalve.observability import logs
 
 LOG = logs.make_logger('allocation')
@@ -158,7 +158,7 @@
         pool = self.pool(ask.pool)
         take = pool.selector(key[0], ask)
 
-        def select() -> placing.Target | None:
+        def select() -> load_balancing.Target | None:
             return None if waits.is_withdrawn else take()
 
         try:
--- a/redwingvalve/allocation/messages.py
+++ b/redwingvalve/allocation/messages.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from redwingvalve.ingress import reserving, waiting
+from redwingvalve.ingress import reservations, wait_queue
 from redwingvalve.wire import structs
 
 # Endpoints to be avoided or chosen last that one request names at most; it
@@ -59,7 +59,7 @@
     number: int
     pool: Pool
     may_wait: bool
-    need: waiting.Ask
+    need: wait_queue.Ask
     avoid: tuple[str, ...] = ()
     slow: tuple[str, ...] = ()
 
@@ -81,7 +81,7 @@
     """A place is no longer held, or wanted."""
 
     number: int
-    leaving: reserving.Leaving = reserving.Leaving.FREE
+    leaving: reservations.Leaving = reservations.Leaving.FREE
 
 
 @attrs.frozen
@@ -220,7 +220,7 @@
 
 
 def _read_ask(struct: typing.Any) -> Ask:
-    need = waiting.Ask(
+    need = wait_queue.Ask(
         urgency=_whole(struct.urgency),
         on_time_s=_whole(struct.on_time_ms) / _MS_IN_S,
         wait_s=_whole(struct.wait_ms) / _MS_IN_S,
@@ -253,7 +253,7 @@
 
 def _read_release(struct: typing.Any) -> Release:
     try:
-        leaving = reserving.Leaving(struct.leaving)
+        leaving = reservations.Leaving(struct.leaving)
     except ValueError as error:
         raise MessageError(f'unknown state {struct.leaving!r}') from error
     return Release(_whole(struct.number), leaving)
--- a/redwingvalve/allocation/pool.py
+++ b/redwingvalve/allocation/pool.py
@@ -15,7 +15,12 @@
 import attrs
 
 from redwingvalve.allocation import hold_table, messages
-from redwingvalve.ingress import observed, placing, reserving, waiting
+from redwingvalve.ingress import (
+    duration_estimates,
+    load_balancing,
+    reservations,
+    wait_queue,
+)
 
 # Places that late requests leave free, in spreads of the number in use, and at
 # most as a share of all.
@@ -31,7 +36,9 @@
 SLOW_S = 2.0
 
 Clock = collections_abc.Callable[[], float]
-Targets = collections_abc.Callable[[], collections_abc.Sequence[placing.Target]]
+Targets = collections_abc.Callable[
+    [], collections_abc.Sequence[load_balancing.Target]
+]
 
 
 @attrs.frozen
@@ -43,22 +50,24 @@
 
 
 @attrs.define(eq=False)
-class SlotPool(waiting.Places):
+class SlotPool(wait_queue.Places):
     """Counts, grants and queues for one pool."""
 
     targets: Targets
     rng: random.Random
     clock: Clock
     holds: hold_table.HoldTable = attrs.field(factory=hold_table.HoldTable)
-    _hold: observed.Typical = attrs.field(factory=observed.make_hold)
+    _hold: duration_estimates.Typical = attrs.field(
+        factory=duration_estimates.make_hold
+    )
     _refused_until_s: dict[str, float] = attrs.field(factory=dict)
     _slow_until_s: dict[str, float] = attrs.field(factory=dict)
     _unsure: list[_Unsure] = attrs.field(factory=list)
-    queue: waiting.WaitingRoom = attrs.field(init=False)
+    queue: wait_queue.WaitingRoom = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Open the waiting room."""
-        self.queue = waiting.WaitingRoom(self.clock, self)
+        self.queue = wait_queue.WaitingRoom(self.clock, self)
 
     @property
     def is_busy(self) -> bool:
@@ -67,7 +76,7 @@
 
     def selector(
         self, sender: messages.Sender, ask: messages.Ask
-    ) -> placing.Selector:
+    ) -> load_balancing.Selector:
         """Return what takes a place for an ask."""
         return functools.partial(self._take, sender, ask)
 
@@ -77,15 +86,17 @@
         for endpoint_id in ask.slow:
             self._slow_until_s[endpoint_id] = until_s
 
-    def release(self, key: hold_table.Key, leaving: reserving.Leaving) -> None:
+    def release(
+        self, key: hold_table.Key, leaving: reservations.Leaving
+    ) -> None:
         """Free a place and give it to the first that waits."""
         hold = self.holds.release(key)
         if hold is None:
             return
         now_s = self.clock()
-        if leaving is reserving.Leaving.REFUSED:
+        if leaving is reservations.Leaving.REFUSED:
             self._refused_until_s[hold.endpoint_id] = now_s + REFUSED_S
-        elif leaving is reserving.Leaving.UNSURE:
+        elif leaving is reservations.Leaving.UNSURE:
             self._unsure.append(_Unsure(hold.endpoint_id, now_s + UNSURE_S))
         else:
             self._hold.saw(now_s - hold.since_s)
@@ -112,9 +123,9 @@
         self._unsure = [one for one in self._unsure if one.until_s > now_s]
         self.queue.poke()
 
-    def expected_s(self, ask: waiting.Ask) -> float:
+    def expected_s(self, ask: wait_queue.Ask) -> float:
         """Return how long a request would wait."""
-        next_s = 1 / max(self.freed_per_s(), waiting.LEAST_FREED_PER_S)
+        next_s = 1 / max(self.freed_per_s(), wait_queue.LEAST_FREED_PER_S)
         return max(self.queue.expected_s(ask), next_s)
 
     def free_slots(self) -> int:
@@ -141,7 +152,7 @@
 
     def _take(
         self, sender: messages.Sender, ask: messages.Ask
-    ) -> placing.Target | None:
+    ) -> load_balancing.Target | None:
         found = self._choose(ask.avoid)
         if found is not None:
             key = (sender, ask.number)
@@ -150,7 +161,7 @@
 
     def _choose(
         self, avoid: collections_abc.Container[str]
-    ) -> placing.Target | None:
+    ) -> load_balancing.Target | None:
         free = [
             target
             for target in self.targets()
@@ -158,12 +169,12 @@
         ]
         return min(free, key=self._rank, default=None)
 
-    def _rank(self, target: placing.Target) -> tuple[bool, float, float]:
+    def _rank(self, target: load_balancing.Target) -> tuple[bool, float, float]:
         filled = self.holds.count(target.endpoint_id) / target.slots
         is_slow = target.endpoint_id in self._slow_until_s
         return is_slow, filled, self.rng.random()
 
-    def _free_at(self, target: placing.Target) -> int:
+    def _free_at(self, target: load_balancing.Target) -> int:
         now_s = self.clock()
         if self._refused_until_s.get(target.endpoint_id, 0) > now_s:
             return 0
@@ -180,5 +191,5 @@
 
 
 PoolTargets: typing.TypeAlias = collections_abc.Callable[
-    [messages.Pool], collections_abc.Sequence[placing.Target]
+    [messages.Pool], collections_abc.Sequence[load_balancing.Target]
 ]
--- a/redwingvalve/allocation/reserver.py
+++ b/redwingvalve/allocation/reserver.py
@@ -17,7 +17,7 @@
 
 from redwingvalve.allocation import messages
 from redwingvalve.allocation import owners as owners_module
-from redwingvalve.ingress import placing, reserving, state, waiting
+from redwingvalve.ingress import load_balancing, reservations, state, wait_queue
 from redwingvalve.observability import node_metrics
 
 # A round trip between data centres takes a few milliseconds, a busy node
@@ -80,30 +80,30 @@
 @attrs.frozen
 class _Held:
     pool: messages.Pool
-    target: placing.Target
+    target: load_balancing.Target
     # Who granted it; empty if this node chose by itself.
     granter: str
 
 
 @attrs.frozen
-class _Place(reserving.Reservation):
-    target: placing.Target
+class _Place(reservations.Reservation):
+    target: load_balancing.Target
     _number: int
     _reserver: 'NodeReserver'
 
-    def release(self, leaving: reserving.Leaving) -> None:
+    def release(self, leaving: reservations.Leaving) -> None:
         self._reserver.give_back(self._number, leaving)
 
 
 @attrs.define(eq=False)
-class NodeReserver(reserving.Reserver):
+class NodeReserver(reservations.Reserver):
     """Reserves places for one node."""
 
     data_centre: str
     targets: state.Targets
     owners: owners_module.PoolOwners
     transport: Transport
-    loads: placing.Loads
+    loads: load_balancing.Loads
     clock: collections_abc.Callable[[], float]
     rng: random.Random = attrs.field(factory=random.Random)
     # Whether the data centres of a model count their places apart.
@@ -119,10 +119,10 @@
         self,
         service: str,
         model: str,
-        need: waiting.Ask,
+        need: wait_queue.Ask,
         avoid: collections_abc.Collection[str],
         slow: collections_abc.Collection[str],
-    ) -> reserving.Reservation | reserving.NoPlace:
+    ) -> reservations.Reservation | reservations.NoPlace:
         """Return a place for a request, or when its caller may come back."""
         avoided = list(avoid)
         need = _later(need, GRANT_SLACK_S)
@@ -134,14 +134,14 @@
                 0, pools[0], len(pools) == 1, need, tuple(avoided), tuple(slow)
             )
             found = await self._find(pools, ask)
-            if isinstance(found, reserving.NoPlace):
+            if isinstance(found, reservations.NoPlace):
                 return found
             target = self._known(found)
             if target is not None:
                 return self._keep(found, target)
             self.transport.send(found.granter, messages.Release(found.number))
             avoided.append(found.endpoint_id)
-        return reserving.NoPlace(RETRY_AFTER_S)
+        return reservations.NoPlace(RETRY_AFTER_S)
 
     def heard(self, vm: str, reply: messages.Reply) -> None:
         """Take a reply to an ask."""
@@ -153,7 +153,7 @@
             # Nobody waits for it any more.
             self.transport.send(vm, messages.Release(reply.number))
 
-    def give_back(self, number: int, leaving: reserving.Leaving) -> None:
+    def give_back(self, number: int, leaving: reservations.Leaving) -> None:
         """Release a place."""
         held = self._held.pop(number, None)
         if held is None:
@@ -177,7 +177,7 @@
 
     async def _find(
         self, pools: list[messages.Pool], ask: messages.Ask
-    ) -> _Grant | reserving.NoPlace:
+    ) -> _Grant | reservations.NoPlace:
         """Return a place in the first pool that has one, or wait for one."""
         began_s = self.clock()
         shortest, shortest_s = pools[0], float('inf')
@@ -191,12 +191,12 @@
         last = attrs.evolve(ask, pool=shortest, may_wait=True, need=need)
         decided = await self._try(last)
         if isinstance(decided, messages.Reply):
-            return reserving.NoPlace(decided.retry_after_s)
+            return reservations.NoPlace(decided.retry_after_s)
         return decided
 
     async def _try(
         self, ask: messages.Ask
-    ) -> _Grant | reserving.NoPlace | messages.Reply:
+    ) -> _Grant | reservations.NoPlace | messages.Reply:
         """Return a place or a refusal; the reply if the pool is full."""
         found = await self._ask(ask)
         if found is None:
@@ -205,7 +205,7 @@
         if reply.outcome is _GRANTED:
             return _Grant(reply.number, ask.pool, vm, reply.endpoint_id)
         if ask.may_wait:
-            return reserving.NoPlace(reply.retry_after_s)
+            return reservations.NoPlace(reply.retry_after_s)
         return reply
 
     def _pools(self, service: str, model: str) -> list[messages.Pool]:
@@ -291,21 +291,21 @@
         pending.changed.clear()
         return pending.latest
 
-    def _choose(self, ask: messages.Ask) -> _Grant | reserving.NoPlace:
+    def _choose(self, ask: messages.Ask) -> _Grant | reservations.NoPlace:
         """Choose by what this node knows itself."""
         node_metrics.METRICS.count('redwingvalve_places_chosen_alone')
         targets = self.targets.of(ask.pool.service, ask.pool.model)
-        drawn = placing.draw(targets, self.rng)
+        drawn = load_balancing.draw(targets, self.rng)
         for among in (drawn, targets):
-            found = placing.choose(
+            found = load_balancing.choose(
                 among, self.loads, self.rng, ask.avoid, ask.slow
             )
             if found is not None:
                 number = next(self._numbers)
                 return _Grant(number, ask.pool, '', found.endpoint_id)
-        return reserving.NoPlace(RETRY_AFTER_S)
+        return reservations.NoPlace(RETRY_AFTER_S)
 
-    def _known(self, grant: _Grant) -> placing.Target | None:
+    def _known(self, grant: _Grant) -> load_balancing.Target | None:
         pool = grant.pool
         for target in self.targets.of(pool.service, pool.model):
             if target.endpoint_id == grant.endpoint_id:
@@ -313,8 +313,8 @@
         return None
 
     def _keep(
-        self, grant: _Grant, target: placing.Target
-    ) -> reserving.Reservation:
+        self, grant: _Grant, target: load_balancing.Target
+    ) -> reservations.Reservation:
         self._held[grant.number] = _Held(grant.pool, target, grant.granter)
         self.loads.begin(target.endpoint_id)
         return _Place(target, grant.number, self)
@@ -343,7 +343,7 @@
             self.transport.send(owner, holdings)
 
 
-def _later(need: waiting.Ask, passed_s: float) -> waiting.Ask:
+def _later(need: wait_queue.Ask, passed_s: float) -> wait_queue.Ask:
     """Return what a request needs once some time has passed."""
     return attrs.evolve(
         need,
--- a/redwingvalve/allocation/tests/test_pool.py
+++ b/redwingvalve/allocation/tests/test_pool.py
@@ -7,10 +7,10 @@
 import pytest
 
 from redwingvalve.allocation import allocator, messages
-from redwingvalve.ingress import placing, reserving, waiting
+from redwingvalve.ingress import load_balancing, reservations, wait_queue
 
 POOL = messages.Pool('engine', 'small', 'zone-1')
-NEED = waiting.Ask(1, 0.2, 1.0)
+NEED = wait_queue.Ask(1, 0.2, 1.0)
 NODES = [messages.Sender(f'vm-{number}', 1) for number in range(6)]
 GRANTED = messages.Outcome.GRANTED
 QUEUED = messages.Outcome.QUEUED
@@ -19,7 +19,7 @@
 
 def make(heads=1, slots=9, now_s=lambda: 1.0):
     targets = tuple(
-        placing.Target(f'e{number}', 'h', 1, slots, 'zone-1')
+        load_balancing.Target(f'e{number}', 'h', 1, slots, 'zone-1')
         for number in range(heads)
     )
     return allocator.Allocator(lambda pool: targets, now_s, random.Random(1))
@@ -139,7 +139,7 @@
         granter = make(now_s=lambda: moment[0])
         ask(granter, NODES[0], 1)
         granter.release(
-            NODES[0], messages.Release(1, reserving.Leaving.REFUSED)
+            NODES[0], messages.Release(1, reservations.Leaving.REFUSED)
         )
         assert ask(granter, NODES[0], 2)[-1].outcome is FULL
         moment[0] += 0.3
@@ -155,7 +155,9 @@
         moment = [1.0]
         granter = make(now_s=lambda: moment[0])
         ask(granter, NODES[0], 1)
-        granter.release(NODES[0], messages.Release(1, reserving.Leaving.UNSURE))
+        granter.release(
+            NODES[0], messages.Release(1, reservations.Leaving.UNSURE)
+        )
         assert granter.pool(POOL).free_slots() == 8
         moment[0] += 0.3
         assert granter.pool(POOL).free_slots() == 9
--- a/redwingvalve/allocation/tests/test_reserver.py
+++ b/redwingvalve/allocation/tests/test_reserver.py
@@ -4,20 +4,20 @@
 import looptime
 import pytest
 
-from redwingvalve.ingress.tests import played_load
+from redwingvalve.ingress.tests import load_simulation
 
-CALM = [played_load.Wave(0.6, 0.0, 4.0)]
-BUSY = [played_load.Wave(0.8, 0.0, 6.0)]
-THREE = played_load.Deployment(nodes=12, heads=9, data_centres=3)
+CALM = [load_simulation.Wave(0.6, 0.0, 4.0)]
+BUSY = [load_simulation.Wave(0.8, 0.0, 6.0)]
+THREE = load_simulation.Deployment(nodes=12, heads=9, data_centres=3)
 
 
-class LossyPlay(played_load.Play):
+class LossyPlay(load_simulation.Play):
     """A tenth of all datagrams is lost."""
 
     lost_share = 0.1
 
 
-class KillingPlay(played_load.Play):
+class KillingPlay(load_simulation.Play):
     """A node that grants places dies every second, and starts again."""
 
     async def disturb(self):
@@ -43,7 +43,7 @@
 
 def test_no_endpoint_is_filled_beyond_its_places():
     """Requests don't queue at endpoints, where they would be late."""
-    made = played_load.Play(THREE, BUSY, 1)
+    made = load_simulation.Play(THREE, BUSY, 1)
     anyio.run(
         made.run, backend_options={'loop_factory': looptime.new_event_loop}
     )
@@ -61,16 +61,18 @@
 @pytest.mark.parametrize('nodes', [6, 24, 60])
 def test_messages_a_request_do_not_grow_with_the_fleet(nodes):
     """An ask, its reply and a release, and a report now and then."""
-    deployment = played_load.Deployment(nodes=nodes, heads=9, data_centres=3)
-    got = play(played_load.Play, deployment, CALM)
+    deployment = load_simulation.Deployment(
+        nodes=nodes, heads=9, data_centres=3
+    )
+    got = play(load_simulation.Play, deployment, CALM)
     assert got.messages / len(got.asked) <= 6
 
 
-class ReorderingPlay(played_load.Play):
+class ReorderingPlay(load_simulation.Play):
     """Each datagram takes up to five times as long as the fastest."""
 
     def flight_s(self):
-        return played_load.FLIGHT_S * self.chance.uniform(1, 5)
+        return load_simulation.FLIGHT_S * self.chance.uniform(1, 5)
 
 
 def test_a_refusal_that_overtakes_an_older_reply_is_heeded():
@@ -78,7 +80,7 @@
 
     The reply that the request waits comes after the one that refuses it.
     """
-    overload = [played_load.Wave(3.0, 0.0, 3.0)]
+    overload = [load_simulation.Wave(3.0, 0.0, 3.0)]
     got = play(ReorderingPlay, THREE, overload)
     held = sorted(got.held_s)
     assert held[len(held) * 8 // 10] < 0.05
--- a/redwingvalve/fleet/serving.py
+++ b/redwingvalve/fleet/serving.py
@@ -7,7 +7,7 @@
 
 from redwingvalve.fleet import endpoints
 from redwingvalve.fleet import registry as registry_module
-from redwingvalve.ingress import placing, routes, state
+from redwingvalve.ingress import load_balancing, routes, state
 from redwingvalve.observability import logs, node_metrics
 
 LOG = logs.make_logger('serving')
@@ -55,14 +55,16 @@
         self.on_rebuilt: collections_abc.Callable[[], None] | None = None
         self._registry = registry
         self._configuration: routes.Configuration | None = None
-        self._targets: dict[tuple[str, str], tuple[placing.Target, ...]] = {}
+        self._targets: dict[
+            tuple[str, str], tuple[load_balancing.Target, ...]
+        ] = {}
         self._suspicions: dict[str, Suspicion] = {}
         self._own: set[str] = set()
         # Members of replicas that were seen whole, by name and epoch.
         self._whole: dict[tuple[str, int], endpoints.Replica] = {}
         registry.on_change.append(self.rebuild)
 
-    def of(self, service: str, model: str) -> tuple[placing.Target, ...]:
+    def of(self, service: str, model: str) -> tuple[load_balancing.Target, ...]:
         """Return the targets for a model, or of a plain service."""
         return self._targets.get((service, model), ())
 
@@ -184,7 +186,7 @@
         usable = self._registry.usable()
         by_id = {endpoint.endpoint_id: endpoint for endpoint in usable}
         replicas = endpoints.group_replicas(usable)
-        targets: dict[tuple[str, str], tuple[placing.Target, ...]] = {}
+        targets: dict[tuple[str, str], tuple[load_balancing.Target, ...]] = {}
         for service in configuration.services.values():
             if service.engine is None:
                 targets[service.name, ''] = self._plain(service.name, usable)
@@ -199,7 +201,7 @@
 
     def _plain(
         self, service: str, usable: list[endpoints.Endpoint]
-    ) -> tuple[placing.Target, ...]:
+    ) -> tuple[load_balancing.Target, ...]:
         ready = [
             endpoint
             for endpoint in usable
@@ -219,7 +221,7 @@
         model: routes.Model,
         engine: routes.Engine,
         by_id: dict[str, endpoints.Endpoint],
-    ) -> tuple[placing.Target, ...]:
+    ) -> tuple[load_balancing.Target, ...]:
         found = []
         for seen in replicas:
             if seen.model != model.name:
@@ -273,8 +275,8 @@
         )
 
 
-def _plain_target(endpoint: endpoints.Endpoint) -> placing.Target:
-    return placing.Target(
+def _plain_target(endpoint: endpoints.Endpoint) -> load_balancing.Target:
+    return load_balancing.Target(
         endpoint_id=endpoint.endpoint_id,
         host=endpoint.host,
         port=endpoint.port,
@@ -284,9 +286,11 @@
     )
 
 
-def _head_target(replica: endpoints.Replica, slots: int) -> placing.Target:
+def _head_target(
+    replica: endpoints.Replica, slots: int
+) -> load_balancing.Target:
     head = replica.members[0]
-    return placing.Target(
+    return load_balancing.Target(
         endpoint_id=head.endpoint_id,
         host=head.host,
         port=head.port,
--- a/redwingvalve/ingress/admitting.py
+++ b/redwingvalve/ingress/admission_control.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from redwingvalve.ingress import refusals, returners, routes
+from redwingvalve.ingress import caller_retries, refusals, routes
 from redwingvalve.platform import caller_requests
 
 _MS_IN_S = 1000.0
@@ -68,7 +68,7 @@
 def with_return(
     admission: Admission,
     caller: caller_requests.CallerRequest,
-    deadlines: returners.FirstDeadlines,
+    deadlines: caller_retries.FirstDeadlines,
     now_s: float,
 ) -> Admission:
     """Return what was decided, with whether the caller has come back."""
--- a/redwingvalve/ingress/relay.py
+++ b/redwingvalve/ingress/request_handler.py
@@ -6,18 +6,18 @@
 
 from redwingvalve.http1 import client, messages, pool, server
 from redwingvalve.ingress import (
-    admitting,
-    answering,
-    passing,
-    placing,
+    admission_control,
+    load_balancing,
     poison,
     refusals,
-    reserving,
+    reservations,
+    responses,
     routes,
-    sends,
-    silence,
-    taking,
+    slot_requests,
+    stall_detection,
+    stream_forwarding,
     timing,
+    upstream,
 )
 from redwingvalve.ingress import (
     state as state_module,
@@ -51,17 +51,17 @@
         self._responder = responder
         self._caller = caller_requests.read_request(request)
         self._times = timing.RequestTiming()
-        self._send: sends.Send | None = None
+        self._send: upstream.Send | None = None
         self._connection: client.Connection | None = None
-        self._passing = passing.EventPassing(
+        self._passing = stream_forwarding.EventPassing(
             state.silence, responder, self._caller.last_event, self._times
         )
         self._tried: set[str] = set()
         self._sent = 0
         self._may_have_run = False
-        self._failure: sends.Send | None = None
+        self._failure: upstream.Send | None = None
         self._connect_failures = 0
-        self._admission: admitting.Admission | None = None
+        self._admission: admission_control.Admission | None = None
         self._fingerprint = 0
         # A repeated send was taken from the budget already.
         self._is_paid = False
@@ -78,17 +78,17 @@
             self._request.target, admission.account, self._request.body
         )
         if self._state.poison.is_poison(self._fingerprint):
-            answering.refuse(self._responder, self._caller, refusals.POISON)
+            responses.refuse(self._responder, self._caller, refusals.POISON)
             return
         self._state.prompts(admission.model).saw(admission.prompt_s)
         self._state.window(admission.service).count_request(self._times.began_s)
         while not self._responder.is_gone:
             asked_s = time.monotonic()
-            place = await taking.take_place(
+            place = await slot_requests.take_place(
                 self._state, self._caller, admission, self._tried
             )
             self._times.waited_since(asked_s)
-            if isinstance(place, reserving.NoPlace):
+            if isinstance(place, reservations.NoPlace):
                 self._retry_after_s = place.retry_after_s
                 self._give_up('no free place')
                 return
@@ -96,17 +96,17 @@
             if self._is_settled(admission, place.target, ending):
                 return
 
-    def _admit(self) -> admitting.Admission | None:
-        decided = admitting.admit(
+    def _admit(self) -> admission_control.Admission | None:
+        decided = admission_control.admit(
             self._state.configuration,
             self._caller,
             self._state.chance,
             self._times.began_s,
         )
         if isinstance(decided, refusals.Refusal):
-            answering.refuse(self._responder, self._caller, decided)
+            responses.refuse(self._responder, self._caller, decided)
             return None
-        return admitting.with_return(
+        return admission_control.with_return(
             decided,
             self._caller,
             self._state.first_deadlines,
@@ -114,17 +114,19 @@
         )
 
     async def _offer(
-        self, admission: admitting.Admission, place: reserving.Reservation
-    ) -> sends.Ending:
+        self,
+        admission: admission_control.Admission,
+        place: reservations.Reservation,
+    ) -> upstream.Ending:
         target = place.target
         self._tried.add(target.endpoint_id)
         began_s = time.monotonic()
-        ending = sends.Ending.BROKEN
+        ending = upstream.Ending.BROKEN
         try:
             ending = await self._send_to(admission, target)
         finally:
-            place.release(_LEAVING.get(ending, reserving.Leaving.UNSURE))
-        if ending is sends.Ending.WHOLE and self._sent == 1:
+            place.release(_LEAVING.get(ending, reservations.Leaving.UNSURE))
+        if ending is upstream.Ending.WHOLE and self._sent == 1:
             self._times.teach(
                 self._state.begin(admission.service, admission.model),
                 began_s,
@@ -133,8 +135,10 @@
         return ending
 
     async def _send_to(
-        self, admission: admitting.Admission, target: placing.Target
-    ) -> sends.Ending:
+        self,
+        admission: admission_control.Admission,
+        target: load_balancing.Target,
+    ) -> upstream.Ending:
         connections = self._state.connections
         max_idle_s = KEPT_IDLE_S if admission.route.may_repeat else FRESH_IDLE_S
         try:
@@ -142,10 +146,10 @@
         except pool.ConnectError as error:
             self._connect_failures += 1
             self._state.targets.suspect(target.endpoint_id, str(error))
-            return sends.Ending.NOT_RUN
+            return upstream.Ending.NOT_RUN
         if self._responder.is_gone:
             connections.keep(target.address, connection)
-            return sends.Ending.GONE
+            return upstream.Ending.GONE
         self._sent += 1
         send = self._make_send(admission)
         self._send = send
@@ -157,14 +161,18 @@
         )
         return await self._watch(admission, target, send)
 
-    def _make_send(self, admission: admitting.Admission) -> sends.Send:
+    def _make_send(
+        self, admission: admission_control.Admission
+    ) -> upstream.Send:
         attempt_id = self._caller.attempt_id
         if admission.route.kind is routes.RouteKind.STREAM:
-            return sends.StreamSend(attempt_id, self._passing)
-        return sends.Send(attempt_id)
+            return upstream.StreamSend(attempt_id, self._passing)
+        return upstream.Send(attempt_id)
 
     def _render(
-        self, admission: admitting.Admission, target: placing.Target
+        self,
+        admission: admission_control.Admission,
+        target: load_balancing.Target,
     ) -> bytes:
         left_s = admission.caller_until_s - time.monotonic()
         sending = caller_requests.ForwardingHeaders(
@@ -180,10 +188,10 @@
 
     async def _watch(
         self,
-        admission: admitting.Admission,
-        target: placing.Target,
-        send: sends.Send,
-    ) -> sends.Ending:
+        admission: admission_control.Admission,
+        target: load_balancing.Target,
+        send: upstream.Send,
+    ) -> upstream.Ending:
         self._passing.begin(
             self._connection, self._make_pulse(admission, target)
         )
@@ -202,8 +210,8 @@
         return ending
 
     async def _wait_for(
-        self, admission: admitting.Admission, send: sends.Send
-    ) -> sends.Ending:
+        self, admission: admission_control.Admission, send: upstream.Send
+    ) -> upstream.Ending:
         if self._may_hedge(admission):
             goal_s = time.monotonic() + admission.route.goal_ms / _MS_IN_S
             until_s = min(goal_s, admission.timeout_at_s)
@@ -211,13 +219,13 @@
             if ending is not None:
                 return ending
             if time.monotonic() < admission.timeout_at_s and self._pay():
-                return sends.Ending.SILENT
+                return upstream.Ending.SILENT
         ending = await self._wait_until(send, admission.timeout_at_s)
-        return ending or sends.Ending.TIMEOUT
+        return ending or upstream.Ending.TIMEOUT
 
     async def _wait_until(
-        self, send: sends.Send, until_s: float
-    ) -> sends.Ending | None:
+        self, send: upstream.Send, until_s: float
+    ) -> upstream.Ending | None:
         try:
             async with asyncio.timeout(until_s - time.monotonic()):
                 return await asyncio.shield(send.ended)
@@ -250,9 +258,9 @@
         if self._send.ended.done():
             return
         if self._sent < admission.route.max_attempts and self._pay():
-            self._send.end(sends.Ending.SILENT)
+            self._send.end(upstream.Ending.SILENT)
 
-    def _may_hedge(self, admission: admitting.Admission) -> bool:
+    def _may_hedge(self, admission: admission_control.Admission) -> bool:
         route = admission.route
         return (
             route.kind is routes.RouteKind.IDEMPOTENT
@@ -260,13 +268,15 @@
         )
 
     def _make_pulse(
-        self, admission: admitting.Admission, target: placing.Target
-    ) -> silence.StreamPulse | None:
+        self,
+        admission: admission_control.Admission,
+        target: load_balancing.Target,
+    ) -> stall_detection.StreamPulse | None:
         route = admission.route
         is_stream = route.kind is routes.RouteKind.STREAM
         if not (is_stream and admission.model and route.may_repeat):
             return None
-        return silence.StreamPulse(
+        return stall_detection.StreamPulse(
             head=target.endpoint_id,
             sent_s=time.monotonic(),
             prompt_s=admission.prompt_s,
@@ -276,21 +286,21 @@
 
     def _is_settled(
         self,
-        admission: admitting.Admission,
-        target: placing.Target,
-        ending: sends.Ending,
+        admission: admission_control.Admission,
+        target: load_balancing.Target,
+        ending: upstream.Ending,
     ) -> bool:
         """Answer if nothing more can be done; return whether it was."""
-        if ending is sends.Ending.GONE:
+        if ending is upstream.Ending.GONE:
             self._log(admission, target, 'caller left')
             return True
-        if ending is sends.Ending.WHOLE:
-            self._log(admission, target, answering.ANSWERED)
+        if ending is upstream.Ending.WHOLE:
+            self._log(admission, target, responses.ANSWERED)
             assert self._send is not None
             self._state.poison.answered(self._fingerprint)
-            answering.answer(self._responder, self._send)
+            responses.answer(self._responder, self._send)
             return True
-        if ending is sends.Ending.TIMEOUT:
+        if ending is upstream.Ending.TIMEOUT:
             self._may_have_run = True
             # A stream that has begun ends without a status: nothing else
             # tells which endpoint it waited for.
@@ -306,26 +316,26 @@
         return True
 
     def _note_failure(
-        self, ending: sends.Ending, target: placing.Target
+        self, ending: upstream.Ending, target: load_balancing.Target
     ) -> None:
-        if ending is sends.Ending.NOT_RUN:
+        if ending is upstream.Ending.NOT_RUN:
             return
         self._may_have_run = True
-        if ending is sends.Ending.BROKEN:
+        if ending is upstream.Ending.BROKEN:
             self._state.poison.broke(self._fingerprint, target.incarnation)
-        if ending is sends.Ending.FAILURE:
+        if ending is upstream.Ending.FAILURE:
             self._failure = self._send
-        elif ending is sends.Ending.BROKEN and target.replica:
+        elif ending is upstream.Ending.BROKEN and target.replica:
             # Answers are also lost on the way, at times many at once: taken out
             # of use for each, all heads would be gone in a second. One that
             # crashed refuses the next connection and goes out of use by that.
             self._state.targets.doubt(target.endpoint_id, 'broken stream')
 
     def _may_try_again(
-        self, admission: admitting.Admission, ending: sends.Ending
+        self, admission: admission_control.Admission, ending: upstream.Ending
     ) -> bool:
         route = admission.route
-        if ending is not sends.Ending.NOT_RUN and not route.may_repeat:
+        if ending is not upstream.Ending.NOT_RUN and not route.may_repeat:
             return False
         if self._connect_failures > MAX_CONNECT_FAILURES:
             return False
@@ -344,22 +354,22 @@
             self._responder.abort()
             return
         if self._failure is not None:
-            answering.answer(self._responder, self._failure)
+            responses.answer(self._responder, self._failure)
             return
         refusal = refusals.of(
             self._may_have_run,
             reason == _TIMEOUT,
             refusals.spread_s(self._retry_after_s, self._state.chance),
         )
-        answering.refuse(self._responder, self._caller, refusal)
+        responses.refuse(self._responder, self._caller, refusal)
 
     def _log(
         self,
-        admission: admitting.Admission,
-        target: placing.Target,
+        admission: admission_control.Admission,
+        target: load_balancing.Target,
         outcome: str,
     ) -> None:
-        answering.log_decision(
+        responses.log_decision(
             outcome,
             self._caller,
             admission,
@@ -372,23 +382,23 @@
 
     def _caller_left(self) -> None:
         if self._send is not None:
-            self._send.end(sends.Ending.GONE)
+            self._send.end(upstream.Ending.GONE)
 
 
 _CUT_SHORT = frozenset(
     (
-        sends.Ending.GONE,
-        sends.Ending.SILENT,
-        sends.Ending.TIMEOUT,
-        sends.Ending.BROKEN,
+        upstream.Ending.GONE,
+        upstream.Ending.SILENT,
+        upstream.Ending.TIMEOUT,
+        upstream.Ending.BROKEN,
     )
 )
 # After any other ending the endpoint may be dead.
 _LEAVING = types.MappingProxyType(
     {
-        sends.Ending.WHOLE: reserving.Leaving.FREE,
-        sends.Ending.FAILURE: reserving.Leaving.FREE,
-        sends.Ending.GONE: reserving.Leaving.FREE,
-        sends.Ending.NOT_RUN: reserving.Leaving.REFUSED,
+        upstream.Ending.WHOLE: reservations.Leaving.FREE,
+        upstream.Ending.FAILURE: reservations.Leaving.FREE,
+        upstream.Ending.GONE: reservations.Leaving.FREE,
+        upstream.Ending.NOT_RUN: reservations.Leaving.REFUSED,
     }
 )
--- a/redwingvalve/ingress/reserving.py
+++ b/redwingvalve/ingress/reservations.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from redwingvalve.ingress import placing, waiting
+from redwingvalve.ingress import load_balancing, wait_queue
 
 
 class Leaving(enum.Enum):
@@ -23,7 +23,7 @@
 class Reservation(abc.ABC):
     """A place that is held for a request until it is released."""
 
-    target: placing.Target
+    target: load_balancing.Target
 
     @abc.abstractmethod
     def release(self, leaving: Leaving) -> None:
@@ -45,7 +45,7 @@
         self,
         service: str,
         model: str,
-        need: waiting.Ask,
+        need: wait_queue.Ask,
         avoid: collections_abc.Collection[str],
         slow: collections_abc.Collection[str],
     ) -> Reservation | NoPlace:
--- a/redwingvalve/ingress/answering.py
+++ b/redwingvalve/ingress/responses.py
@@ -1,8 +1,13 @@
 """Gives callers their answers and writes down why."""
 
 from redwingvalve.http1 import messages, server
-from redwingvalve.ingress import admitting, placing, refusals, timing
-from redwingvalve.ingress import sends as sends_module
+from redwingvalve.ingress import (
+    admission_control,
+    load_balancing,
+    refusals,
+    timing,
+    upstream,
+)
 from redwingvalve.observability import bounded_logs, logs, node_metrics
 from redwingvalve.platform import caller_requests, names
 
@@ -11,7 +16,7 @@
 ANSWERED = 'answered'
 
 
-def answer(responder: server.Responder, send: sends_module.Send) -> None:
+def answer(responder: server.Responder, send: upstream.Send) -> None:
     """Pass a whole answer on, or end a stream whose events were passed."""
     if responder.is_started:
         responder.finish()
@@ -19,7 +24,7 @@
     head = send.head
     assert head is not None
     headers = messages.end_to_end(head.headers)
-    if isinstance(send, sends_module.StreamSend) and send.is_stream:
+    if isinstance(send, upstream.StreamSend) and send.is_stream:
         responder.start(head.status, headers)
         responder.finish()
         return
@@ -50,7 +55,7 @@
 
 def log_no_place(
     caller: caller_requests.CallerRequest,
-    admission: admitting.Admission,
+    admission: admission_control.Admission,
     *,
     targets: int,
     under_way: int,
@@ -77,8 +82,8 @@
 def log_decision(
     outcome: str,
     caller: caller_requests.CallerRequest,
-    admission: admitting.Admission,
-    target: placing.Target,
+    admission: admission_control.Admission,
+    target: load_balancing.Target,
     *,
     sends: int,
     last_event: int | None,
--- a/redwingvalve/ingress/retry_window.py
+++ b/redwingvalve/ingress/retry_budget.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from redwingvalve.ingress import recent
+from redwingvalve.ingress import sliding_window
 
 # Other nodes may see a part of the same window and a new process starts its
 # count anew, so that a part of the allowance stays unused.
@@ -30,8 +30,8 @@
     def __init__(self, allowance: RetryAllowance) -> None:
         """Start without sends."""
         self._allowance = allowance
-        self._requests = recent.Moments(allowance.window_s)
-        self._retries = recent.Moments(allowance.window_s)
+        self._requests = sliding_window.Moments(allowance.window_s)
+        self._retries = sliding_window.Moments(allowance.window_s)
 
     def count_request(self, now_s: float) -> None:
         """Count a caller's request."""
--- a/redwingvalve/ingress/taking.py
+++ b/redwingvalve/ingress/slot_requests.py
@@ -4,11 +4,11 @@
 from collections import abc as collections_abc
 
 from redwingvalve.ingress import (
-    admitting,
-    answering,
+    admission_control,
     refusals,
-    reserving,
-    waiting,
+    reservations,
+    responses,
+    wait_queue,
 )
 from redwingvalve.ingress import state as state_module
 from redwingvalve.observability import node_metrics
@@ -18,9 +18,9 @@
 async def take_place(
     state: state_module.IngressState,
     caller: caller_requests.CallerRequest,
-    admission: admitting.Admission,
+    admission: admission_control.Admission,
     avoid: collections_abc.Collection[str],
-) -> reserving.Reservation | reserving.NoPlace:
+) -> reservations.Reservation | reservations.NoPlace:
     """Return a place, or when the caller may come back.
 
     avoid names the endpoints that were tried.
@@ -34,7 +34,7 @@
         avoid,
         state.silence.slow_heads(began_s),
     )
-    has_place = isinstance(found, reserving.Reservation)
+    has_place = isinstance(found, reservations.Reservation)
     held_s = time.monotonic() - began_s
     node_metrics.METRICS.observe(
         'redwingvalve_wait_seconds',
@@ -49,14 +49,14 @@
 
 def _ask(
     state: state_module.IngressState,
-    admission: admitting.Admission,
+    admission: admission_control.Admission,
     *,
     is_resumed: bool,
-) -> waiting.Ask:
+) -> wait_queue.Ask:
     begin = state.begin(admission.service, admission.model)
     left_s = admission.timeout_at_s - time.monotonic()
     begin_s = begin.seconds + admission.prompt_s
-    return waiting.Ask(
+    return wait_queue.Ask(
         urgency=admission.urgency,
         on_time_s=refusals.on_time_wait_s(admission.route, begin_s),
         wait_s=refusals.wait_s(admission.route, left_s),
@@ -68,11 +68,11 @@
 def _log_no_place(
     state: state_module.IngressState,
     caller: caller_requests.CallerRequest,
-    admission: admitting.Admission,
+    admission: admission_control.Admission,
     held_s: float,
 ) -> None:
     service, model = admission.service, admission.model
-    answering.log_no_place(
+    responses.log_no_place(
         caller,
         admission,
         targets=len(state.targets.of(service, model)),
--- a/redwingvalve/ingress/state.py
+++ b/redwingvalve/ingress/state.py
@@ -8,17 +8,15 @@
 
 from redwingvalve.http1 import pool
 from redwingvalve.ingress import (
-    observed,
-    placing,
-    reserving,
-    retry_window,
-    returners,
+    caller_retries,
+    duration_estimates,
+    load_balancing,
+    reservations,
+    retry_budget,
     routes,
+    stall_detection,
 )
 from redwingvalve.ingress import poison as poison_module
-from redwingvalve.ingress import (
-    silence as silence_module,
-)
 
 
 class OpenSend(abc.ABC):
@@ -33,7 +31,7 @@
     """Knows which endpoints take requests now."""
 
     @abc.abstractmethod
-    def of(self, service: str, model: str) -> tuple[placing.Target, ...]:
+    def of(self, service: str, model: str) -> tuple[load_balancing.Target, ...]:
         """Return the targets for a model, or of a plain service."""
 
     @abc.abstractmethod
@@ -59,49 +57,51 @@
     """Everything that one request needs of the node."""
 
     targets: Targets
-    allowance: retry_window.RetryAllowance
+    allowance: retry_budget.RetryAllowance
     configuration: routes.Configuration | None = None
     is_leaving: bool = False
     # Nodes that serve callers, this one included.
     node_count: int = 1
-    loads: placing.Loads = attrs.field(factory=placing.Loads)
+    loads: load_balancing.Loads = attrs.field(factory=load_balancing.Loads)
     connections: pool.Pool = attrs.field(factory=pool.Pool)
-    silence: silence_module.SilenceWatch = attrs.field(
-        factory=silence_module.SilenceWatch
+    silence: stall_detection.SilenceWatch = attrs.field(
+        factory=stall_detection.SilenceWatch
     )
     chance: random.Random = attrs.field(factory=random.Random)
     poison: poison_module.PoisonBook = attrs.field(
         factory=poison_module.PoisonBook
     )
-    first_deadlines: returners.FirstDeadlines = attrs.field(
-        factory=returners.FirstDeadlines
+    first_deadlines: caller_retries.FirstDeadlines = attrs.field(
+        factory=caller_retries.FirstDeadlines
     )
-    reserver: reserving.Reserver | None = None
+    reserver: reservations.Reserver | None = None
     # Places of a service and model in use and wanted, in the whole fleet.
     in_use: collections_abc.Callable[[str, str], int] = _nothing_in_use
     # Requests that wait for places which this node grants.
     waiting: collections_abc.Callable[[str, str], int] = _nothing_in_use
     # Sends that end when their head falls silent, by endpoint.
     open_sends: dict[str, set['OpenSend']] = attrs.field(factory=dict)
-    _begin: dict[tuple[str, str], observed.Typical] = attrs.field(factory=dict)
-    _prompts: dict[str, silence_module.PromptSizes] = attrs.field(factory=dict)
-    _windows: dict[str, retry_window.RetryWindow] = attrs.field(factory=dict)
+    _begin: dict[tuple[str, str], duration_estimates.Typical] = attrs.field(
+        factory=dict
+    )
+    _prompts: dict[str, stall_detection.PromptSizes] = attrs.field(factory=dict)
+    _windows: dict[str, retry_budget.RetryWindow] = attrs.field(factory=dict)
 
-    def begin(self, service: str, model: str) -> observed.Typical:
+    def begin(self, service: str, model: str) -> duration_estimates.Typical:
         """Return how long answers of a model take to begin."""
         key = (service, model)
         if key not in self._begin:
-            self._begin[key] = observed.make_begin()
+            self._begin[key] = duration_estimates.make_begin()
         return self._begin[key]
 
-    def window(self, service: str) -> retry_window.RetryWindow:
+    def window(self, service: str) -> retry_budget.RetryWindow:
         """Return the retries of a service."""
         if service not in self._windows:
-            self._windows[service] = retry_window.RetryWindow(self.allowance)
+            self._windows[service] = retry_budget.RetryWindow(self.allowance)
         return self._windows[service]
 
-    def prompts(self, model: str) -> silence_module.PromptSizes:
+    def prompts(self, model: str) -> stall_detection.PromptSizes:
         """Return how long prompts of a model were lately."""
         if model not in self._prompts:
-            self._prompts[model] = silence_module.PromptSizes()
+            self._prompts[model] = stall_detection.PromptSizes()
         return self._prompts[model]
--- a/redwingvalve/ingress/passing.py
+++ b/redwingvalve/ingress/stream_forwarding.py
@@ -3,8 +3,7 @@
 import time
 
 from redwingvalve.http1 import client, messages, server
-from redwingvalve.ingress import events, silence, timing
-from redwingvalve.ingress import sends as sends_module
+from redwingvalve.ingress import events, stall_detection, timing, upstream
 
 
 class EventPassing:
@@ -12,7 +11,7 @@
 
     def __init__(
         self,
-        watch: silence.SilenceWatch,
+        watch: stall_detection.SilenceWatch,
         responder: server.Responder,
         last_event: int | None,
         times: timing.RequestTiming,
@@ -23,13 +22,13 @@
         self._watch = watch
         self._responder = responder
         self._connection: client.Connection | None = None
-        self._pulse: silence.StreamPulse | None = None
+        self._pulse: stall_detection.StreamPulse | None = None
         responder.on_drained = self._read_on
 
     def begin(
         self,
         connection: client.Connection | None,
-        pulse: silence.StreamPulse | None,
+        pulse: stall_detection.StreamPulse | None,
     ) -> None:
         """Take the events of a connection."""
         self._connection = connection
@@ -44,7 +43,7 @@
             self._watch.end(self._pulse)
             self._pulse = None
 
-    def take(self, event: events.Event, send: sends_module.StreamSend) -> None:
+    def take(self, event: events.Event, send: upstream.StreamSend) -> None:
         """Hand an event on unless the caller has it already."""
         now_s = time.monotonic()
         self._times.note_event(now_s)
--- a/redwingvalve/ingress/tests/played_load.py
+++ b/redwingvalve/ingress/tests/load_simulation.py
@@ -23,12 +23,12 @@
     reserver,
 )
 from redwingvalve.ingress import (
-    observed,
-    placing,
+    duration_estimates,
+    load_balancing,
     refusals,
-    reserving,
+    reservations,
     routes,
-    waiting,
+    wait_queue,
 )
 
 # One way between nodes.
@@ -126,8 +126,8 @@
         """Join the play's network."""
         self.name = name
         self._play = play
-        self.loads = placing.Loads()
-        self.begin = observed.make_begin()
+        self.loads = load_balancing.Loads()
+        self.begin = duration_estimates.make_begin()
         number = int(name.rpartition('-')[2])
         self.data_centre = f'dc-{number % play.deployment.data_centres}'
         self.is_up = True
@@ -188,7 +188,7 @@
         play = self._play
         route = play.route
         began_s = anyio.current_time()
-        ask = waiting.Ask(
+        ask = wait_queue.Ask(
             urgency=1,
             on_time_s=refusals.on_time_wait_s(route, self.begin.seconds),
             wait_s=refusals.wait_s(
@@ -214,7 +214,7 @@
     async def place(self, ask):
         """Reserve a place."""
         found = await self.reserver.reserve('s', 'model', ask, (), ())
-        if isinstance(found, reserving.NoPlace):
+        if isinstance(found, reservations.NoPlace):
             return None, found.retry_after_s
         self._reservations.setdefault(found.target.endpoint_id, []).append(
             found
@@ -224,7 +224,7 @@
     def give_back(self, target):
         """Release a place."""
         held = self._reservations[target.endpoint_id].pop()
-        held.release(reserving.Leaving.FREE)
+        held.release(reservations.Leaving.FREE)
 
     def _targets_of(self, pool):
         return tuple(
@@ -257,7 +257,7 @@
         self.got = Got()
         names = [f'head-{number}' for number in range(deployment.heads)]
         self.targets = tuple(
-            placing.Target(
+            load_balancing.Target(
                 name,
                 'h',
                 1,
--- a/redwingvalve/ingress/tests/test_observed.py
+++ b/redwingvalve/ingress/tests/test_duration_estimates.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from redwingvalve.ingress import observed
+from redwingvalve.ingress import duration_estimates
 
 
 def typical(seconds=1.0):
-    return observed.Typical(seconds, 0.1, 50.0)
+    return duration_estimates.Typical(seconds, 0.1, 50.0)
 
 
 def test_a_step_is_known_after_some_forty_observations():
--- a/redwingvalve/ingress/tests/test_deciding.py
+++ b/redwingvalve/ingress/tests/test_routing_and_stalls.py
@@ -7,11 +7,11 @@
 
 from redwingvalve.ingress import (
     events,
-    placing,
+    load_balancing,
     refusals,
-    retry_window,
+    retry_budget,
     routes,
-    silence,
+    stall_detection,
 )
 
 
@@ -62,48 +62,51 @@
 
 
 def target(name, slots=4):
-    return placing.Target(name, 'h', 1, slots, 'dc')
+    return load_balancing.Target(name, 'h', 1, slots, 'dc')
 
 
 def test_the_least_filled_target_is_chosen():
-    loads = placing.Loads()
+    loads = load_balancing.Loads()
     loads.begin('a')
     chance = random.Random(1)
     targets = [target('a'), target('b')]
-    assert placing.choose(targets, loads, chance).endpoint_id == 'b'
-    assert placing.choose(targets, loads, chance, {'b'}).endpoint_id == 'a'
+    assert load_balancing.choose(targets, loads, chance).endpoint_id == 'b'
+    assert (
+        load_balancing.choose(targets, loads, chance, {'b'}).endpoint_id == 'a'
+    )
     loads.begin('b')
     loads.begin('b')
-    assert placing.choose(targets, loads, chance).endpoint_id == 'a'
+    assert load_balancing.choose(targets, loads, chance).endpoint_id == 'a'
 
 
 def test_no_target_is_chosen_when_all_are_full():
-    loads = placing.Loads()
+    loads = load_balancing.Loads()
     for _ in range(4):
         loads.begin('a')
     chance = random.Random(1)
-    assert placing.choose([target('a')], loads, chance) is None
+    assert load_balancing.choose([target('a')], loads, chance) is None
     loads.end('a')
-    assert placing.choose([target('a')], loads, chance) is not None
+    assert load_balancing.choose([target('a')], loads, chance) is not None
 
 
 def test_equal_targets_are_shared_by_chance():
-    loads = placing.Loads()
+    loads = load_balancing.Loads()
     chance = random.Random(1)
     targets = [target('a'), target('b')]
     picked = {
-        placing.choose(targets, loads, chance).endpoint_id for _ in range(50)
+        load_balancing.choose(targets, loads, chance).endpoint_id
+        for _ in range(50)
     }
     assert picked == {'a', 'b'}
 
 
 def test_retries_are_a_share_of_requests_and_of_the_allowance():
-    allowance = retry_window.RetryAllowance(0.2, 60, 10.0)
-    window = retry_window.RetryWindow(allowance)
+    allowance = retry_budget.RetryAllowance(0.2, 60, 10.0)
+    window = retry_budget.RetryWindow(allowance)
     for _ in range(100):
         window.count_request(0.0)
     spent = sum(window.try_spend(1.0, nodes=6) for _ in range(200))
-    assert spent == int((0.2 * 100 + 60 / 6) * retry_window.USED_SHARE)
+    assert spent == int((0.2 * 100 + 60 / 6) * retry_budget.USED_SHARE)
     assert window.try_spend(11.5, nodes=6)
 
 
@@ -127,7 +130,9 @@
 
 
 def pulse(head='h', sent_s=0.0, prompt_s=0.02, pause_s=0.04, others_s=0.0):
-    return silence.StreamPulse(head, sent_s, prompt_s, pause_s, others_s)
+    return stall_detection.StreamPulse(
+        head, sent_s, prompt_s, pause_s, others_s
+    )
 
 
 def look_until(watch, from_s, to_s):
@@ -136,12 +141,12 @@
     while now_s < to_s:
         if watch.look(now_s):
             return now_s
-        now_s += silence.LOOK_EVERY_S
+        now_s += stall_detection.LOOK_EVERY_S
     return None
 
 
 def test_a_head_that_stops_writing_is_found_within_three_pauses():
-    watch = silence.SilenceWatch()
+    watch = stall_detection.SilenceWatch()
     one = pulse()
     watch.begin(one)
     watch.noted(one, 1.0)
@@ -150,7 +155,7 @@
 
 
 def test_a_head_that_writes_to_one_stream_is_not_silent():
-    watch = silence.SilenceWatch()
+    watch = stall_detection.SilenceWatch()
     one, two = pulse(), pulse()
     for each in (one, two):
         watch.begin(each)
@@ -159,11 +164,11 @@
     while now_s < 1.0:
         watch.noted(one, now_s)
         assert not watch.look(now_s)
-        now_s += silence.LOOK_EVERY_S
+        now_s += stall_detection.LOOK_EVERY_S
 
 
 def test_prompts_of_others_are_allowed_for():
-    watch = silence.SilenceWatch()
+    watch = stall_detection.SilenceWatch()
     one = pulse(others_s=0.2)
     watch.begin(one)
     watch.noted(one, 0.0)
@@ -177,7 +182,7 @@
     found well, and its streams are sent anew elsewhere, where they take places
     in which others could be in time.
     """
-    watch = silence.SilenceWatch()
+    watch = stall_detection.SilenceWatch()
     found = 0
     now_s = 0.0
     for _ in range(7):
@@ -186,7 +191,7 @@
         watch.noted(one, now_s)
         is_silent = False
         for _ in range(40):
-            now_s += silence.LOOK_EVERY_S
+            now_s += stall_detection.LOOK_EVERY_S
             is_silent = is_silent or bool(watch.look(now_s))
         found += is_silent
         if is_silent:
@@ -197,21 +202,21 @@
 
 
 def test_a_slow_head_is_chosen_last():
-    loads = placing.Loads()
+    loads = load_balancing.Loads()
     for _ in range(3):
         loads.begin('b')
     targets = [target('a'), target('b')]
     chance = random.Random(1)
-    found = placing.choose(targets, loads, chance, slow={'a'})
+    found = load_balancing.choose(targets, loads, chance, slow={'a'})
     assert found.endpoint_id == 'b'
     loads.begin('b')
-    found = placing.choose(targets, loads, chance, slow={'a'})
+    found = load_balancing.choose(targets, loads, chance, slow={'a'})
     assert found.endpoint_id == 'a'
 
 
 def test_a_pause_of_this_process_is_no_silence():
     """No stream moves because its own node stood still for a second."""
-    watch = silence.SilenceWatch()
+    watch = stall_detection.SilenceWatch()
     one = pulse()
     watch.begin(one)
     watch.noted(one, 0.0)
@@ -221,7 +226,7 @@
 
 
 def test_a_caller_that_reads_slowly_says_nothing_about_the_head():
-    watch = silence.SilenceWatch()
+    watch = stall_detection.SilenceWatch()
     one = pulse()
     watch.begin(one)
     watch.noted(one, 0.0)
@@ -230,7 +235,7 @@
 
 
 def test_a_stream_that_never_begins_is_found():
-    watch = silence.SilenceWatch()
+    watch = stall_detection.SilenceWatch()
     watch.begin(pulse(sent_s=0.0))
     found_s = look_until(watch, 0.0, 2.0)
     assert found_s is not None and found_s < 0.5
@@ -253,10 +258,10 @@
     for _ in range(20):
         begun = dict.fromkeys((one.endpoint_id for one in targets), 0)
         for _ in range(60):
-            loads = placing.Loads()
+            loads = load_balancing.Loads()
             for _ in range(4):
-                among = placing.draw(targets, chance)
-                found = placing.choose(among, loads, chance)
+                among = load_balancing.draw(targets, chance)
+                found = load_balancing.choose(among, loads, chance)
                 loads.begin(found.endpoint_id)
                 begun[found.endpoint_id] += 1
         over += sum(max(0, count - 8) for count in begun.values())
@@ -265,7 +270,7 @@
 
 def test_a_head_that_was_found_sound_is_given_more_time():
     """A slow head under a burst isn't taken out of use again and again."""
-    watch = silence.SilenceWatch()
+    watch = stall_detection.SilenceWatch()
     one = pulse()
     watch.begin(one)
     watch.noted(one, 0.0)
--- a/redwingvalve/ingress/tests/test_waiting.py
+++ b/redwingvalve/ingress/tests/test_wait_queue.py
@@ -7,15 +7,20 @@
 import anyio
 import anyio.lowlevel
 
-from redwingvalve.ingress import placing, refusals, returners, waiting
-from redwingvalve.ingress.tests import played_load
+from redwingvalve.ingress import (
+    caller_retries,
+    load_balancing,
+    refusals,
+    wait_queue,
+)
+from redwingvalve.ingress.tests import load_simulation
 
 
 def target(name):
-    return placing.Target(name, 'h', 1, 4, 'dc')
+    return load_balancing.Target(name, 'h', 1, 4, 'dc')
 
 
-class FewPlaces(waiting.Places):
+class FewPlaces(wait_queue.Places):
     """Places that are all taken; as many come free a second as told."""
 
     def __init__(self, freed_per_s=100.0, *, is_spare=False):
@@ -37,7 +42,7 @@
 
     def __init__(self, clock=None, places=None):
         self.places = places or FewPlaces()
-        self.room = waiting.WaitingRoom(clock or (lambda: 0.0), self.places)
+        self.room = wait_queue.WaitingRoom(clock or (lambda: 0.0), self.places)
         self.free = []
         self.served = []
         self.refused = []
@@ -46,7 +51,7 @@
         return self.free.pop() if self.free else None
 
     async def ask(self, name, urgency=1, on_time_s=1.0, **more):
-        ask = waiting.Ask(urgency, on_time_s, 1.0, **more)
+        ask = wait_queue.Ask(urgency, on_time_s, 1.0, **more)
         got = await self.room.take(ask, self.select)
         (self.refused if got is None else self.served).append(name)
 
@@ -148,7 +153,7 @@
             await taker.free_one()
 
         task = asyncio.create_task(grant())
-        ask = waiting.Ask(1, 0.02, 0.02)
+        ask = wait_queue.Ask(1, 0.02, 0.02)
         got = await taker.room.take(ask, taker.select)
         await task
         assert got is not None or taker.free
@@ -165,7 +170,7 @@
         async with anyio.create_task_group() as group:
             for number in range(3):
                 group.start_soon(taker.ask, number, 1, 0.3)
-            late = waiting.LEAST_LATE_WAITERS
+            late = wait_queue.LEAST_LATE_WAITERS
             for number in range(late):
                 group.start_soon(taker.ask, f'late {number}', 1, 0.3)
             await settle()
@@ -185,14 +190,14 @@
     async def main():
         taker = Taker(places=FewPlaces(freed_per_s=0.1))
         async with anyio.create_task_group() as group:
-            for number in range(1 + waiting.LEAST_LATE_WAITERS):
+            for number in range(1 + wait_queue.LEAST_LATE_WAITERS):
                 group.start_soon(taker.ask, number, 1, 0.3)
             await settle()
             group.start_soon(
                 functools.partial(taker.ask, 'back', has_returned=True)
             )
             await settle()
-            assert taker.refused == [waiting.LEAST_LATE_WAITERS]
+            assert taker.refused == [wait_queue.LEAST_LATE_WAITERS]
             group.cancel_scope.cancel()
 
     anyio.run(main)
@@ -200,7 +205,7 @@
 
 def test_who_comes_back_is_told_from_first_attempts():
     """First attempts differ by a tenth; one that waited two seconds shows."""
-    deadlines = returners.FirstDeadlines()
+    deadlines = caller_retries.FirstDeadlines()
     chance = random.Random(1)
     key = ('route', 'account')
     for now_s in range(100):
@@ -212,7 +217,7 @@
 
 
 def test_habits_that_have_changed_are_forgotten():
-    deadlines = returners.FirstDeadlines()
+    deadlines = caller_retries.FirstDeadlines()
     key = ('route', None)
     deadlines.is_return(key, 9000, 0)
     assert deadlines.is_return(key, 3000, 1)
@@ -227,7 +232,7 @@
     Callers leave a silent stream after two seconds, four goals or eight
     pauses; one that has little time left is told sooner.
     """
-    route = played_load.make_route(0.3)
+    route = load_simulation.make_route(0.3)
     assert refusals.wait_s(route, 6.0) == 1.5
     assert refusals.wait_s(route, 1.0) == 0.5
     assert refusals.wait_s(route, -1.0) == 0
--- a/redwingvalve/ingress/timing.py
+++ b/redwingvalve/ingress/timing.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from redwingvalve.ingress import admitting, observed
+from redwingvalve.ingress import admission_control, duration_estimates
 
 _MS_IN_S = 1000.0
 
@@ -32,13 +32,13 @@
         """Return how long the first event took, 0 if none came."""
         return (self.first_s or self.began_s) - self.began_s
 
-    def is_late_first(self, admission: admitting.Admission) -> bool:
+    def is_late_first(self, admission: admission_control.Admission) -> bool:
         """Return whether the answer began late for its caller."""
         first_s = self.until_first_s or self.took_s
         goal_s = admission.route.goal_ms / _MS_IN_S
         return admission.has_returned or first_s > goal_s
 
-    def is_late_between(self, admission: admitting.Admission) -> bool:
+    def is_late_between(self, admission: admission_control.Admission) -> bool:
         """Return whether a pause between events was too long."""
         goal_s = admission.route.gap_goal_ms / _MS_IN_S
         return goal_s > 0 and self.longest_pause_s > goal_s
@@ -56,7 +56,7 @@
         self._last_s = now_s
 
     def teach(
-        self, begin: observed.Typical, sent_s: float, prompt_s: float
+        self, begin: duration_estimates.Typical, sent_s: float, prompt_s: float
     ) -> None:
         """Learn from the whole answer to an only send at sent_s."""
         first_s = self.first_s or time.monotonic()
--- a/redwingvalve/ingress/waiting.py
+++ b/redwingvalve/ingress/wait_queue.py
@@ -30,7 +30,7 @@
 
 import attrs
 
-from redwingvalve.ingress import placing, recent
+from redwingvalve.ingress import load_balancing, sliding_window
 
 # While no endpoint is known; whoever isn't first then waits too long.
 LEAST_FREED_PER_S = 1e-3
@@ -99,8 +99,8 @@
     number: int
     # From then on its answer can't begin in time.
     late_at_s: float
-    select: placing.Selector
-    granted: asyncio.Future[placing.Target | None]
+    select: load_balancing.Selector
+    granted: asyncio.Future[load_balancing.Target | None]
 
     def is_late(self, now_s: float) -> bool:
         if self.ask.is_resumed:
@@ -130,8 +130,8 @@
         self._places = places
         self._numbers = itertools.count()
         self._waiters: list[_Waiter] = []
-        self._served = recent.Moments(RATE_WINDOW_S)
-        self._refused = recent.Moments(RATE_WINDOW_S)
+        self._served = sliding_window.Moments(RATE_WINDOW_S)
+        self._refused = sliding_window.Moments(RATE_WINDOW_S)
         self._late_limit = math.inf
         # Places that late requests may take though none is to spare.
         self._late_share = 0.0
@@ -154,8 +154,8 @@
         return self._expected_s(self._make_waiter(ask, _select_nothing))
 
     def take_now(
-        self, ask: Ask, select: placing.Selector
-    ) -> placing.Target | None:
+        self, ask: Ask, select: load_balancing.Selector
+    ) -> load_balancing.Target | None:
         """Return a place if one is free for this request now."""
         waiter = self._make_waiter(ask, select)
         self._waiters.append(waiter)
@@ -164,8 +164,8 @@
         return _granted(waiter)
 
     async def take(
-        self, ask: Ask, select: placing.Selector
-    ) -> placing.Target | None:
+        self, ask: Ask, select: load_balancing.Selector
+    ) -> load_balancing.Target | None:
         """Return a place, or None if the request won't get one in time."""
         waiter = self._make_waiter(ask, select)
         self._waiters.append(waiter)
@@ -190,7 +190,9 @@
             if target is not None:
                 self._grant(waiter, target, is_late=is_late)
 
-    def _make_waiter(self, ask: Ask, select: placing.Selector) -> _Waiter:
+    def _make_waiter(
+        self, ask: Ask, select: load_balancing.Selector
+    ) -> _Waiter:
         return _Waiter(
             ask,
             next(self._numbers),
@@ -199,7 +201,7 @@
             asyncio.get_running_loop().create_future(),
         )
 
-    async def _place(self, waiter: _Waiter) -> placing.Target | None:
+    async def _place(self, waiter: _Waiter) -> load_balancing.Target | None:
         self.poke()
         if waiter.granted.done():
             return waiter.granted.result()
@@ -264,7 +266,7 @@
         return True
 
     def _grant(
-        self, waiter: _Waiter, target: placing.Target, *, is_late: bool
+        self, waiter: _Waiter, target: load_balancing.Target, *, is_late: bool
     ) -> None:
         self._served.note(self._clock())
         self._forget(waiter)
@@ -308,5 +310,5 @@
     """Select no place."""
 
 
-def _granted(waiter: _Waiter) -> placing.Target | None:
+def _granted(waiter: _Waiter) -> load_balancing.Target | None:
     return waiter.granted.result() if waiter.granted.done() else None
--- a/redwingvalve/node/allocation_transport.py
+++ b/redwingvalve/node/allocation_transport.py
@@ -10,7 +10,7 @@
 from redwingvalve.allocation import allocator as allocator_module
 from redwingvalve.allocation import dispatch, messages, owners
 from redwingvalve.allocation import reserver as reserver_module
-from redwingvalve.ingress import placing
+from redwingvalve.ingress import load_balancing
 from redwingvalve.ingress import state as state_module
 from redwingvalve.node import front_selection
 from redwingvalve.node import peers as peers_module
@@ -22,7 +22,7 @@
 LOOK_S = 0.1
 # While nothing is granted here.
 IDLE_S = 0.5
-_Targets: typing.TypeAlias = tuple[placing.Target, ...]
+_Targets: typing.TypeAlias = tuple[load_balancing.Target, ...]
 
 
 @attrs.define(eq=False)
--- a/redwingvalve/node/daemon.py
+++ b/redwingvalve/node/daemon.py
@@ -12,7 +12,7 @@
 from redwingvalve.fleet import serving
 from redwingvalve.http1 import pool
 from redwingvalve.ingress import (
-    retry_window,
+    retry_budget,
     routes,
 )
 from redwingvalve.ingress import (
@@ -324,8 +324,8 @@
     return peers_module.local_address(node_settings, int(time.time() * 1000))
 
 
-def _allowance(bounds: settings.Bounds) -> retry_window.RetryAllowance:
-    return retry_window.RetryAllowance(
+def _allowance(bounds: settings.Bounds) -> retry_budget.RetryAllowance:
+    return retry_budget.RetryAllowance(
         bounds.retry_ratio, bounds.retry_extra, bounds.retry_window_s
     )
 
--- a/redwingvalve/node/failure_detector.py
+++ b/redwingvalve/node/failure_detector.py
@@ -22,7 +22,7 @@
 import attrs
 
 from redwingvalve.fleet import serving
-from redwingvalve.ingress import silence
+from redwingvalve.ingress import stall_detection
 from redwingvalve.ingress import state as state_module
 from redwingvalve.node import endpoint_prober
 from redwingvalve.node import lease as lease_module
@@ -65,7 +65,7 @@
     def _pause_s(self) -> float:
         """Return the time until the next look; each wakes an idle process."""
         if self._doubts:
-            return silence.LOOK_EVERY_S
+            return stall_detection.LOOK_EVERY_S
         return self.state.silence.pause_s(time.monotonic())
 
     def doubt(self, head: str, reason: str) -> None:
--- a/redwingvalve/node/front.py
+++ b/redwingvalve/node/front.py
@@ -4,7 +4,7 @@
 import json
 
 from redwingvalve.http1 import messages, reading, server
-from redwingvalve.ingress import relay, routes
+from redwingvalve.ingress import request_handler, routes
 from redwingvalve.ingress import state as state_module
 from redwingvalve.node import front_selection
 from redwingvalve.node import peers as peers_module
@@ -54,13 +54,13 @@
     ) -> None:
         """Relay one request in a task of its own."""
         self.has_served = True
-        run = relay.RequestRun(self._state, request, responder)
+        run = request_handler.RequestRun(self._state, request, responder)
         task = asyncio.get_running_loop().create_task(self._run(run, responder))
         self.running.add(task)
         task.add_done_callback(self.running.discard)
 
     async def _run(
-        self, run: relay.RequestRun, responder: server.Responder
+        self, run: request_handler.RequestRun, responder: server.Responder
     ) -> None:
         try:
             await run.run()
--- a/redwingvalve/node/tests/test_failure_detector.py
+++ b/redwingvalve/node/tests/test_failure_detector.py
@@ -5,7 +5,7 @@
 import anyio
 import attrs
 
-from redwingvalve.ingress import retry_window, silence
+from redwingvalve.ingress import retry_budget, stall_detection
 from redwingvalve.ingress import state as state_module
 from redwingvalve.node import failure_detector
 
@@ -65,7 +65,7 @@
 
 
 def watch(is_whole, *, nodes=MANY_NODES, has_holder=True):
-    allowance = retry_window.RetryAllowance(0.2, 100, 10)
+    allowance = retry_budget.RetryAllowance(0.2, 100, 10)
     table = Table()
     state = state_module.IngressState(table, allowance)
     state.node_count = nodes
@@ -87,7 +87,9 @@
 
 def look_after_silence(made, *, has_begun):
     """Look at a head from which nothing has come for a long time."""
-    pulse = silence.StreamPulse('head', sent_s=0.0, prompt_s=0, pause_s=0.05)
+    pulse = stall_detection.StreamPulse(
+        'head', sent_s=0.0, prompt_s=0, pause_s=0.05
+    )
     made.state.silence.begin(pulse)
     if has_begun:
         made.state.silence.noted(pulse, 0.0)
