--- a/redwingvalve/allocation/allocator.py
+++ b/redwingvalve/allocation/allocator.py
@@ -64,7 +64,7 @@
             return
         pool.note_slow(ask)
         select = pool.selector(sender, ask)
-        target = pool.queue.take_now(ask.need, select)
+        target = pool.queue.try_acquire(ask.need, select)
         if target is not None:
             reply(_granted(ask, target.endpoint_id))
         elif ask.may_wait:
@@ -162,7 +162,7 @@
             return None if waits.is_withdrawn else take()
 
         try:
-            target = await pool.queue.take(ask.need, select)
+            target = await pool.queue.acquire(ask.need, select)
         finally:
             if self._waiting.get(key) is waits:
                 self._waiting.pop(key)
--- a/redwingvalve/allocation/messages.py
+++ b/redwingvalve/allocation/messages.py
@@ -59,7 +59,7 @@
     number: int
     pool: Pool
     may_wait: bool
-    need: wait_queue.Ask
+    need: wait_queue.SlotRequest
     avoid: tuple[str, ...] = ()
     slow: tuple[str, ...] = ()
 
@@ -81,7 +81,7 @@
     """A place is no longer held, or wanted."""
 
     number: int
-    leaving: reservations.Leaving = reservations.Leaving.FREE
+    leaving: reservations.ReleaseState = reservations.ReleaseState.FREE
 
 
 @attrs.frozen
@@ -220,7 +220,7 @@
 
 
 def _read_ask(struct: typing.Any) -> Ask:
-    need = wait_queue.Ask(
+    need = wait_queue.SlotRequest(
         urgency=_whole(struct.urgency),
         on_time_s=_whole(struct.on_time_ms) / _MS_IN_S,
         wait_s=_whole(struct.wait_ms) / _MS_IN_S,
@@ -253,7 +253,7 @@
 
 def _read_release(struct: typing.Any) -> Release:
     try:
-        leaving = reservations.Leaving(struct.leaving)
+        leaving = reservations.ReleaseState(struct.leaving)
     except ValueError as error:
         raise MessageError(f'unknown state {struct.leaving!r}') from error
     return Release(_whole(struct.number), leaving)
--- a/redwingvalve/allocation/pool.py
+++ b/redwingvalve/allocation/pool.py
@@ -50,7 +50,7 @@
 
 
 @attrs.define(eq=False)
-class SlotPool(wait_queue.Places):
+class SlotPool(wait_queue.SlotCapacity):
     """Counts, grants and queues for one pool."""
 
     targets: Targets
@@ -63,11 +63,11 @@
     _refused_until_s: dict[str, float] = attrs.field(factory=dict)
     _slow_until_s: dict[str, float] = attrs.field(factory=dict)
     _unsure: list[_Unsure] = attrs.field(factory=list)
-    queue: wait_queue.WaitingRoom = attrs.field(init=False)
+    queue: wait_queue.WaitQueue = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Open the waiting room."""
-        self.queue = wait_queue.WaitingRoom(self.clock, self)
+        self.queue = wait_queue.WaitQueue(self.clock, self)
 
     @property
     def is_busy(self) -> bool:
@@ -76,7 +76,7 @@
 
     def selector(
         self, sender: messages.Sender, ask: messages.Ask
-    ) -> load_balancing.Selector:
+    ) -> load_balancing.AcquireSlot:
         """Return what takes a place for an ask."""
         return functools.partial(self._take, sender, ask)
 
@@ -87,32 +87,32 @@
             self._slow_until_s[endpoint_id] = until_s
 
     def release(
-        self, key: hold_table.Key, leaving: reservations.Leaving
+        self, key: hold_table.Key, leaving: reservations.ReleaseState
     ) -> None:
         """Free a place and give it to the first that waits."""
         hold = self.holds.release(key)
         if hold is None:
             return
         now_s = self.clock()
-        if leaving is reservations.Leaving.REFUSED:
+        if leaving is reservations.ReleaseState.REFUSED:
             self._refused_until_s[hold.endpoint_id] = now_s + REFUSED_S
-        elif leaving is reservations.Leaving.UNSURE:
+        elif leaving is reservations.ReleaseState.UNCERTAIN:
             self._unsure.append(_Unsure(hold.endpoint_id, now_s + UNSURE_S))
         else:
             self._hold.saw(now_s - hold.since_s)
-        self.queue.poke()
+        self.queue.dispatch()
 
     def confirm(
         self, sender: messages.Sender, endpoint_ids: dict[int, str]
     ) -> None:
         """Take what a node holds."""
         self.holds.confirm(sender, endpoint_ids, self.clock())
-        self.queue.poke()
+        self.queue.dispatch()
 
     def drop_node(self, vm: str) -> None:
         """Free what a node held that is gone."""
         if self.holds.drop_node(vm):
-            self.queue.poke()
+            self.queue.dispatch()
 
     def tick(self) -> None:
         """Forget what is over, and let those that wait look again."""
@@ -121,12 +121,12 @@
         self._refused_until_s = _unexpired(self._refused_until_s, now_s)
         self._slow_until_s = _unexpired(self._slow_until_s, now_s)
         self._unsure = [one for one in self._unsure if one.until_s > now_s]
-        self.queue.poke()
+        self.queue.dispatch()
 
-    def expected_s(self, ask: wait_queue.Ask) -> float:
+    def expected_s(self, ask: wait_queue.SlotRequest) -> float:
         """Return how long a request would wait."""
-        next_s = 1 / max(self.freed_per_s(), wait_queue.LEAST_FREED_PER_S)
-        return max(self.queue.expected_s(ask), next_s)
+        next_s = 1 / max(self.freed_per_s(), wait_queue.MIN_FREED_PER_S)
+        return max(self.queue.expected_wait_s(ask), next_s)
 
     def free_slots(self) -> int:
         """Return the places that are free."""
@@ -140,7 +140,7 @@
         """Return the places that come free in a second while all are taken."""
         return self.slots() / self._hold.seconds
 
-    def has_spare(self) -> bool:
+    def has_spare_slots(self) -> bool:
         """Return whether late requests may take a place now.
 
         Some places are kept for requests that can be on time: half of the
--- a/redwingvalve/allocation/reserver.py
+++ b/redwingvalve/allocation/reserver.py
@@ -91,7 +91,7 @@
     _number: int
     _reserver: 'NodeReserver'
 
-    def release(self, leaving: reservations.Leaving) -> None:
+    def release(self, leaving: reservations.ReleaseState) -> None:
         self._reserver.give_back(self._number, leaving)
 
 
@@ -103,7 +103,7 @@
     targets: state.Targets
     owners: owners_module.PoolOwners
     transport: Transport
-    loads: load_balancing.Loads
+    loads: load_balancing.EndpointLoads
     clock: collections_abc.Callable[[], float]
     rng: random.Random = attrs.field(factory=random.Random)
     # Whether the data centres of a model count their places apart.
@@ -119,10 +119,10 @@
         self,
         service: str,
         model: str,
-        need: wait_queue.Ask,
+        need: wait_queue.SlotRequest,
         avoid: collections_abc.Collection[str],
         slow: collections_abc.Collection[str],
-    ) -> reservations.Reservation | reservations.NoPlace:
+    ) -> reservations.Reservation | reservations.NoSlot:
         """Return a place for a request, or when its caller may come back."""
         avoided = list(avoid)
         need = _later(need, GRANT_SLACK_S)
@@ -134,14 +134,14 @@
                 0, pools[0], len(pools) == 1, need, tuple(avoided), tuple(slow)
             )
             found = await self._find(pools, ask)
-            if isinstance(found, reservations.NoPlace):
+            if isinstance(found, reservations.NoSlot):
                 return found
             target = self._known(found)
             if target is not None:
                 return self._keep(found, target)
             self.transport.send(found.granter, messages.Release(found.number))
             avoided.append(found.endpoint_id)
-        return reservations.NoPlace(RETRY_AFTER_S)
+        return reservations.NoSlot(RETRY_AFTER_S)
 
     def heard(self, vm: str, reply: messages.Reply) -> None:
         """Take a reply to an ask."""
@@ -153,12 +153,14 @@
             # Nobody waits for it any more.
             self.transport.send(vm, messages.Release(reply.number))
 
-    def give_back(self, number: int, leaving: reservations.Leaving) -> None:
+    def give_back(
+        self, number: int, leaving: reservations.ReleaseState
+    ) -> None:
         """Release a place."""
         held = self._held.pop(number, None)
         if held is None:
             return
-        self.loads.end(held.target.endpoint_id)
+        self.loads.remove_request(held.target.endpoint_id)
         owner = held.granter or self._owner(held.pool)
         if owner:
             self.transport.send(owner, messages.Release(number, leaving))
@@ -177,7 +179,7 @@
 
     async def _find(
         self, pools: list[messages.Pool], ask: messages.Ask
-    ) -> _Grant | reservations.NoPlace:
+    ) -> _Grant | reservations.NoSlot:
         """Return a place in the first pool that has one, or wait for one."""
         began_s = self.clock()
         shortest, shortest_s = pools[0], float('inf')
@@ -191,12 +193,12 @@
         last = attrs.evolve(ask, pool=shortest, may_wait=True, need=need)
         decided = await self._try(last)
         if isinstance(decided, messages.Reply):
-            return reservations.NoPlace(decided.retry_after_s)
+            return reservations.NoSlot(decided.retry_after_s)
         return decided
 
     async def _try(
         self, ask: messages.Ask
-    ) -> _Grant | reservations.NoPlace | messages.Reply:
+    ) -> _Grant | reservations.NoSlot | messages.Reply:
         """Return a place or a refusal; the reply if the pool is full."""
         found = await self._ask(ask)
         if found is None:
@@ -205,7 +207,7 @@
         if reply.outcome is _GRANTED:
             return _Grant(reply.number, ask.pool, vm, reply.endpoint_id)
         if ask.may_wait:
-            return reservations.NoPlace(reply.retry_after_s)
+            return reservations.NoSlot(reply.retry_after_s)
         return reply
 
     def _pools(self, service: str, model: str) -> list[messages.Pool]:
@@ -291,19 +293,19 @@
         pending.changed.clear()
         return pending.latest
 
-    def _choose(self, ask: messages.Ask) -> _Grant | reservations.NoPlace:
+    def _choose(self, ask: messages.Ask) -> _Grant | reservations.NoSlot:
         """Choose by what this node knows itself."""
         node_metrics.METRICS.count('redwingvalve_places_chosen_alone')
         targets = self.targets.of(ask.pool.service, ask.pool.model)
-        drawn = load_balancing.draw(targets, self.rng)
+        drawn = load_balancing.sample_candidates(targets, self.rng)
         for among in (drawn, targets):
-            found = load_balancing.choose(
+            found = load_balancing.choose_least_loaded(
                 among, self.loads, self.rng, ask.avoid, ask.slow
             )
             if found is not None:
                 number = next(self._numbers)
                 return _Grant(number, ask.pool, '', found.endpoint_id)
-        return reservations.NoPlace(RETRY_AFTER_S)
+        return reservations.NoSlot(RETRY_AFTER_S)
 
     def _known(self, grant: _Grant) -> load_balancing.Target | None:
         pool = grant.pool
@@ -316,7 +318,7 @@
         self, grant: _Grant, target: load_balancing.Target
     ) -> reservations.Reservation:
         self._held[grant.number] = _Held(grant.pool, target, grant.granter)
-        self.loads.begin(target.endpoint_id)
+        self.loads.add_request(target.endpoint_id)
         return _Place(target, grant.number, self)
 
     def _owner(self, pool: messages.Pool) -> str:
@@ -343,7 +345,9 @@
             self.transport.send(owner, holdings)
 
 
-def _later(need: wait_queue.Ask, passed_s: float) -> wait_queue.Ask:
+def _later(
+    need: wait_queue.SlotRequest, passed_s: float
+) -> wait_queue.SlotRequest:
     """Return what a request needs once some time has passed."""
     return attrs.evolve(
         need,
--- a/redwingvalve/allocation/tests/test_messages.py
+++ b/redwingvalve/allocation/tests/test_messages.py
@@ -9,7 +9,7 @@
 
 SENDER = messages.Sender('vm-1', 1_700_000_000_000)
 POOL = messages.Pool('engine', 'small', 'zone-1')
-NEED = wait_queue.Ask(1, 0.25, 1.5, has_returned=True)
+NEED = wait_queue.SlotRequest(1, 0.25, 1.5, has_returned=True)
 
 
 @pytest.mark.parametrize(
@@ -19,7 +19,7 @@
         messages.Reply(7, messages.Outcome.GRANTED, 'e1'),
         messages.Reply(7, messages.Outcome.REFUSED, retry_after_s=0.8),
         messages.Reply(7, messages.Outcome.FULL, expected_s=0.02),
-        messages.Release(7, reservations.Leaving.REFUSED),
+        messages.Release(7, reservations.ReleaseState.REFUSED),
         messages.Holdings(POOL, {7: 'e1', 9: 'e2'}),
     ],
 )
--- a/redwingvalve/allocation/tests/test_pool.py
+++ b/redwingvalve/allocation/tests/test_pool.py
@@ -10,7 +10,7 @@
 from redwingvalve.ingress import load_balancing, reservations, wait_queue
 
 POOL = messages.Pool('engine', 'small', 'zone-1')
-NEED = wait_queue.Ask(1, 0.2, 1.0)
+NEED = wait_queue.SlotRequest(1, 0.2, 1.0)
 NODES = [messages.Sender(f'vm-{number}', 1) for number in range(6)]
 GRANTED = messages.Outcome.GRANTED
 QUEUED = messages.Outcome.QUEUED
@@ -139,7 +139,7 @@
         granter = make(now_s=lambda: moment[0])
         ask(granter, NODES[0], 1)
         granter.release(
-            NODES[0], messages.Release(1, reservations.Leaving.REFUSED)
+            NODES[0], messages.Release(1, reservations.ReleaseState.REFUSED)
         )
         assert ask(granter, NODES[0], 2)[-1].outcome is FULL
         moment[0] += 0.3
@@ -156,7 +156,7 @@
         granter = make(now_s=lambda: moment[0])
         ask(granter, NODES[0], 1)
         granter.release(
-            NODES[0], messages.Release(1, reservations.Leaving.UNSURE)
+            NODES[0], messages.Release(1, reservations.ReleaseState.UNCERTAIN)
         )
         assert granter.pool(POOL).free_slots() == 8
         moment[0] += 0.3
@@ -182,9 +182,9 @@
         granter = make(heads=2, slots=50)
         for number in range(93):
             ask(granter, NODES[0], number)
-        assert granter.pool(POOL).has_spare()
+        assert granter.pool(POOL).has_spare_slots()
         for number in range(93, 96):
             ask(granter, NODES[0], number)
-        assert not granter.pool(POOL).has_spare()
+        assert not granter.pool(POOL).has_spare_slots()
 
     run(test)
--- a/redwingvalve/ingress/load_balancing.py
+++ b/redwingvalve/ingress/load_balancing.py
@@ -41,27 +41,27 @@
         return self.host, self.port
 
 
-class Loads:
+class EndpointLoads:
     """Requests of this node under way at each endpoint."""
 
     def __init__(self) -> None:
         """Start without requests."""
-        self.own: dict[str, int] = {}
+        self.by_endpoint: dict[str, int] = {}
 
-    def begin(self, endpoint_id: str) -> None:
+    def add_request(self, endpoint_id: str) -> None:
         """Count a request."""
-        self.own[endpoint_id] = self.own.get(endpoint_id, 0) + 1
+        self.by_endpoint[endpoint_id] = self.by_endpoint.get(endpoint_id, 0) + 1
 
-    def end(self, endpoint_id: str) -> None:
+    def remove_request(self, endpoint_id: str) -> None:
         """Stop counting a request."""
-        left = self.own.get(endpoint_id, 0) - 1
+        left = self.by_endpoint.get(endpoint_id, 0) - 1
         if left > 0:
-            self.own[endpoint_id] = left
+            self.by_endpoint[endpoint_id] = left
         else:
-            self.own.pop(endpoint_id, None)
+            self.by_endpoint.pop(endpoint_id, None)
 
 
-def draw(
+def sample_candidates(
     targets: collections_abc.Sequence[Target], chance: random.Random
 ) -> collections_abc.Sequence[Target]:
     """Return the targets among which a request chooses."""
@@ -70,9 +70,9 @@
     return chance.sample(targets, DRAWN_TARGETS)
 
 
-def choose(
+def choose_least_loaded(
     targets: collections_abc.Iterable[Target],
-    loads: Loads,
+    loads: EndpointLoads,
     chance: random.Random,
     avoid: collections_abc.Container[str] = (),
     slow: collections_abc.Container[str] = (),
@@ -86,7 +86,9 @@
     for target in targets:
         if target.endpoint_id in avoid:
             continue
-        filled = loads.own.get(target.endpoint_id, 0) / max(target.slots, 1)
+        filled = loads.by_endpoint.get(target.endpoint_id, 0) / max(
+            target.slots, 1
+        )
         if filled >= 1:
             continue
         rank = (target.endpoint_id in slow, filled, chance.random())
@@ -97,4 +99,4 @@
 
 
 # Takes a place, if there is one. What it returns is counted already.
-Selector: typing.TypeAlias = collections_abc.Callable[[], Target | None]
+AcquireSlot: typing.TypeAlias = collections_abc.Callable[[], Target | None]
--- a/redwingvalve/ingress/request_handler.py
+++ b/redwingvalve/ingress/request_handler.py
@@ -84,11 +84,11 @@
         self._state.window(admission.service).count_request(self._times.began_s)
         while not self._responder.is_gone:
             asked_s = time.monotonic()
-            place = await slot_requests.take_place(
+            place = await slot_requests.reserve_slot(
                 self._state, self._caller, admission, self._tried
             )
             self._times.waited_since(asked_s)
-            if isinstance(place, reservations.NoPlace):
+            if isinstance(place, reservations.NoSlot):
                 self._retry_after_s = place.retry_after_s
                 self._give_up('no free place')
                 return
@@ -125,7 +125,9 @@
         try:
             ending = await self._send_to(admission, target)
         finally:
-            place.release(_LEAVING.get(ending, reservations.Leaving.UNSURE))
+            place.release(
+                _LEAVING.get(ending, reservations.ReleaseState.UNCERTAIN)
+            )
         if ending is upstream.Ending.WHOLE and self._sent == 1:
             self._times.teach(
                 self._state.begin(admission.service, admission.model),
@@ -396,9 +398,9 @@
 # After any other ending the endpoint may be dead.
 _LEAVING = types.MappingProxyType(
     {
-        upstream.Ending.WHOLE: reservations.Leaving.FREE,
-        upstream.Ending.FAILURE: reservations.Leaving.FREE,
-        upstream.Ending.GONE: reservations.Leaving.FREE,
-        upstream.Ending.NOT_RUN: reservations.Leaving.REFUSED,
+        upstream.Ending.WHOLE: reservations.ReleaseState.FREE,
+        upstream.Ending.FAILURE: reservations.ReleaseState.FREE,
+        upstream.Ending.GONE: reservations.ReleaseState.FREE,
+        upstream.Ending.NOT_RUN: reservations.ReleaseState.REFUSED,
     }
 )
--- a/redwingvalve/ingress/reservations.py
+++ b/redwingvalve/ingress/reservations.py
@@ -9,13 +9,13 @@
 from redwingvalve.ingress import load_balancing, wait_queue
 
 
-class Leaving(enum.Enum):
+class ReleaseState(enum.Enum):
     """In what state a request leaves its place."""
 
     FREE = 1
     # The endpoint broke off, fell silent or gave no answer in time: it may
     # still be at work on the request, or dead.
-    UNSURE = 2
+    UNCERTAIN = 2
     # The endpoint has said that it has no place.
     REFUSED = 3
 
@@ -26,12 +26,12 @@
     target: load_balancing.Target
 
     @abc.abstractmethod
-    def release(self, leaving: Leaving) -> None:
+    def release(self, leaving: ReleaseState) -> None:
         """Give the place back."""
 
 
 @attrs.frozen
-class NoPlace:
+class NoSlot:
     """Nothing is free in time; the caller may come back."""
 
     retry_after_s: float
@@ -45,10 +45,10 @@
         self,
         service: str,
         model: str,
-        need: wait_queue.Ask,
+        need: wait_queue.SlotRequest,
         avoid: collections_abc.Collection[str],
         slow: collections_abc.Collection[str],
-    ) -> Reservation | NoPlace:
+    ) -> Reservation | NoSlot:
         """Return a place for a request, or when its caller may come back.
 
         avoid names the endpoints that were tried, slow those that are chosen
--- a/redwingvalve/ingress/slot_requests.py
+++ b/redwingvalve/ingress/slot_requests.py
@@ -15,12 +15,12 @@
 from redwingvalve.platform import caller_requests
 
 
-async def take_place(
+async def reserve_slot(
     state: state_module.IngressState,
     caller: caller_requests.CallerRequest,
     admission: admission_control.Admission,
     avoid: collections_abc.Collection[str],
-) -> reservations.Reservation | reservations.NoPlace:
+) -> reservations.Reservation | reservations.NoSlot:
     """Return a place, or when the caller may come back.
 
     avoid names the endpoints that were tried.
@@ -52,11 +52,11 @@
     admission: admission_control.Admission,
     *,
     is_resumed: bool,
-) -> wait_queue.Ask:
+) -> wait_queue.SlotRequest:
     begin = state.begin(admission.service, admission.model)
     left_s = admission.timeout_at_s - time.monotonic()
     begin_s = begin.seconds + admission.prompt_s
-    return wait_queue.Ask(
+    return wait_queue.SlotRequest(
         urgency=admission.urgency,
         on_time_s=refusals.on_time_wait_s(admission.route, begin_s),
         wait_s=refusals.wait_s(admission.route, left_s),
--- a/redwingvalve/ingress/state.py
+++ b/redwingvalve/ingress/state.py
@@ -62,7 +62,9 @@
     is_leaving: bool = False
     # Nodes that serve callers, this one included.
     node_count: int = 1
-    loads: load_balancing.Loads = attrs.field(factory=load_balancing.Loads)
+    loads: load_balancing.EndpointLoads = attrs.field(
+        factory=load_balancing.EndpointLoads
+    )
     connections: pool.Pool = attrs.field(factory=pool.Pool)
     silence: stall_detection.SilenceWatch = attrs.field(
         factory=stall_detection.SilenceWatch
--- a/redwingvalve/ingress/tests/load_simulation.py
+++ b/redwingvalve/ingress/tests/load_simulation.py
@@ -126,7 +126,7 @@
         """Join the play's network."""
         self.name = name
         self._play = play
-        self.loads = load_balancing.Loads()
+        self.loads = load_balancing.EndpointLoads()
         self.begin = duration_estimates.make_begin()
         number = int(name.rpartition('-')[2])
         self.data_centre = f'dc-{number % play.deployment.data_centres}'
@@ -139,7 +139,7 @@
         """Begin, or begin anew after a kill, knowing nothing."""
         self.born_ms += 1
         self.is_up = True
-        self.loads.own.clear()
+        self.loads.by_endpoint.clear()
         self.allocator = allocator.Allocator(
             self._targets_of, anyio.current_time, self._play.chance
         )
@@ -188,7 +188,7 @@
         play = self._play
         route = play.route
         began_s = anyio.current_time()
-        ask = wait_queue.Ask(
+        ask = wait_queue.SlotRequest(
             urgency=1,
             on_time_s=refusals.on_time_wait_s(route, self.begin.seconds),
             wait_s=refusals.wait_s(
@@ -214,7 +214,7 @@
     async def place(self, ask):
         """Reserve a place."""
         found = await self.reserver.reserve('s', 'model', ask, (), ())
-        if isinstance(found, reservations.NoPlace):
+        if isinstance(found, reservations.NoSlot):
             return None, found.retry_after_s
         self._reservations.setdefault(found.target.endpoint_id, []).append(
             found
@@ -224,7 +224,7 @@
     def give_back(self, target):
         """Release a place."""
         held = self._reservations[target.endpoint_id].pop()
-        held.release(reservations.Leaving.FREE)
+        held.release(reservations.ReleaseState.FREE)
 
     def _targets_of(self, pool):
         return tuple(
--- a/redwingvalve/ingress/tests/test_routing_and_stalls.py
+++ b/redwingvalve/ingress/tests/test_routing_and_stalls.py
@@ -66,35 +66,49 @@
 
 
 def test_the_least_filled_target_is_chosen():
-    loads = load_balancing.Loads()
-    loads.begin('a')
+    loads = load_balancing.EndpointLoads()
+    loads.add_request('a')
     chance = random.Random(1)
     targets = [target('a'), target('b')]
-    assert load_balancing.choose(targets, loads, chance).endpoint_id == 'b'
     assert (
-        load_balancing.choose(targets, loads, chance, {'b'}).endpoint_id == 'a'
+        load_balancing.choose_least_loaded(targets, loads, chance).endpoint_id
+        == 'b'
+    )
+    assert (
+        load_balancing.choose_least_loaded(
+            targets, loads, chance, {'b'}
+        ).endpoint_id
+        == 'a'
+    )
+    loads.add_request('b')
+    loads.add_request('b')
+    assert (
+        load_balancing.choose_least_loaded(targets, loads, chance).endpoint_id
+        == 'a'
     )
-    loads.begin('b')
-    loads.begin('b')
-    assert load_balancing.choose(targets, loads, chance).endpoint_id == 'a'
 
 
 def test_no_target_is_chosen_when_all_are_full():
-    loads = load_balancing.Loads()
+    loads = load_balancing.EndpointLoads()
     for _ in range(4):
-        loads.begin('a')
+        loads.add_request('a')
     chance = random.Random(1)
-    assert load_balancing.choose([target('a')], loads, chance) is None
-    loads.end('a')
-    assert load_balancing.choose([target('a')], loads, chance) is not None
+    assert (
+        load_balancing.choose_least_loaded([target('a')], loads, chance) is None
+    )
+    loads.remove_request('a')
+    assert (
+        load_balancing.choose_least_loaded([target('a')], loads, chance)
+        is not None
+    )
 
 
 def test_equal_targets_are_shared_by_chance():
-    loads = load_balancing.Loads()
+    loads = load_balancing.EndpointLoads()
     chance = random.Random(1)
     targets = [target('a'), target('b')]
     picked = {
-        load_balancing.choose(targets, loads, chance).endpoint_id
+        load_balancing.choose_least_loaded(targets, loads, chance).endpoint_id
         for _ in range(50)
     }
     assert picked == {'a', 'b'}
@@ -202,15 +216,19 @@
 
 
 def test_a_slow_head_is_chosen_last():
-    loads = load_balancing.Loads()
+    loads = load_balancing.EndpointLoads()
     for _ in range(3):
-        loads.begin('b')
+        loads.add_request('b')
     targets = [target('a'), target('b')]
     chance = random.Random(1)
-    found = load_balancing.choose(targets, loads, chance, slow={'a'})
+    found = load_balancing.choose_least_loaded(
+        targets, loads, chance, slow={'a'}
+    )
     assert found.endpoint_id == 'b'
-    loads.begin('b')
-    found = load_balancing.choose(targets, loads, chance, slow={'a'})
+    loads.add_request('b')
+    found = load_balancing.choose_least_loaded(
+        targets, loads, chance, slow={'a'}
+    )
     assert found.endpoint_id == 'a'
 
 
@@ -258,11 +276,11 @@
     for _ in range(20):
         begun = dict.fromkeys((one.endpoint_id for one in targets), 0)
         for _ in range(60):
-            loads = load_balancing.Loads()
+            loads = load_balancing.EndpointLoads()
             for _ in range(4):
-                among = load_balancing.draw(targets, chance)
-                found = load_balancing.choose(among, loads, chance)
-                loads.begin(found.endpoint_id)
+                among = load_balancing.sample_candidates(targets, chance)
+                found = load_balancing.choose_least_loaded(among, loads, chance)
+                loads.add_request(found.endpoint_id)
                 begun[found.endpoint_id] += 1
         over += sum(max(0, count - 8) for count in begun.values())
     assert over < 510
--- a/redwingvalve/ingress/tests/test_wait_queue.py
+++ b/redwingvalve/ingress/tests/test_wait_queue.py
@@ -20,7 +20,7 @@
     return load_balancing.Target(name, 'h', 1, 4, 'dc')
 
 
-class FewPlaces(wait_queue.Places):
+class FewPlaces(wait_queue.SlotCapacity):
     """Places that are all taken; as many come free a second as told."""
 
     def __init__(self, freed_per_s=100.0, *, is_spare=False):
@@ -33,7 +33,7 @@
     def slots(self):
         return 0
 
-    def has_spare(self):
+    def has_spare_slots(self):
         return self.is_spare
 
 
@@ -42,7 +42,7 @@
 
     def __init__(self, clock=None, places=None):
         self.places = places or FewPlaces()
-        self.room = wait_queue.WaitingRoom(clock or (lambda: 0.0), self.places)
+        self.room = wait_queue.WaitQueue(clock or (lambda: 0.0), self.places)
         self.free = []
         self.served = []
         self.refused = []
@@ -51,13 +51,13 @@
         return self.free.pop() if self.free else None
 
     async def ask(self, name, urgency=1, on_time_s=1.0, **more):
-        ask = wait_queue.Ask(urgency, on_time_s, 1.0, **more)
-        got = await self.room.take(ask, self.select)
+        ask = wait_queue.SlotRequest(urgency, on_time_s, 1.0, **more)
+        got = await self.room.acquire(ask, self.select)
         (self.refused if got is None else self.served).append(name)
 
     async def free_one(self):
         self.free.append(target('a'))
-        self.room.poke()
+        self.room.dispatch()
         await settle()
 
 
@@ -153,8 +153,8 @@
             await taker.free_one()
 
         task = asyncio.create_task(grant())
-        ask = wait_queue.Ask(1, 0.02, 0.02)
-        got = await taker.room.take(ask, taker.select)
+        ask = wait_queue.SlotRequest(1, 0.02, 0.02)
+        got = await taker.room.acquire(ask, taker.select)
         await task
         assert got is not None or taker.free
 
--- a/redwingvalve/ingress/wait_queue.py
+++ b/redwingvalve/ingress/wait_queue.py
@@ -33,7 +33,7 @@
 from redwingvalve.ingress import load_balancing, sliding_window
 
 # While no endpoint is known; whoever isn't first then waits too long.
-LEAST_FREED_PER_S = 1e-3
+MIN_FREED_PER_S = 1e-3
 # Refusals and grants are compared over this time.
 RATE_WINDOW_S = 2.0
 # Late requests that may wait at once, by the places of all endpoints. Each that
@@ -60,7 +60,7 @@
 
 
 @attrs.frozen
-class Ask:
+class SlotRequest:
     """What a request needs of a place."""
 
     urgency: int
@@ -74,7 +74,7 @@
     is_resumed: bool = False
 
 
-class Places(abc.ABC):
+class SlotCapacity(abc.ABC):
     """What a room knows of the places that it waits for."""
 
     @abc.abstractmethod
@@ -86,7 +86,7 @@
         """Return all places, taken or free."""
 
     @abc.abstractmethod
-    def has_spare(self) -> bool:
+    def has_spare_slots(self) -> bool:
         """Return whether late requests may take a place now."""
 
 
@@ -95,11 +95,11 @@
 
 @attrs.define(eq=False)
 class _Waiter:
-    ask: Ask
+    ask: SlotRequest
     number: int
     # From then on its answer can't begin in time.
     late_at_s: float
-    select: load_balancing.Selector
+    select: load_balancing.AcquireSlot
     granted: asyncio.Future[load_balancing.Target | None]
 
     def is_late(self, now_s: float) -> bool:
@@ -119,11 +119,11 @@
         )
 
 
-class WaitingRoom:
+class WaitQueue:
     """Requests of one service and model that wait for a place."""
 
     def __init__(
-        self, clock: collections_abc.Callable[[], float], places: Places
+        self, clock: collections_abc.Callable[[], float], places: SlotCapacity
     ) -> None:
         """Judge by clock, in seconds."""
         self._clock = clock
@@ -149,22 +149,22 @@
         retry_after_s = RETRY_AFTER_MIN_S * (1 + self._refused_for_each())
         return min(retry_after_s, RETRY_AFTER_MAX_S)
 
-    def expected_s(self, ask: Ask) -> float:
+    def expected_wait_s(self, ask: SlotRequest) -> float:
         """Return how long a request that comes now will wait."""
         return self._expected_s(self._make_waiter(ask, _select_nothing))
 
-    def take_now(
-        self, ask: Ask, select: load_balancing.Selector
+    def try_acquire(
+        self, ask: SlotRequest, select: load_balancing.AcquireSlot
     ) -> load_balancing.Target | None:
         """Return a place if one is free for this request now."""
         waiter = self._make_waiter(ask, select)
         self._waiters.append(waiter)
-        self.poke()
+        self.dispatch()
         self._forget(waiter)
         return _granted(waiter)
 
-    async def take(
-        self, ask: Ask, select: load_balancing.Selector
+    async def acquire(
+        self, ask: SlotRequest, select: load_balancing.AcquireSlot
     ) -> load_balancing.Target | None:
         """Return a place, or None if the request won't get one in time."""
         waiter = self._make_waiter(ask, select)
@@ -177,21 +177,21 @@
             self._refused.note(self._clock())
         return target
 
-    def poke(self) -> None:
+    def dispatch(self) -> None:
         """Give places that became free to those who wait."""
         if not self._waiters:
             return
-        has_spare = self._places.has_spare()
+        has_spare_slots = self._places.has_spare_slots()
         for waiter in self._in_order():
             is_late = waiter.is_late(self._clock())
-            if is_late and not (has_spare or self._late_share >= 1):
+            if is_late and not (has_spare_slots or self._late_share >= 1):
                 continue
             target = waiter.select()
             if target is not None:
                 self._grant(waiter, target, is_late=is_late)
 
     def _make_waiter(
-        self, ask: Ask, select: load_balancing.Selector
+        self, ask: SlotRequest, select: load_balancing.AcquireSlot
     ) -> _Waiter:
         return _Waiter(
             ask,
@@ -202,7 +202,7 @@
         )
 
     async def _place(self, waiter: _Waiter) -> load_balancing.Target | None:
-        self.poke()
+        self.dispatch()
         if waiter.granted.done():
             return waiter.granted.result()
         if not self._may_wait(waiter):
@@ -241,7 +241,7 @@
         before = sum(1 for one in self._waiters if one.rank(now_s) < rank)
         if not before:
             return 0
-        freed_per_s = max(self._places.freed_per_s(), LEAST_FREED_PER_S)
+        freed_per_s = max(self._places.freed_per_s(), MIN_FREED_PER_S)
         return (before + 1) / freed_per_s
 
     def _has_late_room(self, waiter: _Waiter) -> bool:
--- a/redwingvalve/node/status_exchange.py
+++ b/redwingvalve/node/status_exchange.py
@@ -73,7 +73,7 @@
         while True:
             rest_s = time.monotonic() - self._said_s
             # While requests run here, silence means that they have ended.
-            is_busy = bool(self.state.loads.own)
+            is_busy = bool(self.state.loads.by_endpoint)
             is_due = self.peers.is_large_fleet or is_busy
             if is_due or rest_s >= peers_module.REST_WORD_S:
                 self.broadcast_now()
--- a/redwingvalve/node/tests/test_gauges.py
+++ b/redwingvalve/node/tests/test_gauges.py
@@ -14,7 +14,7 @@
         metrics = node_metrics.NodeMetrics()
         node = fleet.nodes[0]
         node.gauges.register(metrics)
-        node.state.loads.begin('e0')
+        node.state.loads.add_request('e0')
         lines = metrics.render().decode().splitlines()
         found = dict(line.rsplit(' ', 1) for line in lines if line[0] != '#')
         labels = (
--- a/redwingvalve/node/tests/test_requests.py
+++ b/redwingvalve/node/tests/test_requests.py
@@ -294,7 +294,7 @@
         await fleet.wait_until(
             lambda: any(head.cancelled_attempts for head in heads), 0.5
         )
-        assert not fleet.nodes[0].state.loads.own
+        assert not fleet.nodes[0].state.loads.by_endpoint
 
     fleet_harness.run(test)
 
--- a/redwingvalve/node/tests/test_status_exchange.py
+++ b/redwingvalve/node/tests/test_status_exchange.py
@@ -91,7 +91,7 @@
             group.start_soon(wait)
             await anyio.sleep(0.1)
             assert not got
-            held[0].release(reservations.Leaving.FREE)
+            held[0].release(reservations.ReleaseState.FREE)
             await fleet.wait_until(lambda: got, 0.1)
 
     fleet_harness.run(test, nodes=2, engines=0, plain=1)
@@ -114,7 +114,7 @@
 
 async def reserve_plain(node):
     """Reserve a place at a plain endpoint."""
-    need = wait_queue.Ask(urgency=1, on_time_s=0.3, wait_s=1.0)
+    need = wait_queue.SlotRequest(urgency=1, on_time_s=0.3, wait_s=1.0)
     return await node.state.reserver.reserve(
         fleet_harness.PLAIN_SERVICE, '', need, (), ()
     )
--- a/redwingvalve/soak/comparing.py
+++ b/redwingvalve/soak/comparing.py
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen
-class Leaving:
+class ReleaseState:
     """A VM that left from at_s on (wall), until it was taken back."""
 
     vm: str
@@ -44,7 +44,7 @@
 
     records: Records
     runs: Runs
-    leaving: tuple[Leaving, ...] = ()
+    leaving: tuple[ReleaseState, ...] = ()
     versions: frozenset[tuple[str, str]] = frozenset()
 
 
--- a/redwingvalve/soak/platform_faults.py
+++ b/redwingvalve/soak/platform_faults.py
@@ -67,7 +67,7 @@
     listed.mark(vm, 'leaving')
     await anyio.sleep(fault.duration_s + 2 * comparing.Bounds().leaving_s)
     listed.mark(vm, 'live')
-    hit.leaving.append(comparing.Leaving(vm, told_s, time.time()))
+    hit.leaving.append(comparing.ReleaseState(vm, told_s, time.time()))
     return vm
 
 
--- a/redwingvalve/soak/targets.py
+++ b/redwingvalve/soak/targets.py
@@ -36,7 +36,7 @@
     journal: breaches.Journal
     bearer: str
     poisoner: callers.Caller
-    leaving: list[comparing.Leaving] = attrs.field(factory=list)
+    leaving: list[comparing.ReleaseState] = attrs.field(factory=list)
     races: list[list[operators.Confirmation]] = attrs.field(factory=list)
     stop_times_s: list[float] = attrs.field(factory=list)
     wish_numbers: typing.Iterator[int] = attrs.field(factory=_numbers)
--- a/redwingvalve/soak/tests/test_comparing.py
+++ b/redwingvalve/soak/tests/test_comparing.py
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize(('promise', 'seen', 'ran'), CASES)
 def test_a_broken_promise_is_found_and_only_that(promise, seen, ran):
     evidence = comparing.Evidence(
-        seen, ran, (comparing.Leaving('vm-1', 10.0),), VERSIONS
+        seen, ran, (comparing.ReleaseState('vm-1', 10.0),), VERSIONS
     )
     found = comparing.compare(evidence, comparing.Bounds())
     assert [breach.promise for breach in found] == [promise]
@@ -108,7 +108,7 @@
         run(STREAM, missing_s=0.2),
     ]
     evidence = comparing.Evidence(
-        seen, ran, (comparing.Leaving('vm-1', 10.0),), VERSIONS
+        seen, ran, (comparing.ReleaseState('vm-1', 10.0),), VERSIONS
     )
     assert comparing.compare(evidence, comparing.Bounds()) == ()
 
--- a/tests/integration/promises.py
+++ b/tests/integration/promises.py
@@ -210,7 +210,7 @@
     listed.mark(vm, 'leaving')
     await stage.ask_for(work.Kind.QUOTE, 7.0, count)
     listed.mark(vm, 'live')
-    stage.hit.leaving.append(comparing.Leaving(vm, told_s, time.time()))
+    stage.hit.leaving.append(comparing.ReleaseState(vm, told_s, time.time()))
 
 
 async def restore_old_objects(stage: Stage) -> None:
