--- a/redwingvalve/allocation/pool.py
+++ b/redwingvalve/allocation/pool.py
@@ -57,8 +57,8 @@
     rng: random.Random
     clock: Clock
     holds: hold_table.HoldTable = attrs.field(factory=hold_table.HoldTable)
-    _hold: duration_estimates.Typical = attrs.field(
-        factory=duration_estimates.make_hold
+    _hold: duration_estimates.DurationEstimate = attrs.field(
+        factory=duration_estimates.make_hold_time_estimate
     )
     _refused_until_s: dict[str, float] = attrs.field(factory=dict)
     _slow_until_s: dict[str, float] = attrs.field(factory=dict)
@@ -99,7 +99,7 @@
         elif leaving is reservations.ReleaseState.UNCERTAIN:
             self._unsure.append(_Unsure(hold.endpoint_id, now_s + UNSURE_S))
         else:
-            self._hold.saw(now_s - hold.since_s)
+            self._hold.observe(now_s - hold.since_s)
         self.queue.dispatch()
 
     def confirm(
--- a/redwingvalve/ingress/duration_estimates.py
+++ b/redwingvalve/ingress/duration_estimates.py
@@ -21,28 +21,28 @@
 
 
 @attrs.define
-class Typical:
+class DurationEstimate:
     """An estimate of a duration, in seconds."""
 
     seconds: float
     lowest_s: float
     highest_s: float
 
-    def saw(self, seen_s: float) -> None:
+    def observe(self, seen_s: float) -> None:
         """Take one more observation."""
         highest_s = min(self.highest_s, OUTLIER_FACTOR * self.seconds)
         bounded_s = min(max(seen_s, self.lowest_s), highest_s)
         self.seconds += STEP * (bounded_s - self.seconds)
 
 
-def make_begin() -> Typical:
+def make_first_event_estimate() -> DurationEstimate:
     """Return how long an answer takes to begin, before any was seen.
 
     From a send to the first byte for the caller, without reading the prompt.
     """
-    return Typical(BEGIN_START_S, LEAST_S, BEGIN_MOST_S)
+    return DurationEstimate(BEGIN_START_S, LEAST_S, BEGIN_MOST_S)
 
 
-def make_hold() -> Typical:
+def make_hold_time_estimate() -> DurationEstimate:
     """Return for how long a request holds its place, before any was seen."""
-    return Typical(HOLD_START_S, LEAST_S, HOLD_MOST_S)
+    return DurationEstimate(HOLD_START_S, LEAST_S, HOLD_MOST_S)
--- a/redwingvalve/ingress/request_handler.py
+++ b/redwingvalve/ingress/request_handler.py
@@ -80,7 +80,7 @@
         if self._state.poison.is_poison(self._fingerprint):
             responses.refuse(self._responder, self._caller, refusals.POISON)
             return
-        self._state.prompts(admission.model).saw(admission.prompt_s)
+        self._state.prompts(admission.model).observe(admission.prompt_s)
         self._state.window(admission.service).count_request(self._times.began_s)
         while not self._responder.is_gone:
             asked_s = time.monotonic()
--- a/redwingvalve/ingress/stall_detection.py
+++ b/redwingvalve/ingress/stall_detection.py
@@ -52,7 +52,7 @@
             maxlen=PROMPTS_KEPT
         )
 
-    def saw(self, prompt_s: float) -> None:
+    def observe(self, prompt_s: float) -> None:
         """Take one more prompt, in seconds of reading."""
         self._seen_s.append(prompt_s)
 
--- a/redwingvalve/ingress/state.py
+++ b/redwingvalve/ingress/state.py
@@ -83,17 +83,19 @@
     waiting: collections_abc.Callable[[str, str], int] = _nothing_in_use
     # Sends that end when their head falls silent, by endpoint.
     open_sends: dict[str, set['OpenSend']] = attrs.field(factory=dict)
-    _begin: dict[tuple[str, str], duration_estimates.Typical] = attrs.field(
-        factory=dict
+    _begin: dict[tuple[str, str], duration_estimates.DurationEstimate] = (
+        attrs.field(factory=dict)
     )
     _prompts: dict[str, stall_detection.PromptSizes] = attrs.field(factory=dict)
     _windows: dict[str, retry_budget.RetryWindow] = attrs.field(factory=dict)
 
-    def begin(self, service: str, model: str) -> duration_estimates.Typical:
+    def begin(
+        self, service: str, model: str
+    ) -> duration_estimates.DurationEstimate:
         """Return how long answers of a model take to begin."""
         key = (service, model)
         if key not in self._begin:
-            self._begin[key] = duration_estimates.make_begin()
+            self._begin[key] = duration_estimates.make_first_event_estimate()
         return self._begin[key]
 
     def window(self, service: str) -> retry_budget.RetryWindow:
--- a/redwingvalve/ingress/tests/load_simulation.py
+++ b/redwingvalve/ingress/tests/load_simulation.py
@@ -127,7 +127,7 @@
         self.name = name
         self._play = play
         self.loads = load_balancing.EndpointLoads()
-        self.begin = duration_estimates.make_begin()
+        self.begin = duration_estimates.make_first_event_estimate()
         number = int(name.rpartition('-')[2])
         self.data_centre = f'dc-{number % play.deployment.data_centres}'
         self.is_up = True
@@ -236,7 +236,7 @@
     def _begun(self, first_s, sent_s, patience):
         now_s = anyio.current_time()
         patience.deadline = math.inf
-        self.begin.saw(now_s - sent_s)
+        self.begin.observe(now_s - sent_s)
         play = self._play
         is_on_time = now_s - first_s <= play.deployment.goal_s
         (play.got.on_time if is_on_time else play.got.late).append(first_s)
--- a/redwingvalve/ingress/timing.py
+++ b/redwingvalve/ingress/timing.py
@@ -56,8 +56,11 @@
         self._last_s = now_s
 
     def teach(
-        self, begin: duration_estimates.Typical, sent_s: float, prompt_s: float
+        self,
+        begin: duration_estimates.DurationEstimate,
+        sent_s: float,
+        prompt_s: float,
     ) -> None:
         """Learn from the whole answer to an only send at sent_s."""
         first_s = self.first_s or time.monotonic()
-        begin.saw(first_s - sent_s - prompt_s)
+        begin.observe(first_s - sent_s - prompt_s)
