--- a/redwingvalve/node/daemon.py
+++ b/redwingvalve/node/daemon.py
@@ -1,4 +1,4 @@
-"""Puts a node together and runs it until it is told to stop."""
+"""Assembles a node and runs it until it is told to stop."""
 
 import functools
 import signal
@@ -47,25 +47,27 @@
 )
 
 LOG = logs.make_logger('node')
-# Changes of endpoints that come close together cost one call. The holder of
-# the lease mends with what it sees; to the others a replica that opens a tenth
-# of a second later makes no difference.
-ENDPOINT_PAUSE_S = 0.12
-HOLDER_PAUSE_S = 0.02
-# What a start takes until the store has told what requests need, with some
-# slack; callers are told to come back if it doesn't answer within this.
+# Delays between two watch calls, so that changes of endpoints in quick
+# succession cost one call. The lease holder repairs replicas by what it
+# receives; on the other nodes it makes no difference if a replica opens a tenth
+# of a second later.
+WATCH_BATCH_DELAY_S = 0.12
+HOLDER_WATCH_BATCH_DELAY_S = 0.02
+# Time that a starting node takes to receive the state that requests need from
+# the store, with a margin. If the store doesn't answer within this time,
+# requests are rejected with a Retry-After header.
 START_TIMEOUT_S = 0.3
-START_LOOK_S = 0.005
-STOP_IDLE_CLOSE_S = 2.5
-STOP_EXIT_S = 4.0
-# Before the platform's kill.
-STOP_MARGIN_S = 0.6
+START_POLL_INTERVAL_S = 0.005
+IDLE_CLOSE_DELAY_S = 2.5
+MIN_STOP_DURATION_S = 4.0
+# Time left before the platform kills the process.
+KILL_MARGIN_S = 0.6
 _MS_IN_S = 1000.0
 
 
 @attrs.define(eq=False)
 class Node:
-    """All parts of one node."""
+    """All components of one node."""
 
     settings: settings.NodeSettings
     state: state_module.IngressState
@@ -90,30 +92,30 @@
 
     @property
     def peers(self) -> peers_module.Peers:
-        """Return the other nodes."""
+        """Return this node's view of the other nodes."""
         return self.status_exchange.peers
 
     @property
     def is_listening(self) -> bool:
-        """Return whether callers are served; their address is the last."""
+        """Return whether the caller-facing address, the last one, listens."""
         return self.front_listener is not None
 
     @property
     def endpoint_watch(self) -> kind_watch.KindWatch:
-        """Return the watch that tells of endpoints."""
+        """Return the watch of endpoint entries."""
         return next(
             watch for watch in self.watches if watch.kind == names.ENDPOINT_KIND
         )
 
     async def run(self, stop: anyio.Event) -> None:
-        """Run until stop is set, and then until all requests have ended."""
+        """Run until stop is set; then finish the requests in progress."""
         self.table.on_reinstated = self.state.silence.found_sound
         self.table.on_rebuilt = self.allocation.allocator.tick
         self.table.on_doubt = self.detector.doubt
         self.table.on_reported_healthy = self.detector.told_sound
         self.watches = self._make_watches()
         self.control = self._make_control()
-        self.lease.on_acquired = self._lease_taken
+        self.lease.on_acquired = self._on_lease_acquired
         try:
             await self._listen()
             await self._serve(stop)
@@ -123,7 +125,7 @@
 
     async def _serve(self, stop: anyio.Event) -> None:
         async with anyio.create_task_group() as group:
-            for loop in self._loops():
+            for loop in self._background_loops():
                 group.start_soon(supervision.keep_running, loop)
             group.start_soon(
                 supervision.keep_running,
@@ -154,21 +156,21 @@
             await self.listeners.serve(node_application, address)
 
     async def _accept_callers(self) -> None:
-        """Take connections once requests can be served.
+        """Accept connections once requests can be served.
 
-        Callers come while the node starts. Refused 15 ms before the
-        configuration is known, they have spent the only retry that most of
-        them make; in the kernel's queue they wait for as long.
+        Callers connect while the node is starting. If they were rejected 15 ms
+        before the configuration is known, most would use up their only retry;
+        in the kernel's accept queue they just wait for that time.
         """
-        until_s = time.monotonic() + START_TIMEOUT_S
-        while not self._knows_enough() and time.monotonic() < until_s:
-            await anyio.sleep(START_LOOK_S)
+        deadline_s = time.monotonic() + START_TIMEOUT_S
+        while not self._can_serve() and time.monotonic() < deadline_s:
+            await anyio.sleep(START_POLL_INTERVAL_S)
         self.front_listener = await self.listeners.serve(
             self.front, self.settings.front
         )
         LOG.info('started', extra={'front': str(self.settings.front)})
 
-    def _knows_enough(self) -> bool:
+    def _can_serve(self) -> bool:
         has_routes = self.state.configuration is not None
         return (
             has_routes
@@ -180,7 +182,7 @@
         self.peers.close()
         self.listeners.close()
 
-    def _loops(self) -> list[supervision.Loop]:
+    def _background_loops(self) -> list[supervision.Loop]:
         return [
             *(watch.run for watch in self.watches),
             self.peer_discovery.run,
@@ -188,7 +190,7 @@
             self.allocation.run,
             self.allocation.reserver.run,
             self.detector.run,
-            self._hold_lease,
+            self._run_lease,
             self.gauges.run,
             functools.partial(log_drop_reporter.run, self.log_handler),
         ]
@@ -200,29 +202,33 @@
             self.peers,
             self.status_exchange.hubs,
             self.lease.is_held,
-            self._known_within_s(),
+            self._max_staleness_s(),
         )
-        configurations = configuration_watch.ConfigurationHandler(
-            self.state, self._configure
+        configuration_handler = configuration_watch.ConfigurationHandler(
+            self.state, self._apply_configuration
         )
         return [
             kind_watch.KindWatch(
-                names.CONFIGURATION_KIND, configurations, selector.select
+                names.CONFIGURATION_KIND, configuration_handler, selector.select
             ),
             kind_watch.KindWatch(
                 names.ENDPOINT_KIND,
                 self.registry,
                 selector.select,
-                self._endpoint_pause_s,
+                self._watch_batch_delay_s,
             ),
         ]
 
-    def _known_within_s(self) -> float:
+    def _max_staleness_s(self) -> float:
         bounds = self.settings.bounds
         return min(bounds.drain_ms, bounds.configuration_ms) / _MS_IN_S
 
-    def _endpoint_pause_s(self) -> float:
-        return HOLDER_PAUSE_S if self.lease.is_held() else ENDPOINT_PAUSE_S
+    def _watch_batch_delay_s(self) -> float:
+        return (
+            HOLDER_WATCH_BATCH_DELAY_S
+            if self.lease.is_held()
+            else WATCH_BATCH_DELAY_S
+        )
 
     def _make_control(self) -> control_loop.ControlLoop:
         return control_loop.ControlLoop(
@@ -236,17 +242,17 @@
             endpoint_watch=self.endpoint_watch,
         )
 
-    def _lease_taken(self) -> None:
+    def _on_lease_acquired(self) -> None:
         self.endpoint_watch.refresh_now()
         self.control.wake()
 
-    async def _hold_lease(self) -> None:
+    async def _run_lease(self) -> None:
         await self.lease.run(self._lease_rank)
 
     def _lease_rank(self) -> int:
         return hubs_module.lease_rank(self.peers)
 
-    def _configure(self, configuration: routes.Configuration) -> None:
+    def _apply_configuration(self, configuration: routes.Configuration) -> None:
         self.state.configuration = configuration
         LOG.info(
             'configuration in force',
@@ -260,17 +266,17 @@
 
     async def _stop(self) -> None:
         LOG.info('stopping', extra={'running': len(self.front.running)})
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         self.state.is_leaving = True
         self.status_exchange.broadcast_now()
         await self.lease.release()
         self.status_exchange.broadcast_now()
-        until_s = began_s + self.settings.bounds.grace_s - STOP_MARGIN_S
-        while time.monotonic() < until_s:
-            stopped_s = time.monotonic() - began_s
-            if stopped_s > STOP_IDLE_CLOSE_S and self.front_listener:
+        deadline_s = started_s + self.settings.bounds.grace_s - KILL_MARGIN_S
+        while time.monotonic() < deadline_s:
+            elapsed_s = time.monotonic() - started_s
+            if elapsed_s > IDLE_CLOSE_DELAY_S and self.front_listener:
                 self.front_listener.close_idle()
-            if stopped_s > STOP_EXIT_S and not self.front.running:
+            if elapsed_s > MIN_STOP_DURATION_S and not self.front.running:
                 break
             await anyio.sleep(0.1)
         await self.peer_discovery.deregister()
@@ -282,7 +288,7 @@
 ) -> Node:
     """Return a node that isn't running yet.
 
-    early holds the sockets that listen already.
+    early holds the sockets that are already listening.
     """
     registry = registry_module.Registry()
     table = serving.ServingTable(registry)
@@ -292,9 +298,14 @@
     endpoint_client = endpoint_orders.EndpointClient(json_client)
     prober = endpoint_prober.EndpointProber(endpoint_client)
     lease = lease_module.Lease(node_settings.vm, client)
-    application = front.FrontApplication(state)
+    front_application = front.FrontApplication(state)
     status_exchange = status_exchange_module.StatusExchange(
-        _own_address(node_settings), state, registry, table, lease, application
+        _local_address(node_settings),
+        state,
+        registry,
+        table,
+        lease,
+        front_application,
     )
     return Node(
         settings=node_settings,
@@ -306,7 +317,7 @@
         prober=prober,
         detector=failure_detector.FailureDetector(state, table, prober, lease),
         lease=lease,
-        front=application,
+        front=front_application,
         status_exchange=status_exchange,
         peer_discovery=peer_discovery_module.PeerDiscovery(
             client, status_exchange.peers
@@ -318,7 +329,7 @@
     )
 
 
-def _own_address(
+def _local_address(
     node_settings: settings.NodeSettings,
 ) -> peers_module.PeerAddress:
     return peers_module.local_address(node_settings, int(time.time() * 1000))
@@ -342,13 +353,13 @@
 async def _wait_for_signal(stop: anyio.Event) -> None:
     with anyio.open_signal_receiver(
         signal.SIGTERM, signal.SIGINT, signal.SIGHUP
-    ) as received:
-        async for number in received:
+    ) as signals:
+        async for number in signals:
             if number is not signal.SIGHUP:
                 stop.set()
                 return
-            # What may change in the settings is read from the store.
-            LOG.info('settings are read at the start only')
+            # Configuration that may change at run time comes from the store.
+            LOG.info('SIGHUP ignored: settings are read only at startup')
 
 
 def run(
