--- a/redwingvalve/ingress/request_handler.py
+++ b/redwingvalve/ingress/request_handler.py
@@ -36,7 +36,7 @@
 MAX_CONNECT_FAILURES = 3
 
 
-class RequestRun(state_module.OpenSend):
+class RequestRun(state_module.InFlightRequest):
     """Sends one request until it has its answer."""
 
     def __init__(
@@ -54,7 +54,10 @@
         self._send: upstream.Send | None = None
         self._connection: client.Connection | None = None
         self._passing = stream_forwarding.EventPassing(
-            state.silence, responder, self._caller.last_event, self._times
+            state.stall_detector,
+            responder,
+            self._caller.last_event,
+            self._times,
         )
         self._tried: set[str] = set()
         self._sent = 0
@@ -197,14 +200,14 @@
         self._passing.begin(
             self._connection, self._make_pulse(admission, target)
         )
-        open_sends = self._state.open_sends.setdefault(
+        in_flight_requests = self._state.in_flight_requests.setdefault(
             target.endpoint_id, set()
         )
-        open_sends.add(self)
+        in_flight_requests.add(self)
         try:
             ending = await self._wait_for(admission, send)
         finally:
-            open_sends.discard(self)
+            in_flight_requests.discard(self)
             self._passing.end()
         if ending in _CUT_SHORT:
             self._connection.abandon()
@@ -248,7 +251,7 @@
         )
         return self._is_paid
 
-    def head_is_silent(self) -> None:
+    def head_stalled(self) -> None:
         """End the send that is under way if it may go on elsewhere.
 
         The last send that the route allows stays: a head that is only slow
@@ -273,12 +276,12 @@
         self,
         admission: admission_control.Admission,
         target: load_balancing.Target,
-    ) -> stall_detection.StreamPulse | None:
+    ) -> stall_detection.MonitoredStream | None:
         route = admission.route
         is_stream = route.kind is routes.RouteKind.STREAM
         if not (is_stream and admission.model and route.may_repeat):
             return None
-        return stall_detection.StreamPulse(
+        return stall_detection.MonitoredStream(
             head=target.endpoint_id,
             sent_s=time.monotonic(),
             prompt_s=admission.prompt_s,
--- a/redwingvalve/ingress/slot_requests.py
+++ b/redwingvalve/ingress/slot_requests.py
@@ -32,7 +32,7 @@
         admission.model,
         _ask(state, admission, is_resumed=bool(avoid)),
         avoid,
-        state.silence.slow_heads(began_s),
+        state.stall_detector.slow_heads(began_s),
     )
     has_place = isinstance(found, reservations.Reservation)
     held_s = time.monotonic() - began_s
--- a/redwingvalve/ingress/stall_detection.py
+++ b/redwingvalve/ingress/stall_detection.py
@@ -15,9 +15,9 @@
 
 import attrs
 
-LOOK_EVERY_S = 0.025
+MIN_CHECK_INTERVAL_S = 0.025
 # No stream that begins after a look is silent for too long before this.
-LONGEST_LOOK_S = 0.1
+MAX_CHECK_INTERVAL_S = 0.1
 # A look that is this late was held up with the whole process.
 LATE_LOOK_S = 0.05
 # Silence for this many usual pauses between events; below three, the
@@ -43,7 +43,7 @@
 SAME_SILENCE_S = 0.4
 
 
-class PromptSizes:
+class PromptReadTimes:
     """How long endpoints read the prompts of one model, lately."""
 
     def __init__(self) -> None:
@@ -65,7 +65,7 @@
 
 
 @attrs.define(eq=False)
-class StreamPulse:
+class MonitoredStream:
     """One stream at a head; its owner notes each event."""
 
     head: str
@@ -76,26 +76,26 @@
     pause_s: float
     # Seconds that reading other nodes' prompts may take.
     others_s: float = 0.0
-    has_begun: bool = False
+    has_started: bool = False
     # While the caller doesn't read, nothing can be said about the head.
     is_held: bool = False
 
 
 @attrs.frozen
-class SilentHead:
+class StalledHead:
     """A head from which nothing came for too long."""
 
     head: str
     # Streams that had begun have stopped; else the head may be full or slow.
-    has_begun: bool
+    has_started: bool
 
 
 @attrs.define(eq=False)
 class _Head:
     last_event_s: float
-    streams: dict[int, StreamPulse] = attrs.field(factory=dict)
+    streams: dict[int, MonitoredStream] = attrs.field(factory=dict)
 
-    def live(self) -> list[StreamPulse]:
+    def live(self) -> list[MonitoredStream]:
         """Return the streams whose callers read."""
         return [one for one in self.streams.values() if not one.is_held]
 
@@ -108,7 +108,7 @@
     until_s: float
 
 
-class SilenceWatch:
+class StallDetector:
     """Looks at all streams of this node."""
 
     def __init__(self) -> None:
@@ -118,7 +118,7 @@
         self._due_s: float | None = None
         self._slow: dict[str, _Slow] = {}
 
-    def begin(self, pulse: StreamPulse) -> None:
+    def add(self, pulse: MonitoredStream) -> None:
         """Look at a stream from now on."""
         head = self._heads.get(pulse.head)
         if head is None:
@@ -126,7 +126,7 @@
             self._heads[pulse.head] = head
         head.streams[id(pulse)] = pulse
 
-    def end(self, pulse: StreamPulse) -> None:
+    def remove(self, pulse: MonitoredStream) -> None:
         """Look at a stream no more."""
         head = self._heads.get(pulse.head)
         if head is None:
@@ -135,14 +135,14 @@
         if not head.streams:
             self._heads.pop(pulse.head)
 
-    def noted(self, pulse: StreamPulse, now_s: float) -> None:
+    def record_event(self, pulse: MonitoredStream, now_s: float) -> None:
         """Note that a head has written an event."""
-        pulse.has_begun = True
+        pulse.has_started = True
         head = self._heads.get(pulse.head)
         if head is not None:
             head.last_event_s = now_s
 
-    def found_sound(self, head: str, now_s: float) -> None:
+    def mark_slow(self, head: str, now_s: float) -> None:
         """Allow a head more time: it was silent, but nothing is lost."""
         # Forgotten here: requests look at all slow heads.
         self._slow = {
@@ -173,7 +173,7 @@
         """Return whether no stream is looked at."""
         return not self._heads
 
-    def look(self, now_s: float) -> list[SilentHead]:
+    def find_stalled(self, now_s: float) -> list[StalledHead]:
         """Return the heads that are silent for too long."""
         due_s = self._due_s
         self._due_s = None
@@ -185,18 +185,18 @@
             name: _left_s(head, now_s, self._factor(name, now_s))
             for name, head in self._heads.items()
         }
-        pause_s = max(min(left_s.values()), LOOK_EVERY_S)
-        self._due_s = now_s + min(pause_s, LONGEST_LOOK_S)
+        pause_s = max(min(left_s.values()), MIN_CHECK_INTERVAL_S)
+        self._due_s = now_s + min(pause_s, MAX_CHECK_INTERVAL_S)
         return [
-            SilentHead(name, any(one.has_begun for one in head.live()))
+            StalledHead(name, any(one.has_started for one in head.live()))
             for name, head in self._heads.items()
             if left_s[name] < 0
         ]
 
-    def pause_s(self, now_s: float) -> float:
+    def time_to_next_check_s(self, now_s: float) -> float:
         """Return the time until the next look is due."""
         if self._due_s is None:
-            return LONGEST_LOOK_S
+            return MAX_CHECK_INTERVAL_S
         return max(self._due_s - now_s, 0)
 
     def _factor(self, head: str, now_s: float) -> float:
@@ -213,11 +213,11 @@
     """Return for how long a head may still be silent; negative if too long."""
     live = head.live()
     if not live:
-        return LONGEST_LOOK_S
-    begun = [pulse for pulse in live if pulse.has_begun]
+        return MAX_CHECK_INTERVAL_S
+    begun = [pulse for pulse in live if pulse.has_started]
     if not begun:
         return min(_begin_left_s(one, head, now_s, factor) for one in live)
-    reading_s = sum(pulse.prompt_s for pulse in live if not pulse.has_begun)
+    reading_s = sum(pulse.prompt_s for pulse in live if not pulse.has_started)
     usual = begun[0]
     bound_s = max(MIN_SILENCE_S, PAUSES * usual.pause_s)
     bound_s += reading_s + usual.others_s
@@ -225,7 +225,7 @@
 
 
 def _begin_left_s(
-    pulse: StreamPulse, head: _Head, now_s: float, factor: float
+    pulse: MonitoredStream, head: _Head, now_s: float, factor: float
 ) -> float:
     bound_s = FIRST_EVENT_S + PAUSES * pulse.pause_s
     bound_s += pulse.prompt_s + pulse.others_s
--- a/redwingvalve/ingress/state.py
+++ b/redwingvalve/ingress/state.py
@@ -19,11 +19,11 @@
 from redwingvalve.ingress import poison as poison_module
 
 
-class OpenSend(abc.ABC):
+class InFlightRequest(abc.ABC):
     """A send under way."""
 
     @abc.abstractmethod
-    def head_is_silent(self) -> None:
+    def head_stalled(self) -> None:
         """End the send, to go on elsewhere."""
 
 
@@ -66,8 +66,8 @@
         factory=load_balancing.EndpointLoads
     )
     connections: pool.Pool = attrs.field(factory=pool.Pool)
-    silence: stall_detection.SilenceWatch = attrs.field(
-        factory=stall_detection.SilenceWatch
+    stall_detector: stall_detection.StallDetector = attrs.field(
+        factory=stall_detection.StallDetector
     )
     chance: random.Random = attrs.field(factory=random.Random)
     poison: poison_module.PoisonBook = attrs.field(
@@ -82,11 +82,15 @@
     # Requests that wait for places which this node grants.
     waiting: collections_abc.Callable[[str, str], int] = _nothing_in_use
     # Sends that end when their head falls silent, by endpoint.
-    open_sends: dict[str, set['OpenSend']] = attrs.field(factory=dict)
+    in_flight_requests: dict[str, set['InFlightRequest']] = attrs.field(
+        factory=dict
+    )
     _begin: dict[tuple[str, str], duration_estimates.DurationEstimate] = (
         attrs.field(factory=dict)
     )
-    _prompts: dict[str, stall_detection.PromptSizes] = attrs.field(factory=dict)
+    _prompts: dict[str, stall_detection.PromptReadTimes] = attrs.field(
+        factory=dict
+    )
     _windows: dict[str, retry_budget.RetryWindow] = attrs.field(factory=dict)
 
     def begin(
@@ -104,8 +108,8 @@
             self._windows[service] = retry_budget.RetryWindow(self.allowance)
         return self._windows[service]
 
-    def prompts(self, model: str) -> stall_detection.PromptSizes:
+    def prompts(self, model: str) -> stall_detection.PromptReadTimes:
         """Return how long prompts of a model were lately."""
         if model not in self._prompts:
-            self._prompts[model] = stall_detection.PromptSizes()
+            self._prompts[model] = stall_detection.PromptReadTimes()
         return self._prompts[model]
--- a/redwingvalve/ingress/stream_forwarding.py
+++ b/redwingvalve/ingress/stream_forwarding.py
@@ -11,7 +11,7 @@
 
     def __init__(
         self,
-        watch: stall_detection.SilenceWatch,
+        watch: stall_detection.StallDetector,
         responder: server.Responder,
         last_event: int | None,
         times: timing.RequestTiming,
@@ -22,25 +22,25 @@
         self._watch = watch
         self._responder = responder
         self._connection: client.Connection | None = None
-        self._pulse: stall_detection.StreamPulse | None = None
+        self._pulse: stall_detection.MonitoredStream | None = None
         responder.on_drained = self._read_on
 
     def begin(
         self,
         connection: client.Connection | None,
-        pulse: stall_detection.StreamPulse | None,
+        pulse: stall_detection.MonitoredStream | None,
     ) -> None:
         """Take the events of a connection."""
         self._connection = connection
         self._pulse = pulse
         if pulse is not None:
-            self._watch.begin(pulse)
+            self._watch.add(pulse)
 
     def end(self) -> None:
         """Take no more events until the next begin."""
         self._connection = None
         if self._pulse is not None:
-            self._watch.end(self._pulse)
+            self._watch.remove(self._pulse)
             self._pulse = None
 
     def take(self, event: events.Event, send: upstream.StreamSend) -> None:
@@ -48,7 +48,7 @@
         now_s = time.monotonic()
         self._times.note_event(now_s)
         if self._pulse is not None:
-            self._watch.noted(self._pulse, now_s)
+            self._watch.record_event(self._pulse, now_s)
         if self._is_repeated(event):
             return
         if not self._responder.is_started:
@@ -80,4 +80,4 @@
             self._connection.resume()
         if self._pulse is not None:
             self._pulse.is_held = False
-            self._watch.noted(self._pulse, time.monotonic())
+            self._watch.record_event(self._pulse, time.monotonic())
--- a/redwingvalve/ingress/tests/test_routing_and_stalls.py
+++ b/redwingvalve/ingress/tests/test_routing_and_stalls.py
@@ -144,7 +144,7 @@
 
 
 def pulse(head='h', sent_s=0.0, prompt_s=0.02, pause_s=0.04, others_s=0.0):
-    return stall_detection.StreamPulse(
+    return stall_detection.MonitoredStream(
         head, sent_s, prompt_s, pause_s, others_s
     )
 
@@ -153,39 +153,39 @@
     """Look as the node does; return when a head was first found silent."""
     now_s = from_s
     while now_s < to_s:
-        if watch.look(now_s):
+        if watch.find_stalled(now_s):
             return now_s
-        now_s += stall_detection.LOOK_EVERY_S
+        now_s += stall_detection.MIN_CHECK_INTERVAL_S
     return None
 
 
 def test_a_head_that_stops_writing_is_found_within_three_pauses():
-    watch = stall_detection.SilenceWatch()
+    watch = stall_detection.StallDetector()
     one = pulse()
-    watch.begin(one)
-    watch.noted(one, 1.0)
+    watch.add(one)
+    watch.record_event(one, 1.0)
     found_s = look_until(watch, 1.0, 3.0)
     assert found_s is not None and found_s - 1.0 < 0.12 + 0.03
 
 
 def test_a_head_that_writes_to_one_stream_is_not_silent():
-    watch = stall_detection.SilenceWatch()
+    watch = stall_detection.StallDetector()
     one, two = pulse(), pulse()
     for each in (one, two):
-        watch.begin(each)
-        watch.noted(each, 0.0)
+        watch.add(each)
+        watch.record_event(each, 0.0)
     now_s = 0.0
     while now_s < 1.0:
-        watch.noted(one, now_s)
-        assert not watch.look(now_s)
-        now_s += stall_detection.LOOK_EVERY_S
+        watch.record_event(one, now_s)
+        assert not watch.find_stalled(now_s)
+        now_s += stall_detection.MIN_CHECK_INTERVAL_S
 
 
 def test_prompts_of_others_are_allowed_for():
-    watch = stall_detection.SilenceWatch()
+    watch = stall_detection.StallDetector()
     one = pulse(others_s=0.2)
-    watch.begin(one)
-    watch.noted(one, 0.0)
+    watch.add(one)
+    watch.record_event(one, 0.0)
     assert look_until(watch, 0.0, 0.3) is None
 
 
@@ -196,21 +196,21 @@
     found well, and its streams are sent anew elsewhere, where they take places
     in which others could be in time.
     """
-    watch = stall_detection.SilenceWatch()
+    watch = stall_detection.StallDetector()
     found = 0
     now_s = 0.0
     for _ in range(7):
         one = pulse('a', now_s)
-        watch.begin(one)
-        watch.noted(one, now_s)
+        watch.add(one)
+        watch.record_event(one, now_s)
         is_silent = False
         for _ in range(40):
-            now_s += stall_detection.LOOK_EVERY_S
-            is_silent = is_silent or bool(watch.look(now_s))
+            now_s += stall_detection.MIN_CHECK_INTERVAL_S
+            is_silent = is_silent or bool(watch.find_stalled(now_s))
         found += is_silent
         if is_silent:
-            watch.found_sound('a', now_s)
-        watch.end(one)
+            watch.mark_slow('a', now_s)
+        watch.remove(one)
     assert watch.slow_heads(now_s) == {'a'}
     assert found <= 2
 
@@ -234,27 +234,27 @@
 
 def test_a_pause_of_this_process_is_no_silence():
     """No stream moves because its own node stood still for a second."""
-    watch = stall_detection.SilenceWatch()
+    watch = stall_detection.StallDetector()
     one = pulse()
-    watch.begin(one)
-    watch.noted(one, 0.0)
-    assert not watch.look(0.01)
-    assert not watch.look(1.0)
-    assert not watch.look(1.05)
+    watch.add(one)
+    watch.record_event(one, 0.0)
+    assert not watch.find_stalled(0.01)
+    assert not watch.find_stalled(1.0)
+    assert not watch.find_stalled(1.05)
 
 
 def test_a_caller_that_reads_slowly_says_nothing_about_the_head():
-    watch = stall_detection.SilenceWatch()
+    watch = stall_detection.StallDetector()
     one = pulse()
-    watch.begin(one)
-    watch.noted(one, 0.0)
+    watch.add(one)
+    watch.record_event(one, 0.0)
     one.is_held = True
     assert look_until(watch, 0.0, 2.0) is None
 
 
 def test_a_stream_that_never_begins_is_found():
-    watch = stall_detection.SilenceWatch()
-    watch.begin(pulse(sent_s=0.0))
+    watch = stall_detection.StallDetector()
+    watch.add(pulse(sent_s=0.0))
     found_s = look_until(watch, 0.0, 2.0)
     assert found_s is not None and found_s < 0.5
 
@@ -288,12 +288,12 @@
 
 def test_a_head_that_was_found_sound_is_given_more_time():
     """A slow head under a burst isn't taken out of use again and again."""
-    watch = stall_detection.SilenceWatch()
+    watch = stall_detection.StallDetector()
     one = pulse()
-    watch.begin(one)
-    watch.noted(one, 0.0)
+    watch.add(one)
+    watch.record_event(one, 0.0)
     first_s = look_until(watch, 0.0, 3.0)
-    watch.found_sound('h', first_s)
-    watch.noted(one, first_s)
+    watch.mark_slow('h', first_s)
+    watch.record_event(one, first_s)
     second_s = look_until(watch, first_s, first_s + 3.0)
     assert second_s - first_s > 2.5 * first_s
--- a/redwingvalve/node/daemon.py
+++ b/redwingvalve/node/daemon.py
@@ -107,7 +107,7 @@
 
     async def run(self, stop: anyio.Event) -> None:
         """Run until stop is set, and then until all requests have ended."""
-        self.table.on_reinstated = self.state.silence.found_sound
+        self.table.on_reinstated = self.state.stall_detector.mark_slow
         self.table.on_rebuilt = self.allocation.allocator.tick
         self.table.on_doubt = self.detector.doubt
         self.table.on_reported_healthy = self.detector.told_sound
--- a/redwingvalve/node/failure_detector.py
+++ b/redwingvalve/node/failure_detector.py
@@ -65,8 +65,8 @@
     def _pause_s(self) -> float:
         """Return the time until the next look; each wakes an idle process."""
         if self._doubts:
-            return stall_detection.LOOK_EVERY_S
-        return self.state.silence.pause_s(time.monotonic())
+            return stall_detection.MIN_CHECK_INTERVAL_S
+        return self.state.stall_detector.time_to_next_check_s(time.monotonic())
 
     def doubt(self, head: str, reason: str) -> None:
         """Ask about a head at the next look, within 0.1 s."""
@@ -80,8 +80,8 @@
     def look(self, group: anyio.abc.TaskGroup) -> None:
         """Take silent heads out of use, or ask about them first."""
         now_s = time.monotonic()
-        for found in self.state.silence.look(now_s):
-            if found.has_begun or self.state.node_count <= FEW_NODES:
+        for found in self.state.stall_detector.find_stalled(now_s):
+            if found.has_started or self.state.node_count <= FEW_NODES:
                 self._lose(found.head)
             elif not self._is_told_sound(found.head, now_s):
                 self.doubt(found.head, SILENT)
@@ -130,7 +130,7 @@
             return
         LOG.info('head is sound', extra={'endpoint': head, 'doubt': reason})
         if reason == SILENT:
-            self.state.silence.found_sound(head, time.monotonic())
+            self.state.stall_detector.mark_slow(head, time.monotonic())
             self.table.announce_healthy(head)
 
     async def _clear_if_sound(self, head: str) -> None:
@@ -146,5 +146,5 @@
 
     def _lose(self, head: str, reason: str = SILENT) -> None:
         self.table.suspect(head, reason)
-        for send in list(self.state.open_sends.get(head, ())):
-            send.head_is_silent()
+        for send in list(self.state.in_flight_requests.get(head, ())):
+            send.head_stalled()
--- a/redwingvalve/node/tests/test_failure_detector.py
+++ b/redwingvalve/node/tests/test_failure_detector.py
@@ -85,14 +85,14 @@
     anyio.run(main)
 
 
-def look_after_silence(made, *, has_begun):
+def look_after_silence(made, *, has_started):
     """Look at a head from which nothing has come for a long time."""
-    pulse = stall_detection.StreamPulse(
+    pulse = stall_detection.MonitoredStream(
         'head', sent_s=0.0, prompt_s=0, pause_s=0.05
     )
-    made.state.silence.begin(pulse)
-    if has_begun:
-        made.state.silence.noted(pulse, 0.0)
+    made.state.stall_detector.add(pulse)
+    if has_started:
+        made.state.stall_detector.record_event(pulse, 0.0)
     look(made)
 
 
@@ -103,7 +103,7 @@
     members answer: the head is slow. Taken out of use, it would fill others.
     """
     made = watch(is_whole=True)
-    look_after_silence(made, has_begun=False)
+    look_after_silence(made, has_started=False)
     assert made.prober.asked == 1
     assert not made.table.suspects
 
@@ -115,11 +115,11 @@
     asks tells the others; they ask themselves once that is some seconds ago.
     """
     first = watch(is_whole=True)
-    look_after_silence(first, has_begun=False)
+    look_after_silence(first, has_started=False)
     assert first.table.told == ['head']
     other = watch(is_whole=True)
     other.told_sound('head', time.monotonic())
-    look_after_silence(other, has_begun=False)
+    look_after_silence(other, has_started=False)
     assert other.prober.asked == 0
     other.told_sound('head', time.monotonic() - failure_detector.TOLD_SOUND_S)
     look(other)
@@ -129,20 +129,20 @@
 def test_streams_that_stop_count_whatever_was_told():
     made = watch(is_whole=False)
     made.told_sound('head', time.monotonic())
-    look_after_silence(made, has_begun=True)
+    look_after_silence(made, has_started=True)
     assert made.table.suspects == ['head']
 
 
 def test_a_head_without_a_member_goes_out_of_use():
     made = watch(is_whole=False)
-    look_after_silence(made, has_begun=False)
+    look_after_silence(made, has_started=False)
     assert made.table.suspects == ['head']
 
 
 def test_streams_that_stop_need_no_question():
     """A broken stream goes on elsewhere within its allowed pause."""
     made = watch(is_whole=True)
-    look_after_silence(made, has_begun=True)
+    look_after_silence(made, has_started=True)
     assert made.prober.asked == 0
     assert made.table.suspects == ['head']
 
