--- a/redwingvalve/allocation/reserver.py
+++ b/redwingvalve/allocation/reserver.py
@@ -100,7 +100,7 @@
     """Reserves places for one node."""
 
     data_centre: str
-    targets: state.Targets
+    targets: state.TargetProvider
     owners: owners_module.PoolOwners
     transport: Transport
     loads: load_balancing.EndpointLoads
@@ -212,7 +212,7 @@
 
     def _pools(self, service: str, model: str) -> list[messages.Pool]:
         """Return the pools to be asked, that of this data centre first."""
-        targets = self.targets.of(service, model)
+        targets = self.targets.find_targets(service, model)
         if not (model and self.is_split_by_data_centre()):
             found = [messages.Pool(service, model, '')]
             return found if targets else []
@@ -296,7 +296,7 @@
     def _choose(self, ask: messages.Ask) -> _Grant | reservations.NoSlot:
         """Choose by what this node knows itself."""
         node_metrics.METRICS.count('redwingvalve_places_chosen_alone')
-        targets = self.targets.of(ask.pool.service, ask.pool.model)
+        targets = self.targets.find_targets(ask.pool.service, ask.pool.model)
         drawn = load_balancing.sample_candidates(targets, self.rng)
         for among in (drawn, targets):
             found = load_balancing.choose_least_loaded(
@@ -309,7 +309,7 @@
 
     def _known(self, grant: _Grant) -> load_balancing.Target | None:
         pool = grant.pool
-        for target in self.targets.of(pool.service, pool.model):
+        for target in self.targets.find_targets(pool.service, pool.model):
             if target.endpoint_id == grant.endpoint_id:
                 return target
         return None
--- a/redwingvalve/fleet/serving.py
+++ b/redwingvalve/fleet/serving.py
@@ -31,7 +31,7 @@
     since_s: float
 
 
-class ServingTable(state.Targets):
+class ServingTable(state.TargetProvider):
     """Targets by service and model, made anew at each change."""
 
     def __init__(self, registry: registry_module.Registry) -> None:
@@ -64,7 +64,9 @@
         self._whole: dict[tuple[str, int], endpoints.Replica] = {}
         registry.on_change.append(self.rebuild)
 
-    def of(self, service: str, model: str) -> tuple[load_balancing.Target, ...]:
+    def find_targets(
+        self, service: str, model: str
+    ) -> tuple[load_balancing.Target, ...]:
         """Return the targets for a model, or of a plain service."""
         return self._targets.get((service, model), ())
 
@@ -97,7 +99,7 @@
             if self.on_suspect is not None:
                 self.on_suspect(suspicion)
 
-    def doubt(self, endpoint_id: str, reason: str) -> None:
+    def check_endpoint(self, endpoint_id: str, reason: str) -> None:
         """Let whoever can ask find out about an endpoint."""
         if self.on_doubt is None:
             self.suspect(endpoint_id, reason)
--- a/redwingvalve/ingress/poison.py
+++ b/redwingvalve/ingress/poison.py
@@ -39,7 +39,7 @@
     at_s: float
 
 
-class PoisonBook:
+class PoisonRequestTracker:
     """Crashes by request, here and at other nodes."""
 
     def __init__(
@@ -70,11 +70,13 @@
         ]
 
     @property
-    def has_breaks(self) -> bool:
+    def has_unresolved_disconnects(self) -> bool:
         """Return whether broken connections are still to be judged."""
         return bool(self._breaks)
 
-    def look(self, living: typing.Container[tuple[str, int]]) -> None:
+    def resolve_disconnects(
+        self, living: typing.Container[tuple[str, int]]
+    ) -> None:
         """Count the breaks whose endpoints have died since."""
         now_s = self._clock()
         left = []
@@ -85,7 +87,7 @@
                 left.append(one)
         self._breaks = left
 
-    def counts(self) -> dict[int, int]:
+    def recent_crashes(self) -> dict[int, int]:
         """Return crashes that other nodes should know of."""
         now_s = self._clock()
         return {
@@ -94,7 +96,7 @@
             if now_s - record.last_s < CRASH_SEEN_S
         }
 
-    def heard(self, counts: dict[int, int]) -> None:
+    def merge_crashes(self, counts: dict[int, int]) -> None:
         """Take another node's crashes; it has heard of ours."""
         for fingerprint, crashes in counts.items():
             known = self._records.get(fingerprint)
--- a/redwingvalve/ingress/request_handler.py
+++ b/redwingvalve/ingress/request_handler.py
@@ -36,7 +36,7 @@
 MAX_CONNECT_FAILURES = 3
 
 
-class RequestRun(state_module.InFlightRequest):
+class RequestHandler(state_module.InFlightRequest):
     """Sends one request until it has its answer."""
 
     def __init__(
@@ -84,7 +84,9 @@
             responses.refuse(self._responder, self._caller, refusals.POISON)
             return
         self._state.prompts(admission.model).observe(admission.prompt_s)
-        self._state.window(admission.service).count_request(self._times.began_s)
+        self._state.retry_budget(admission.service).count_request(
+            self._times.began_s
+        )
         while not self._responder.is_gone:
             asked_s = time.monotonic()
             place = await slot_requests.reserve_slot(
@@ -245,7 +247,7 @@
         admission = self._admission
         if admission is None:
             return False
-        window = self._state.window(admission.service)
+        window = self._state.retry_budget(admission.service)
         self._is_paid = window.try_spend(
             time.monotonic(), self._state.node_count
         )
@@ -334,7 +336,9 @@
             # Answers are also lost on the way, at times many at once: taken out
             # of use for each, all heads would be gone in a second. One that
             # crashed refuses the next connection and goes out of use by that.
-            self._state.targets.doubt(target.endpoint_id, 'broken stream')
+            self._state.targets.check_endpoint(
+                target.endpoint_id, 'broken stream'
+            )
 
     def _may_try_again(
         self, admission: admission_control.Admission, ending: upstream.Ending
--- a/redwingvalve/ingress/retry_budget.py
+++ b/redwingvalve/ingress/retry_budget.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class RetryAllowance:
+class RetryBudgetConfig:
     """How many repeated sends a service takes from all nodes."""
 
     ratio: float
@@ -24,10 +24,10 @@
     window_s: float
 
 
-class RetryWindow:
+class RetryBudget:
     """Sends and first sends of one service within the window."""
 
-    def __init__(self, allowance: RetryAllowance) -> None:
+    def __init__(self, allowance: RetryBudgetConfig) -> None:
         """Start without sends."""
         self._allowance = allowance
         self._requests = sliding_window.Moments(allowance.window_s)
@@ -39,12 +39,12 @@
 
     def try_spend(self, now_s: float, nodes: int) -> bool:
         """Count one more repeated send if this node's share allows it."""
-        if self.left(now_s, nodes) < 1:
+        if self.remaining(now_s, nodes) < 1:
             return False
         self._retries.note(now_s)
         return True
 
-    def left(self, now_s: float, nodes: int) -> float:
+    def remaining(self, now_s: float, nodes: int) -> float:
         """Return the repeated sends that this node's share still allows."""
         allowance = self._allowance
         allowed = allowance.ratio * self._requests.count(now_s)
--- a/redwingvalve/ingress/slot_requests.py
+++ b/redwingvalve/ingress/slot_requests.py
@@ -75,8 +75,8 @@
     responses.log_no_place(
         caller,
         admission,
-        targets=len(state.targets.of(service, model)),
-        under_way=state.in_use(service, model),
-        waiting=state.waiting(service, model),
+        targets=len(state.targets.find_targets(service, model)),
+        under_way=state.slot_demand(service, model),
+        waiting=state.waiting_requests(service, model),
         held_s=held_s,
     )
--- a/redwingvalve/ingress/state.py
+++ b/redwingvalve/ingress/state.py
@@ -27,11 +27,13 @@
         """End the send, to go on elsewhere."""
 
 
-class Targets(abc.ABC):
+class TargetProvider(abc.ABC):
     """Knows which endpoints take requests now."""
 
     @abc.abstractmethod
-    def of(self, service: str, model: str) -> tuple[load_balancing.Target, ...]:
+    def find_targets(
+        self, service: str, model: str
+    ) -> tuple[load_balancing.Target, ...]:
         """Return the targets for a model, or of a plain service."""
 
     @abc.abstractmethod
@@ -39,7 +41,7 @@
         """Take an endpoint out of use until it is known to be sound."""
 
     @abc.abstractmethod
-    def doubt(self, endpoint_id: str, reason: str) -> None:
+    def check_endpoint(self, endpoint_id: str, reason: str) -> None:
         """Find out whether an endpoint is sound; use it meanwhile."""
 
     @abc.abstractmethod
@@ -56,8 +58,8 @@
 class IngressState:
     """Everything that one request needs of the node."""
 
-    targets: Targets
-    allowance: retry_budget.RetryAllowance
+    targets: TargetProvider
+    allowance: retry_budget.RetryBudgetConfig
     configuration: routes.Configuration | None = None
     is_leaving: bool = False
     # Nodes that serve callers, this one included.
@@ -70,17 +72,19 @@
         factory=stall_detection.StallDetector
     )
     chance: random.Random = attrs.field(factory=random.Random)
-    poison: poison_module.PoisonBook = attrs.field(
-        factory=poison_module.PoisonBook
+    poison: poison_module.PoisonRequestTracker = attrs.field(
+        factory=poison_module.PoisonRequestTracker
     )
     first_deadlines: caller_retries.FirstDeadlines = attrs.field(
         factory=caller_retries.FirstDeadlines
     )
     reserver: reservations.Reserver | None = None
     # Places of a service and model in use and wanted, in the whole fleet.
-    in_use: collections_abc.Callable[[str, str], int] = _nothing_in_use
+    slot_demand: collections_abc.Callable[[str, str], int] = _nothing_in_use
     # Requests that wait for places which this node grants.
-    waiting: collections_abc.Callable[[str, str], int] = _nothing_in_use
+    waiting_requests: collections_abc.Callable[[str, str], int] = (
+        _nothing_in_use
+    )
     # Sends that end when their head falls silent, by endpoint.
     in_flight_requests: dict[str, set['InFlightRequest']] = attrs.field(
         factory=dict
@@ -91,7 +95,7 @@
     _prompts: dict[str, stall_detection.PromptReadTimes] = attrs.field(
         factory=dict
     )
-    _windows: dict[str, retry_budget.RetryWindow] = attrs.field(factory=dict)
+    _windows: dict[str, retry_budget.RetryBudget] = attrs.field(factory=dict)
 
     def begin(
         self, service: str, model: str
@@ -102,10 +106,10 @@
             self._begin[key] = duration_estimates.make_first_event_estimate()
         return self._begin[key]
 
-    def window(self, service: str) -> retry_budget.RetryWindow:
+    def retry_budget(self, service: str) -> retry_budget.RetryBudget:
         """Return the retries of a service."""
         if service not in self._windows:
-            self._windows[service] = retry_budget.RetryWindow(self.allowance)
+            self._windows[service] = retry_budget.RetryBudget(self.allowance)
         return self._windows[service]
 
     def prompts(self, model: str) -> stall_detection.PromptReadTimes:
--- a/redwingvalve/ingress/tests/load_simulation.py
+++ b/redwingvalve/ingress/tests/load_simulation.py
@@ -153,7 +153,7 @@
             rng=self._play.chance,
         )
 
-    def of(self, service, model):
+    def find_targets(self, service, model):
         """Return the targets, which all nodes know."""
         return self._play.targets
 
--- a/redwingvalve/ingress/tests/test_poison.py
+++ b/redwingvalve/ingress/tests/test_poison.py
@@ -12,12 +12,12 @@
 
 def book():
     clock = Clock()
-    return poison.PoisonBook(clock), clock
+    return poison.PoisonRequestTracker(clock), clock
 
 
 def crash(found, fingerprint, number):
     found.broke(fingerprint, (f'e{number}', 1))
-    found.look(living=set())
+    found.resolve_disconnects(living=set())
 
 
 def test_the_fourth_try_is_refused():
@@ -33,9 +33,9 @@
     found, clock = book()
     for number in range(5):
         found.broke(7, (f'e{number}', 1))
-        found.look(living={(f'e{number}', 1)})
+        found.resolve_disconnects(living={(f'e{number}', 1)})
         clock.now_s += poison.CRASH_SEEN_S + 1
-        found.look(living={(f'e{number}', 1)})
+        found.resolve_disconnects(living={(f'e{number}', 1)})
     assert not found.is_poison(7)
 
 
@@ -52,9 +52,9 @@
     here, _ = book()
     there, _ = book()
     crash(here, 7, 1)
-    there.heard(here.counts())
+    there.merge_crashes(here.recent_crashes())
     crash(there, 7, 2)
-    here.heard(there.counts())
+    here.merge_crashes(there.recent_crashes())
     crash(here, 7, 3)
     assert here.is_poison(7)
 
--- a/redwingvalve/ingress/tests/test_routing_and_stalls.py
+++ b/redwingvalve/ingress/tests/test_routing_and_stalls.py
@@ -115,8 +115,8 @@
 
 
 def test_retries_are_a_share_of_requests_and_of_the_allowance():
-    allowance = retry_budget.RetryAllowance(0.2, 60, 10.0)
-    window = retry_budget.RetryWindow(allowance)
+    allowance = retry_budget.RetryBudgetConfig(0.2, 60, 10.0)
+    window = retry_budget.RetryBudget(allowance)
     for _ in range(100):
         window.count_request(0.0)
     spent = sum(window.try_spend(1.0, nodes=6) for _ in range(200))
--- a/redwingvalve/node/allocation_transport.py
+++ b/redwingvalve/node/allocation_transport.py
@@ -82,14 +82,14 @@
 class _PoolTargets:
     """The targets of each pool, picked once for each table of targets."""
 
-    targets: state_module.Targets
+    targets: state_module.TargetProvider
     _picked: dict[messages.Pool, tuple[_Targets, _Targets]] = attrs.field(
         factory=dict
     )
 
     def of(self, pool: messages.Pool) -> _Targets:
         """Return the targets that take requests now."""
-        table = self.targets.of(pool.service, pool.model)
+        table = self.targets.find_targets(pool.service, pool.model)
         known_table, picked = self._picked.get(pool, ((), ()))
         if known_table is table:
             return picked
@@ -124,8 +124,8 @@
     )
     peers.on_tagged = made.received
     state.reserver = made.reserver
-    state.in_use = status_exchange.usage.slots_in_use
-    state.waiting = allocator.queue_length
+    state.slot_demand = status_exchange.usage.slots_in_use
+    state.waiting_requests = allocator.queue_length
     status_exchange.local_usage = allocator.usage
     status_exchange.on_node_lost = allocator.drop_node
     return made
--- a/redwingvalve/node/control_loop.py
+++ b/redwingvalve/node/control_loop.py
@@ -77,7 +77,7 @@
                 self.prober,
                 group,
                 self.lease.is_held,
-                self.state.in_use,
+                self.state.slot_demand,
             )
             self.controllers[service.name] = control
         control.configure(engine)
--- a/redwingvalve/node/daemon.py
+++ b/redwingvalve/node/daemon.py
@@ -324,8 +324,8 @@
     return peers_module.local_address(node_settings, int(time.time() * 1000))
 
 
-def _allowance(bounds: settings.Bounds) -> retry_budget.RetryAllowance:
-    return retry_budget.RetryAllowance(
+def _allowance(bounds: settings.Bounds) -> retry_budget.RetryBudgetConfig:
+    return retry_budget.RetryBudgetConfig(
         bounds.retry_ratio, bounds.retry_extra, bounds.retry_window_s
     )
 
--- a/redwingvalve/node/front.py
+++ b/redwingvalve/node/front.py
@@ -54,13 +54,13 @@
     ) -> None:
         """Relay one request in a task of its own."""
         self.has_served = True
-        run = request_handler.RequestRun(self._state, request, responder)
+        run = request_handler.RequestHandler(self._state, request, responder)
         task = asyncio.get_running_loop().create_task(self._run(run, responder))
         self.running.add(task)
         task.add_done_callback(self.running.discard)
 
     async def _run(
-        self, run: request_handler.RequestRun, responder: server.Responder
+        self, run: request_handler.RequestHandler, responder: server.Responder
     ) -> None:
         try:
             await run.run()
--- a/redwingvalve/node/gauges.py
+++ b/redwingvalve/node/gauges.py
@@ -68,19 +68,19 @@
 
     def _targets(self) -> _Readings:
         table = self.table
-        return self._by_model(lambda *model: len(table.of(*model)))
+        return self._by_model(lambda *model: len(table.find_targets(*model)))
 
     def _under_way(self) -> _Readings:
-        return self._by_model(self.state.in_use)
+        return self._by_model(self.state.slot_demand)
 
     def _waiting(self) -> _Readings:
-        return self._by_model(self.state.waiting)
+        return self._by_model(self.state.waiting_requests)
 
     def _retries_left(self) -> _Readings:
         now_s = time.monotonic()
         return [
             node_metrics.Sample(
-                self.state.window(service.name).left(
+                self.state.retry_budget(service.name).left(
                     now_s, self.state.node_count
                 ),
                 (('service', service.name),),
--- a/redwingvalve/node/status_exchange.py
+++ b/redwingvalve/node/status_exchange.py
@@ -124,7 +124,7 @@
             is_leaving=self.state.is_leaving,
             is_ready=self.state.configuration is not None,
             suspects=status_fields.suspect_words(self.table),
-            crashes=self.state.poison.counts(),
+            crashes=self.state.poison.recent_crashes(),
             has_served=self._knows_served(),
             cleared=status_fields.clear_words(self._cleared),
             usage=usage,
@@ -153,7 +153,7 @@
         if word.lease_revision:
             self.lease.observe(word.lease_revision, word.lease_left_ms)
         self.others_served = self.others_served or bool(word.has_served)
-        self.state.poison.heard(word.crashes or {})
+        self.state.poison.merge_crashes(word.crashes or {})
         for suspicion in status_fields.read_suspicions(word):
             self.table.add_suspicion(suspicion)
         for clear in status_fields.read_clears(word):
@@ -186,8 +186,8 @@
         else:
             self.peers.drop_silent()
         self.registry.drop_expired()
-        if self.state.poison.has_breaks:
-            self.state.poison.look(self.registry.incarnations())
+        if self.state.poison.has_unresolved_disconnects:
+            self.state.poison.resolve_disconnects(self.registry.incarnations())
         self.state.node_count = 1 + len(self.peers.alive())
 
     def _found_sound(self, endpoint_id: str, epoch: int) -> None:
--- a/redwingvalve/node/tests/test_failure_detector.py
+++ b/redwingvalve/node/tests/test_failure_detector.py
@@ -65,7 +65,7 @@
 
 
 def watch(is_whole, *, nodes=MANY_NODES, has_holder=True):
-    allowance = retry_budget.RetryAllowance(0.2, 100, 10)
+    allowance = retry_budget.RetryBudgetConfig(0.2, 100, 10)
     table = Table()
     state = state_module.IngressState(table, allowance)
     state.node_count = nodes
--- a/redwingvalve/node/tests/test_hubs.py
+++ b/redwingvalve/node/tests/test_hubs.py
@@ -78,7 +78,7 @@
     async def test(fleet):
         await met(fleet)
         plain = by_duty(fleet)[1][0]
-        head = plain.table.of(
+        head = plain.table.find_targets(
             fleet_harness.ENGINE_SERVICE, fleet_harness.SMALL_MODEL
         )[0].endpoint_id
         plain.table.suspect(head, 'silent')
--- a/redwingvalve/node/tests/test_relays.py
+++ b/redwingvalve/node/tests/test_relays.py
@@ -62,7 +62,10 @@
         fleet.endpoints['p0'].drain()
         last = fleet.nodes[-1]
         await fleet.wait_until(
-            lambda: len(last.table.of(fleet_harness.PLAIN_SERVICE, '')) == 1,
+            lambda: (
+                len(last.table.find_targets(fleet_harness.PLAIN_SERVICE, ''))
+                == 1
+            ),
             3.5,
         )
 
--- a/redwingvalve/node/tests/test_requests.py
+++ b/redwingvalve/node/tests/test_requests.py
@@ -239,7 +239,9 @@
         places = fleet.nodes[0].allocation.allocator.pool(pool)
         (target,) = [
             one
-            for one in fleet.nodes[0].table.of(fleet_harness.PLAIN_SERVICE, '')
+            for one in fleet.nodes[0].table.find_targets(
+                fleet_harness.PLAIN_SERVICE, ''
+            )
             if one.endpoint_id == idle
         ]
         assert places.free_slots() == 2 * target.slots - 1
@@ -333,7 +335,7 @@
     """
 
     async def test(fleet):
-        window = fleet.nodes[0].state.window(fleet_harness.ENGINE_SERVICE)
+        window = fleet.nodes[0].state.retry_budget(fleet_harness.ENGINE_SERVICE)
         window.try_spend = lambda now_s, nodes: False
         heads = [
             fleet.endpoints[target.endpoint_id] for target in fleet.targets()
@@ -363,7 +365,7 @@
 
     async def test(fleet):
         logging.getLogger('redwingvalve').propagate = True
-        window = fleet.nodes[0].state.window(fleet_harness.ENGINE_SERVICE)
+        window = fleet.nodes[0].state.retry_budget(fleet_harness.ENGINE_SERVICE)
         window.try_spend = lambda now_s, nodes: False
         caller = fleet.caller()
         taker = await caller.start_stream()
--- a/redwingvalve/node/tests/test_status_exchange.py
+++ b/redwingvalve/node/tests/test_status_exchange.py
@@ -79,7 +79,9 @@
         await fleet.wait_until(lambda: granters(fleet))
         holder, waits = granters(fleet)
         slots = (
-            fleet.nodes[0].table.of(fleet_harness.PLAIN_SERVICE, '')[0].slots
+            fleet.nodes[0]
+            .table.find_targets(fleet_harness.PLAIN_SERVICE, '')[0]
+            .slots
         )
         held = [await reserve_plain(holder) for _ in range(slots)]
         got = []
@@ -129,7 +131,7 @@
         other.table.on_reported_healthy = lambda head, found_s: told.append(
             head
         )
-        head = asked.table.of(
+        head = asked.table.find_targets(
             fleet_harness.ENGINE_SERVICE, fleet_harness.SMALL_MODEL
         )[0].endpoint_id
         asked.table.announce_healthy(head)
--- a/redwingvalve/platform/tests/fleet_harness.py
+++ b/redwingvalve/platform/tests/fleet_harness.py
@@ -236,7 +236,7 @@
         return Caller((address.host, address.port))
 
     def targets(self, index=0):
-        return self.nodes[index].table.of(ENGINE_SERVICE, SMALL_MODEL)
+        return self.nodes[index].table.find_targets(ENGINE_SERVICE, SMALL_MODEL)
 
     def head(self, index=0):
         target = self.targets(index)[0]
@@ -310,7 +310,7 @@
         if version is not None and plain:
             await fleet.until(
                 lambda: all(
-                    len(node.table.of(PLAIN_SERVICE, '')) == plain
+                    len(node.table.find_targets(PLAIN_SERVICE, '')) == plain
                     for node in fleet.nodes
                 )
             )
--- a/redwingvalve/platform/tests/test_lease_and_store.py
+++ b/redwingvalve/platform/tests/test_lease_and_store.py
@@ -107,7 +107,9 @@
         got = await fleet.caller().ask('/card/1')
         assert got.status == 200
         await anyio.sleep(2.2)
-        assert not fleet.nodes[0].table.of(fleet_harness.PLAIN_SERVICE, '')
+        assert not fleet.nodes[0].table.find_targets(
+            fleet_harness.PLAIN_SERVICE, ''
+        )
 
     fleet_harness.run(test, engines=0)
 
