--- a/redwingvalve/ingress/admission_control.py
+++ b/redwingvalve/ingress/admission_control.py
@@ -50,7 +50,7 @@
     if must_have_key and account is None:
         return refusals.UNKNOWN_KEY
     service = routes.pick_service(route, chance)
-    engine = configuration.engine_of(service)
+    engine = configuration.find_engine(service)
     timeout_ms, caller_ms = _waits_ms(route, caller)
     return Admission(
         route=route,
@@ -102,12 +102,12 @@
     model = engine.find_model(caller.model) if engine else None
     if engine is None or model is None:
         return 0
-    return caller.prompt_tokens / engine.read_per_s * model.pace
+    return caller.prompt_tokens / engine.prompt_tokens_per_s * model.pace
 
 
 def _pause_s(engine: routes.Engine | None, name: str) -> float:
     model = engine.find_model(name) if engine else None
     if engine is None or model is None:
         return 0
-    step_ms = engine.step_ms + engine.slots * engine.request_step_ms
-    return step_ms * engine.stride * model.pace / _MS_IN_S
+    step_ms = engine.step_ms + engine.slots * engine.step_ms_per_request
+    return step_ms * engine.steps_per_event * model.pace / _MS_IN_S
--- a/redwingvalve/ingress/routes.py
+++ b/redwingvalve/ingress/routes.py
@@ -37,14 +37,14 @@
     models: tuple[Model, ...]
     # A token step, and what each running request adds to it.
     step_ms: float
-    request_step_ms: float
+    step_ms_per_request: float
     # Prompt tokens that are read in a second.
-    read_per_s: float
+    prompt_tokens_per_s: float
     # Steps between two events of a stream.
-    stride: int
+    steps_per_event: int
     loads_per_s: float
-    loads_at_once: int
-    open_ms: float
+    max_concurrent_loads: int
+    formation_ms: float
 
     def find_model(self, name: str) -> Model | None:
         """Return a model by its name."""
@@ -161,7 +161,7 @@
                 return route
         return None
 
-    def engine_of(self, service: str) -> Engine | None:
+    def find_engine(self, service: str) -> Engine | None:
         """Return how a service's endpoints run models, if they do."""
         found = self.services.get(service)
         return found.engine if found else None
--- a/redwingvalve/node/endpoint_scheduler.py
+++ b/redwingvalve/node/endpoint_scheduler.py
@@ -91,7 +91,7 @@
         """
         if self._loads is None:
             self._loads = planning.LoadLimiter(
-                engine.loads_per_s, engine.loads_at_once
+                engine.loads_per_s, engine.max_concurrent_loads
             )
         empty = [one for one in free if not self._model_held(one)]
         for endpoint in empty:
--- a/redwingvalve/node/tests/test_new_lease_holder.py
+++ b/redwingvalve/node/tests/test_new_lease_holder.py
@@ -15,12 +15,12 @@
     slots=4,
     models=(SMALL,),
     step_ms=4.0,
-    request_step_ms=0.1,
-    read_per_s=40_000.0,
-    stride=5,
+    step_ms_per_request=0.1,
+    prompt_tokens_per_s=40_000.0,
+    steps_per_event=5,
     loads_per_s=5.0,
-    loads_at_once=7,
-    open_ms=30.0,
+    max_concurrent_loads=7,
+    formation_ms=30.0,
 )
 
 
--- a/redwingvalve/platform/configuration.py
+++ b/redwingvalve/platform/configuration.py
@@ -91,12 +91,12 @@
         slots=int(entry['slots']),
         models=tuple(map(_decode_model, entry.get('models') or ())),
         step_ms=float(entry['step_ms']),
-        request_step_ms=float(entry.get('per_seq_ms') or 0),
-        read_per_s=float(entry['read_per_s']),
-        stride=int(entry.get('stride') or 1),
+        step_ms_per_request=float(entry.get('per_seq_ms') or 0),
+        prompt_tokens_per_s=float(entry['read_per_s']),
+        steps_per_event=int(entry.get('stride') or 1),
         loads_per_s=float(entry.get('loads_per_s') or 1),
-        loads_at_once=int(entry.get('loads_at_once') or 1),
-        open_ms=float(entry.get('form_ms') or 0),
+        max_concurrent_loads=int(entry.get('loads_at_once') or 1),
+        formation_ms=float(entry.get('form_ms') or 0),
     )
 
 
