--- a/redwingvalve/allocation/tests/test_reserver.py
+++ b/redwingvalve/allocation/tests/test_reserver.py
@@ -6,21 +6,21 @@
 
 from redwingvalve.ingress.tests import load_simulation
 
-CALM = [load_simulation.Wave(0.6, 0.0, 4.0)]
-BUSY = [load_simulation.Wave(0.8, 0.0, 6.0)]
+CALM = [load_simulation.LoadPhase(0.6, 0.0, 4.0)]
+BUSY = [load_simulation.LoadPhase(0.8, 0.0, 6.0)]
 THREE = load_simulation.Deployment(nodes=12, heads=9, data_centres=3)
 
 
-class LossyPlay(load_simulation.Play):
+class LossyPlay(load_simulation.Simulation):
     """A tenth of all datagrams is lost."""
 
-    lost_share = 0.1
+    datagram_loss = 0.1
 
 
-class KillingPlay(load_simulation.Play):
+class KillingPlay(load_simulation.Simulation):
     """A node that grants places dies every second, and starts again."""
 
-    async def disturb(self):
+    async def inject_faults(self):
         while True:
             await anyio.sleep(1.0)
             granters = [
@@ -28,7 +28,7 @@
                 for node in self.nodes
                 if node.is_up and node.allocator.is_busy
             ]
-            killed = self.chance.choice(granters)
+            killed = self.rng.choice(granters)
             killed.is_up = False
             await anyio.sleep(0.7)
             killed.start()
@@ -43,7 +43,7 @@
 
 def test_no_endpoint_is_filled_beyond_its_places():
     """Requests don't queue at endpoints, where they would be late."""
-    made = load_simulation.Play(THREE, BUSY, 1)
+    made = load_simulation.Simulation(THREE, BUSY, 1)
     anyio.run(
         made.run, backend_options={'loop_factory': looptime.new_event_loop}
     )
@@ -64,15 +64,15 @@
     deployment = load_simulation.Deployment(
         nodes=nodes, heads=9, data_centres=3
     )
-    got = play(load_simulation.Play, deployment, CALM)
+    got = play(load_simulation.Simulation, deployment, CALM)
     assert got.messages / len(got.asked) <= 6
 
 
-class ReorderingPlay(load_simulation.Play):
+class ReorderingPlay(load_simulation.Simulation):
     """Each datagram takes up to five times as long as the fastest."""
 
-    def flight_s(self):
-        return load_simulation.FLIGHT_S * self.chance.uniform(1, 5)
+    def datagram_delay_s(self):
+        return load_simulation.DATAGRAM_DELAY_S * self.rng.uniform(1, 5)
 
 
 def test_a_refusal_that_overtakes_an_older_reply_is_heeded():
@@ -80,7 +80,7 @@
 
     The reply that the request waits comes after the one that refuses it.
     """
-    overload = [load_simulation.Wave(3.0, 0.0, 3.0)]
+    overload = [load_simulation.LoadPhase(3.0, 0.0, 3.0)]
     got = play(ReorderingPlay, THREE, overload)
     held = sorted(got.held_s)
     assert held[len(held) * 8 // 10] < 0.05
--- a/redwingvalve/ingress/tests/load_simulation.py
+++ b/redwingvalve/ingress/tests/load_simulation.py
@@ -32,7 +32,7 @@
 )
 
 # One way between nodes.
-FLIGHT_S = 0.001
+DATAGRAM_DELAY_S = 0.001
 LOOK_S = 0.1
 PATIENCE_S = 2.0
 DEADLINE_S = 6.0
@@ -60,7 +60,7 @@
 
 
 @attrs.frozen
-class Wave:
+class LoadPhase:
     """A load, as a share of the capacity, between two moments."""
 
     load: float
@@ -69,7 +69,7 @@
 
 
 @attrs.define
-class Got:
+class Results:
     """What became of the callers, by the moment at which they came."""
 
     asked: list = attrs.field(factory=list)
@@ -141,7 +141,7 @@
         self.is_up = True
         self.loads.by_endpoint.clear()
         self.allocator = allocator.Allocator(
-            self._targets_of, anyio.current_time, self._play.chance
+            self._targets_of, anyio.current_time, self._play.rng
         )
         self.reserver = reserver.NodeReserver(
             data_centre=self.data_centre,
@@ -150,7 +150,7 @@
             transport=self,
             loads=self.loads,
             clock=anyio.current_time,
-            rng=self._play.chance,
+            rng=self._play.rng,
         )
 
     def find_targets(self, service, model):
@@ -194,12 +194,12 @@
             wait_s=refusals.wait_s(
                 route, first_s + DEADLINE_S - anyio.current_time()
             ),
-            has_returned=has_returned and play.knows_returners,
+            has_returned=has_returned and play.detects_caller_retries,
         )
         target, again_s = await self.place(ask)
         if target is None:
             play.got.held_s.append(anyio.current_time() - began_s)
-            return refusals.spread_s(again_s, play.chance)
+            return refusals.spread_s(again_s, play.rng)
         sent_s = anyio.current_time()
         with anyio.move_on_after(PATIENCE_S - (sent_s - began_s)) as patience:
             begun = functools.partial(self._begun, first_s, sent_s, patience)
@@ -242,19 +242,19 @@
         (play.got.on_time if is_on_time else play.got.late).append(first_s)
 
 
-class Play:
+class Simulation:
     """One load over one deployment."""
 
     # A share of the datagrams that is lost.
-    lost_share = 0.0
+    datagram_loss = 0.0
 
-    def __init__(self, deployment, waves, seed, knows_returners=True):
+    def __init__(self, deployment, waves, seed, detects_caller_retries=True):
         """Prepare."""
         self.deployment = deployment
         self.waves = waves
-        self.knows_returners = knows_returners
-        self.chance = random.Random(seed)
-        self.got = Got()
+        self.detects_caller_retries = detects_caller_retries
+        self.rng = random.Random(seed)
+        self.got = Results()
         names = [f'head-{number}' for number in range(deployment.heads)]
         self.targets = tuple(
             load_balancing.Target(
@@ -280,12 +280,12 @@
             for node in self.nodes:
                 speaking.start_soon(node.speak)
             async with anyio.create_task_group() as callers:
-                speaking.start_soon(self.disturb)
+                speaking.start_soon(self.inject_faults)
                 await self._call(callers)
             speaking.cancel_scope.cancel()
         return self.got
 
-    async def disturb(self):
+    async def inject_faults(self):
         """Do nothing to the nodes."""
 
     def candidates(self):
@@ -306,14 +306,14 @@
             node.receive(messages.unpack(packed))
             return
         self.got.messages += 1
-        if not origin.is_up or self.chance.random() < self.lost_share:
+        if not origin.is_up or self.rng.random() < self.datagram_loss:
             return
         loop = asyncio.get_running_loop()
-        loop.call_later(self.flight_s(), self._arrive, node, packed)
+        loop.call_later(self.datagram_delay_s(), self._arrive, node, packed)
 
-    def flight_s(self):
+    def datagram_delay_s(self):
         """Return how long a datagram is on its way."""
-        return FLIGHT_S
+        return DATAGRAM_DELAY_S
 
     def _arrive(self, node, packed):
         if node.is_up:
@@ -322,7 +322,7 @@
     def draw_service_s(self):
         """Return how long one request takes, longer than to its beginning."""
         mean_s = self.deployment.service_s - self.deployment.begin_s
-        return self.deployment.begin_s + self.chance.gammavariate(2, mean_s / 2)
+        return self.deployment.begin_s + self.rng.gammavariate(2, mean_s / 2)
 
     async def _call(self, callers):
         until_s = max(wave.to_s for wave in self.waves)
@@ -335,19 +335,19 @@
             )
             callers.start_soon(self._caller)
             rate_per_s = load * self.deployment.capacity_per_s
-            await anyio.sleep(self.chance.expovariate(rate_per_s))
+            await anyio.sleep(self.rng.expovariate(rate_per_s))
 
     async def _caller(self):
         first_s = anyio.current_time()
         self.got.asked.append(first_s)
-        node = self.chance.choice(self.nodes)
+        node = self.rng.choice(self.nodes)
         again_s = await node.ask(first_s, has_returned=False)
         if again_s is None:
             return
         self.got.refusals += 1
         left_s = DEADLINE_S - (anyio.current_time() - first_s)
         await anyio.sleep(min(again_s, left_s * HEEDED_SHARE))
-        node = self.chance.choice(self.nodes)
+        node = self.rng.choice(self.nodes)
         if await node.ask(first_s, has_returned=True) is not None:
             self.got.refusals += 1
             self.got.lost.append(first_s)
@@ -371,7 +371,7 @@
     )
 
 
-def play(deployment, waves, seed=1, make_play=Play, **more):
+def simulate(deployment, waves, seed=1, make_play=Simulation, **more):
     """Return what callers got."""
     return anyio.run(
         make_play(deployment, waves, seed, **more).run,
--- a/redwingvalve/ingress/tests/test_overload.py
+++ b/redwingvalve/ingress/tests/test_overload.py
@@ -15,9 +15,9 @@
 def burst(load):
     """Return a calm time, a burst of eight seconds and a calm time again."""
     return [
-        load_simulation.Wave(0.6, 0.0, 2.0),
-        load_simulation.Wave(load, 2.0, 10.0),
-        load_simulation.Wave(0.6, 10.0, 13.0),
+        load_simulation.LoadPhase(0.6, 0.0, 2.0),
+        load_simulation.LoadPhase(load, 2.0, 10.0),
+        load_simulation.LoadPhase(0.6, 10.0, 13.0),
     ]
 
 
@@ -33,24 +33,24 @@
     More come than can be served, to eight nodes that see each other's requests
     a moment late. Served in the order of their coming, all would be late.
     """
-    got = load_simulation.play(DEPLOYMENT, burst(load))
+    got = load_simulation.simulate(DEPLOYMENT, burst(load))
     assert goodput(got) >= LEAST_GOODPUT
 
 
 def test_callers_are_served_in_time_again_a_second_after_a_burst():
     """What the burst left behind doesn't make those late that come after."""
-    got = load_simulation.play(DEPLOYMENT, burst(2.0))
+    got = load_simulation.simulate(DEPLOYMENT, burst(2.0))
     assert got.share(got.on_time, 11.0, 13.0) >= LEAST_GOODPUT
 
 
 def test_without_overload_nobody_is_refused_or_late():
-    waves = [load_simulation.Wave(0.6, 0.0, 6.0)]
-    got = load_simulation.play(DEPLOYMENT, waves)
+    waves = [load_simulation.LoadPhase(0.6, 0.0, 6.0)]
+    got = load_simulation.simulate(DEPLOYMENT, waves)
     assert not got.refusals
     assert got.share(got.late, 0.0, 6.0) <= 0.05
 
 
 def test_few_are_turned_away_for_good_by_a_slight_overload():
     """Who can't be on time is served late rather than not at all."""
-    got = load_simulation.play(DEPLOYMENT, burst(1.0))
+    got = load_simulation.simulate(DEPLOYMENT, burst(1.0))
     assert got.share(got.lost, 2.0, 10.0) <= 0.03
