--- a/redwingvalve/fleet/serving.py
+++ b/redwingvalve/fleet/serving.py
@@ -38,8 +38,10 @@
         """Follow the registry."""
         self.on_suspect: collections_abc.Callable[[Suspicion], None] | None
         self.on_suspect = None
-        self.on_doubt: collections_abc.Callable[[str, str], None] | None
-        self.on_doubt = None
+        self.on_check_requested: (
+            collections_abc.Callable[[str, str], None] | None
+        )
+        self.on_check_requested = None
         self.on_cleared: collections_abc.Callable[[str, int], None] | None
         self.on_cleared = None
         self.on_announce_healthy: (
@@ -101,10 +103,10 @@
 
     def check_endpoint(self, endpoint_id: str, reason: str) -> None:
         """Let whoever can ask find out about an endpoint."""
-        if self.on_doubt is None:
+        if self.on_check_requested is None:
             self.suspect(endpoint_id, reason)
         elif not self.is_suspect(endpoint_id):
-            self.on_doubt(endpoint_id, reason)
+            self.on_check_requested(endpoint_id, reason)
 
     def add_suspicion(self, suspicion: Suspicion) -> bool:
         """Take an endpoint out of use; return whether that is new."""
--- a/redwingvalve/node/daemon.py
+++ b/redwingvalve/node/daemon.py
@@ -109,7 +109,7 @@
         """Run until stop is set, and then until all requests have ended."""
         self.table.on_reinstated = self.state.stall_detector.mark_slow
         self.table.on_rebuilt = self.allocation.allocator.tick
-        self.table.on_doubt = self.detector.doubt
+        self.table.on_check_requested = self.detector.doubt
         self.table.on_reported_healthy = self.detector.told_sound
         self.watches = self._make_watches()
         self.control = self._make_control()
