--- a/redwingvalve/platform/tests/fleet_harness.py
+++ b/redwingvalve/platform/tests/fleet_harness.py
@@ -304,18 +304,18 @@
             )
             fleet.nodes.append(made)
             group.start_soon(made.run, anyio.Event())
-        await fleet.until(
+        await fleet.wait_until(
             lambda: all(node.is_listening for node in fleet.nodes)
         )
         if version is not None and plain:
-            await fleet.until(
+            await fleet.wait_until(
                 lambda: all(
                     len(node.table.find_targets(PLAIN_SERVICE, '')) == plain
                     for node in fleet.nodes
                 )
             )
         if version is not None and engines:
-            await fleet.until(
+            await fleet.wait_until(
                 lambda: all(
                     len(fleet.targets(index)) == engines // 2
                     for index in range(nodes)
