--- a/redwingvalve/fleet/serving.py
+++ b/redwingvalve/fleet/serving.py
@@ -31,15 +31,17 @@
     since_s: float
 
 
-class ServingTable(state.Targets):
+class ServingTable(state.TargetProvider):
     """Targets by service and model, made anew at each change."""
 
     def __init__(self, registry: registry_module.Registry) -> None:
         """Follow the registry."""
         self.on_suspect: collections_abc.Callable[[Suspicion], None] | None
         self.on_suspect = None
-        self.on_doubt: collections_abc.Callable[[str, str], None] | None
-        self.on_doubt = None
+        self.on_check_requested: (
+            collections_abc.Callable[[str, str], None] | None
+        )
+        self.on_check_requested = None
         self.on_cleared: collections_abc.Callable[[str, int], None] | None
         self.on_cleared = None
         self.on_announce_healthy: (
@@ -64,7 +66,9 @@
         self._whole: dict[tuple[str, int], endpoints.Replica] = {}
         registry.on_change.append(self.rebuild)
 
-    def of(self, service: str, model: str) -> tuple[load_balancing.Target, ...]:
+    def find_targets(
+        self, service: str, model: str
+    ) -> tuple[load_balancing.Target, ...]:
         """Return the targets for a model, or of a plain service."""
         return self._targets.get((service, model), ())
 
@@ -97,12 +101,12 @@
             if self.on_suspect is not None:
                 self.on_suspect(suspicion)
 
-    def doubt(self, endpoint_id: str, reason: str) -> None:
+    def check_endpoint(self, endpoint_id: str, reason: str) -> None:
         """Let whoever can ask find out about an endpoint."""
-        if self.on_doubt is None:
+        if self.on_check_requested is None:
             self.suspect(endpoint_id, reason)
         elif not self.is_suspect(endpoint_id):
-            self.on_doubt(endpoint_id, reason)
+            self.on_check_requested(endpoint_id, reason)
 
     def add_suspicion(self, suspicion: Suspicion) -> bool:
         """Take an endpoint out of use; return whether that is new."""
--- a/redwingvalve/node/endpoint_scheduler.py
+++ b/redwingvalve/node/endpoint_scheduler.py
@@ -96,7 +96,7 @@
         """
         if self._load_limiter is None:
             self._load_limiter = planning.LoadLimiter(
-                engine.loads_per_s, engine.loads_at_once
+                engine.loads_per_s, engine.max_concurrent_loads
             )
         empty = [one for one in free if not self._held_model(one)]
         for endpoint in empty:
--- a/redwingvalve/platform/tests/fleet_harness.py
+++ b/redwingvalve/platform/tests/fleet_harness.py
@@ -236,7 +236,7 @@
         return Caller((address.host, address.port))
 
     def targets(self, index=0):
-        return self.nodes[index].table.of(ENGINE_SERVICE, SMALL_MODEL)
+        return self.nodes[index].table.find_targets(ENGINE_SERVICE, SMALL_MODEL)
 
     def head(self, index=0):
         target = self.targets(index)[0]
@@ -304,18 +304,18 @@
             )
             fleet.nodes.append(made)
             group.start_soon(made.run, anyio.Event())
-        await fleet.until(
+        await fleet.wait_until(
             lambda: all(node.is_listening for node in fleet.nodes)
         )
         if version is not None and plain:
-            await fleet.until(
+            await fleet.wait_until(
                 lambda: all(
-                    len(node.table.of(PLAIN_SERVICE, '')) == plain
+                    len(node.table.find_targets(PLAIN_SERVICE, '')) == plain
                     for node in fleet.nodes
                 )
             )
         if version is not None and engines:
-            await fleet.until(
+            await fleet.wait_until(
                 lambda: all(
                     len(fleet.targets(index)) == engines // 2
                     for index in range(nodes)
