--- a/redwingvalve/node/controller.py
+++ b/redwingvalve/node/controller.py
@@ -45,14 +45,15 @@
         prober: endpoint_prober.EndpointProber,
         group: anyio.abc.TaskGroup,
         may_order: typing.Callable[[], bool],
-        slots_in_use: typing.Callable[[str, str], float],
+        slot_demand: typing.Callable[[str, str], float],
     ) -> None:
         """Run tasks in group; send orders only while may_order returns True.
 
         It is called before each order: after a pause of the whole process, a
         task may resume before anything else notices that the lease has expired.
 
-        slots_in_use returns the number of slots in use by a service's model.
+        slot_demand returns the number of slots that a service's model uses, or
+        that requests wait for, in the whole fleet.
         """
         self.term = 0
         self.has_served = False
@@ -69,7 +70,7 @@
         self._checked_s: dict[replica_orders.ReplicaKey, float] = {}
         self._history = history.ReplicaHistory()
         self._demand = demand.ModelDemand()
-        self._slots_in_use = slots_in_use
+        self._slot_demand = slot_demand
         self._engine: routes.Engine | None = None
         self._endpoint_count = 0
         self._count_changed_s = 0.0
@@ -117,7 +118,7 @@
     def _needed_vms(self, engine: routes.Engine) -> dict[str, float]:
         now_s = clock.boot_s()
         for model in engine.models:
-            slots = self._slots_in_use(self._service, model.name)
+            slots = self._slot_demand(self._service, model.name)
             self._demand.record(model.name, slots, now_s)
         return self._demand.needed_vms(engine.models, engine.slots)
 
--- a/redwingvalve/node/daemon.py
+++ b/redwingvalve/node/daemon.py
@@ -111,8 +111,8 @@
         """Run until stop is set; then finish the requests in progress."""
         self.table.on_reinstated = self.state.stall_detector.mark_slow
         self.table.on_rebuilt = self.allocation.allocator.tick
-        self.table.on_check_requested = self.detector.doubt
-        self.table.on_reported_healthy = self.detector.told_sound
+        self.table.on_check_requested = self.detector.request_check
+        self.table.on_reported_healthy = self.detector.note_reported_healthy
         self.watches = self._make_watches()
         self.control = self._make_control()
         self.lease.on_acquired = self._on_lease_acquired
@@ -292,7 +292,9 @@
     """
     registry = registry_module.Registry()
     table = serving.ServingTable(registry)
-    state = state_module.IngressState(table, _allowance(node_settings.bounds))
+    state = state_module.IngressState(
+        table, _retry_budget_config(node_settings.bounds)
+    )
     json_client = store.JsonClient(pool.Pool())
     client = store.StoreClient(node_settings.store, json_client)
     endpoint_client = endpoint_orders.EndpointClient(json_client)
@@ -335,7 +337,9 @@
     return peers_module.local_address(node_settings, int(time.time() * 1000))
 
 
-def _allowance(bounds: settings.Bounds) -> retry_budget.RetryBudgetConfig:
+def _retry_budget_config(
+    bounds: settings.Bounds,
+) -> retry_budget.RetryBudgetConfig:
     return retry_budget.RetryBudgetConfig(
         bounds.retry_ratio, bounds.retry_extra, bounds.retry_window_s
     )
--- a/redwingvalve/node/failure_detector.py
+++ b/redwingvalve/node/failure_detector.py
@@ -1,17 +1,18 @@
-"""Takes heads out of use whose replicas have lost a member.
+"""Detects heads whose replicas have lost a member, and suspects them.
 
-Load pattern: of a few dozen heads one falls silent every few seconds, and in
-a burst many are slow at once. Streams that had begun and stop show a loss at
-once. A request that has not begun may only wait for a place: with many nodes
-each has one or two requests at a head, which others have filled. Taken for
-silent, slow heads go out of use and fill the others, until none is left. So
-in a large fleet the members are asked first: a lost one doesn't answer.
+Load pattern: of a few dozen heads one stalls every few seconds, and in a burst
+many are slow at once. A stream that had started and then stalls shows a loss
+immediately. A request without any response yet may just be waiting for a slot:
+with many nodes, each has only one or two requests at a head that is filled by
+the others. If slow heads were suspected, they would go out of use and their
+load would overfill the others, until none was left. So in a large fleet the
+members are probed first: a lost one doesn't answer.
 
-A stream that breaks off is asked about in any fleet: answers are also lost on
-the way.
+When a stream breaks off, the members are probed in a fleet of any size, since
+responses can also be lost in the network.
 
-While nobody holds the lease, as in an outage of the store, no controller
-clears suspicions. Each node then asks about its own.
+While no node holds the lease, as in an outage of the store, no controller
+clears suspicions. Each node then probes the heads that it suspects itself.
 """
 
 import time
@@ -29,122 +30,131 @@
 from redwingvalve.observability import logs
 
 LOG = logs.make_logger('losses')
-# With more nodes than this each has about one request at a head.
-FEW_NODES = 12
-# Between two looks at suspicions that nobody clears; each question is priced.
-RECHECK_S = 1.0
-# A full or slow head that another node has just asked about is not asked again
-# for this long. In a burst all nodes have a request at each such head: on a day
-# of 82 nodes they asked 52,770 times.
-TOLD_SOUND_S = 2.0
-SILENT = 'silent'
+# With more nodes than this, each has only about one request at a head.
+SMALL_FLEET_NODES = 12
+# Between two checks of suspicions that no lease holder clears; each probe has a
+# cost.
+SUSPICION_RECHECK_INTERVAL_S = 1.0
+# A full or slow head that another node has just found healthy is not probed
+# again for this long. In a burst all nodes have a request at each such head:
+# without this limit, 82 nodes sent 52,770 probes in a day.
+REPORTED_HEALTHY_HOLD_S = 2.0
+STALLED = 'silent'
 
 
 @attrs.define(eq=False)
 class FailureDetector:
-    """Watches this node's streams for heads that fell silent."""
+    """Finds stalled heads by this node's streams and checks their replicas."""
 
     state: state_module.IngressState
     table: serving.ServingTable
     prober: endpoint_prober.EndpointProber
     lease: lease_module.Lease
-    _asking: set[str] = attrs.field(factory=set)
-    # Heads to ask about, and why.
-    _doubts: dict[str, str] = attrs.field(factory=dict)
-    _rechecked_s: float = 0.0
-    # When other nodes told that heads are sound.
-    _told_sound_s: dict[str, float] = attrs.field(factory=dict)
+    _being_checked: set[str] = attrs.field(factory=set)
+    # Heads to check, and the reasons.
+    _requested_checks: dict[str, str] = attrs.field(factory=dict)
+    _suspicions_rechecked_s: float = 0.0
+    # When other nodes found heads healthy.
+    _reported_healthy_s: dict[str, float] = attrs.field(factory=dict)
 
     async def run(self) -> typing.NoReturn:
-        """Look until cancelled."""
+        """Check for failed heads until cancelled."""
         async with anyio.create_task_group() as group:
             while True:
-                await anyio.sleep(self._pause_s())
-                self.look(group)
+                await anyio.sleep(self._time_to_next_check_s())
+                self.check_streams(group)
 
-    def _pause_s(self) -> float:
-        """Return the time until the next look; each wakes an idle process."""
-        if self._doubts:
+    def _time_to_next_check_s(self) -> float:
+        """Return the time to the next check; each one wakes an idle process."""
+        if self._requested_checks:
             return stall_detection.MIN_CHECK_INTERVAL_S
         return self.state.stall_detector.time_to_next_check_s(time.monotonic())
 
-    def doubt(self, head: str, reason: str) -> None:
-        """Ask about a head at the next look, within 0.1 s."""
-        if head not in self._asking:
-            self._doubts.setdefault(head, reason)
+    def request_check(self, head: str, reason: str) -> None:
+        """Have a head's replica checked the next time, within 0.1 s."""
+        if head not in self._being_checked:
+            self._requested_checks.setdefault(head, reason)
 
-    def told_sound(self, head: str, found_s: float) -> None:
-        """Take another node's word that a head had all its members."""
-        self._told_sound_s[head] = found_s
+    def note_reported_healthy(self, head: str, reported_s: float) -> None:
+        """Record that another node found all members of a head's replica."""
+        self._reported_healthy_s[head] = reported_s
 
-    def look(self, group: anyio.abc.TaskGroup) -> None:
-        """Take silent heads out of use, or ask about them first."""
+    def check_streams(self, group: anyio.abc.TaskGroup) -> None:
+        """Suspect stalled heads, or start checks of their replicas first."""
         now_s = time.monotonic()
-        for found in self.state.stall_detector.find_stalled(now_s):
-            if found.has_started or self.state.node_count <= FEW_NODES:
-                self._lose(found.head)
-            elif not self._is_told_sound(found.head, now_s):
-                self.doubt(found.head, SILENT)
-        for head in tuple(self._doubts):
-            self._start(group, head, self._ask_first)
-        if now_s - self._rechecked_s > RECHECK_S:
-            self._rechecked_s = now_s
-            self._recheck(group)
-
-    def _is_told_sound(self, head: str, now_s: float) -> bool:
-        told_s = self._told_sound_s.get(head)
-        return told_s is not None and now_s - told_s < TOLD_SOUND_S
-
-    def _recheck(self, group: anyio.abc.TaskGroup) -> None:
+        for stalled in self.state.stall_detector.find_stalled(now_s):
+            if (
+                stalled.has_started
+                or self.state.node_count <= SMALL_FLEET_NODES
+            ):
+                self._suspect(stalled.head)
+            elif not self._is_reported_healthy(stalled.head, now_s):
+                self.request_check(stalled.head, STALLED)
+        for head in tuple(self._requested_checks):
+            self._start_check(group, head, self._check_requested)
+        if now_s - self._suspicions_rechecked_s > SUSPICION_RECHECK_INTERVAL_S:
+            self._suspicions_rechecked_s = now_s
+            self._recheck_suspicions(group)
+
+    def _is_reported_healthy(self, head: str, now_s: float) -> bool:
+        reported_s = self._reported_healthy_s.get(head)
+        return (
+            reported_s is not None
+            and now_s - reported_s < REPORTED_HEALTHY_HOLD_S
+        )
+
+    def _recheck_suspicions(self, group: anyio.abc.TaskGroup) -> None:
         if self.lease.has_known_holder():
             return
         for suspicion in self.table.local_suspicions():
-            self._start(group, suspicion.endpoint_id, self._clear_if_sound)
+            self._start_check(
+                group, suspicion.endpoint_id, self._clear_if_healthy
+            )
 
-    def _start(
+    def _start_check(
         self,
         group: anyio.abc.TaskGroup,
         head: str,
-        work: typing.Callable[[str], typing.Awaitable[None]],
+        check: typing.Callable[[str], typing.Awaitable[None]],
     ) -> None:
-        if head in self._asking:
+        if head in self._being_checked:
             return
-        self._asking.add(head)
-        group.start_soon(self._run, head, work)
+        self._being_checked.add(head)
+        group.start_soon(self._run_check, head, check)
 
-    async def _run(
-        self, head: str, work: typing.Callable[[str], typing.Awaitable[None]]
+    async def _run_check(
+        self, head: str, check: typing.Callable[[str], typing.Awaitable[None]]
     ) -> None:
         try:
-            await work(head)
+            await check(head)
         except Exception:
-            # The head is looked at again in a moment.
-            LOG.exception('not inspected', extra={'endpoint': head})
+            # The next check_streams finds the head again, a moment later.
+            LOG.exception('head check failed', extra={'endpoint': head})
         finally:
-            self._asking.discard(head)
+            self._being_checked.discard(head)
 
-    async def _ask_first(self, head: str) -> None:
-        reason = self._doubts.pop(head)
-        if not await self._is_whole(head):
-            self._lose(head, reason)
+    async def _check_requested(self, head: str) -> None:
+        reason = self._requested_checks.pop(head)
+        if not await self._is_healthy(head):
+            self._suspect(head, reason)
             return
         LOG.info('head is sound', extra={'endpoint': head, 'doubt': reason})
-        if reason == SILENT:
+        if reason == STALLED:
             self.state.stall_detector.mark_slow(head, time.monotonic())
             self.table.announce_healthy(head)
 
-    async def _clear_if_sound(self, head: str) -> None:
-        if await self._is_whole(head):
+    async def _clear_if_healthy(self, head: str) -> None:
+        if await self._is_healthy(head):
             LOG.info('suspicion cleared', extra={'endpoint': head})
             self.table.mark_healthy(head)
 
-    async def _is_whole(self, head: str) -> bool:
+    async def _is_healthy(self, head: str) -> bool:
         replica = self.table.replica_of(head)
         if replica is None:
             return False
         return await self.prober.are_healthy(replica.members)
 
-    def _lose(self, head: str, reason: str = SILENT) -> None:
+    def _suspect(self, head: str, reason: str = STALLED) -> None:
         self.table.suspect(head, reason)
-        for send in list(self.state.in_flight_requests.get(head, ())):
-            send.head_stalled()
+        for request in list(self.state.in_flight_requests.get(head, ())):
+            request.head_stalled()
--- a/redwingvalve/node/front.py
+++ b/redwingvalve/node/front.py
@@ -56,16 +56,22 @@
     ) -> None:
         """Proxy one request in its own task."""
         self.has_served = True
-        run = request_handler.RequestHandler(self._state, request, responder)
-        task = asyncio.get_running_loop().create_task(self._run(run, responder))
+        handler = request_handler.RequestHandler(
+            self._state, request, responder
+        )
+        task = asyncio.get_running_loop().create_task(
+            self._run(handler, responder)
+        )
         self.running.add(task)
         task.add_done_callback(self.running.discard)
 
     async def _run(
-        self, run: request_handler.RequestHandler, responder: server.Responder
+        self,
+        handler: request_handler.RequestHandler,
+        responder: server.Responder,
     ) -> None:
         try:
-            await run.run()
+            await handler.run()
         except Exception:
             # The connection is aborted below: without any response the caller
             # would wait until its deadline.
--- a/redwingvalve/node/tests/test_failure_detector.py
+++ b/redwingvalve/node/tests/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""Heads that are slow stay in use; heads that lost a member don't."""
+"""Slow heads stay in use; heads whose replicas lost a member don't."""
 
 import time
 
@@ -14,14 +14,14 @@
 
 @attrs.define(eq=False)
 class Table:
-    """Knows one head; notes what is taken out of use or cleared."""
+    """Records which heads are suspected, cleared or announced as healthy."""
 
     suspects: list = attrs.field(factory=list)
     cleared: list = attrs.field(factory=list)
-    told: list = attrs.field(factory=list)
+    announced: list = attrs.field(factory=list)
 
     def announce_healthy(self, head):
-        self.told.append(head)
+        self.announced.append(head)
 
     def replica_of(self, head):
         return Replica()
@@ -47,13 +47,13 @@
 
 
 @attrs.define(eq=False)
-class EndpointProber:
-    is_whole: bool
-    asked: int = 0
+class Prober:
+    is_healthy: bool
+    probes: int = 0
 
     async def are_healthy(self, members):
-        self.asked += 1
-        return self.is_whole
+        self.probes += 1
+        return self.is_healthy
 
 
 @attrs.frozen
@@ -64,127 +64,132 @@
         return self.has_holder
 
 
-def watch(is_whole, *, nodes=MANY_NODES, has_holder=True):
-    allowance = retry_budget.RetryBudgetConfig(0.2, 100, 10)
+def make_detector(is_healthy, *, nodes=MANY_NODES, has_holder=True):
+    budget_config = retry_budget.RetryBudgetConfig(0.2, 100, 10)
     table = Table()
-    state = state_module.IngressState(table, allowance)
+    state = state_module.IngressState(table, budget_config)
     state.node_count = nodes
     return failure_detector.FailureDetector(
-        state, table, EndpointProber(is_whole), Lease(has_holder)
+        state, table, Prober(is_healthy), Lease(has_holder)
     )
 
 
-def look(made, times=1):
-    """Look, and let all questions be answered."""
+def check_streams(detector, times=1):
+    """Check the streams and wait until all probes have ended."""
 
     async def main():
         async with anyio.create_task_group() as group:
             for _ in range(times):
-                made.look(group)
+                detector.check_streams(group)
 
     anyio.run(main)
 
 
-def look_after_silence(made, *, has_started):
-    """Look at a head from which nothing has come for a long time."""
-    pulse = stall_detection.MonitoredStream(
+def check_after_stall(detector, *, has_started):
+    """Check a head from which no response has arrived for a long time."""
+    stream = stall_detection.MonitoredStream(
         'head', sent_s=0.0, prompt_s=0, pause_s=0.05
     )
-    made.state.stall_detector.add(pulse)
+    detector.state.stall_detector.add(stream)
     if has_started:
-        made.state.stall_detector.record_event(pulse, 0.0)
-    look(made)
+        detector.state.stall_detector.record_event(stream, 0.0)
+    check_streams(detector)
 
 
 def test_a_full_head_of_a_large_fleet_stays_in_use():
-    """Callers find heads during a burst.
+    """Heads remain available to callers during a burst.
 
     One request of this node waits at a head that other nodes have filled. All
-    members answer: the head is slow. Taken out of use, it would fill others.
+    members answer: the head is only slow. If it went out of use, its load would
+    fill other heads.
     """
-    made = watch(is_whole=True)
-    look_after_silence(made, has_started=False)
-    assert made.prober.asked == 1
-    assert not made.table.suspects
+    detector = make_detector(is_healthy=True)
+    check_after_stall(detector, has_started=False)
+    assert detector.prober.probes == 1
+    assert not detector.table.suspects
 
 
-def test_a_full_head_is_asked_about_by_one_node_for_all():
-    """Endpoints and nodes are not busy with questions during a burst.
+def test_one_node_probes_a_full_head_on_behalf_of_all():
+    """Endpoints and nodes are not overloaded with probes during a burst.
 
-    Fifty-nine nodes have a request each at the same slow head. The first that
-    asks tells the others; they ask themselves once that is some seconds ago.
+    Fifty-nine nodes have a request each at the same slow head. The first node
+    that probes it announces the result to the others; these probe it themselves
+    only when that is some seconds ago.
     """
-    first = watch(is_whole=True)
-    look_after_silence(first, has_started=False)
-    assert first.table.told == ['head']
-    other = watch(is_whole=True)
-    other.told_sound('head', time.monotonic())
-    look_after_silence(other, has_started=False)
-    assert other.prober.asked == 0
-    other.told_sound('head', time.monotonic() - failure_detector.TOLD_SOUND_S)
-    look(other)
-    assert other.prober.asked == 1
+    first = make_detector(is_healthy=True)
+    check_after_stall(first, has_started=False)
+    assert first.table.announced == ['head']
+    other = make_detector(is_healthy=True)
+    other.note_reported_healthy('head', time.monotonic())
+    check_after_stall(other, has_started=False)
+    assert other.prober.probes == 0
+    other.note_reported_healthy(
+        'head', time.monotonic() - failure_detector.REPORTED_HEALTHY_HOLD_S
+    )
+    check_streams(other)
+    assert other.prober.probes == 1
 
 
-def test_streams_that_stop_count_whatever_was_told():
-    made = watch(is_whole=False)
-    made.told_sound('head', time.monotonic())
-    look_after_silence(made, has_started=True)
-    assert made.table.suspects == ['head']
+def test_a_stalled_stream_outweighs_a_report_that_the_head_is_healthy():
+    detector = make_detector(is_healthy=False)
+    detector.note_reported_healthy('head', time.monotonic())
+    check_after_stall(detector, has_started=True)
+    assert detector.table.suspects == ['head']
 
 
-def test_a_head_without_a_member_goes_out_of_use():
-    made = watch(is_whole=False)
-    look_after_silence(made, has_started=False)
-    assert made.table.suspects == ['head']
+def test_a_head_whose_replica_lost_a_member_goes_out_of_use():
+    detector = make_detector(is_healthy=False)
+    check_after_stall(detector, has_started=False)
+    assert detector.table.suspects == ['head']
 
 
-def test_streams_that_stop_need_no_question():
-    """A broken stream goes on elsewhere within its allowed pause."""
-    made = watch(is_whole=True)
-    look_after_silence(made, has_started=True)
-    assert made.prober.asked == 0
-    assert made.table.suspects == ['head']
+def test_a_stalled_stream_takes_a_head_out_of_use_without_a_probe():
+    """A stalled stream is resumed elsewhere within its allowed pause."""
+    detector = make_detector(is_healthy=True)
+    check_after_stall(detector, has_started=True)
+    assert detector.prober.probes == 0
+    assert detector.table.suspects == ['head']
 
 
-def test_without_a_holder_of_the_lease_nodes_clear_their_own_suspicions():
-    """Callers are served on through an outage of the store.
+def test_nodes_clear_their_own_suspicions_while_no_node_holds_the_lease():
+    """Callers are still served during an outage of the store.
 
-    Nobody can renew the lease, so that no controller inspects anything. A
-    node took a slow head out of use; left so, heads run out one by one.
+    No node can renew the lease, so that no controller checks replicas. A node
+    took a slow head out of use; if it stayed so, heads would run out one by
+    one.
     """
-    made = watch(is_whole=True, has_holder=False)
-    made.table.suspects.append('head')
+    detector = make_detector(is_healthy=True, has_holder=False)
+    detector.table.suspects.append('head')
 
-    look(made)
-    assert made.table.cleared == ['head']
+    check_streams(detector)
+    assert detector.table.cleared == ['head']
 
 
-def test_a_holder_clears_suspicions_alone():
-    made = watch(is_whole=True, has_holder=True)
-    made.table.suspects.append('head')
+def test_only_the_lease_holder_clears_suspicions_while_there_is_one():
+    detector = make_detector(is_healthy=True, has_holder=True)
+    detector.table.suspects.append('head')
 
-    look(made)
-    assert made.prober.asked == 0
+    check_streams(detector)
+    assert detector.prober.probes == 0
 
 
-def test_a_lost_answer_takes_no_head_out_of_use():
-    """Callers find heads while the network loses two answers in five.
+def test_a_broken_stream_of_a_healthy_head_does_not_take_it_out_of_use():
+    """Heads remain available while the network loses two responses in five.
 
-    A stream breaks off and goes on elsewhere. The members of its head all
-    answer, so that the next request may go there.
+    A stream breaks off and is resumed elsewhere. All members of its head's
+    replica answer, so that the next request may go there.
     """
-    made = watch(is_whole=True, nodes=6)
-    made.doubt('head', 'broken stream')
+    detector = make_detector(is_healthy=True, nodes=6)
+    detector.request_check('head', 'broken stream')
 
-    look(made, times=2)
-    assert made.prober.asked == 1
-    assert not made.table.suspects
+    check_streams(detector, times=2)
+    assert detector.prober.probes == 1
+    assert not detector.table.suspects
 
 
-def test_a_head_that_broke_a_stream_and_is_lost_goes_out_of_use():
-    made = watch(is_whole=False, nodes=6)
-    made.doubt('head', 'broken stream')
+def test_a_broken_stream_of_a_lost_head_takes_it_out_of_use():
+    detector = make_detector(is_healthy=False, nodes=6)
+    detector.request_check('head', 'broken stream')
 
-    look(made)
-    assert made.table.suspects == ['head']
+    check_streams(detector)
+    assert detector.table.suspects == ['head']
