--- a/redwingvalve/node/tests/test_requests.py
+++ b/redwingvalve/node/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""What callers get from a node, over real connections."""
+"""Responses that callers get from a node, over real connections."""
 
 import logging
 
@@ -9,13 +9,13 @@
 from redwingvalve.platform.tests import fleet_harness
 
 
-def test_a_stream_arrives_whole_and_in_order():
+def test_a_stream_arrives_complete_and_in_order():
     async def test(fleet):
-        got = await fleet.caller().stream()
-        assert got.status == 200 and got.ending == 'whole'
-        assert got.events == [1, 2, 3, 4, 5, 6]
+        response = await fleet.caller().stream()
+        assert response.status == 200 and response.ending == 'whole'
+        assert response.events == [1, 2, 3, 4, 5, 6]
         assert (
-            got.headers[b'x-server-seal']
+            response.headers[b'x-server-seal']
             == (fleet.targets()[0].endpoint_id.encode())
             or len(fleet.targets()) > 1
         )
@@ -23,19 +23,21 @@
     fleet_harness.run(test)
 
 
-def test_a_body_is_passed_unchanged_and_the_key_is_not():
+def test_a_body_is_forwarded_unchanged_and_the_api_key_is_removed():
     async def test(fleet):
-        got = await fleet.caller().ask('/quote/seat?x=%20y', b'\0\xffbytes')
-        assert got.status == 200
-        (ran,) = [
+        response = await fleet.caller().ask(
+            '/quote/seat?x=%20y', b'\0\xffbytes'
+        )
+        assert response.status == 200
+        (received,) = [
             run for name in ('p0', 'p1') for run in fleet.endpoints[name].runs
         ]
-        sent = dict(ran.headers)
-        assert ran.target == b'/quote/seat?x=%20y'
+        sent = dict(received.headers)
+        assert received.target == b'/quote/seat?x=%20y'
         assert sent[b'x-tenant'] == b'workshop'
         assert b'api-key' not in sent
         assert 0 < int(sent[b'x-deadline-ms']) <= 3000
-        assert got.body == b'body of %b' % ran.attempt_id
+        assert response.body == b'body of %b' % received.attempt_id
 
     fleet_harness.run(test, engines=0)
 
@@ -50,10 +52,12 @@
         ('/open/1', 'unknown', 200),
     ],
 )
-def test_routes_and_keys_decide_who_is_served(path, key, status):
+def test_routes_and_api_keys_decide_whether_a_request_is_served(
+    path, key, status
+):
     async def test(fleet):
-        got = await fleet.caller().ask(path, key=key)
-        assert got.status == status
+        response = await fleet.caller().ask(path, key=key)
+        assert response.status == status
 
     fleet_harness.run(test, engines=0)
 
@@ -61,28 +65,31 @@
 def test_a_caller_cannot_choose_its_account():
     async def test(fleet):
         await fleet.caller().ask('/card/1', headers=[(b'X-Tenant', b'another')])
-        (ran,) = [
+        (received,) = [
             run for name in ('p0', 'p1') for run in fleet.endpoints[name].runs
         ]
         accounts = [
-            content for name, content in ran.headers if name == b'x-tenant'
+            content for name, content in received.headers if name == b'x-tenant'
         ]
         assert accounts == [b'workshop']
 
     fleet_harness.run(test, engines=0)
 
 
-def test_without_a_configuration_requests_are_refused_as_not_run():
+def test_requests_are_rejected_as_not_run_without_a_configuration():
     async def test(fleet):
         await fleet.wait_until(lambda: fleet.nodes[0].is_listening)
         await anyio.sleep(0.1)
-        got = await fleet.caller().ask('/card/1')
-        assert got.status == 503 and float(got.headers[b'retry-after']) > 0
+        response = await fleet.caller().ask('/card/1')
+        assert (
+            response.status == 503
+            and float(response.headers[b'retry-after']) > 0
+        )
 
     fleet_harness.run(test, engines=0, version=None)
 
 
-def test_a_key_that_is_taken_away_is_refused_within_a_second():
+def test_a_revoked_api_key_is_rejected_within_a_second():
     async def test(fleet):
         caller = fleet.caller()
         assert (await caller.ask('/card/1')).status == 200
@@ -97,7 +104,7 @@
     fleet_harness.run(test, engines=0)
 
 
-def test_an_unusable_configuration_changes_nothing():
+def test_an_invalid_configuration_is_ignored():
     async def test(fleet):
         fleet.store.put('config', 'main', {'version': 2, 'routes': 'none'})
         await anyio.sleep(0.2)
@@ -107,31 +114,31 @@
     fleet_harness.run(test, engines=0)
 
 
-def test_a_refused_request_that_may_not_repeat_is_not_sent_again():
-    """The caller is told that nothing ran, and nothing ever does.
+def test_a_rejected_non_idempotent_request_is_not_retried():
+    """The caller is told that the request did not run, and it never does.
 
-    Both endpoints refuse; the route allows one send.
+    Both endpoints reject the request; the route allows only one attempt.
     """
 
     async def test(fleet):
         for name in ('p0', 'p1'):
             fleet.endpoints[name].faults.rejects_requests = True
-        got = await fleet.caller().ask('/quote/1')
-        assert got.status == 503 and b'retry-after' in got.headers
+        response = await fleet.caller().ask('/quote/1')
+        assert response.status == 503 and b'retry-after' in response.headers
         assert not fleet.endpoints['p0'].runs + fleet.endpoints['p1'].runs
 
     fleet_harness.run(test, engines=0)
 
 
-def test_a_request_of_unknown_fate_is_not_called_not_run():
-    """The endpoint dies while it runs a request that must not repeat.
+def test_a_request_that_may_have_run_is_not_reported_as_not_run():
+    """The endpoint crashes while it runs a non-idempotent request.
 
-    503 would promise that it never ran, and the caller would send it again.
+    A 503 would promise that it never ran, and the caller would send it again.
     """
 
     async def test(fleet):
         caller = fleet.caller()
-        taker = await caller.start_request('/quote/1')
+        reader = await caller.start_request('/quote/1')
         ran = []
 
         def has_run():
@@ -142,30 +149,30 @@
 
         await fleet.wait_until(has_run)
         fleet.endpoints[ran[0]].crash()
-        await fleet.wait_until(taker.done.done)
-        assert taker.head.status == 502
+        await fleet.wait_until(reader.done.done)
+        assert reader.head.status == 502
         total = sum(len(fleet.endpoints[name].runs) for name in ('p0', 'p1'))
         assert total == 1
 
     fleet_harness.run(test, engines=0)
 
 
-def test_a_failed_request_that_may_repeat_is_sent_elsewhere():
+def test_a_failed_idempotent_request_is_retried_elsewhere():
     async def test(fleet):
         fleet.endpoints['p0'].faults.returns_server_error = True
         caller = fleet.caller()
         for _ in range(6):
-            got = await caller.ask('/card/1')
-            assert got.status == 200
+            response = await caller.ask('/card/1')
+            assert response.status == 200
 
     fleet_harness.run(test, engines=0)
 
 
-def test_an_answer_that_comes_twice_reaches_nobody_else():
-    """Each caller gets the whole of its own answer.
+def test_a_duplicated_response_reaches_no_other_caller():
+    """Each caller gets its own complete response.
 
-    The endpoint sends each answer twice; the second one lies on a connection
-    that would be used for the next request.
+    The endpoint sends each response twice; the second copy remains on a
+    connection that would be reused for the next request.
     """
 
     async def test(fleet):
@@ -173,31 +180,33 @@
             fleet.endpoints[name].faults.duplicates_response = True
         caller = fleet.caller()
         for _ in range(8):
-            got = await caller.ask('/card/1')
+            response = await caller.ask('/card/1')
             ran = fleet.endpoints['p0'].runs + fleet.endpoints['p1'].runs
-            assert got.status == 200
-            assert got.body in {b'body of %b' % run.attempt_id for run in ran}
+            assert response.status == 200
+            assert response.body in {
+                b'body of %b' % run.attempt_id for run in ran
+            }
             expected = caller.attempt_id(caller.number)
-            assert got.body == b'body of ' + expected
+            assert response.body == b'body of ' + expected
 
     fleet_harness.run(test, engines=0)
 
 
-def test_a_stream_that_breaks_inside_an_event_goes_on_elsewhere():
-    """The caller sees each event once, in order, and a whole stream.
+def test_a_stream_that_breaks_inside_an_event_is_resumed_elsewhere():
+    """The caller sees each event once, in order, and a complete stream.
 
     The head resets its connection in the middle of the third event; another
-    replica goes on after the second.
+    replica resumes the stream after the second.
     """
 
     async def test(fleet):
         for target in fleet.targets():
             head = fleet.endpoints[target.endpoint_id]
             head.faults.aborts_at_event = 3
-        got_task = []
+        responses = []
 
         async def ask():
-            got_task.append(await fleet.caller().stream())
+            responses.append(await fleet.caller().stream())
 
         async with anyio.create_task_group() as group:
             group.start_soon(ask)
@@ -209,23 +218,23 @@
             for head in heads:
                 if not head.runs:
                     head.faults.aborts_at_event = None
-        assert got_task[0].events == [1, 2, 3, 4, 5, 6]
-        assert got_task[0].ending == 'whole'
+        assert responses[0].events == [1, 2, 3, 4, 5, 6]
+        assert responses[0].ending == 'whole'
         resumed = [run.last_event for head in heads for run in head.runs]
         assert sorted(resumed, key=str) == [2, None]
 
     fleet_harness.run(test)
 
 
-def test_an_endpoint_that_broke_off_is_not_granted_to_those_that_wait():
-    """A request that waits isn't lost at the endpoint that has just failed.
+def test_a_slot_of_a_failed_endpoint_is_not_granted_to_waiting_requests():
+    """A waiting request isn't lost at the endpoint that has just failed.
 
-    It gets the place neither at once nor in the moment in which the next
-    connection shows what has become of the endpoint.
+    The slot is granted neither at once nor during the time in which the next
+    connection shows whether the endpoint is still alive.
     """
 
     async def test(fleet):
-        taker = await fleet.caller().start_request('/quote/1')
+        reader = await fleet.caller().start_request('/quote/1')
         names = ('p0', 'p1')
         await fleet.wait_until(
             lambda: any(fleet.endpoints[name].runs for name in names)
@@ -234,9 +243,9 @@
             names, key=lambda name: not fleet.endpoints[name].runs
         )
         fleet.endpoints[ran].crash()
-        await fleet.wait_until(taker.done.done)
+        await fleet.wait_until(reader.done.done)
         pool = messages.Pool(fleet_harness.PLAIN_SERVICE, '', '')
-        places = fleet.nodes[0].allocation.allocator.pool(pool)
+        slot_pool = fleet.nodes[0].allocation.allocator.pool(pool)
         (target,) = [
             one
             for one in fleet.nodes[0].table.find_targets(
@@ -244,16 +253,16 @@
             )
             if one.endpoint_id == idle
         ]
-        assert places.free_slots() == 2 * target.slots - 1
+        assert slot_pool.free_slots() == 2 * target.slots - 1
 
     fleet_harness.run(test, engines=0)
 
 
-def test_a_stream_of_a_silent_head_goes_on_elsewhere_soon():
-    """The caller sees one pause of less than half a second.
+def test_a_stream_of_a_stalled_head_is_resumed_elsewhere_soon():
+    """The caller sees a single pause of less than half a second.
 
-    A member of the replica is lost: its head stands still, with the
-    connection open, and says nothing for seconds.
+    A member of the replica is lost: its head stalls and sends nothing for
+    seconds, with the connection open.
     """
 
     async def test(fleet):
@@ -261,7 +270,7 @@
             fleet.endpoints[target.endpoint_id] for target in fleet.targets()
         ]
         caller = fleet.caller()
-        taker = await caller.start_request(
+        reader = await caller.start_request(
             '/draft/1',
             b'prompt',
             headers=[
@@ -269,20 +278,20 @@
                 (b'X-Token-Counts', b'100,20'),
             ],
         )
-        await fleet.wait_until(lambda: taker.body.count(b'id: ') >= 2)
+        await fleet.wait_until(lambda: reader.body.count(b'id: ') >= 2)
         (first,) = [head for head in heads if head.runs]
         (second,) = [head for head in heads if not head.runs]
         first.faults.is_stalled = True
         await fleet.wait_until(lambda: bool(second.runs), 0.5)
-        await fleet.wait_until(taker.done.done, 1)
-        assert taker.done.result() == 'whole'
-        assert taker.body.count(b'id: ') == 6
+        await fleet.wait_until(reader.done.done, 1)
+        assert reader.done.result() == 'whole'
+        assert reader.body.count(b'id: ') == 6
         await fleet.wait_until(lambda: bool(first.cancelled_attempts), 0.5)
 
     fleet_harness.run(test)
 
 
-def test_a_caller_that_leaves_frees_its_replica():
+def test_a_caller_that_disconnects_frees_its_replica():
     async def test(fleet):
         heads = [
             fleet.endpoints[target.endpoint_id] for target in fleet.targets()
@@ -290,8 +299,8 @@
         for head in heads:
             head.events_per_response = 200
         caller = fleet.caller()
-        taker = await caller.start_stream()
-        await fleet.wait_until(lambda: b'id: ' in taker.body)
+        reader = await caller.start_stream()
+        await fleet.wait_until(lambda: b'id: ' in reader.body)
         caller.disconnect()
         await fleet.wait_until(
             lambda: any(head.cancelled_attempts for head in heads), 0.5
@@ -301,80 +310,84 @@
     fleet_harness.run(test)
 
 
-def test_a_request_with_a_long_head_or_body_is_refused():
+def test_a_request_with_an_oversized_head_or_body_is_rejected():
     async def test(fleet):
         long_head = [(b'X-Long', b'x' * 20000)]
-        got = await fleet.caller().ask('/card/1', headers=long_head)
-        assert got.status == 431
-        got = await fleet.caller().ask('/card/1', b'x' * 100001)
-        assert got.status == 413
-        got = await fleet.caller().ask('/card/1', b'x' * 100000)
-        assert got.status == 200
+        response = await fleet.caller().ask('/card/1', headers=long_head)
+        assert response.status == 431
+        response = await fleet.caller().ask('/card/1', b'x' * 100001)
+        assert response.status == 413
+        response = await fleet.caller().ask('/card/1', b'x' * 100000)
+        assert response.status == 200
 
     fleet_harness.run(test, engines=0)
 
 
-def test_metrics_are_read_at_their_own_address():
+def test_metrics_are_served_at_their_own_address():
     async def test(fleet):
         await fleet.caller().ask('/card/1')
         settings = fleet.nodes[0].settings
-        reader = fleet_harness.Caller((settings.ip, settings.metrics_port))
-        got = await reader.ask('/metrics')
-        assert got.status == 200
-        assert b'redwingvalve_sends_total{outcome="answered"' in got.body
-        assert b'redwingvalve_calls_total' in got.body
+        scraper = fleet_harness.Caller((settings.ip, settings.metrics_port))
+        response = await scraper.ask('/metrics')
+        assert response.status == 200
+        assert b'redwingvalve_sends_total{outcome="answered"' in response.body
+        assert b'redwingvalve_calls_total' in response.body
 
     fleet_harness.run(test, engines=0)
 
 
-def test_a_slow_stream_is_waited_for_when_no_retry_is_left():
-    """The caller gets its whole stream, late, and no failure.
+def test_a_stalled_stream_is_kept_when_no_retry_is_left():
+    """The caller gets its complete stream late, instead of a failure.
 
-    The head stands still for half a second, and this node has used its share
-    of the retries: ending the send would end the stream for good.
+    The head stalls for half a second, and this node has used up its share of
+    the retry budget: cancelling the upstream request would end the stream.
     """
 
     async def test(fleet):
-        window = fleet.nodes[0].state.retry_budget(fleet_harness.ENGINE_SERVICE)
-        window.try_spend = lambda now_s, nodes: False
+        retry_budget = fleet.nodes[0].state.retry_budget(
+            fleet_harness.ENGINE_SERVICE
+        )
+        retry_budget.try_spend = lambda now_s, nodes: False
         heads = [
             fleet.endpoints[target.endpoint_id] for target in fleet.targets()
         ]
         caller = fleet.caller()
-        taker = await caller.start_stream()
-        await fleet.wait_until(lambda: taker.body.count(b'id: ') >= 2)
+        reader = await caller.start_stream()
+        await fleet.wait_until(lambda: reader.body.count(b'id: ') >= 2)
         for head in heads:
             head.faults.is_stalled = True
         await anyio.sleep(0.6)
         for head in heads:
             head.faults.is_stalled = False
-        await fleet.wait_until(taker.done.done, 2)
-        assert taker.done.result() == 'whole'
-        assert taker.body.count(b'id: ') == 6
+        await fleet.wait_until(reader.done.done, 2)
+        assert reader.done.result() == 'whole'
+        assert reader.body.count(b'id: ') == 6
         assert sum(len(head.runs) for head in heads) == 1
 
     fleet_harness.run(test)
 
 
-def test_a_stream_that_reaches_its_time_is_found_in_the_logs(caplog):
-    """On-call engineers find the endpoint that a cut stream waited for.
+def test_a_stream_that_reaches_its_deadline_is_logged_with_its_endpoint(caplog):
+    """The log line of an aborted stream names the endpoint it waited for.
 
-    The head stands still after two events, and no retry is left. At the
-    caller's deadline the stream breaks off; it has had its status already.
+    The head stalls after two events, and no retry is left. At the caller's
+    deadline the stream is aborted; its status has already been sent.
     """
 
     async def test(fleet):
         logging.getLogger('redwingvalve').propagate = True
-        window = fleet.nodes[0].state.retry_budget(fleet_harness.ENGINE_SERVICE)
-        window.try_spend = lambda now_s, nodes: False
+        retry_budget = fleet.nodes[0].state.retry_budget(
+            fleet_harness.ENGINE_SERVICE
+        )
+        retry_budget.try_spend = lambda now_s, nodes: False
         caller = fleet.caller()
-        taker = await caller.start_stream()
-        await fleet.wait_until(lambda: taker.body.count(b'id: ') >= 2)
+        reader = await caller.start_stream()
+        await fleet.wait_until(lambda: reader.body.count(b'id: ') >= 2)
         for target in fleet.targets():
             head = fleet.endpoints[target.endpoint_id]
             head.faults.is_stalled = True
-        await fleet.wait_until(taker.done.done, 5)
-        assert taker.done.result() != 'whole'
+        await fleet.wait_until(reader.done.done, 5)
+        assert reader.done.result() != 'whole'
 
     with caplog.at_level('INFO', logger='redwingvalve'):
         fleet_harness.run(test)
