--- a/redwingvalve/fleet/__init__.py
+++ b/redwingvalve/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoints on VMs, the replicas that they form, and what to do with them."""
+"""Endpoints on VMs, the replicas that they form, and decisions about both."""
--- a/redwingvalve/fleet/demand.py
+++ b/redwingvalve/fleet/demand.py
@@ -1,11 +1,12 @@
-"""How many VMs each model needs, from the requests under way.
+"""Estimates how many VMs each model needs from the slots in use.
 
 Load pattern: a declaration says how the work splits between models, not how
-many VMs that takes: a model of four VMs that serves a third of the places needs
-more VMs than one of two that serves twice as many. Losses hit all replicas
-alike, and what comes in their place goes where the need is greatest for what
-is there. On a day with a loss every three seconds, seven replicas of the small
-model were left for 66 places in use, and six of the large one for twenty.
+many VMs that takes. A model with replicas of four VMs that uses a third of the
+slots needs more VMs than one with replicas of two that uses twice as many.
+Losses hit all replicas alike, and new VMs go where they are needed most for
+the current load. Without this estimate, losses every three seconds left seven
+replicas of the small model for 66 slots in use and six of the large model for
+twenty.
 """
 
 import math
@@ -15,49 +16,56 @@
 
 from redwingvalve.ingress import routes
 
-# A wave of requests lasts some ten seconds; between two waves the higher one
-# counts.
-FADE_S = 10.0
-# With fewer places in use than this in the whole fleet, shares say more.
-FEW_PLACES = 10.0
+# A burst of requests lasts about ten seconds; the higher peak counts between
+# two bursts.
+PEAK_DECAY_S = 10.0
+# With fewer slots in use in the whole fleet, the declared shares say more than
+# the load does.
+MIN_SLOTS_IN_USE = 10.0
 
 
 @attrs.define
-class _Use:
-    places: float
+class _Peak:
+    slots: float
     at_s: float
 
 
 class ModelDemand:
-    """Places in use by model, their recent peak."""
+    """Recent peak of the slots in use, by model."""
 
     def __init__(self) -> None:
-        """Start without requests."""
-        self._used: dict[str, _Use] = {}
+        """Start without any load."""
+        self._peaks: dict[str, _Peak] = {}
 
-    def record(self, model: str, places: float, now_s: float) -> None:
-        """Take the places in use and the requests that wait for one."""
-        peak = max(places, self._faded(model, now_s))
-        self._used[model] = _Use(peak, now_s)
+    def record(self, model: str, slots_in_use: float, now_s: float) -> None:
+        """Record the slots in use plus the requests that wait for one."""
+        peak = max(slots_in_use, self._decayed_peak(model, now_s))
+        self._peaks[model] = _Peak(peak, now_s)
 
     def needed_vms(
-        self, models: collections_abc.Iterable[routes.Model], slots: int
+        self,
+        models: collections_abc.Iterable[routes.Model],
+        slots_per_replica: int,
     ) -> dict[str, float]:
-        """Return how many VMs each model fills; before traffic its share."""
+        """Return the VMs that each model needs, or its share at low load.
+
+        Only the proportions between the models are meaningful.
+        """
         listed = tuple(models)
-        if sum(self._places(one.name) for one in listed) < FEW_PLACES:
+        if sum(self._peak(one.name) for one in listed) < MIN_SLOTS_IN_USE:
             return {one.name: one.share for one in listed}
         return {
-            one.name: max(1.0, self._places(one.name) / slots) * one.size
+            one.name: max(1.0, self._peak(one.name) / slots_per_replica)
+            * one.size
             for one in listed
         }
 
-    def _places(self, model: str) -> float:
-        used = self._used.get(model)
-        return used.places if used else 0.0
+    def _peak(self, model: str) -> float:
+        peak = self._peaks.get(model)
+        return peak.slots if peak else 0.0
 
-    def _faded(self, model: str, now_s: float) -> float:
-        used = self._used.get(model)
-        if used is None:
+    def _decayed_peak(self, model: str, now_s: float) -> float:
+        peak = self._peaks.get(model)
+        if peak is None:
             return 0.0
-        return used.places * math.exp((used.at_s - now_s) / FADE_S)
+        return peak.slots * math.exp((peak.at_s - now_s) / PEAK_DECAY_S)
--- a/redwingvalve/fleet/endpoints.py
+++ b/redwingvalve/fleet/endpoints.py
@@ -1,4 +1,4 @@
-"""What an endpoint says of itself, and the replicas that endpoints form."""
+"""Endpoints as they report themselves, and the replicas that they form."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class MemberState(enum.Enum):
-    """How far an endpoint is as a member of a replica."""
+    """State of an endpoint as a member of a replica."""
 
     JOINING = 'joining'
     READY = 'ready'
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class Membership:
-    """The replica that an endpoint belongs to, as the endpoint says."""
+    """The replica that an endpoint reports to be a member of."""
 
     replica: str
     epoch: int
@@ -26,7 +26,7 @@
 
     @property
     def key(self) -> tuple[str, int]:
-        """Return name and epoch; both name one forming."""
+        """Return name and epoch, which together identify one formation."""
         return self.replica, self.epoch
 
 
@@ -35,7 +35,7 @@
     """One incarnation of a process that serves requests on its own VM."""
 
     endpoint_id: str
-    # Unix milliseconds of the start: tells incarnations with one id apart.
+    # Unix milliseconds of the start; tells incarnations of one id apart.
     born_ms: int
     service: str
     host: str
@@ -45,20 +45,20 @@
     draining: bool
     # Fabric domain; empty for services without models.
     domain: str = ''
-    # Models whose weights lie on the host, the newest last.
+    # Models whose weights are stored on the host, the newest last.
     staged: tuple[str, ...] = ()
     models: tuple[str, ...] = ()
     membership: Membership | None = None
 
     @property
     def incarnation(self) -> tuple[str, int]:
-        """Return what tells this life from an earlier one of the same id."""
+        """Return what tells this incarnation from others of the same id."""
         return self.endpoint_id, self.born_ms
 
 
 @attrs.frozen
 class Replica:
-    """Endpoints that name the same replica and epoch, in order of rank."""
+    """Endpoints that report the same replica and epoch, ordered by rank."""
 
     name: str
     epoch: int
@@ -66,14 +66,14 @@
 
     @property
     def head(self) -> Endpoint | None:
-        """Return the member that takes requests, if it is known."""
+        """Return the member that takes requests, or None if it is unknown."""
         first = self.members[0]
         assert first.membership is not None
         return first if first.membership.rank == 0 else None
 
     @property
     def key(self) -> tuple[str, int]:
-        """Return name and epoch; both name one forming."""
+        """Return name and epoch, which together identify one formation."""
         return self.name, self.epoch
 
     @property
@@ -83,12 +83,12 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Return whether a member is about to leave."""
+        """Return whether any member is draining."""
         return any(member.draining for member in self.members)
 
 
 def replica_name(model: str, term: int, number: int) -> str:
-    """Name a replica so that its model can be read back from the name."""
+    """Return a replica name from which the model can be read back."""
     return f'{model}.{term}.{number}'
 
 
@@ -98,7 +98,7 @@
 
 
 def group_replicas(endpoints: list[Endpoint]) -> dict[str, list[Replica]]:
-    """Return the replicas of each service, whole or not."""
+    """Return the replicas by service, complete or not."""
     members: dict[tuple[str, str, int], list[Endpoint]] = {}
     for endpoint in endpoints:
         membership = endpoint.membership
@@ -106,11 +106,13 @@
             continue
         key = (endpoint.service, *membership.key)
         members.setdefault(key, []).append(endpoint)
-    found: dict[str, list[Replica]] = {}
+    replicas: dict[str, list[Replica]] = {}
     for (service, name, epoch), group in members.items():
         group.sort(key=_rank)
-        found.setdefault(service, []).append(Replica(name, epoch, tuple(group)))
-    return found
+        replicas.setdefault(service, []).append(
+            Replica(name, epoch, tuple(group))
+        )
+    return replicas
 
 
 def _rank(endpoint: Endpoint) -> int:
--- a/redwingvalve/fleet/planning.py
+++ b/redwingvalve/fleet/planning.py
@@ -1,9 +1,9 @@
-"""Which VMs load which model, and which of them form the next replica.
+"""Decides which VMs load which model, and which of them form a replica.
 
-Load pattern: every few seconds VMs in use are lost for good, empty ones come,
-and at times a whole fabric domain goes dark. A cold load takes over ten
-seconds and a join of a VM that was in a replica of the same model a fifth of
-one, so that each domain holds VMs for every model that fits it, and one over
+Load pattern: every few seconds VMs in use are lost for good and empty ones
+arrive, and at times a whole fabric domain fails. A cold load takes over ten
+seconds, and a join of a VM that was in a replica of the same model a fifth of
+a second. So each domain holds VMs for every model that fits it, and one spare
 for each model where it can: a lost VM is then replaced from its own domain.
 """
 
@@ -16,18 +16,17 @@
 from redwingvalve.fleet import endpoints
 from redwingvalve.ingress import routes
 
-# With fewer domains than this a dark one would take a model with it.
+# With fewer domains than this, a failed domain would take a model down.
 DOMAINS_PER_MODEL = 2
-# A model with fewer VMs in whole replicas than this for each that it fills is
-# short when a wave comes or a domain goes dark.
-POOR_COVER = 1.2
-# Covers that differ by less would send a spare to and fro between two models.
-CLEARLY_MORE = 0.25
-# The chance that a domain's replica loses a member within the time of a load,
-# and is mended by the spare: two VMs of some forty are lost in 2.7 s.
-FIRST_SPARE_SHARE = 0.5
-# A model without a whole replica needs one before all others.
-LEAST_COVER = 0.1
+# A model with less coverage runs short when a burst arrives or a domain fails.
+LOW_COVERAGE = 1.2
+# With a smaller difference, a spare would move back and forth between models.
+COVERAGE_MARGIN = 0.25
+# Probability that a replica of the domain loses a member within the time of a
+# load and is repaired with the spare: of about forty VMs two are lost in 2.7 s.
+FIRST_SPARE_VALUE = 0.5
+# Lower bound, so that a model without a complete replica comes first.
+MIN_COVERAGE = 0.1
 
 Domains: typing.TypeAlias = dict[str, list[endpoints.Endpoint]]
 
@@ -35,7 +34,7 @@
 def group_by_domain(
     found: collections_abc.Iterable[endpoints.Endpoint],
 ) -> Domains:
-    """Return endpoints by fabric domain, each in the order of their ids."""
+    """Return endpoints by fabric domain, each list ordered by id."""
     domains: Domains = {}
     for endpoint in sorted(found, key=_endpoint_id):
         domains.setdefault(endpoint.domain, []).append(endpoint)
@@ -47,89 +46,96 @@
 ) -> dict[str, str]:
     """Return a model for each empty endpoint of a fleet that starts.
 
-    Where there are enough domains, each holds one model only: VMs of lost
-    replicas are then spares for the others of their domain. Split evenly, ten
-    VMs hold one replica of four with one spare, and two losses leave three
-    VMs that no replica can use.
+    With enough domains, each domain holds a single model, so that VMs of lost
+    replicas become spares for the other replicas of their domain. If every
+    domain were split evenly, ten VMs would hold one replica of four with one
+    spare, and two losses would leave three VMs that no replica can use.
     """
-    owed = dict.fromkeys((model.name for model in models), 0.0)
+    deficits = dict.fromkeys((model.name for model in models), 0.0)
     if len(domains) < DOMAINS_PER_MODEL * len(models):
-        return _deal_within(domains, models, owed)
-    dealt: dict[str, str] = {}
+        return _assign_within_domains(domains, models, deficits)
+    assigned: dict[str, str] = {}
     for name in sorted(domains):
         members = domains[name]
-        _owe(owed, models, len(members))
+        _add_shares(deficits, models, len(members))
         fitting = [one for one in models if one.size <= len(members)]
         if not fitting:
             continue
-        chosen = _most_owed(fitting, owed)
-        owed[chosen.name] -= len(members)
+        chosen = _largest_deficit(fitting, deficits)
+        deficits[chosen.name] -= len(members)
         for endpoint in members:
-            dealt[endpoint.endpoint_id] = chosen.name
-    return dealt
+            assigned[endpoint.endpoint_id] = chosen.name
+    return assigned
 
 
-def _owe(
-    owed: dict[str, float], models: tuple[routes.Model, ...], count: int
+def _add_shares(
+    deficits: dict[str, float], models: tuple[routes.Model, ...], count: int
 ) -> None:
+    """Add each model's share of count VMs to its deficit."""
     for model in models:
-        owed[model.name] += model.share * count
+        deficits[model.name] += model.share * count
 
 
-def _most_owed(
-    models: list[routes.Model], owed: dict[str, float]
+def _largest_deficit(
+    models: list[routes.Model], deficits: dict[str, float]
 ) -> routes.Model:
     def rank(model: routes.Model) -> tuple[float, int]:
-        return owed[model.name], model.size
+        return deficits[model.name], model.size
 
     return max(models, key=rank)
 
 
-def _deal_within(
-    domains: Domains, models: tuple[routes.Model, ...], owed: dict[str, float]
+def _assign_within_domains(
+    domains: Domains,
+    models: tuple[routes.Model, ...],
+    deficits: dict[str, float],
 ) -> dict[str, str]:
-    dealt: dict[str, str] = {}
+    """Split each domain between the models, the largest model first."""
+    assigned: dict[str, str] = {}
     largest_first = sorted(models, key=_size, reverse=True)
     for name in sorted(domains):
         free = list(domains[name])
         for model in largest_first:
-            owed[model.name] += model.share * len(domains[name])
-            count = _deal_count(owed[model.name], model, len(free), models)
+            deficits[model.name] += model.share * len(domains[name])
+            count = _count_to_assign(
+                deficits[model.name], model, len(free), models
+            )
             for endpoint in free[:count]:
-                dealt[endpoint.endpoint_id] = model.name
-            owed[model.name] -= count
+                assigned[endpoint.endpoint_id] = model.name
+            deficits[model.name] -= count
             free = free[count:]
-    return dealt
+    return assigned
 
 
-def _deal_count(
-    owed: float,
+def _count_to_assign(
+    deficit: float,
     model: routes.Model,
     free: int,
     models: tuple[routes.Model, ...],
 ) -> int:
     if model.size == min(known.size for known in models):
         return free
-    wanted = round(owed)
+    wanted = round(deficit)
     if wanted < model.size:
-        # Half a replica or more is owed: better one whole now.
-        wanted = model.size if owed >= model.size / 2 else 0
+        # Rounds up to a complete replica from half a replica on.
+        wanted = model.size if deficit >= model.size / 2 else 0
     return wanted if wanted <= free else 0
 
 
 @attrs.frozen
 class ModelInventory:
-    """How many VMs have or load each model, beside what it needs."""
+    """The VMs that hold or load each model, and the VMs that each needs."""
 
     held: tuple[tuple[endpoints.Endpoint, str], ...]
-    # By model; only their proportions count.
+    # By model; only the proportions are meaningful.
     needed_vms: dict[str, float]
 
-    def cover(self, model: routes.Model) -> float:
-        """Return the VMs in whole replicas for those that a model needs.
+    def coverage(self, model: routes.Model) -> float:
+        """Return the VMs in complete replicas per VM that a model needs.
 
-        What a domain has beyond its whole replicas serves nobody: with three
-        domains of six VMs, half of a model's VMs would be counted in vain.
+        VMs of a domain beyond its complete replicas serve no requests. In
+        three domains of six VMs each, counting all VMs would overstate the
+        supply of a model by half.
         """
         counts = collections.Counter(
             endpoint.domain
@@ -139,24 +145,24 @@
         whole = sum(count // model.size for count in counts.values())
         return whole * model.size / max(self.needed_vms[model.name], 0.01)
 
-    def left_over(self, domain: str, model: routes.Model) -> int:
-        """Return a domain's VMs of a model beyond its whole replicas."""
-        return self._local(domain, model) % model.size
+    def leftover_vms(self, domain: str, model: routes.Model) -> int:
+        """Return a domain's VMs of a model beyond its complete replicas."""
+        return self._count_in_domain(domain, model) % model.size
 
-    def worth(self, domain: str, model: routes.Model) -> float:
-        """Return what one more VM of a model is worth in a domain.
+    def marginal_value(self, domain: str, model: routes.Model) -> float:
+        """Return the value of one more VM of a model in a domain.
 
-        It is a part of a replica, or the spare by which the domain's replicas
-        outlive their next loss; either counts for as much as the model's cover
-        is low.
+        The VM is a part of the next replica, or the spare with which the
+        domain's replicas survive their next loss. Either counts for more the
+        lower the coverage of the model is.
         """
-        missing = model.size - self.left_over(domain, model)
+        missing = model.size - self.leftover_vms(domain, model)
         share = 1 / missing
-        if missing == model.size and self._local(domain, model):
-            share = max(share, FIRST_SPARE_SHARE)
-        return share / max(self.cover(model), LEAST_COVER)
+        if missing == model.size and self._count_in_domain(domain, model):
+            share = max(share, FIRST_SPARE_VALUE)
+        return share / max(self.coverage(model), MIN_COVERAGE)
 
-    def _local(self, domain: str, model: routes.Model) -> int:
+    def _count_in_domain(self, domain: str, model: routes.Model) -> int:
         return sum(
             1
             for other, name in self.held
@@ -166,48 +172,53 @@
 
 def model_to_load(
     endpoint: endpoints.Endpoint,
-    stock: ModelInventory,
+    inventory: ModelInventory,
     models: tuple[routes.Model, ...],
 ) -> str:
     """Return the model that an empty VM should load."""
     return max(
-        models, key=lambda model: stock.worth(endpoint.domain, model)
+        models,
+        key=lambda model: inventory.marginal_value(endpoint.domain, model),
     ).name
 
 
 def pick_spare_to_reload(
     spares: list[endpoints.Endpoint],
-    stock: ModelInventory,
+    inventory: ModelInventory,
     models: tuple[routes.Model, ...],
 ) -> tuple[endpoints.Endpoint, str] | None:
-    """Return a spare of a model that is well off, and what it should load.
+    """Return a spare of a well-covered model, and the model it should load.
 
-    A load takes over ten seconds, so that it starts well before the poor model
-    runs out, and only where the other one keeps a spare in the same domain.
+    A load takes over ten seconds, so it starts well before the scarcest model
+    runs out of slots, and only where the other model keeps a spare in the same
+    domain.
     """
-    covers = {model.name: stock.cover(model) for model in models}
-    poor = min(models, key=lambda model: covers[model.name])
-    if covers[poor.name] >= POOR_COVER:
+    coverages = {model.name: inventory.coverage(model) for model in models}
+    scarcest = min(models, key=lambda model: coverages[model.name])
+    if coverages[scarcest.name] >= LOW_COVERAGE:
         return None
-    rich = {
+    well_covered = {
         name
-        for name, cover in covers.items()
-        if cover >= covers[poor.name] + CLEARLY_MORE
+        for name, coverage in coverages.items()
+        if coverage >= coverages[scarcest.name] + COVERAGE_MARGIN
     }
-    found = [
+    candidates = [
         spare
         for spare in spares
         if spare.staged
-        and spare.staged[-1] in rich
-        and _has_twin(spare, spares)
+        and spare.staged[-1] in well_covered
+        and _has_other_spare(spare, spares)
     ]
-    if not found:
+    if not candidates:
         return None
-    chosen = max(found, key=lambda spare: stock.worth(spare.domain, poor))
-    return chosen, poor.name
+    chosen = max(
+        candidates,
+        key=lambda spare: inventory.marginal_value(spare.domain, scarcest),
+    )
+    return chosen, scarcest.name
 
 
-def _has_twin(
+def _has_other_spare(
     spare: endpoints.Endpoint, spares: list[endpoints.Endpoint]
 ) -> bool:
     return any(
@@ -222,9 +233,9 @@
     model: routes.Model,
     is_warm: typing.Callable[[endpoints.Endpoint], bool],
 ) -> tuple[endpoints.Endpoint, ...] | None:
-    """Return members of one domain for a replica, those that join fastest.
+    """Return the members of one domain that form a replica fastest.
 
-    All of them have the model staged.
+    All endpoints in free have the model staged.
     """
     best: tuple[endpoints.Endpoint, ...] | None = None
     best_cold = 0
@@ -243,22 +254,22 @@
 
 @attrs.define
 class LoadLimiter:
-    """Loads from the weight store: so many a second and so many at once."""
+    """Limits the rate and the concurrency of loads from the weight store."""
 
     rate_per_s: float
     max_concurrent: int
     tokens: float = 0.0
-    filled_s: float | None = None
+    refilled_at_s: float | None = None
     running_until_s: list[float] = attrs.field(factory=list)
 
     def try_acquire(self, now_s: float, load_s: float) -> bool:
-        """Count one more load if it may begin now."""
-        if self.filled_s is None:
-            self.filled_s = now_s
-        self.tokens += (now_s - self.filled_s) * self.rate_per_s
-        # Saved tokens would let more begin within a second than allowed.
+        """Return whether one more load may start now, and count it."""
+        if self.refilled_at_s is None:
+            self.refilled_at_s = now_s
+        self.tokens += (now_s - self.refilled_at_s) * self.rate_per_s
+        # With more saved tokens, a burst would exceed the rate in one second.
         self.tokens = min(self.tokens, self.rate_per_s / 2)
-        self.filled_s = now_s
+        self.refilled_at_s = now_s
         self.running_until_s = [
             until_s for until_s in self.running_until_s if until_s > now_s
         ]
--- a/redwingvalve/fleet/tests/test_losses_played.py
+++ b/redwingvalve/fleet/tests/test_losses_played.py
@@ -1,4 +1,4 @@
-"""Minutes of losses and newcomers, and the places that callers find."""
+"""Simulates VM losses and arrivals, and the slots that callers find."""
 
 import itertools
 import random
@@ -12,11 +12,11 @@
 
 SLOTS = 9
 STEP_S = 0.5
-LOSS_EVERY_S = 2.7
-LOST_AT_ONCE = 2
-NEWCOMERS_FROM_S = 12.0
-NEWCOMERS_EVERY_S = 2.6
-PLAYED_S = 60.0
+LOSS_INTERVAL_S = 2.7
+VMS_PER_LOSS = 2
+ARRIVALS_FROM_S = 12.0
+ARRIVAL_INTERVAL_S = 2.6
+DURATION_S = 60.0
 JOIN_S = 0.5
 LARGE = routes.Model('large', 4, 0.5, 1.0, 16.0, 1.6)
 SMALL = routes.Model('small', 2, 0.5, 1.0, 12.0, 1.1)
@@ -24,28 +24,30 @@
 
 
 @attrs.define(eq=False)
-class Played:
-    """Sixty VMs in six domains; some are lost and others come."""
+class SimulatedFleet:
+    """Sixty VMs in six domains; some are lost and others arrive."""
 
-    chance: random.Random
-    # Requests under way, by model.
-    places: dict[str, int]
+    rng: random.Random
+    # Requests in flight, by model.
+    slots_in_use: dict[str, int]
     domains: tuple[str, ...] = tuple(f'd{number}' for number in range(6))
     now_s: float = 0.0
     free: dict[str, endpoints.Endpoint] = attrs.field(factory=dict)
     replicas: list[tuple[str, tuple[endpoints.Endpoint, ...]]] = attrs.field(
         factory=list
     )
-    # What a VM loads, and until when.
+    # The model that a VM loads, and until when.
     loading: dict[str, tuple[str, float]] = attrs.field(factory=dict)
     missing: dict[str, float] = attrs.field(factory=dict)
     _numbers: itertools.count = attrs.field(factory=itertools.count)
 
     def start(self):
         found = [self.vm(domain) for domain in self.domains for _ in range(10)]
-        dealt = planning.assign_models(planning.group_by_domain(found), MODELS)
+        assigned = planning.assign_models(
+            planning.group_by_domain(found), MODELS
+        )
         for one in found:
-            staged = (dealt[one.endpoint_id],)
+            staged = (assigned[one.endpoint_id],)
             self.free[one.endpoint_id] = attrs.evolve(one, staged=staged)
         self.form()
 
@@ -71,10 +73,10 @@
                     del self.free[member.endpoint_id]
                 self.replicas.append((model.name, picked))
 
-    def lose(self):
+    def lose_vms(self):
         members = [one for _, found in self.replicas for one in found]
         lost = set()
-        for member in self.chance.sample(members, LOST_AT_ONCE):
+        for member in self.rng.sample(members, VMS_PER_LOSS):
             lost.add(member.endpoint_id)
         for replica in list(self.replicas):
             _, found = replica
@@ -85,15 +87,15 @@
                 if one.endpoint_id not in lost:
                     self.free[one.endpoint_id] = one
 
-    def come(self):
-        for _ in range(LOST_AT_ONCE):
-            one = self.vm(self.chance.choice(self.domains))
+    def add_vms(self):
+        for _ in range(VMS_PER_LOSS):
+            one = self.vm(self.rng.choice(self.domains))
             self.free[one.endpoint_id] = one
 
     def load(self):
-        self._end_loads()
+        self._finish_loads()
         needed = {
-            model.name: self.places[model.name] / SLOTS * model.size
+            model.name: self.slots_in_use[model.name] / SLOTS * model.size
             for model in MODELS
         }
         empty = [
@@ -102,7 +104,7 @@
             if not one.staged and one.endpoint_id not in self.loading
         ]
         for one in empty:
-            name = planning.model_to_load(one, self.stock(needed), MODELS)
+            name = planning.model_to_load(one, self.inventory(needed), MODELS)
             self._load(one, name)
         if empty:
             return
@@ -111,24 +113,24 @@
             for one in self.free.values()
             if one.endpoint_id not in self.loading
         ]
-        moved = planning.pick_spare_to_reload(
-            spares, self.stock(needed), MODELS
+        picked = planning.pick_spare_to_reload(
+            spares, self.inventory(needed), MODELS
         )
-        if moved is not None:
-            self._load(*moved)
+        if picked is not None:
+            self._load(*picked)
 
     def _load(self, one, name):
         model = LARGE if name == 'large' else SMALL
         self.loading[one.endpoint_id] = (name, self.now_s + model.load_s)
 
-    def _end_loads(self):
+    def _finish_loads(self):
         for name, (model, until_s) in list(self.loading.items()):
             if until_s <= self.now_s:
                 del self.loading[name]
                 one = self.free[name]
                 self.free[name] = attrs.evolve(one, staged=(model,))
 
-    def stock(self, needed):
+    def inventory(self, needed):
         held = [(one, name) for name, found in self.replicas for one in found]
         for one in self.free.values():
             name = self.loading.get(one.endpoint_id, ('', 0))[0]
@@ -138,49 +140,49 @@
     def count(self):
         for model in MODELS:
             heads = sum(1 for name, _ in self.replicas if name == model.name)
-            needed = self.places[model.name]
-            short = max(0, needed - heads * SLOTS) / needed
+            needed = self.slots_in_use[model.name]
+            shortfall = max(0, needed - heads * SLOTS) / needed
             before = self.missing.get(model.name, 0)
-            self.missing[model.name] = before + short * STEP_S
+            self.missing[model.name] = before + shortfall * STEP_S
 
-    def play(self):
+    def run(self):
         self.start()
-        lose_s, come_s = LOSS_EVERY_S, NEWCOMERS_FROM_S
-        while self.now_s < PLAYED_S:
+        next_loss_s, next_arrival_s = LOSS_INTERVAL_S, ARRIVALS_FROM_S
+        while self.now_s < DURATION_S:
             self.now_s += STEP_S
-            if self.now_s >= lose_s:
-                self.lose()
-                lose_s += LOSS_EVERY_S
-            if self.now_s >= come_s:
-                self.come()
-                come_s += NEWCOMERS_EVERY_S
+            if self.now_s >= next_loss_s:
+                self.lose_vms()
+                next_loss_s += LOSS_INTERVAL_S
+            if self.now_s >= next_arrival_s:
+                self.add_vms()
+                next_arrival_s += ARRIVAL_INTERVAL_S
             self.load()
             self.form()
             self.count()
 
 
-def missing_share(places, seed):
-    """Return the share of a model's requests without a place, the worst's."""
-    played = Played(random.Random(seed), places)
-    played.play()
-    return max(played.missing.values()) / PLAYED_S
+def missing_share(slots_in_use, seed):
+    """Return the share of requests without a slot, for the worse model."""
+    simulated = SimulatedFleet(random.Random(seed), slots_in_use)
+    simulated.run()
+    return max(simulated.missing.values()) / DURATION_S
 
 
 @pytest.mark.parametrize(
-    ('places', 'most'),
+    ('slots_in_use', 'max_share'),
     [
         ({'large': 21, 'small': 60}, 0.013),
         ({'large': 27, 'small': 75}, 0.025),
         ({'large': 22, 'small': 90}, 0.05),
     ],
 )
-def test_losses_leave_both_models_places(places, most):
-    """Callers of the model with large replicas are not the ones to suffer.
+def test_losses_leave_slots_for_both_models(slots_in_use, max_share):
+    """Callers of the model with large replicas find slots despite losses.
 
-    Two VMs in use are lost every 2.7 s and two empty ones come from 12 s on.
-    With newcomers dealt by VMs alone, idle remnants of large replicas counted
-    as supply: 0.019, 0.045 and 0.130 of the requests for that model found no
-    place, and none for the small one.
+    Two VMs in use are lost every 2.7 s, and two empty ones arrive at a time
+    from 12 s on. If new VMs are assigned by VM count alone, idle remnants of
+    large replicas count as supply: then 0.019, 0.045 and 0.130 of the requests
+    for the large model found no slot, while all for the small one found one.
     """
-    shares = [missing_share(places, seed) for seed in range(40)]
-    assert statistics.mean(shares) < most
+    shares = [missing_share(slots_in_use, seed) for seed in range(40)]
+    assert statistics.mean(shares) < max_share
