--- a/redwingvalve/fleet/registry.py
+++ b/redwingvalve/fleet/registry.py
@@ -1,9 +1,10 @@
-"""All endpoints as the store last told, and the replicas that serve.
+"""Caches the endpoint entries of the store.
 
-Load pattern: the store goes away for seconds and entries lapse meanwhile,
-although their endpoints live. Without a grace time every endpoint would be
-out of use the moment the store is back; so entries that are missing after
-trouble stay in use for LAPSE_GRACE_S, in which living endpoints return.
+Load pattern: the store is unavailable for seconds, and entries expire
+meanwhile although their endpoints are alive. Without a grace period, every
+endpoint would be out of use the moment the store is back. So entries that are
+missing after an outage stay in use for EXPIRY_GRACE_S, within which living
+endpoints register again.
 """
 
 import typing
@@ -17,21 +18,21 @@
 from redwingvalve.platform import entries, store
 
 LOG = logs.make_logger('registry')
-# Endpoints that live are back within two seconds; a request needs some time
-# to be sent after this.
-LAPSE_GRACE_S = 1.8
-# Trouble of the store that ended this long ago still excuses a lapse.
-TROUBLE_S = 2.0
+# Living endpoints register again within 2 s. The grace period ends earlier,
+# because a request routed at its end still takes some time to send.
+EXPIRY_GRACE_S = 1.8
+# An expiry within this time of an outage of the store is attributed to it.
+RECENT_OUTAGE_S = 2.0
 
 
 @attrs.frozen
-class _Lapsed:
+class _Expired:
     endpoint: endpoints.Endpoint
     since_s: float
 
 
 class Registry:
-    """Endpoints by id."""
+    """Endpoints by id, as the store last listed them."""
 
     def __init__(
         self, clock: collections_abc.Callable[[], float] = clock.boot_s
@@ -41,103 +42,111 @@
         self.is_synced = False
         self.on_change: list[collections_abc.Callable[[], None]] = []
         self._clock = clock
-        self._lapsed: dict[str, _Lapsed] = {}
-        self._trouble_s: float | None = None
-        # Those that said that they would leave, until they are forgotten.
-        self._leavers: dict[tuple[str, int], float] = {}
+        self._expired: dict[str, _Expired] = {}
+        self._last_outage_s: float | None = None
+        # When each incarnation was first seen draining.
+        self._draining_since_s: dict[tuple[str, int], float] = {}
 
     def on_list(self, listed: list[store.Document]) -> None:
-        """Take a whole listing."""
+        """Replace all entries with a complete listing."""
         found = dict(_decode_all(listed))
         missing = [name for name in self.live if name not in found]
         for name in missing:
-            self._lapse(name)
+            self._expire(name)
         for endpoint in found.values():
-            self._take(endpoint)
+            self._add(endpoint)
         self.is_synced = True
-        self._tell()
+        self._notify_listeners()
 
     def on_changes(self, changes: list[store.Change]) -> None:
-        """Take changes in their order."""
+        """Apply changes in order."""
         for change in changes:
-            self._change(change)
+            self._apply_change(change)
         if changes:
-            self._tell()
+            self._notify_listeners()
 
     def on_unavailable(self) -> None:
-        """Note that the store gives no usable answers."""
-        self._trouble_s = self._clock()
+        """Record that the store gives no usable answers."""
+        self._last_outage_s = self._clock()
 
     def may_be_leaving(
         self, endpoint: endpoints.Endpoint, within_s: float
     ) -> bool:
         """Return whether an endpoint may be leaving rather than dead.
 
-        It said so, or the store has been away within within_s and could not
-        tell. An endpoint that leaves stops to listen before it has finished.
+        That is so if it was first seen draining within within_s, or if the
+        store was unavailable within within_s and could not report it. An
+        endpoint that leaves stops listening before its requests have finished.
         """
         now_s = self._clock()
-        said_s = self._leavers.get(endpoint.incarnation)
-        if said_s is not None and now_s - said_s < within_s:
+        draining_since_s = self._draining_since_s.get(endpoint.incarnation)
+        if draining_since_s is not None and now_s - draining_since_s < within_s:
             return True
-        trouble_s = self._trouble_s
-        return trouble_s is not None and now_s - trouble_s < within_s
+        last_outage_s = self._last_outage_s
+        return last_outage_s is not None and now_s - last_outage_s < within_s
 
     def usable(self) -> list[endpoints.Endpoint]:
-        """Return live endpoints and those whose lapse may be an error."""
-        until_s = self._clock() - LAPSE_GRACE_S
+        """Return live endpoints and those within the grace period."""
+        until_s = self._clock() - EXPIRY_GRACE_S
         kept = [
-            lapsed.endpoint
-            for lapsed in self._lapsed.values()
-            if lapsed.since_s > until_s
+            expired.endpoint
+            for expired in self._expired.values()
+            if expired.since_s > until_s
         ]
         return [*self.live.values(), *kept]
 
     def incarnations(self) -> set[tuple[str, int]]:
-        """Return the lives that the store tells of."""
+        """Return the incarnations of all usable endpoints."""
         return {endpoint.incarnation for endpoint in self.usable()}
 
     def drop_expired(self) -> None:
-        """Forget endpoints that did not come back in time."""
-        until_s = self._clock() - LAPSE_GRACE_S
+        """Drop endpoints that did not register again in time."""
+        until_s = self._clock() - EXPIRY_GRACE_S
         gone = [
             name
-            for name, lapsed in self._lapsed.items()
-            if lapsed.since_s <= until_s
+            for name, expired in self._expired.items()
+            if expired.since_s <= until_s
         ]
         for name in gone:
-            self._lapsed.pop(name)
+            self._expired.pop(name)
         if gone:
-            self._tell()
+            self._notify_listeners()
 
-    def _change(self, change: store.Change) -> None:
+    def _apply_change(self, change: store.Change) -> None:
         if change.is_removed:
             if change.name in self.live:
-                self._lapse(change.name)
+                self._expire(change.name)
             return
         try:
             endpoint = entries.decode_endpoint(change.stored)
         except entries.EndpointEntryError as error:
-            LOG.warning('unusable entry', extra={'error': str(error)})
+            LOG.warning(
+                'ignoring invalid endpoint entry', extra={'error': str(error)}
+            )
             self.live.pop(change.name, None)
             return
-        self._take(endpoint)
+        self._add(endpoint)
 
-    def _take(self, endpoint: endpoints.Endpoint) -> None:
+    def _add(self, endpoint: endpoints.Endpoint) -> None:
         self.live[endpoint.endpoint_id] = endpoint
-        self._lapsed.pop(endpoint.endpoint_id, None)
+        self._expired.pop(endpoint.endpoint_id, None)
         if endpoint.draining:
-            self._leavers.setdefault(endpoint.incarnation, self._clock())
+            self._draining_since_s.setdefault(
+                endpoint.incarnation, self._clock()
+            )
 
-    def _lapse(self, name: str) -> None:
+    def _expire(self, name: str) -> None:
         endpoint = self.live.pop(name)
         now_s = self._clock()
-        trouble_s = self._trouble_s
-        is_excused = trouble_s is not None and now_s - trouble_s < TROUBLE_S
-        if is_excused and not endpoint.draining:
-            self._lapsed[name] = _Lapsed(endpoint, now_s)
-
-    def _tell(self) -> None:
+        last_outage_s = self._last_outage_s
+        is_outage_recent = (
+            last_outage_s is not None
+            and now_s - last_outage_s < RECENT_OUTAGE_S
+        )
+        if is_outage_recent and not endpoint.draining:
+            self._expired[name] = _Expired(endpoint, now_s)
+
+    def _notify_listeners(self) -> None:
         for listener in self.on_change:
             listener()
 
@@ -149,6 +158,8 @@
         try:
             endpoint = entries.decode_endpoint(stored)
         except entries.EndpointEntryError as error:
-            LOG.warning('unusable entry', extra={'error': str(error)})
+            LOG.warning(
+                'ignoring invalid endpoint entry', extra={'error': str(error)}
+            )
             continue
         yield endpoint.endpoint_id, endpoint
--- a/redwingvalve/fleet/serving.py
+++ b/redwingvalve/fleet/serving.py
@@ -1,4 +1,4 @@
-"""Which endpoints take requests now: whole open replicas and plain ones."""
+"""Builds the routing table: heads of open replicas, and plain endpoints."""
 
 import time
 from collections import abc as collections_abc
@@ -11,11 +11,11 @@
 from redwingvalve.observability import logs, node_metrics
 
 LOG = logs.make_logger('serving')
-# A head whose replica lost a member stands still for this long before it
-# says so itself; the controller mends it long before.
-HEAD_SUSPECT_S = 6.0
-# A plain endpoint that was not reached is tried again after this.
-PLAIN_SUSPECT_S = 1.0
+# A head whose replica lost a member stalls for this long before it reports the
+# loss itself; the controller repairs the replica long before.
+HEAD_SUSPICION_S = 6.0
+# Time until a plain endpoint that could not be reached is tried again.
+PLAIN_SUSPICION_S = 1.0
 _SERVING_STATES = frozenset(
     (endpoints.MemberState.READY, endpoints.MemberState.OPEN)
 )
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class Suspicion:
-    """An endpoint out of use, for one forming of its replica."""
+    """An endpoint taken out of use, for one formation of its replica."""
 
     endpoint_id: str
     epoch: int
@@ -32,10 +32,10 @@
 
 
 class ServingTable(state.Targets):
-    """Targets by service and model, made anew at each change."""
+    """Targets by service and model, rebuilt at each change."""
 
     def __init__(self, registry: registry_module.Registry) -> None:
-        """Follow the registry."""
+        """Rebuild the table whenever the registry changes."""
         self.on_suspect: collections_abc.Callable[[Suspicion], None] | None
         self.on_suspect = None
         self.on_doubt: collections_abc.Callable[[str, str], None] | None
@@ -57,31 +57,31 @@
         self._configuration: routes.Configuration | None = None
         self._targets: dict[tuple[str, str], tuple[placing.Target, ...]] = {}
         self._suspicions: dict[str, Suspicion] = {}
-        self._own: set[str] = set()
-        # Members of replicas that were seen whole, by name and epoch.
-        self._whole: dict[tuple[str, int], endpoints.Replica] = {}
+        self._locally_suspected: set[str] = set()
+        # Replicas as last seen with all members, by name and epoch.
+        self._complete_replicas: dict[tuple[str, int], endpoints.Replica] = {}
         registry.on_change.append(self.rebuild)
 
     def of(self, service: str, model: str) -> tuple[placing.Target, ...]:
-        """Return the targets for a model, or of a plain service."""
+        """Return the targets of a model, or of a plain service."""
         return self._targets.get((service, model), ())
 
     def configure(self, configuration: routes.Configuration) -> None:
-        """Take the services of a new configuration."""
+        """Apply the services of a new configuration."""
         self._configuration = configuration
         self.rebuild()
 
     def suspect(self, endpoint_id: str, reason: str) -> None:
-        """Take an endpoint out of use and tell others."""
+        """Take an endpoint out of use and notify other nodes."""
         endpoint = self._registry.live.get(endpoint_id)
         if endpoint is None:
             return
         membership = endpoint.membership
         epoch = membership.epoch if membership else 0
-        wait_s = HEAD_SUSPECT_S if membership else PLAIN_SUSPECT_S
+        wait_s = HEAD_SUSPICION_S if membership else PLAIN_SUSPICION_S
         now_s = time.monotonic()
         suspicion = Suspicion(endpoint_id, epoch, now_s + wait_s, now_s)
-        self._own.add(endpoint_id)
+        self._locally_suspected.add(endpoint_id)
         if self.add_suspicion(suspicion):
             node_metrics.METRICS.count('redwingvalve_suspicions')
             LOG.warning(
@@ -96,14 +96,17 @@
                 self.on_suspect(suspicion)
 
     def doubt(self, endpoint_id: str, reason: str) -> None:
-        """Let whoever can ask find out about an endpoint."""
+        """Request a check of an endpoint, or suspect it if nobody checks."""
         if self.on_doubt is None:
             self.suspect(endpoint_id, reason)
         elif not self.is_suspect(endpoint_id):
             self.on_doubt(endpoint_id, reason)
 
     def add_suspicion(self, suspicion: Suspicion) -> bool:
-        """Take an endpoint out of use; return whether that is new."""
+        """Take an endpoint out of use; return False if it already was.
+
+        An expired suspicion, or one of an older epoch, is replaced.
+        """
         known = self._suspicions.get(suspicion.endpoint_id)
         is_known = known is not None and known.epoch >= suspicion.epoch
         if is_known and known.until_s > time.monotonic():
@@ -113,14 +116,14 @@
         return True
 
     def mark_healthy(self, endpoint_id: str) -> None:
-        """Put an endpoint back into use here and elsewhere."""
+        """Put an endpoint back into use on all nodes."""
         suspicion = self._suspicions.get(endpoint_id)
         if suspicion is not None and self.on_cleared is not None:
             self.on_cleared(endpoint_id, suspicion.epoch)
         self.clear_suspicion(endpoint_id)
 
     def announce_healthy(self, endpoint_id: str) -> None:
-        """Let other nodes know that an endpoint in use was found sound."""
+        """Tell other nodes that an endpoint in use was found healthy."""
         endpoint = self._registry.live.get(endpoint_id)
         if endpoint is None or endpoint.membership is None:
             return
@@ -128,8 +131,8 @@
             self.on_announce_healthy(endpoint_id, endpoint.membership.epoch)
 
     def clear_suspicion(self, endpoint_id: str) -> None:
-        """Put an endpoint back into use."""
-        self._own.discard(endpoint_id)
+        """Put an endpoint back into use on this node."""
+        self._locally_suspected.discard(endpoint_id)
         if self._suspicions.pop(endpoint_id, None) is None:
             return
         if self.on_reinstated is not None:
@@ -139,7 +142,7 @@
     def clear_if_older(
         self, endpoint_id: str, epoch: int, cleared_s: float
     ) -> None:
-        """Put an endpoint back into use unless it is suspect anew."""
+        """Put an endpoint back into use unless a newer suspicion exists."""
         if self.on_reported_healthy is not None:
             self.on_reported_healthy(endpoint_id, cleared_s)
         suspicion = self._suspicions.get(endpoint_id)
@@ -149,19 +152,20 @@
             self.clear_suspicion(endpoint_id)
 
     def replica_of(self, head_id: str) -> endpoints.Replica | None:
-        """Return the replica of a head with all its members, if known."""
+        """Return the complete replica of a head, if it is known."""
         head = self._registry.live.get(head_id)
         if head is None or head.membership is None:
             return None
-        return self._whole.get(head.membership.key)
+        return self._complete_replicas.get(head.membership.key)
 
     def local_suspicions(self) -> list[Suspicion]:
-        """Return suspicions that this node itself holds."""
+        """Return the active suspicions that this node raised itself."""
         now_s = time.monotonic()
         return [
             suspicion
             for suspicion in self._suspicions.values()
-            if suspicion.until_s > now_s and suspicion.endpoint_id in self._own
+            if suspicion.until_s > now_s
+            and suspicion.endpoint_id in self._locally_suspected
         ]
 
     def is_suspect(self, endpoint_id: str) -> bool:
@@ -177,7 +181,7 @@
         return endpoint.membership.epoch <= suspicion.epoch
 
     def rebuild(self) -> None:
-        """Make the targets from what is known."""
+        """Rebuild the targets from the registry and the suspicions."""
         configuration = self._configuration
         if configuration is None:
             return
@@ -187,17 +191,19 @@
         targets: dict[tuple[str, str], tuple[placing.Target, ...]] = {}
         for service in configuration.services.values():
             if service.engine is None:
-                targets[service.name, ''] = self._plain(service.name, usable)
+                targets[service.name, ''] = self._plain_targets(
+                    service.name, usable
+                )
                 continue
             for model in service.engine.models:
-                targets[service.name, model.name] = self._heads(
+                targets[service.name, model.name] = self._head_targets(
                     replicas.get(service.name, []), model, service.engine, by_id
                 )
         self._targets = targets
         if self.on_rebuilt is not None:
             self.on_rebuilt()
 
-    def _plain(
+    def _plain_targets(
         self, service: str, usable: list[endpoints.Endpoint]
     ) -> tuple[placing.Target, ...]:
         ready = [
@@ -205,60 +211,61 @@
             for endpoint in usable
             if endpoint.service == service and not endpoint.draining
         ]
-        sound = [
+        healthy = [
             endpoint
             for endpoint in ready
             if not self.is_suspect(endpoint.endpoint_id)
         ]
-        # If none is sound, any may still answer.
-        return tuple(_plain_target(endpoint) for endpoint in sound or ready)
+        # If all are suspect, any of them may still answer.
+        return tuple(_plain_target(endpoint) for endpoint in healthy or ready)
 
-    def _heads(
+    def _head_targets(
         self,
         replicas: list[endpoints.Replica],
         model: routes.Model,
         engine: routes.Engine,
         by_id: dict[str, endpoints.Endpoint],
     ) -> tuple[placing.Target, ...]:
-        found = []
-        for seen in replicas:
-            if seen.model != model.name:
+        serving = []
+        for observed in replicas:
+            if observed.model != model.name:
                 continue
-            replica = self._whole_replica(seen, model.size, by_id)
-            if replica is not None and self._serves(replica):
-                found.append(replica)
-        staying = [one for one in found if not one.is_leaving]
+            replica = self._usable_replica(observed, model.size, by_id)
+            if replica is not None and self._is_serving(replica):
+                serving.append(replica)
+        staying = [one for one in serving if not one.is_leaving]
         return tuple(
-            _head_target(replica, engine.slots) for replica in staying or found
+            _head_target(replica, engine.slots)
+            for replica in staying or serving
         )
 
-    def _whole_replica(
+    def _usable_replica(
         self,
-        seen: endpoints.Replica,
+        observed: endpoints.Replica,
         size: int,
         by_id: dict[str, endpoints.Endpoint],
     ) -> endpoints.Replica | None:
-        """Return the replica with all its members, or None.
+        """Return the replica if all its members may still serve, or None.
 
-        A member whose entry alone has lapsed may live on, cut off from the
-        store; the replica is used until its head falls silent. A member that
-        says that it is elsewhere, or has started again, is gone for good.
+        A member whose entry has only expired may be alive and cut off from the
+        store; the replica is used until its head stalls. A member that reports
+        another replica, or that has restarted, is lost for good.
         """
-        if len(seen.members) == size:
-            self._whole[seen.key] = seen
-            return seen
-        known = self._whole.get(seen.key)
-        if known is None or seen.head is None:
+        if len(observed.members) == size:
+            self._complete_replicas[observed.key] = observed
+            return observed
+        known = self._complete_replicas.get(observed.key)
+        if known is None or observed.head is None:
             return None
-        present = {member.endpoint_id for member in seen.members}
+        present = {member.endpoint_id for member in observed.members}
         for member in known.members:
             if member.endpoint_id in present:
                 continue
             if member.endpoint_id in by_id or member.draining:
                 return None
-        return seen
+        return observed
 
-    def _serves(self, replica: endpoints.Replica) -> bool:
+    def _is_serving(self, replica: endpoints.Replica) -> bool:
         head = replica.head
         if head is None or head.draining or head.membership is None:
             return False
