--- a/redwingvalve/fleet/serving.py
+++ b/redwingvalve/fleet/serving.py
@@ -7,7 +7,7 @@
 
 from redwingvalve.fleet import endpoints
 from redwingvalve.fleet import registry as registry_module
-from redwingvalve.ingress import placing, routes, state
+from redwingvalve.ingress import load_balancing, routes, state
 from redwingvalve.observability import logs, node_metrics
 
 LOG = logs.make_logger('serving')
@@ -55,14 +55,16 @@
         self.on_rebuilt: collections_abc.Callable[[], None] | None = None
         self._registry = registry
         self._configuration: routes.Configuration | None = None
-        self._targets: dict[tuple[str, str], tuple[placing.Target, ...]] = {}
+        self._targets: dict[
+            tuple[str, str], tuple[load_balancing.Target, ...]
+        ] = {}
         self._suspicions: dict[str, Suspicion] = {}
         self._locally_suspected: set[str] = set()
         # Replicas as last seen with all members, by name and epoch.
         self._complete_replicas: dict[tuple[str, int], endpoints.Replica] = {}
         registry.on_change.append(self.rebuild)
 
-    def of(self, service: str, model: str) -> tuple[placing.Target, ...]:
+    def of(self, service: str, model: str) -> tuple[load_balancing.Target, ...]:
         """Return the targets of a model, or of a plain service."""
         return self._targets.get((service, model), ())
 
@@ -188,7 +190,7 @@
         usable = self._registry.usable()
         by_id = {endpoint.endpoint_id: endpoint for endpoint in usable}
         replicas = endpoints.group_replicas(usable)
-        targets: dict[tuple[str, str], tuple[placing.Target, ...]] = {}
+        targets: dict[tuple[str, str], tuple[load_balancing.Target, ...]] = {}
         for service in configuration.services.values():
             if service.engine is None:
                 targets[service.name, ''] = self._plain_targets(
@@ -205,7 +207,7 @@
 
     def _plain_targets(
         self, service: str, usable: list[endpoints.Endpoint]
-    ) -> tuple[placing.Target, ...]:
+    ) -> tuple[load_balancing.Target, ...]:
         ready = [
             endpoint
             for endpoint in usable
@@ -225,7 +227,7 @@
         model: routes.Model,
         engine: routes.Engine,
         by_id: dict[str, endpoints.Endpoint],
-    ) -> tuple[placing.Target, ...]:
+    ) -> tuple[load_balancing.Target, ...]:
         serving = []
         for observed in replicas:
             if observed.model != model.name:
@@ -280,8 +282,8 @@
         )
 
 
-def _plain_target(endpoint: endpoints.Endpoint) -> placing.Target:
-    return placing.Target(
+def _plain_target(endpoint: endpoints.Endpoint) -> load_balancing.Target:
+    return load_balancing.Target(
         endpoint_id=endpoint.endpoint_id,
         host=endpoint.host,
         port=endpoint.port,
@@ -291,9 +293,11 @@
     )
 
 
-def _head_target(replica: endpoints.Replica, slots: int) -> placing.Target:
+def _head_target(
+    replica: endpoints.Replica, slots: int
+) -> load_balancing.Target:
     head = replica.members[0]
-    return placing.Target(
+    return load_balancing.Target(
         endpoint_id=head.endpoint_id,
         host=head.host,
         port=head.port,
