--- a/redwingvalve/allocation/allocator.py
+++ b/redwingvalve/allocation/allocator.py
@@ -55,7 +55,7 @@
             reply(_queued(ask))
             return
         if not self.targets(ask.pool):
-            reply(messages.Reply(ask.number, messages.Outcome.UNABLE))
+            reply(messages.Reply(ask.number, messages.Outcome.NO_ENDPOINTS))
             return
         pool = self.pool(ask.pool)
         held = pool.holds.find(key)
@@ -90,7 +90,7 @@
         self, sender: messages.Sender, holdings: messages.Holdings
     ) -> None:
         """Take what a node holds."""
-        self.pool(holdings.pool).confirm(sender, holdings.endpoint_ids)
+        self.pool(holdings.pool).reconcile(sender, holdings.endpoint_ids)
 
     def drop_node(self, vm: str) -> None:
         """Free what a node held that is gone."""
@@ -111,7 +111,7 @@
         """Return the places held and wanted, by service and model."""
         counts: collections.Counter[str] = collections.Counter()
         for key, pool in self._pools.items():
-            name = usage_module.name_of(key.service, key.model)
+            name = usage_module.usage_key(key.service, key.model)
             counts[name] += len(pool.holds) + len(pool.queue)
         return {name: count for name, count in counts.items() if count}
 
--- a/redwingvalve/allocation/dispatch.py
+++ b/redwingvalve/allocation/dispatch.py
@@ -1,4 +1,4 @@
-"""Hands a message about places to the part that it is for."""
+"""Dispatches a message about slots to the allocator or the reserver."""
 
 from redwingvalve.allocation import allocator as allocator_module
 from redwingvalve.allocation import messages
@@ -11,12 +11,15 @@
     reserver: reserver_module.NodeReserver,
     reply: allocator_module.ReplyCallback,
 ) -> None:
-    """Let a node's parts take a message; reply answers its sender."""
+    """Let the node's allocator or reserver handle a message.
+
+    reply sends a reply to the sender of the message.
+    """
     sender, message = envelope.sender, envelope.message
     if isinstance(message, messages.Ask):
         allocator.ask(sender, message, reply)
     elif isinstance(message, messages.Reply):
-        reserver.heard(sender.vm, message)
+        reserver.handle_reply(sender.vm, message)
     elif isinstance(message, messages.Release):
         allocator.release(sender, message)
     else:
--- a/redwingvalve/allocation/messages.py
+++ b/redwingvalve/allocation/messages.py
@@ -1,4 +1,4 @@
-"""What nodes say to each other about places, and its bytes."""
+"""Messages that nodes exchange about slots, and their encoding."""
 
 import enum
 import typing
@@ -8,45 +8,45 @@
 from redwingvalve.ingress import reservations, wait_queue
 from redwingvalve.wire import structs
 
-# Endpoints to be avoided or chosen last that one request names at most; it
-# keeps a datagram within one packet.
-MOST_NAMED = 16
+# Limit on the endpoints to avoid, and on the slow ones, in one request. Keeps
+# the datagram within one packet.
+MAX_NAMED_ENDPOINTS = 16
 _MS_IN_S = 1000.0
 _Type = structs.Type
 
 
 class MessageError(ValueError):
-    """A datagram that is no message about places."""
+    """A datagram that cannot be decoded as a message about slots."""
 
 
 class Outcome(enum.IntEnum):
-    """What became of an ask."""
+    """Outcome of a request for a slot."""
 
     GRANTED = 1
-    # It waits; another reply follows.
+    # The request waits; another reply follows.
     QUEUED = 2
-    # No place is free now, and it was not to wait.
+    # No slot is free now, and the request must not wait.
     FULL = 3
-    # It would not get a place in time.
+    # The request would not get a slot in time.
     REFUSED = 4
-    # The node that was asked knows no endpoints of the pool.
-    UNABLE = 5
+    # The node that was asked knows of no endpoints in the pool.
+    NO_ENDPOINTS = 5
 
 
 @attrs.frozen
 class Pool:
-    """Places that are counted together."""
+    """Identifies a pool: slots that one owner grants."""
 
     service: str
     # Empty for services without models.
     model: str
-    # Empty if the endpoints of all data centres belong to the pool.
+    # Empty if the pool spans the endpoints of all data centres.
     data_centre: str
 
 
 @attrs.frozen
 class Sender:
-    """One life of a node."""
+    """One incarnation of a node."""
 
     vm: str
     born_ms: int
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class Ask:
-    """A request wants a place."""
+    """A request for a slot."""
 
     number: int
     pool: Pool
@@ -66,19 +66,19 @@
 
 @attrs.frozen
 class Reply:
-    """What became of an ask."""
+    """The answer to an Ask."""
 
     number: int
     outcome: Outcome
     endpoint_id: str = ''
     retry_after_s: float = 0
-    # How long it would wait.
+    # Expected wait for a slot.
     expected_s: float = 0
 
 
 @attrs.frozen
 class Release:
-    """A place is no longer held, or wanted."""
+    """Releases a slot, or cancels the request for one."""
 
     number: int
     leaving: reservations.Leaving = reservations.Leaving.FREE
@@ -86,7 +86,7 @@
 
 @attrs.frozen
 class Holdings:
-    """All places of a pool that a node holds, by number."""
+    """All slots of a pool that a node holds, by request number."""
 
     pool: Pool
     endpoint_ids: dict[int, str]
@@ -97,7 +97,7 @@
 
 @attrs.frozen
 class Envelope:
-    """A message and who sent it."""
+    """A message and its sender."""
 
     sender: Sender
     message: Message
@@ -152,7 +152,7 @@
 
 
 def pack(envelope: Envelope) -> bytes:
-    """Return the bytes of a datagram."""
+    """Encode a message as a datagram."""
     struct = _EnvelopeStruct(
         vm=envelope.sender.vm, born_ms=envelope.sender.born_ms
     )
@@ -179,10 +179,10 @@
 
 
 def unpack(packed: bytes) -> Envelope:
-    """Return what a datagram says; raises MessageError."""
+    """Decode a datagram; raises MessageError."""
     try:
         struct = structs.unpack(packed, _EnvelopeStruct)
-        sender = Sender(_text(struct.vm), _whole(struct.born_ms))
+        sender = Sender(_non_empty_text(struct.vm), _integer(struct.born_ms))
         return Envelope(sender, _read(struct))
     except (structs.StructError, AttributeError, TypeError) as error:
         raise MessageError(str(error)) from error
@@ -200,7 +200,7 @@
             _read_pool(struct.holdings.pool),
             dict(struct.holdings.endpoint_ids or {}),
         )
-    raise MessageError('no known message')
+    raise MessageError('datagram contains no known message')
 
 
 def _ask_struct(ask: Ask) -> typing.Any:
@@ -214,21 +214,21 @@
         wait_ms=_ms(need.wait_s),
         has_returned=need.has_returned,
         is_resumed=need.is_resumed,
-        avoid=list(ask.avoid[:MOST_NAMED]),
-        slow=list(ask.slow[:MOST_NAMED]),
+        avoid=list(ask.avoid[:MAX_NAMED_ENDPOINTS]),
+        slow=list(ask.slow[:MAX_NAMED_ENDPOINTS]),
     )
 
 
 def _read_ask(struct: typing.Any) -> Ask:
     need = wait_queue.Ask(
-        urgency=_whole(struct.urgency),
-        on_time_s=_whole(struct.on_time_ms) / _MS_IN_S,
-        wait_s=_whole(struct.wait_ms) / _MS_IN_S,
+        urgency=_integer(struct.urgency),
+        on_time_s=_integer(struct.on_time_ms) / _MS_IN_S,
+        wait_s=_integer(struct.wait_ms) / _MS_IN_S,
         has_returned=bool(struct.has_returned),
         is_resumed=bool(struct.is_resumed),
     )
     return Ask(
-        number=_whole(struct.number),
+        number=_integer(struct.number),
         pool=_read_pool(struct.pool),
         may_wait=bool(struct.may_wait),
         need=need,
@@ -243,7 +243,7 @@
     except ValueError as error:
         raise MessageError(f'unknown outcome {struct.outcome!r}') from error
     return Reply(
-        number=_whole(struct.number),
+        number=_integer(struct.number),
         outcome=outcome,
         endpoint_id=struct.endpoint_id or '',
         retry_after_s=(struct.retry_after_ms or 0) / _MS_IN_S,
@@ -255,8 +255,10 @@
     try:
         leaving = reservations.Leaving(struct.leaving)
     except ValueError as error:
-        raise MessageError(f'unknown state {struct.leaving!r}') from error
-    return Release(_whole(struct.number), leaving)
+        raise MessageError(
+            f'unknown release state {struct.leaving!r}'
+        ) from error
+    return Release(_integer(struct.number), leaving)
 
 
 def _pool_struct(pool: Pool) -> typing.Any:
@@ -267,7 +269,9 @@
 
 def _read_pool(struct: typing.Any) -> Pool:
     return Pool(
-        _text(struct.service), struct.model or '', struct.data_centre or ''
+        _non_empty_text(struct.service),
+        struct.model or '',
+        struct.data_centre or '',
     )
 
 
@@ -275,13 +279,13 @@
     return int(min(seconds, 1e6) * _MS_IN_S)
 
 
-def _text(found: typing.Any) -> str:
-    if not found:
-        raise MessageError('a name is missing')
-    return str(found)
+def _non_empty_text(value: typing.Any) -> str:
+    if not value:
+        raise MessageError('missing or empty text field')
+    return str(value)
 
 
-def _whole(found: typing.Any) -> int:
-    if not isinstance(found, int):
-        raise MessageError('a number is missing')
-    return found
+def _integer(value: typing.Any) -> int:
+    if not isinstance(value, int):
+        raise MessageError('missing or invalid integer field')
+    return value
--- a/redwingvalve/allocation/owners.py
+++ b/redwingvalve/allocation/owners.py
@@ -1,9 +1,9 @@
-"""Which node grants the places of a pool.
+"""Ranks the nodes that may own a pool, that is, grant its slots.
 
-All nodes rank the living nodes of the pool's data centre alike, so that nobody
-has to decide it. A node that doesn't answer is passed over for a while by the
-one that asked it; each node finds that out for itself with its next request,
-long before the silence of the dead one shows.
+All nodes rank the living nodes of the pool's data centre in the same order, so
+no election is needed. A node that does not answer is skipped for a while by
+the node that asked it. Each node learns this with its own next request, long
+before the failed node is declared dead.
 """
 
 import typing
@@ -14,20 +14,20 @@
 from redwingvalve.allocation import messages
 from redwingvalve.membership import rendezvous
 
-# Asked before a node chooses by itself.
-ASKED_OWNERS = 2
-# The living change seldom; ranking them costs a hash for each.
-RANKED_FOR_S = 0.25
-# How long a node that gave no answer is passed over at first and at most; the
-# time doubles with each failure in a row.
-PASSED_OVER_MIN_S = 0.3
-PASSED_OVER_MAX_S = 2.4
-_DOUBLED = 2
+# Owners that are asked before a node chooses an endpoint by itself.
+OWNERS_TO_ASK = 2
+# The set of living nodes changes rarely, and ranking costs a hash for each.
+RANKING_TTL_S = 0.25
+# A node that did not answer is skipped for the minimum at first; the time
+# doubles with each failure in a row.
+BACKOFF_MIN_S = 0.3
+BACKOFF_MAX_S = 2.4
+_BACKOFF_FACTOR = 2
 
 
 @attrs.frozen
 class Candidate:
-    """A node that may own pools."""
+    """A node that can own pools."""
 
     vm: str
     data_centre: str
@@ -39,8 +39,8 @@
 
 
 @attrs.define
-class _Silence:
-    pause_s: float
+class _Backoff:
+    duration_s: float
     until_s: float
 
 
@@ -50,48 +50,48 @@
 
     candidates: Candidates
     clock: collections_abc.Callable[[], float]
-    _ranked: dict[messages.Pool, tuple[str, ...]] = attrs.field(factory=dict)
-    _ranked_s: float = 0.0
-    _silent: dict[str, _Silence] = attrs.field(factory=dict)
+    _rankings: dict[messages.Pool, tuple[str, ...]] = attrs.field(factory=dict)
+    _ranked_at_s: float = 0.0
+    _backoffs: dict[str, _Backoff] = attrs.field(factory=dict)
 
     def ranked_for(self, pool: messages.Pool) -> tuple[str, ...]:
-        """Return the nodes to be asked, the first one first."""
+        """Return the owners to ask for slots of a pool, in order."""
         now_s = self.clock()
-        if now_s - self._ranked_s > RANKED_FOR_S:
-            self._ranked_s = now_s
-            self._ranked.clear()
-        ranked = self._ranked.get(pool)
+        if now_s - self._ranked_at_s > RANKING_TTL_S:
+            self._ranked_at_s = now_s
+            self._rankings.clear()
+        ranked = self._rankings.get(pool)
         if ranked is None:
             ranked = self._rank(pool)
-            self._ranked[pool] = ranked
-        return tuple(vm for vm in ranked if not self._is_passed_over(vm))[
-            :ASKED_OWNERS
+            self._rankings[pool] = ranked
+        return tuple(vm for vm in ranked if not self._is_backing_off(vm))[
+            :OWNERS_TO_ASK
         ]
 
-    def was_silent(self, vm: str) -> None:
-        """Pass a node over that gave no answer."""
-        known = self._silent.get(vm)
-        pause_s = PASSED_OVER_MIN_S
+    def mark_unresponsive(self, vm: str) -> None:
+        """Skip a node that gave no answer until its backoff ends."""
+        known = self._backoffs.get(vm)
+        duration_s = BACKOFF_MIN_S
         if known is not None:
-            pause_s = min(known.pause_s * _DOUBLED, PASSED_OVER_MAX_S)
-        self._silent[vm] = _Silence(pause_s, self.clock() + pause_s)
+            duration_s = min(known.duration_s * _BACKOFF_FACTOR, BACKOFF_MAX_S)
+        self._backoffs[vm] = _Backoff(duration_s, self.clock() + duration_s)
 
-    def has_answered(self, vm: str) -> None:
-        """Ask a node again that gives answers."""
-        self._silent.pop(vm, None)
+    def mark_responsive(self, vm: str) -> None:
+        """End the backoff of a node that has answered."""
+        self._backoffs.pop(vm, None)
 
-    def _is_passed_over(self, vm: str) -> bool:
-        silence = self._silent.get(vm)
-        return silence is not None and silence.until_s > self.clock()
+    def _is_backing_off(self, vm: str) -> bool:
+        backoff = self._backoffs.get(vm)
+        return backoff is not None and backoff.until_s > self.clock()
 
     def _rank(self, pool: messages.Pool) -> tuple[str, ...]:
         candidates = list(self.candidates())
-        near = [
-            one.vm
-            for one in candidates
-            if pool.data_centre in {'', one.data_centre}
+        local = [
+            candidate.vm
+            for candidate in candidates
+            if pool.data_centre in {'', candidate.data_centre}
         ]
-        # A data centre of endpoints only: any node may count them.
-        names = near or [one.vm for one in candidates]
-        duty = f'{pool.service}\0{pool.model}\0{pool.data_centre}'
-        return rendezvous.holders(names, duty, len(names))
+        # In a data centre without nodes, any node may own the pool.
+        names = local or [candidate.vm for candidate in candidates]
+        pool_key = f'{pool.service}\0{pool.model}\0{pool.data_centre}'
+        return rendezvous.holders(names, pool_key, len(names))
--- a/redwingvalve/allocation/pool.py
+++ b/redwingvalve/allocation/pool.py
@@ -102,11 +102,11 @@
             self._hold.saw(now_s - hold.since_s)
         self.queue.poke()
 
-    def confirm(
+    def reconcile(
         self, sender: messages.Sender, endpoint_ids: dict[int, str]
     ) -> None:
         """Take what a node holds."""
-        self.holds.confirm(sender, endpoint_ids, self.clock())
+        self.holds.reconcile(sender, endpoint_ids, self.clock())
         self.queue.poke()
 
     def drop_node(self, vm: str) -> None:
@@ -156,7 +156,7 @@
         found = self._choose(ask.avoid)
         if found is not None:
             key = (sender, ask.number)
-            self.holds.hold(key, found.endpoint_id, self.clock())
+            self.holds.add(key, found.endpoint_id, self.clock())
         return found
 
     def _choose(
--- a/redwingvalve/allocation/reserver.py
+++ b/redwingvalve/allocation/reserver.py
@@ -43,7 +43,7 @@
 
 _GRANTED = messages.Outcome.GRANTED
 _QUEUED = messages.Outcome.QUEUED
-_UNABLE = messages.Outcome.UNABLE
+_NO_ENDPOINTS = messages.Outcome.NO_ENDPOINTS
 
 
 class Transport(typing.Protocol):
@@ -143,9 +143,9 @@
             avoided.append(found.endpoint_id)
         return reservations.NoPlace(RETRY_AFTER_S)
 
-    def heard(self, vm: str, reply: messages.Reply) -> None:
+    def handle_reply(self, vm: str, reply: messages.Reply) -> None:
         """Take a reply to an ask."""
-        self.owners.has_answered(vm)
+        self.owners.mark_responsive(vm)
         pending = self._pending.get(reply.number)
         if pending is not None and pending.vm == vm:
             pending.take(reply)
@@ -241,9 +241,9 @@
                 if not _is_final(pending.latest):
                     release = messages.Release(pending.number)
                     self.transport.send(vm, release)
-            if reply is not None and reply.outcome is not _UNABLE:
+            if reply is not None and reply.outcome is not _NO_ENDPOINTS:
                 return vm, reply
-            self.owners.was_silent(vm)
+            self.owners.mark_unresponsive(vm)
             node_metrics.METRICS.count('redwingvalve_silent_owners')
         return None
 
--- a/redwingvalve/allocation/tests/test_messages.py
+++ b/redwingvalve/allocation/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages about places arrive as they were sent, or not at all."""
+"""Encoding and decoding of messages about slots."""
 
 import hypothesis
 import pytest
@@ -23,31 +23,31 @@
         messages.Holdings(POOL, {7: 'e1', 9: 'e2'}),
     ],
 )
-def test_a_message_arrives_as_it_was_sent(message):
+def test_messages_survive_a_round_trip(message):
     sent = messages.Envelope(SENDER, message)
     assert messages.unpack(messages.pack(sent)) == sent
 
 
 @hypothesis.given(strategies.binary(max_size=80))
-def test_other_bytes_are_no_message(packed):
+def test_random_bytes_are_rejected(packed):
     with pytest.raises(messages.MessageError):
         messages.unpack(packed)
 
 
 @hypothesis.given(strategies.integers(0, 60), strategies.integers(0, 255))
-def test_a_message_that_was_cut_or_changed_raises_nothing_else(place, byte):
+def test_damaged_messages_raise_message_errors_only(position, byte):
     sent = messages.Envelope(SENDER, messages.Ask(7, POOL, True, NEED))
     packed = bytearray(messages.pack(sent))
-    packed[place % len(packed)] = byte
-    for found in (bytes(packed), bytes(packed[:place])):
+    packed[position % len(packed)] = byte
+    for found in (bytes(packed), bytes(packed[:position])):
         try:
             messages.unpack(found)
         except messages.MessageError:
             continue
 
 
-def test_a_datagram_names_a_bounded_number_of_endpoints():
-    """An ask fits into one packet however many endpoints were tried."""
+def test_an_ask_names_a_bounded_number_of_endpoints():
+    """An ask must fit into one packet however many endpoints were tried."""
     many = tuple(f'endpoint-{number}' for number in range(500))
     ask = messages.Ask(7, POOL, True, NEED, many, many)
     assert len(messages.pack(messages.Envelope(SENDER, ask))) < 1200
--- a/redwingvalve/allocation/tests/test_pool.py
+++ b/redwingvalve/allocation/tests/test_pool.py
@@ -170,7 +170,10 @@
 
     async def test():
         granter = make(heads=0)
-        assert ask(granter, NODES[0], 1)[-1].outcome is messages.Outcome.UNABLE
+        assert (
+            ask(granter, NODES[0], 1)[-1].outcome
+            is messages.Outcome.NO_ENDPOINTS
+        )
 
     run(test)
 
--- a/redwingvalve/allocation/usage.py
+++ b/redwingvalve/allocation/usage.py
@@ -1,33 +1,35 @@
-"""How many places each model has in use, and wants, in the whole fleet.
+"""Counts the slots that each model uses and waits for in the whole fleet.
 
-The holder of the lease decides by it what newcomers load.
+The lease holder decides by these counts which model empty VMs load.
 """
 
 
-def name_of(service: str, model: str) -> str:
-    """Return the name of a model's places."""
+def usage_key(service: str, model: str) -> str:
+    """Return the key of a model's count."""
     return f'{service}/{model}'
 
 
 class FleetUsage:
-    """What the nodes that grant places have said last."""
+    """Latest slot counts of the nodes that own pools."""
 
     def __init__(self) -> None:
-        """Start without requests."""
-        self._by_node: dict[str, dict[str, int]] = {}
+        """Start without counts."""
+        self._counts_by_node: dict[str, dict[str, int]] = {}
 
     def update(self, vm: str, counts: dict[str, int]) -> None:
-        """Take a node's counts in place of its last ones."""
+        """Replace a node's counts."""
         if counts:
-            self._by_node[vm] = counts
+            self._counts_by_node[vm] = counts
         else:
-            self._by_node.pop(vm, None)
+            self._counts_by_node.pop(vm, None)
 
     def remove(self, vm: str) -> None:
         """Drop the counts of a node that is gone."""
-        self._by_node.pop(vm, None)
+        self._counts_by_node.pop(vm, None)
 
     def slots_in_use(self, service: str, model: str) -> int:
-        """Return the places of a model in use and wanted."""
-        name = name_of(service, model)
-        return sum(counts.get(name, 0) for counts in self._by_node.values())
+        """Return the slots of a model in use and waited for."""
+        name = usage_key(service, model)
+        return sum(
+            counts.get(name, 0) for counts in self._counts_by_node.values()
+        )
