--- a/redwingvalve/ingress/request_handler.py
+++ b/redwingvalve/ingress/request_handler.py
@@ -36,7 +36,7 @@
 MAX_CONNECT_FAILURES = 3
 
 
-class RequestRun(state_module.OpenSend):
+class RequestHandler(state_module.InFlightRequest):
     """Sends one request until it has its answer."""
 
     def __init__(
@@ -54,7 +54,10 @@
         self._send: upstream.Send | None = None
         self._connection: client.Connection | None = None
         self._passing = stream_forwarding.EventPassing(
-            state.silence, responder, self._caller.last_event, self._times
+            state.stall_detector,
+            responder,
+            self._caller.last_event,
+            self._times,
         )
         self._tried: set[str] = set()
         self._sent = 0
@@ -80,15 +83,17 @@
         if self._state.poison.is_poison(self._fingerprint):
             responses.refuse(self._responder, self._caller, refusals.POISON)
             return
-        self._state.prompts(admission.model).saw(admission.prompt_s)
-        self._state.window(admission.service).count_request(self._times.began_s)
+        self._state.prompts(admission.model).observe(admission.prompt_s)
+        self._state.retry_budget(admission.service).count_request(
+            self._times.began_s
+        )
         while not self._responder.is_gone:
             asked_s = time.monotonic()
-            place = await slot_requests.take_place(
+            place = await slot_requests.reserve_slot(
                 self._state, self._caller, admission, self._tried
             )
             self._times.waited_since(asked_s)
-            if isinstance(place, reservations.NoPlace):
+            if isinstance(place, reservations.NoSlot):
                 self._retry_after_s = place.retry_after_s
                 self._give_up('no free place')
                 return
@@ -125,7 +130,9 @@
         try:
             ending = await self._send_to(admission, target)
         finally:
-            place.release(_LEAVING.get(ending, reservations.Leaving.UNSURE))
+            place.release(
+                _LEAVING.get(ending, reservations.ReleaseState.UNCERTAIN)
+            )
         if ending is upstream.Ending.WHOLE and self._sent == 1:
             self._times.teach(
                 self._state.begin(admission.service, admission.model),
@@ -195,14 +202,14 @@
         self._passing.begin(
             self._connection, self._make_pulse(admission, target)
         )
-        open_sends = self._state.open_sends.setdefault(
+        in_flight_requests = self._state.in_flight_requests.setdefault(
             target.endpoint_id, set()
         )
-        open_sends.add(self)
+        in_flight_requests.add(self)
         try:
             ending = await self._wait_for(admission, send)
         finally:
-            open_sends.discard(self)
+            in_flight_requests.discard(self)
             self._passing.end()
         if ending in _CUT_SHORT:
             self._connection.abandon()
@@ -240,13 +247,13 @@
         admission = self._admission
         if admission is None:
             return False
-        window = self._state.window(admission.service)
+        window = self._state.retry_budget(admission.service)
         self._is_paid = window.try_spend(
             time.monotonic(), self._state.node_count
         )
         return self._is_paid
 
-    def head_is_silent(self) -> None:
+    def head_stalled(self) -> None:
         """End the send that is under way if it may go on elsewhere.
 
         The last send that the route allows stays: a head that is only slow
@@ -271,12 +278,12 @@
         self,
         admission: admission_control.Admission,
         target: load_balancing.Target,
-    ) -> stall_detection.StreamPulse | None:
+    ) -> stall_detection.MonitoredStream | None:
         route = admission.route
         is_stream = route.kind is routes.RouteKind.STREAM
         if not (is_stream and admission.model and route.may_repeat):
             return None
-        return stall_detection.StreamPulse(
+        return stall_detection.MonitoredStream(
             head=target.endpoint_id,
             sent_s=time.monotonic(),
             prompt_s=admission.prompt_s,
@@ -329,7 +336,9 @@
             # Answers are also lost on the way, at times many at once: taken out
             # of use for each, all heads would be gone in a second. One that
             # crashed refuses the next connection and goes out of use by that.
-            self._state.targets.doubt(target.endpoint_id, 'broken stream')
+            self._state.targets.check_endpoint(
+                target.endpoint_id, 'broken stream'
+            )
 
     def _may_try_again(
         self, admission: admission_control.Admission, ending: upstream.Ending
@@ -396,9 +405,9 @@
 # After any other ending the endpoint may be dead.
 _LEAVING = types.MappingProxyType(
     {
-        upstream.Ending.WHOLE: reservations.Leaving.FREE,
-        upstream.Ending.FAILURE: reservations.Leaving.FREE,
-        upstream.Ending.GONE: reservations.Leaving.FREE,
-        upstream.Ending.NOT_RUN: reservations.Leaving.REFUSED,
+        upstream.Ending.WHOLE: reservations.ReleaseState.FREE,
+        upstream.Ending.FAILURE: reservations.ReleaseState.FREE,
+        upstream.Ending.GONE: reservations.ReleaseState.FREE,
+        upstream.Ending.NOT_RUN: reservations.ReleaseState.REFUSED,
     }
 )
--- a/redwingvalve/ingress/slot_requests.py
+++ b/redwingvalve/ingress/slot_requests.py
@@ -15,12 +15,12 @@
 from redwingvalve.platform import caller_requests
 
 
-async def take_place(
+async def reserve_slot(
     state: state_module.IngressState,
     caller: caller_requests.CallerRequest,
     admission: admission_control.Admission,
     avoid: collections_abc.Collection[str],
-) -> reservations.Reservation | reservations.NoPlace:
+) -> reservations.Reservation | reservations.NoSlot:
     """Return a place, or when the caller may come back.
 
     avoid names the endpoints that were tried.
@@ -32,7 +32,7 @@
         admission.model,
         _ask(state, admission, is_resumed=bool(avoid)),
         avoid,
-        state.silence.slow_heads(began_s),
+        state.stall_detector.slow_heads(began_s),
     )
     has_place = isinstance(found, reservations.Reservation)
     held_s = time.monotonic() - began_s
@@ -52,11 +52,11 @@
     admission: admission_control.Admission,
     *,
     is_resumed: bool,
-) -> wait_queue.Ask:
+) -> wait_queue.SlotRequest:
     begin = state.begin(admission.service, admission.model)
     left_s = admission.timeout_at_s - time.monotonic()
     begin_s = begin.seconds + admission.prompt_s
-    return wait_queue.Ask(
+    return wait_queue.SlotRequest(
         urgency=admission.urgency,
         on_time_s=refusals.on_time_wait_s(admission.route, begin_s),
         wait_s=refusals.wait_s(admission.route, left_s),
@@ -75,8 +75,8 @@
     responses.log_no_place(
         caller,
         admission,
-        targets=len(state.targets.of(service, model)),
-        under_way=state.in_use(service, model),
-        waiting=state.waiting(service, model),
+        targets=len(state.targets.find_targets(service, model)),
+        under_way=state.slot_demand(service, model),
+        waiting=state.waiting_requests(service, model),
         held_s=held_s,
     )
