--- a/redwingvalve/allocation/allocator.py
+++ b/redwingvalve/allocation/allocator.py
@@ -1,7 +1,7 @@
-"""Grants the places of the pools that this node is asked about.
+"""Grants the slots of the pools that this node owns.
 
-Which node is asked is decided by those that ask. An ask that is repeated gets
-the same answer, so that a lost datagram costs a repetition and no place.
+The asking nodes decide which node they treat as the owner. A repeated ask gets
+the same answer, so a lost datagram costs a repetition, but no slot.
 """
 
 import asyncio
@@ -23,16 +23,16 @@
 
 
 @attrs.define(eq=False)
-class _Waiting:
+class _WaitingAsk:
     reply: ReplyCallback
     task: asyncio.Task[None] | None = None
-    # Its task has still to end; granted now, a place would be lost.
-    is_withdrawn: bool = False
+    # The task may not have ended yet; a slot granted to it would be lost.
+    is_cancelled: bool = False
 
 
 @attrs.define(eq=False)
 class Allocator:
-    """All pools that this node grants places of."""
+    """All pools that this node owns."""
 
     targets: pool_module.PoolTargets
     clock: pool_module.Clock
@@ -40,19 +40,19 @@
     _pools: dict[messages.Pool, pool_module.SlotPool] = attrs.field(
         factory=dict
     )
-    _waiting: dict[tuple[messages.Sender, int], _Waiting] = attrs.field(
+    _waiting_asks: dict[tuple[messages.Sender, int], _WaitingAsk] = attrs.field(
         factory=dict
     )
 
     def ask(
         self, sender: messages.Sender, ask: messages.Ask, reply: ReplyCallback
     ) -> None:
-        """Answer an ask, at once or once a place is free."""
+        """Answer an ask, at once or as soon as a slot is free."""
         key = (sender, ask.number)
-        waits = self._waiting.get(key)
-        if waits is not None:
-            waits.reply = reply
-            reply(_queued(ask))
+        waiting_ask = self._waiting_asks.get(key)
+        if waiting_ask is not None:
+            waiting_ask.reply = reply
+            reply(_queued_reply(ask))
             return
         if not self.targets(ask.pool):
             reply(messages.Reply(ask.number, messages.Outcome.NO_ENDPOINTS))
@@ -60,55 +60,59 @@
         pool = self.pool(ask.pool)
         held = pool.holds.find(key)
         if held is not None:
-            reply(_granted(ask, held.endpoint_id))
+            reply(_granted_reply(ask, held.endpoint_id))
             return
-        pool.note_slow(ask)
-        select = pool.selector(sender, ask)
+        pool.record_slow_endpoints(ask)
+        select = pool.acquirer_for(sender, ask)
         target = pool.queue.try_acquire(ask.need, select)
         if target is not None:
-            reply(_granted(ask, target.endpoint_id))
+            reply(_granted_reply(ask, target.endpoint_id))
         elif ask.may_wait:
-            self._queue(key, ask, reply)
+            self._enqueue(key, ask, reply)
         else:
-            expected_s = pool.expected_s(ask.need)
+            expected_wait_s = pool.expected_wait_s(ask.need)
             full = messages.Outcome.FULL
-            reply(messages.Reply(ask.number, full, expected_s=expected_s))
+            reply(
+                messages.Reply(
+                    ask.number, full, expected_wait_s=expected_wait_s
+                )
+            )
 
     def release(
         self, sender: messages.Sender, release: messages.Release
     ) -> None:
-        """Free a place, or stop waiting for one."""
+        """Free a slot, or cancel the ask that waits for one."""
         key = (sender, release.number)
-        waits = self._waiting.pop(key, None)
-        if waits is not None and waits.task is not None:
-            waits.is_withdrawn = True
-            waits.task.cancel()
+        waiting_ask = self._waiting_asks.pop(key, None)
+        if waiting_ask is not None and waiting_ask.task is not None:
+            waiting_ask.is_cancelled = True
+            waiting_ask.task.cancel()
         for pool in self._pools.values():
             pool.release(key, release.leaving)
 
     def holdings(
         self, sender: messages.Sender, holdings: messages.Holdings
     ) -> None:
-        """Take what a node holds."""
+        """Reconcile the holds of a node with those that it reports."""
         self.pool(holdings.pool).reconcile(sender, holdings.endpoint_ids)
 
     def drop_node(self, vm: str) -> None:
-        """Free what a node held that is gone."""
+        """Free the slots of a node that is gone."""
         for pool in self._pools.values():
             pool.drop_node(vm)
 
     def tick(self) -> None:
-        """Free what has lapsed, and use what has become known."""
+        """Drop expired state of all pools and serve their queues."""
         for pool in self._pools.values():
             pool.tick()
 
     @property
     def is_busy(self) -> bool:
-        """Return whether places are held or waited for."""
+        """Return whether slots are held or waited for."""
         return any(pool.is_busy for pool in self._pools.values())
 
     def usage(self) -> dict[str, int]:
-        """Return the places held and wanted, by service and model."""
+        """Return the slots held and waited for, by service and model."""
         counts: collections.Counter[str] = collections.Counter()
         for key, pool in self._pools.items():
             name = usage_module.usage_key(key.service, key.model)
@@ -116,7 +120,7 @@
         return {name: count for name, count in counts.items() if count}
 
     def queue_length(self, service: str, model: str) -> int:
-        """Return how many requests wait here for places of a model."""
+        """Return the number of requests that wait here for a model."""
         return sum(
             len(pool.queue)
             for key, pool in self._pools.items()
@@ -124,62 +128,64 @@
         )
 
     def pool(self, key: messages.Pool) -> pool_module.SlotPool:
-        """Return the places of a pool."""
+        """Return the pool of a key, created if it does not exist."""
         known = self._pools.get(key)
         if known is not None:
             return known
-        made = pool_module.SlotPool(
+        created = pool_module.SlotPool(
             targets=lambda: self.targets(key),
             rng=self.rng,
             clock=self.clock,
         )
-        self._pools[key] = made
+        self._pools[key] = created
         LOG.info('pool counted here', extra=attrs.asdict(key))
-        return made
+        return created
 
-    def _queue(
+    def _enqueue(
         self,
         key: tuple[messages.Sender, int],
         ask: messages.Ask,
         reply: ReplyCallback,
     ) -> None:
-        waits = _Waiting(reply)
-        self._waiting[key] = waits
+        waiting_ask = _WaitingAsk(reply)
+        self._waiting_asks[key] = waiting_ask
         loop = asyncio.get_running_loop()
-        waits.task = loop.create_task(self._wait(key, ask, waits))
-        reply(_queued(ask))
+        waiting_ask.task = loop.create_task(
+            self._wait_for_slot(key, ask, waiting_ask)
+        )
+        reply(_queued_reply(ask))
 
-    async def _wait(
+    async def _wait_for_slot(
         self,
         key: tuple[messages.Sender, int],
         ask: messages.Ask,
-        waits: _Waiting,
+        waiting_ask: _WaitingAsk,
     ) -> None:
         pool = self.pool(ask.pool)
-        take = pool.selector(key[0], ask)
+        acquire = pool.acquirer_for(key[0], ask)
 
         def select() -> load_balancing.Target | None:
-            return None if waits.is_withdrawn else take()
+            return None if waiting_ask.is_cancelled else acquire()
 
         try:
             target = await pool.queue.acquire(ask.need, select)
         finally:
-            if self._waiting.get(key) is waits:
-                self._waiting.pop(key)
+            if self._waiting_asks.get(key) is waiting_ask:
+                self._waiting_asks.pop(key)
         if target is not None:
-            waits.reply(_granted(ask, target.endpoint_id))
+            waiting_ask.reply(_granted_reply(ask, target.endpoint_id))
             return
         refused = messages.Reply(
             ask.number,
             messages.Outcome.REFUSED,
             retry_after_s=pool.queue.retry_after_s(),
         )
-        waits.reply(refused)
+        waiting_ask.reply(refused)
 
 
-def _queued(ask: messages.Ask) -> messages.Reply:
+def _queued_reply(ask: messages.Ask) -> messages.Reply:
     return messages.Reply(ask.number, messages.Outcome.QUEUED)
 
 
-def _granted(ask: messages.Ask, endpoint_id: str) -> messages.Reply:
+def _granted_reply(ask: messages.Ask, endpoint_id: str) -> messages.Reply:
     return messages.Reply(ask.number, messages.Outcome.GRANTED, endpoint_id)
--- a/redwingvalve/allocation/messages.py
+++ b/redwingvalve/allocation/messages.py
@@ -73,7 +73,7 @@
     endpoint_id: str = ''
     retry_after_s: float = 0
     # Expected wait for a slot.
-    expected_s: float = 0
+    expected_wait_s: float = 0
 
 
 @attrs.frozen
@@ -165,7 +165,7 @@
             outcome=int(message.outcome),
             endpoint_id=message.endpoint_id,
             retry_after_ms=_ms(message.retry_after_s),
-            expected_ms=_ms(message.expected_s),
+            expected_ms=_ms(message.expected_wait_s),
         )
     elif isinstance(message, Release):
         struct.release = _ReleaseStruct(
@@ -247,7 +247,7 @@
         outcome=outcome,
         endpoint_id=struct.endpoint_id or '',
         retry_after_s=(struct.retry_after_ms or 0) / _MS_IN_S,
-        expected_s=(struct.expected_ms or 0) / _MS_IN_S,
+        expected_wait_s=(struct.expected_ms or 0) / _MS_IN_S,
     )
 
 
--- a/redwingvalve/allocation/pool.py
+++ b/redwingvalve/allocation/pool.py
@@ -1,9 +1,9 @@
-"""The places of one pool: who waits for them, and who gets the next one.
+"""Counts the slots of one pool, grants them and queues requests for them.
 
-Load answered: requests of a model come to hundreds of nodes, a few a second to
-each, and its places change hands several times a second. What any node
-remembers of the others is older than a request lasts. So one node counts the
-places of a pool, and the waiting room stands where they are counted.
+Load pattern: requests for a model arrive at hundreds of nodes, a few per second
+at each, and each slot is reassigned several times a second. What a node knows
+of the requests of other nodes is outdated before a request ends. So one node,
+the owner, counts the slots of a pool and keeps the queue for them.
 """
 
 import functools
@@ -22,18 +22,18 @@
     wait_queue,
 )
 
-# Places that late requests leave free, in spreads of the number in use, and at
-# most as a share of all.
-RESERVED_SPREADS = 0.5
-MOST_RESERVED_SHARE = 0.25
-# An endpoint that refuses although places seem free serves requests that
-# nobody holds any more; they end within this.
-REFUSED_S = 0.25
-# A place whose request ended without an answer is left alone for as long: its
-# endpoint may be dead, which the next connection shows.
-UNSURE_S = 0.25
-# An endpoint that a node found slow is chosen last for this long.
-SLOW_S = 2.0
+# Slots that late requests leave free: in standard deviations of the number in
+# use, and at most this share of all slots.
+RESERVED_STDDEVS = 0.5
+MAX_RESERVED_SHARE = 0.25
+# An endpoint that refuses a request although slots seem free is still serving
+# requests whose holds are gone; they end within this time.
+REFUSAL_COOLDOWN_S = 0.25
+# A slot whose request ended without an answer is not granted for this long: its
+# endpoint may be dead, which the next connection reveals.
+UNCERTAIN_SLOT_S = 0.25
+# An endpoint that a node reported as slow is chosen last for this long.
+SLOW_ENDPOINT_S = 2.0
 
 Clock = collections_abc.Callable[[], float]
 Targets = collections_abc.Callable[
@@ -42,8 +42,8 @@
 
 
 @attrs.frozen
-class _Unsure:
-    """A place that may still be taken, or be a dead endpoint's."""
+class _UncertainSlot:
+    """A slot that may still be in use, or belong to a dead endpoint."""
 
     endpoint_id: str
     until_s: float
@@ -51,138 +51,144 @@
 
 @attrs.define(eq=False)
 class SlotPool(wait_queue.SlotCapacity):
-    """Counts, grants and queues for one pool."""
+    """The slots of one pool, and the queue for them."""
 
     targets: Targets
     rng: random.Random
     clock: Clock
     holds: hold_table.HoldTable = attrs.field(factory=hold_table.HoldTable)
-    _hold: duration_estimates.DurationEstimate = attrs.field(
+    _hold_time: duration_estimates.DurationEstimate = attrs.field(
         factory=duration_estimates.make_hold_time_estimate
     )
     _refused_until_s: dict[str, float] = attrs.field(factory=dict)
     _slow_until_s: dict[str, float] = attrs.field(factory=dict)
-    _unsure: list[_Unsure] = attrs.field(factory=list)
+    _uncertain_slots: list[_UncertainSlot] = attrs.field(factory=list)
     queue: wait_queue.WaitQueue = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Open the waiting room."""
+        """Create the queue."""
         self.queue = wait_queue.WaitQueue(self.clock, self)
 
     @property
     def is_busy(self) -> bool:
-        """Return whether places are held or waited for."""
+        """Return whether slots are held or waited for."""
         return bool(len(self.holds) or len(self.queue))
 
-    def selector(
+    def acquirer_for(
         self, sender: messages.Sender, ask: messages.Ask
     ) -> load_balancing.AcquireSlot:
-        """Return what takes a place for an ask."""
-        return functools.partial(self._take, sender, ask)
+        """Return the callback that acquires a slot for an ask."""
+        return functools.partial(self._acquire, sender, ask)
 
-    def note_slow(self, ask: messages.Ask) -> None:
-        """Take what a node has found slow."""
-        until_s = self.clock() + SLOW_S
+    def record_slow_endpoints(self, ask: messages.Ask) -> None:
+        """Record the endpoints that the asking node found slow."""
+        until_s = self.clock() + SLOW_ENDPOINT_S
         for endpoint_id in ask.slow:
             self._slow_until_s[endpoint_id] = until_s
 
     def release(
         self, key: hold_table.Key, leaving: reservations.ReleaseState
     ) -> None:
-        """Free a place and give it to the first that waits."""
+        """Free a slot and serve the queue."""
         hold = self.holds.release(key)
         if hold is None:
             return
         now_s = self.clock()
         if leaving is reservations.ReleaseState.REFUSED:
-            self._refused_until_s[hold.endpoint_id] = now_s + REFUSED_S
+            self._refused_until_s[hold.endpoint_id] = now_s + REFUSAL_COOLDOWN_S
         elif leaving is reservations.ReleaseState.UNCERTAIN:
-            self._unsure.append(_Unsure(hold.endpoint_id, now_s + UNSURE_S))
+            self._uncertain_slots.append(
+                _UncertainSlot(hold.endpoint_id, now_s + UNCERTAIN_SLOT_S)
+            )
         else:
-            self._hold.observe(now_s - hold.since_s)
+            self._hold_time.observe(now_s - hold.since_s)
         self.queue.dispatch()
 
     def reconcile(
         self, sender: messages.Sender, endpoint_ids: dict[int, str]
     ) -> None:
-        """Take what a node holds."""
+        """Replace the holds of a node with those that it reports."""
         self.holds.reconcile(sender, endpoint_ids, self.clock())
         self.queue.dispatch()
 
     def drop_node(self, vm: str) -> None:
-        """Free what a node held that is gone."""
+        """Free the slots of a node that is gone."""
         if self.holds.drop_node(vm):
             self.queue.dispatch()
 
     def tick(self) -> None:
-        """Forget what is over, and let those that wait look again."""
+        """Drop expired state, then serve the queue."""
         now_s = self.clock()
         self.holds.drop_expired(now_s)
         self._refused_until_s = _unexpired(self._refused_until_s, now_s)
         self._slow_until_s = _unexpired(self._slow_until_s, now_s)
-        self._unsure = [one for one in self._unsure if one.until_s > now_s]
+        self._uncertain_slots = [
+            one for one in self._uncertain_slots if one.until_s > now_s
+        ]
         self.queue.dispatch()
 
-    def expected_s(self, ask: wait_queue.SlotRequest) -> float:
-        """Return how long a request would wait."""
+    def expected_wait_s(self, ask: wait_queue.SlotRequest) -> float:
+        """Return the expected wait of a new request."""
         next_s = 1 / max(self.freed_per_s(), wait_queue.MIN_FREED_PER_S)
         return max(self.queue.expected_wait_s(ask), next_s)
 
     def free_slots(self) -> int:
-        """Return the places that are free."""
-        return sum(map(self._free_at, self.targets()))
+        """Return the number of free slots."""
+        return sum(map(self._free_slots_at, self.targets()))
 
     def slots(self) -> int:
-        """Return all places, taken or free."""
+        """Return the number of all slots, held or free."""
         return sum(target.slots for target in self.targets())
 
     def freed_per_s(self) -> float:
-        """Return the places that come free in a second while all are taken."""
-        return self.slots() / self._hold.seconds
+        """Return the slots freed per second while all are held."""
+        return self.slots() / self._hold_time.seconds
 
     def has_spare_slots(self) -> bool:
-        """Return whether late requests may take a place now.
+        """Return whether late requests may take a slot now.
 
-        Some places are kept for requests that can be on time: half of the
-        square root of all, which is how far their number strays by chance.
+        Some slots are reserved for requests that can still be on time: half of
+        the square root of all slots, that is, half the standard deviation of
+        the number in use.
         """
         slots = self.slots()
-        strays = RESERVED_SPREADS * math.sqrt(slots)
-        return self.free_slots() > min(strays, slots * MOST_RESERVED_SHARE)
+        reserved = RESERVED_STDDEVS * math.sqrt(slots)
+        return self.free_slots() > min(reserved, slots * MAX_RESERVED_SHARE)
 
-    def _take(
+    def _acquire(
         self, sender: messages.Sender, ask: messages.Ask
     ) -> load_balancing.Target | None:
-        found = self._choose(ask.avoid)
-        if found is not None:
+        target = self._choose_target(ask.avoid)
+        if target is not None:
             key = (sender, ask.number)
-            self.holds.add(key, found.endpoint_id, self.clock())
-        return found
+            self.holds.add(key, target.endpoint_id, self.clock())
+        return target
 
-    def _choose(
+    def _choose_target(
         self, avoid: collections_abc.Container[str]
     ) -> load_balancing.Target | None:
         free = [
             target
             for target in self.targets()
-            if target.endpoint_id not in avoid and self._free_at(target) > 0
+            if target.endpoint_id not in avoid
+            and self._free_slots_at(target) > 0
         ]
         return min(free, key=self._rank, default=None)
 
     def _rank(self, target: load_balancing.Target) -> tuple[bool, float, float]:
-        filled = self.holds.count(target.endpoint_id) / target.slots
+        load = self.holds.count(target.endpoint_id) / target.slots
         is_slow = target.endpoint_id in self._slow_until_s
-        return is_slow, filled, self.rng.random()
+        return is_slow, load, self.rng.random()
 
-    def _free_at(self, target: load_balancing.Target) -> int:
+    def _free_slots_at(self, target: load_balancing.Target) -> int:
         now_s = self.clock()
         if self._refused_until_s.get(target.endpoint_id, 0) > now_s:
             return 0
-        unsure = sum(
+        uncertain = sum(
             one.endpoint_id == target.endpoint_id and one.until_s > now_s
-            for one in self._unsure
+            for one in self._uncertain_slots
         )
-        held = self.holds.count(target.endpoint_id) + unsure
+        held = self.holds.count(target.endpoint_id) + uncertain
         return max(0, target.slots - held)
 
 
--- a/redwingvalve/allocation/reserver.py
+++ b/redwingvalve/allocation/reserver.py
@@ -1,9 +1,9 @@
-"""Gets places for this node's requests from the nodes that grant them.
+"""Reserves slots for this node's requests with the owners of the pools.
 
-Load pattern: the node that grants dies, freezes, or is cut off while requests
-need places. An ask without an answer goes to the next node in rank, and after
-that this node chooses an endpoint by what it knows itself. What it holds then
-is told to whoever counts next, with what it holds otherwise.
+Load pattern: the owner of a pool dies, freezes or is cut off while requests
+need slots. An ask without an answer goes to the next owner in rank, and after
+that this node chooses an endpoint by its own view. It reports slots chosen that
+way to the next owner together with the granted ones.
 """
 
 import asyncio
@@ -20,25 +20,25 @@
 from redwingvalve.ingress import load_balancing, reservations, state, wait_queue
 from redwingvalve.observability import node_metrics
 
-# A round trip between data centres takes a few milliseconds, a busy node
-# answers some milliseconds later; goals of callers are hundreds of them.
-ANSWER_S = 0.04
-# Between two questions whether an ask still waits; one lost answer is excused.
-POLL_S = 0.1
-MISSED_POLLS = 2
-# Beyond the time that a request may wait.
+# A round trip between data centres takes a few milliseconds, and a busy node
+# some more to answer; the latency targets of callers are hundreds of them.
+REPLY_TIMEOUT_S = 0.04
+# Interval at which a queued ask is checked; a single lost answer is tolerated.
+POLL_INTERVAL_S = 0.1
+MAX_MISSED_POLLS = 2
+# Added to the time that a request may wait.
 WAIT_SLACK_S = 0.2
-# Other data centres that are asked when the own one is full: with two that are
-# drawn by chance the fullest are avoided as well as with all.
-OTHERS_ASKED = 2
-# Of the time in which a granted request can still be on time: a grant has to
-# come back, and the request has to be sent.
+# Other data centres that are asked when the local one is full: two random ones
+# avoid the fullest as well as asking all of them.
+REMOTE_POOLS_ASKED = 2
+# Deducted from the time that a request may wait: the grant has to arrive, and
+# the request has to be sent.
 GRANT_SLACK_S = 0.01
-# Targets that this node doesn't know are given back, so many times.
-MOST_UNKNOWN = 3
-# Holdings are told this often while there are any.
+# Attempts per request while owners grant targets that this node does not know.
+MAX_UNKNOWN_TARGETS = 3
+# Interval between two reports of the held slots.
 REPORT_INTERVAL_S = 0.5
-# Without an owner that answers, callers come back after this.
+# Callers retry after this time if no owner answers.
 RETRY_AFTER_S = 0.8
 
 _GRANTED = messages.Outcome.GRANTED
@@ -47,21 +47,21 @@
 
 
 class Transport(typing.Protocol):
-    """Carries messages to other nodes; some get lost."""
+    """Sends messages to other nodes; messages may be lost."""
 
     def send(self, vm: str, message: messages.Message) -> None:
-        """Send a message to a node, or drop it if the node isn't known."""
+        """Send a message to a node, or drop it if the node is unknown."""
 
 
 @attrs.define(eq=False)
-class _Pending:
+class _PendingAsk:
     number: int
     vm: str
     latest: messages.Reply | None = None
     changed: asyncio.Event = attrs.field(factory=asyncio.Event)
 
-    def take(self, reply: messages.Reply) -> None:
-        """Take a reply unless a later one has overtaken it."""
+    def accept(self, reply: messages.Reply) -> None:
+        """Accept a reply unless it was overtaken by the final one."""
         if reply.outcome is _QUEUED and _is_final(self.latest):
             return
         self.latest = reply
@@ -72,32 +72,32 @@
 class _Grant:
     number: int
     pool: messages.Pool
-    # Empty if this node chose by itself.
-    granter: str
+    # Empty if this node chose the target locally.
+    owner: str
     endpoint_id: str
 
 
 @attrs.frozen
-class _Held:
+class _HeldSlot:
     pool: messages.Pool
     target: load_balancing.Target
-    # Who granted it; empty if this node chose by itself.
-    granter: str
+    # Node that granted it; empty if this node chose the target locally.
+    owner: str
 
 
 @attrs.frozen
-class _Place(reservations.Reservation):
+class _SlotReservation(reservations.Reservation):
     target: load_balancing.Target
     _number: int
     _reserver: 'NodeReserver'
 
     def release(self, leaving: reservations.ReleaseState) -> None:
-        self._reserver.give_back(self._number, leaving)
+        self._reserver.release_slot(self._number, leaving)
 
 
 @attrs.define(eq=False)
 class NodeReserver(reservations.Reserver):
-    """Reserves places for one node."""
+    """Reserves slots for the requests of one node."""
 
     data_centre: str
     targets: state.TargetProvider
@@ -106,14 +106,14 @@
     loads: load_balancing.EndpointLoads
     clock: collections_abc.Callable[[], float]
     rng: random.Random = attrs.field(factory=random.Random)
-    # Whether the data centres of a model count their places apart.
+    # Whether each data centre has its own pool per model.
     is_split_by_data_centre: collections_abc.Callable[[], bool] = lambda: True
     _numbers: typing.Iterator[int] = attrs.field(
         factory=lambda: itertools.count(1)
     )
-    _pending: dict[int, _Pending] = attrs.field(factory=dict)
-    _held: dict[int, _Held] = attrs.field(factory=dict)
-    _told_owners: dict[messages.Pool, str] = attrs.field(factory=dict)
+    _pending_asks: dict[int, _PendingAsk] = attrs.field(factory=dict)
+    _held_slots: dict[int, _HeldSlot] = attrs.field(factory=dict)
+    _last_owners: dict[messages.Pool, str] = attrs.field(factory=dict)
 
     async def reserve(
         self,
@@ -123,86 +123,95 @@
         avoid: collections_abc.Collection[str],
         slow: collections_abc.Collection[str],
     ) -> reservations.Reservation | reservations.NoSlot:
-        """Return a place for a request, or when its caller may come back."""
-        avoided = list(avoid)
-        need = _later(need, GRANT_SLACK_S)
-        for _ in range(MOST_UNKNOWN):
-            pools = self._pools(service, model)
+        """Return a slot for a request, or when its caller may retry."""
+        avoided_ids = list(avoid)
+        need = _deduct_elapsed(need, GRANT_SLACK_S)
+        for _ in range(MAX_UNKNOWN_TARGETS):
+            pools = self._pools_to_ask(service, model)
             if not pools:
                 break
             ask = messages.Ask(
-                0, pools[0], len(pools) == 1, need, tuple(avoided), tuple(slow)
+                0,
+                pools[0],
+                len(pools) == 1,
+                need,
+                tuple(avoided_ids),
+                tuple(slow),
             )
-            found = await self._find(pools, ask)
+            found = await self._find_slot(pools, ask)
             if isinstance(found, reservations.NoSlot):
                 return found
-            target = self._known(found)
+            target = self._find_granted_target(found)
             if target is not None:
-                return self._keep(found, target)
-            self.transport.send(found.granter, messages.Release(found.number))
-            avoided.append(found.endpoint_id)
+                return self._record_hold(found, target)
+            self.transport.send(found.owner, messages.Release(found.number))
+            avoided_ids.append(found.endpoint_id)
         return reservations.NoSlot(RETRY_AFTER_S)
 
     def handle_reply(self, vm: str, reply: messages.Reply) -> None:
-        """Take a reply to an ask."""
+        """Handle a reply to an ask."""
         self.owners.mark_responsive(vm)
-        pending = self._pending.get(reply.number)
+        pending = self._pending_asks.get(reply.number)
         if pending is not None and pending.vm == vm:
-            pending.take(reply)
-        elif reply.outcome is _GRANTED and reply.number not in self._held:
-            # Nobody waits for it any more.
+            pending.accept(reply)
+        elif reply.outcome is _GRANTED and reply.number not in self._held_slots:
+            # No request waits for the slot any more.
             self.transport.send(vm, messages.Release(reply.number))
 
-    def give_back(
+    def release_slot(
         self, number: int, leaving: reservations.ReleaseState
     ) -> None:
-        """Release a place."""
-        held = self._held.pop(number, None)
+        """Release a slot."""
+        held = self._held_slots.pop(number, None)
         if held is None:
             return
         self.loads.remove_request(held.target.endpoint_id)
-        owner = held.granter or self._owner(held.pool)
+        owner = held.owner or self._current_owner(held.pool)
         if owner:
             self.transport.send(owner, messages.Release(number, leaving))
 
     async def run(self) -> typing.NoReturn:
-        """Tell owners what is held here until cancelled."""
+        """Report held slots to their owners until cancelled."""
         while True:
             await anyio.sleep(REPORT_INTERVAL_S)
             self.report()
 
     def report(self) -> None:
-        """Tell owners what is held here."""
-        pools = {held.pool for held in self._held.values()}
+        """Report held slots to their owners."""
+        pools = {held.pool for held in self._held_slots.values()}
         for pool in pools:
             self._report_pool(pool)
 
-    async def _find(
+    async def _find_slot(
         self, pools: list[messages.Pool], ask: messages.Ask
     ) -> _Grant | reservations.NoSlot:
-        """Return a place in the first pool that has one, or wait for one."""
+        """Return a slot of the first pool that has one, or wait for one.
+
+        If all pools are full, the request waits for the one with the shortest
+        expected wait.
+        """
         began_s = self.clock()
-        shortest, shortest_s = pools[0], float('inf')
+        shortest_pool, shortest_s = pools[0], float('inf')
         for pool in pools:
-            decided = await self._try(attrs.evolve(ask, pool=pool))
-            if not isinstance(decided, messages.Reply):
-                return decided
-            if decided.expected_s < shortest_s:
-                shortest, shortest_s = pool, decided.expected_s
-        need = _later(ask.need, self.clock() - began_s)
-        last = attrs.evolve(ask, pool=shortest, may_wait=True, need=need)
-        decided = await self._try(last)
-        if isinstance(decided, messages.Reply):
-            return reservations.NoSlot(decided.retry_after_s)
-        return decided
-
-    async def _try(
+            answer = await self._try_pool(attrs.evolve(ask, pool=pool))
+            if not isinstance(answer, messages.Reply):
+                return answer
+            if answer.expected_wait_s < shortest_s:
+                shortest_pool, shortest_s = pool, answer.expected_wait_s
+        need = _deduct_elapsed(ask.need, self.clock() - began_s)
+        last = attrs.evolve(ask, pool=shortest_pool, may_wait=True, need=need)
+        answer = await self._try_pool(last)
+        if isinstance(answer, messages.Reply):
+            return reservations.NoSlot(answer.retry_after_s)
+        return answer
+
+    async def _try_pool(
         self, ask: messages.Ask
     ) -> _Grant | reservations.NoSlot | messages.Reply:
-        """Return a place or a refusal; the reply if the pool is full."""
-        found = await self._ask(ask)
+        """Return a slot or a refusal, or the reply if the pool is full."""
+        found = await self._ask_owners(ask)
         if found is None:
-            return self._choose(ask)
+            return self._choose_locally(ask)
         vm, reply = found
         if reply.outcome is _GRANTED:
             return _Grant(reply.number, ask.pool, vm, reply.endpoint_id)
@@ -210,36 +219,36 @@
             return reservations.NoSlot(reply.retry_after_s)
         return reply
 
-    def _pools(self, service: str, model: str) -> list[messages.Pool]:
-        """Return the pools to be asked, that of this data centre first."""
+    def _pools_to_ask(self, service: str, model: str) -> list[messages.Pool]:
+        """Return the pools to ask, that of the local data centre first."""
         targets = self.targets.find_targets(service, model)
         if not (model and self.is_split_by_data_centre()):
             found = [messages.Pool(service, model, '')]
             return found if targets else []
         data_centres = {target.data_centre for target in targets}
         others = sorted(data_centres - {self.data_centre})
-        drawn = self.rng.sample(others, min(len(others), OTHERS_ASKED))
+        sampled = self.rng.sample(others, min(len(others), REMOTE_POOLS_ASKED))
         if self.data_centre in data_centres:
-            drawn.insert(0, self.data_centre)
-        return [messages.Pool(service, model, one) for one in drawn]
+            sampled.insert(0, self.data_centre)
+        return [messages.Pool(service, model, one) for one in sampled]
 
-    async def _ask(
+    async def _ask_owners(
         self, ask: messages.Ask
     ) -> tuple[str, messages.Reply] | None:
-        """Return who decided an ask, and what; None without an answer."""
+        """Return the owner that answered and its reply, or None."""
         asked_s = self.clock()
         for vm in self.owners.ranked_for(ask.pool):
-            self._note_owner(ask.pool, vm)
-            pending = _Pending(next(self._numbers), vm)
-            self._pending[pending.number] = pending
-            need = _later(ask.need, self.clock() - asked_s)
+            self._report_to_new_owner(ask.pool, vm)
+            pending = _PendingAsk(next(self._numbers), vm)
+            self._pending_asks[pending.number] = pending
+            need = _deduct_elapsed(ask.need, self.clock() - asked_s)
             try:
                 reply = await self._exchange(
                     pending,
                     attrs.evolve(ask, number=pending.number, need=need),
                 )
             finally:
-                self._pending.pop(pending.number)
+                self._pending_asks.pop(pending.number)
                 if not _is_final(pending.latest):
                     release = messages.Release(pending.number)
                     self.transport.send(vm, release)
@@ -250,11 +259,11 @@
         return None
 
     async def _exchange(
-        self, pending: _Pending, ask: messages.Ask
+        self, pending: _PendingAsk, ask: messages.Ask
     ) -> messages.Reply | None:
         began_s = self.clock()
         until_s = began_s + ask.need.wait_s + WAIT_SLACK_S
-        reply = await self._send_and_wait(pending, ask, ANSWER_S)
+        reply = await self._send_and_wait(pending, ask, REPLY_TIMEOUT_S)
         missed = 0
         while reply is not None and reply.outcome is _QUEUED:
             if self.clock() > until_s:
@@ -263,26 +272,28 @@
                     messages.Outcome.REFUSED,
                     retry_after_s=RETRY_AFTER_S,
                 )
-            newer = await self._wait(pending, POLL_S)
-            if newer is None:
-                need = _later(ask.need, self.clock() - began_s)
-                again = attrs.evolve(ask, need=need)
-                newer = await self._send_and_wait(pending, again, ANSWER_S)
-            missed = 0 if newer else missed + 1
-            if missed >= MISSED_POLLS:
+            next_reply = await self._wait(pending, POLL_INTERVAL_S)
+            if next_reply is None:
+                need = _deduct_elapsed(ask.need, self.clock() - began_s)
+                repeated = attrs.evolve(ask, need=need)
+                next_reply = await self._send_and_wait(
+                    pending, repeated, REPLY_TIMEOUT_S
+                )
+            missed = 0 if next_reply else missed + 1
+            if missed >= MAX_MISSED_POLLS:
                 return None
-            reply = newer or reply
+            reply = next_reply or reply
         return reply
 
     async def _send_and_wait(
-        self, pending: _Pending, ask: messages.Ask, timeout_s: float
+        self, pending: _PendingAsk, ask: messages.Ask, timeout_s: float
     ) -> messages.Reply | None:
         pending.changed.clear()
         self.transport.send(pending.vm, ask)
         return await self._wait(pending, timeout_s)
 
     async def _wait(
-        self, pending: _Pending, timeout_s: float
+        self, pending: _PendingAsk, timeout_s: float
     ) -> messages.Reply | None:
         if not pending.changed.is_set():
             try:
@@ -293,51 +304,57 @@
         pending.changed.clear()
         return pending.latest
 
-    def _choose(self, ask: messages.Ask) -> _Grant | reservations.NoSlot:
-        """Choose by what this node knows itself."""
+    def _choose_locally(
+        self, ask: messages.Ask
+    ) -> _Grant | reservations.NoSlot:
+        """Choose an endpoint by this node's own view."""
         node_metrics.METRICS.count('redwingvalve_places_chosen_alone')
         targets = self.targets.find_targets(ask.pool.service, ask.pool.model)
-        drawn = load_balancing.sample_candidates(targets, self.rng)
-        for among in (drawn, targets):
+        sampled = load_balancing.sample_candidates(targets, self.rng)
+        for candidates in (sampled, targets):
             found = load_balancing.choose_least_loaded(
-                among, self.loads, self.rng, ask.avoid, ask.slow
+                candidates, self.loads, self.rng, ask.avoid, ask.slow
             )
             if found is not None:
                 number = next(self._numbers)
                 return _Grant(number, ask.pool, '', found.endpoint_id)
         return reservations.NoSlot(RETRY_AFTER_S)
 
-    def _known(self, grant: _Grant) -> load_balancing.Target | None:
+    def _find_granted_target(
+        self, grant: _Grant
+    ) -> load_balancing.Target | None:
         pool = grant.pool
         for target in self.targets.find_targets(pool.service, pool.model):
             if target.endpoint_id == grant.endpoint_id:
                 return target
         return None
 
-    def _keep(
+    def _record_hold(
         self, grant: _Grant, target: load_balancing.Target
     ) -> reservations.Reservation:
-        self._held[grant.number] = _Held(grant.pool, target, grant.granter)
+        self._held_slots[grant.number] = _HeldSlot(
+            grant.pool, target, grant.owner
+        )
         self.loads.add_request(target.endpoint_id)
-        return _Place(target, grant.number, self)
+        return _SlotReservation(target, grant.number, self)
 
-    def _owner(self, pool: messages.Pool) -> str:
+    def _current_owner(self, pool: messages.Pool) -> str:
         return next(iter(self.owners.ranked_for(pool)), '')
 
-    def _note_owner(self, pool: messages.Pool, vm: str) -> None:
-        """Tell a new owner what is held here, before it grants more."""
-        if self._told_owners.get(pool) == vm:
+    def _report_to_new_owner(self, pool: messages.Pool, vm: str) -> None:
+        """Report held slots to a new owner before it grants more."""
+        if self._last_owners.get(pool) == vm:
             return
-        is_first = pool not in self._told_owners
-        self._told_owners[pool] = vm
+        is_first = pool not in self._last_owners
+        self._last_owners[pool] = vm
         if not is_first:
             self._report_pool(pool)
 
     def _report_pool(self, pool: messages.Pool) -> None:
-        owner = self._owner(pool)
+        owner = self._current_owner(pool)
         endpoint_ids = {
             number: held.target.endpoint_id
-            for number, held in self._held.items()
+            for number, held in self._held_slots.items()
             if held.pool == pool
         }
         if owner and endpoint_ids:
@@ -345,14 +362,14 @@
             self.transport.send(owner, holdings)
 
 
-def _later(
-    need: wait_queue.SlotRequest, passed_s: float
+def _deduct_elapsed(
+    need: wait_queue.SlotRequest, elapsed_s: float
 ) -> wait_queue.SlotRequest:
-    """Return what a request needs once some time has passed."""
+    """Return the request with its time limits reduced by elapsed_s."""
     return attrs.evolve(
         need,
-        on_time_s=max(0, need.on_time_s - passed_s),
-        wait_s=max(0, need.wait_s - passed_s),
+        on_time_s=max(0, need.on_time_s - elapsed_s),
+        wait_s=max(0, need.wait_s - elapsed_s),
     )
 
 
--- a/redwingvalve/allocation/tests/test_messages.py
+++ b/redwingvalve/allocation/tests/test_messages.py
@@ -18,7 +18,7 @@
         messages.Ask(7, POOL, True, NEED, ('e1',), ('e2', 'e3')),
         messages.Reply(7, messages.Outcome.GRANTED, 'e1'),
         messages.Reply(7, messages.Outcome.REFUSED, retry_after_s=0.8),
-        messages.Reply(7, messages.Outcome.FULL, expected_s=0.02),
+        messages.Reply(7, messages.Outcome.FULL, expected_wait_s=0.02),
         messages.Release(7, reservations.ReleaseState.REFUSED),
         messages.Holdings(POOL, {7: 'e1', 9: 'e2'}),
     ],
--- a/redwingvalve/allocation/tests/test_pool.py
+++ b/redwingvalve/allocation/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Places of one pool go to whom they serve best, and to nobody twice."""
+"""Allocator and slot pool: each slot is granted once, to the right request."""
 
 import random
 
@@ -17,7 +17,7 @@
 FULL = messages.Outcome.FULL
 
 
-def make(heads=1, slots=9, now_s=lambda: 1.0):
+def make_owner(heads=1, slots=9, now_s=lambda: 1.0):
     targets = tuple(
         load_balancing.Target(f'e{number}', 'h', 1, slots, 'zone-1')
         for number in range(heads)
@@ -25,13 +25,13 @@
     return allocator.Allocator(lambda pool: targets, now_s, random.Random(1))
 
 
-def ask(granter, sender, number, **more):
-    """Return the replies to an ask, those that come later too."""
+def ask(owner, sender, number, **more):
+    """Return the list of replies to an ask, which later replies extend."""
     replies = []
-    found = messages.Ask(
+    request = messages.Ask(
         number, POOL, more.pop('may_wait', False), NEED, **more
     )
-    granter.ask(sender, found, replies.append)
+    owner.ask(sender, request, replies.append)
     return replies
 
 
@@ -40,13 +40,13 @@
     anyio.run(test)
 
 
-def test_a_new_head_is_not_filled_by_every_node_alone():
-    """Nine wait at each of six nodes when a head of nine places opens."""
+def test_slots_of_a_new_head_are_granted_once():
+    """Six nodes with nine requests each ask when a head of nine slots opens."""
 
     async def test():
-        granter = make()
+        owner = make_owner()
         outcomes = [
-            ask(granter, sender, number)[-1].outcome
+            ask(owner, sender, number)[-1].outcome
             for sender in NODES
             for number in range(9)
         ]
@@ -56,32 +56,32 @@
     run(test)
 
 
-def test_one_node_may_have_all_places():
+def test_one_node_may_hold_all_slots():
     async def test():
-        granter = make()
-        replies = [ask(granter, NODES[0], number)[-1] for number in range(9)]
+        owner = make_owner()
+        replies = [ask(owner, NODES[0], number)[-1] for number in range(9)]
         assert {reply.outcome for reply in replies} == {GRANTED}
 
     run(test)
 
 
-def test_the_least_filled_endpoint_of_all_nodes_is_granted():
+def test_the_least_loaded_endpoint_is_granted():
     async def test():
-        granter = make(heads=2, slots=4)
+        owner = make_owner(heads=2, slots=4)
         for number, sender in enumerate(NODES):
-            ask(granter, sender, number)
-        holds = granter.pool(POOL).holds
+            ask(owner, sender, number)
+        holds = owner.pool(POOL).holds
         assert (holds.count('e0'), holds.count('e1')) == (3, 3)
 
     run(test)
 
 
 @pytest.mark.parametrize('named', ['avoid', 'slow'])
-def test_endpoints_that_were_tried_or_are_slow_come_last(named):
+def test_endpoints_to_avoid_or_slow_ones_are_chosen_last(named):
     async def test():
-        granter = make(heads=2)
+        owner = make_owner(heads=2)
         replies = [
-            ask(granter, NODES[0], number, **{named: ('e0',)})[-1]
+            ask(owner, NODES[0], number, **{named: ('e0',)})[-1]
             for number in range(9)
         ]
         assert {reply.endpoint_id for reply in replies} == {'e1'}
@@ -89,105 +89,104 @@
     run(test)
 
 
-def test_a_repeated_ask_takes_no_second_place():
-    """The reply was lost on the way; the same place is granted again."""
+def test_a_repeated_ask_takes_no_second_slot():
+    """The reply was lost; the repeated ask is granted the same slot."""
 
     async def test():
-        granter = make()
-        first = ask(granter, NODES[0], 1)[-1]
-        assert ask(granter, NODES[0], 1)[-1] == first
-        assert len(granter.pool(POOL).holds) == 1
+        owner = make_owner()
+        first = ask(owner, NODES[0], 1)[-1]
+        assert ask(owner, NODES[0], 1)[-1] == first
+        assert len(owner.pool(POOL).holds) == 1
 
     run(test)
 
 
-def test_who_waits_gets_the_place_that_is_released():
+def test_a_released_slot_goes_to_a_waiting_ask():
     async def test():
-        granter = make(slots=1)
-        ask(granter, NODES[0], 1)
-        replies = ask(granter, NODES[1], 7, may_wait=True)
+        owner = make_owner(slots=1)
+        ask(owner, NODES[0], 1)
+        replies = ask(owner, NODES[1], 7, may_wait=True)
         await anyio.lowlevel.checkpoint()
         assert [reply.outcome for reply in replies] == [QUEUED]
-        granter.release(NODES[0], messages.Release(1))
+        owner.release(NODES[0], messages.Release(1))
         await anyio.sleep(0.01)
         assert replies[-1].outcome is GRANTED
 
     run(test)
 
 
-def test_who_waits_no_more_gets_no_place():
-    """The caller has left; its place would be held by nobody."""
+def test_a_cancelled_ask_gets_no_slot():
+    """The caller has left; a slot granted to it would never be released."""
 
     async def test():
-        granter = make(slots=1)
-        ask(granter, NODES[0], 1)
-        ask(granter, NODES[1], 7, may_wait=True)
+        owner = make_owner(slots=1)
+        ask(owner, NODES[0], 1)
+        ask(owner, NODES[1], 7, may_wait=True)
         await anyio.lowlevel.checkpoint()
-        granter.release(NODES[1], messages.Release(7))
-        granter.release(NODES[0], messages.Release(1))
+        owner.release(NODES[1], messages.Release(7))
+        owner.release(NODES[0], messages.Release(1))
         await anyio.sleep(0.01)
-        assert not len(granter.pool(POOL).holds)
+        assert not len(owner.pool(POOL).holds)
 
     run(test)
 
 
-def test_an_endpoint_that_refused_is_left_alone_for_a_moment():
-    """Requests that nobody holds any more still run there."""
+def test_an_endpoint_that_refused_is_not_granted_during_its_cooldown():
+    """Requests whose holds are gone still run there."""
 
     async def test():
-        moment = [1.0]
-        granter = make(now_s=lambda: moment[0])
-        ask(granter, NODES[0], 1)
-        granter.release(
+        clock_s = [1.0]
+        owner = make_owner(now_s=lambda: clock_s[0])
+        ask(owner, NODES[0], 1)
+        owner.release(
             NODES[0], messages.Release(1, reservations.ReleaseState.REFUSED)
         )
-        assert ask(granter, NODES[0], 2)[-1].outcome is FULL
-        moment[0] += 0.3
-        assert ask(granter, NODES[0], 3)[-1].outcome is GRANTED
+        assert ask(owner, NODES[0], 2)[-1].outcome is FULL
+        clock_s[0] += 0.3
+        assert ask(owner, NODES[0], 3)[-1].outcome is GRANTED
 
     run(test)
 
 
-def test_one_lost_answer_costs_one_place_for_a_moment():
-    """Answers are also lost on the way, at times four in ten of all."""
+def test_a_lost_answer_withholds_one_slot_for_a_short_time():
+    """Answers may be lost on the network, at times four in ten of all."""
 
     async def test():
-        moment = [1.0]
-        granter = make(now_s=lambda: moment[0])
-        ask(granter, NODES[0], 1)
-        granter.release(
+        clock_s = [1.0]
+        owner = make_owner(now_s=lambda: clock_s[0])
+        ask(owner, NODES[0], 1)
+        owner.release(
             NODES[0], messages.Release(1, reservations.ReleaseState.UNCERTAIN)
         )
-        assert granter.pool(POOL).free_slots() == 8
-        moment[0] += 0.3
-        assert granter.pool(POOL).free_slots() == 9
+        assert owner.pool(POOL).free_slots() == 8
+        clock_s[0] += 0.3
+        assert owner.pool(POOL).free_slots() == 9
 
     run(test)
 
 
-def test_a_node_without_endpoints_says_so():
-    """A node that has just started is asked before it knows the fleet."""
+def test_an_owner_without_endpoints_replies_no_endpoints():
+    """A node that has just started is asked before it knows any endpoints."""
 
     async def test():
-        granter = make(heads=0)
+        owner = make_owner(heads=0)
         assert (
-            ask(granter, NODES[0], 1)[-1].outcome
-            is messages.Outcome.NO_ENDPOINTS
+            ask(owner, NODES[0], 1)[-1].outcome is messages.Outcome.NO_ENDPOINTS
         )
 
     run(test)
 
 
-def test_late_requests_leave_places_for_those_that_come():
-    """With a hundred places some five are kept."""
+def test_late_requests_leave_slots_for_new_ones():
+    """With a hundred slots, about five are reserved."""
 
     async def test():
-        granter = make(heads=2, slots=50)
+        owner = make_owner(heads=2, slots=50)
         for number in range(93):
-            ask(granter, NODES[0], number)
-        assert granter.pool(POOL).has_spare_slots()
+            ask(owner, NODES[0], number)
+        assert owner.pool(POOL).has_spare_slots()
         for number in range(93, 96):
-            ask(granter, NODES[0], number)
-        assert not granter.pool(POOL).has_spare_slots()
+            ask(owner, NODES[0], number)
+        assert not owner.pool(POOL).has_spare_slots()
 
     run(test)
--- a/redwingvalve/allocation/tests/test_reserver.py
+++ b/redwingvalve/allocation/tests/test_reserver.py
@@ -1,4 +1,4 @@
-"""A node finds places whatever becomes of those that grant them."""
+"""Simulates nodes that reserve slots while owners and datagrams are lost."""
 
 import anyio
 import looptime
@@ -6,81 +6,89 @@
 
 from redwingvalve.ingress.tests import load_simulation
 
-CALM = [load_simulation.LoadPhase(0.6, 0.0, 4.0)]
-BUSY = [load_simulation.LoadPhase(0.8, 0.0, 6.0)]
-THREE = load_simulation.Deployment(nodes=12, heads=9, data_centres=3)
+MODERATE_LOAD = [load_simulation.LoadPhase(0.6, 0.0, 4.0)]
+HIGH_LOAD = [load_simulation.LoadPhase(0.8, 0.0, 6.0)]
+THREE_DATA_CENTRES = load_simulation.Deployment(
+    nodes=12, heads=9, data_centres=3
+)
 
 
-class LossyPlay(load_simulation.Simulation):
+class LossySimulation(load_simulation.Simulation):
     """A tenth of all datagrams is lost."""
 
     datagram_loss = 0.1
 
 
-class KillingPlay(load_simulation.Simulation):
-    """A node that grants places dies every second, and starts again."""
+class OwnerKillingSimulation(load_simulation.Simulation):
+    """A node that owns pools is killed and restarted every second."""
 
     async def inject_faults(self):
         while True:
             await anyio.sleep(1.0)
-            granters = [
+            owners = [
                 node
                 for node in self.nodes
                 if node.is_up and node.allocator.is_busy
             ]
-            killed = self.rng.choice(granters)
+            killed = self.rng.choice(owners)
             killed.is_up = False
             await anyio.sleep(0.7)
             killed.start()
 
 
-def play(make_play, deployment, waves):
+def simulate(simulation_type, deployment, phases):
     return anyio.run(
-        make_play(deployment, waves, 1).run,
+        simulation_type(deployment, phases, 1).run,
         backend_options={'loop_factory': looptime.new_event_loop},
     )
 
 
-def test_no_endpoint_is_filled_beyond_its_places():
-    """Requests don't queue at endpoints, where they would be late."""
-    made = load_simulation.Simulation(THREE, BUSY, 1)
+def test_no_endpoint_is_filled_beyond_its_slots():
+    """Requests must not queue at endpoints, where they would be late."""
+    simulation = load_simulation.Simulation(THREE_DATA_CENTRES, HIGH_LOAD, 1)
     anyio.run(
-        made.run, backend_options={'loop_factory': looptime.new_event_loop}
+        simulation.run,
+        backend_options={'loop_factory': looptime.new_event_loop},
     )
-    assert sum(head.queued for head in made.heads.values()) == 0
+    assert sum(head.queued for head in simulation.heads.values()) == 0
 
 
-@pytest.mark.parametrize('make_play', [LossyPlay, KillingPlay])
-def test_callers_are_served_in_time_beside_lost_datagrams_and_kills(make_play):
-    """At a calm load nearly all are in time, and nobody is turned away."""
-    got = play(make_play, THREE, CALM)
-    assert got.share(got.on_time, 0.0, 4.0) >= 0.95
-    assert got.share(got.lost, 0.0, 4.0) <= 0.01
+@pytest.mark.parametrize(
+    'simulation_type', [LossySimulation, OwnerKillingSimulation]
+)
+def test_callers_are_served_in_time_despite_lost_datagrams_and_kills(
+    simulation_type,
+):
+    """At a moderate load 95 % are in time, and at most 1 % are turned away."""
+    results = simulate(simulation_type, THREE_DATA_CENTRES, MODERATE_LOAD)
+    assert results.share(results.on_time, 0.0, 4.0) >= 0.95
+    assert results.share(results.lost, 0.0, 4.0) <= 0.01
 
 
 @pytest.mark.parametrize('nodes', [6, 24, 60])
-def test_messages_a_request_do_not_grow_with_the_fleet(nodes):
-    """An ask, its reply and a release, and a report now and then."""
+def test_messages_per_request_do_not_grow_with_the_fleet(nodes):
+    """A request takes an ask, a reply and a release, plus a share of reports."""
     deployment = load_simulation.Deployment(
         nodes=nodes, heads=9, data_centres=3
     )
-    got = play(load_simulation.Simulation, deployment, CALM)
-    assert got.messages / len(got.asked) <= 6
+    results = simulate(load_simulation.Simulation, deployment, MODERATE_LOAD)
+    assert results.messages / len(results.asked) <= 6
 
 
-class ReorderingPlay(load_simulation.Simulation):
-    """Each datagram takes up to five times as long as the fastest."""
+class ReorderingSimulation(load_simulation.Simulation):
+    """Each datagram takes up to five times the shortest delay."""
 
     def datagram_delay_s(self):
         return load_simulation.DATAGRAM_DELAY_S * self.rng.uniform(1, 5)
 
 
-def test_a_refusal_that_overtakes_an_older_reply_is_heeded():
-    """A caller is told at once that it is refused, and not after the wait.
+def test_a_refusal_that_overtakes_an_older_reply_wins():
+    """A caller must be refused at once and not after its wait.
 
-    The reply that the request waits comes after the one that refuses it.
+    The reply that says that the request waits arrives after the one that
+    refuses it.
     """
     overload = [load_simulation.LoadPhase(3.0, 0.0, 3.0)]
-    got = play(ReorderingPlay, THREE, overload)
-    held = sorted(got.held_s)
+    results = simulate(ReorderingSimulation, THREE_DATA_CENTRES, overload)
+    held = sorted(results.held_s)
     assert held[len(held) * 8 // 10] < 0.05
