--- a/redwingvalve/allocation/__init__.py
+++ b/redwingvalve/allocation/__init__.py
@@ -1,1 +1,1 @@
-"""Places at endpoints are granted by the node that counts them."""
+"""Grants slots at endpoints; one node, the owner, counts those of a pool."""
--- a/redwingvalve/allocation/allocator.py
+++ b/redwingvalve/allocation/allocator.py
@@ -63,8 +63,8 @@
             reply(_granted_reply(ask, held.endpoint_id))
             return
         pool.record_slow_endpoints(ask)
-        select = pool.acquirer_for(sender, ask)
-        target = pool.queue.try_acquire(ask.need, select)
+        acquire_slot = pool.acquirer_for(sender, ask)
+        target = pool.queue.try_acquire(ask.need, acquire_slot)
         if target is not None:
             reply(_granted_reply(ask, target.endpoint_id))
         elif ask.may_wait:
@@ -164,11 +164,11 @@
         pool = self.pool(ask.pool)
         acquire = pool.acquirer_for(key[0], ask)
 
-        def select() -> load_balancing.Target | None:
+        def acquire_slot() -> load_balancing.Target | None:
             return None if waiting_ask.is_cancelled else acquire()
 
         try:
-            target = await pool.queue.acquire(ask.need, select)
+            target = await pool.queue.acquire(ask.need, acquire_slot)
         finally:
             if self._waiting_asks.get(key) is waiting_ask:
                 self._waiting_asks.pop(key)
--- a/redwingvalve/fleet/demand.py
+++ b/redwingvalve/fleet/demand.py
@@ -3,10 +3,10 @@
 Load pattern: a declaration says how the work splits between models, not how
 many VMs that takes. A model with replicas of four VMs that uses a third of the
 slots needs more VMs than one with replicas of two that uses twice as many.
-Losses hit all replicas alike, and new VMs go where they are needed most for
-the current load. Without this estimate, losses every three seconds left seven
-replicas of the small model for 66 slots in use and six of the large model for
-twenty.
+Losses hit the replicas of all models equally, so new VMs have to go to the
+model whose supply is lowest for its load. Without this estimate, losses every
+three seconds left seven replicas of the small model for 66 slots in use, and
+six of the large model for twenty.
 """
 
 import math
