--- a/redwingvalve/allocation/tests/test_reserver.py
+++ b/redwingvalve/allocation/tests/test_reserver.py
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize('nodes', [6, 24, 60])
 def test_messages_per_request_do_not_grow_with_the_fleet(nodes):
-    """A request takes an ask, a reply and a release, plus a share of reports."""
+    """A request takes an ask, a reply, a release and a share of reports."""
     deployment = load_simulation.Deployment(
         nodes=nodes, heads=9, data_centres=3
     )
