--- a/redwingvalve/node/allocation_transport.py
+++ b/redwingvalve/node/allocation_transport.py
@@ -19,9 +19,9 @@
 
 LOG = logs.make_logger('places')
 # Lapsed holds are looked for, and late requests may take spare places.
-LOOK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 # While nothing is granted here.
-IDLE_S = 0.5
+IDLE_CHECK_INTERVAL_S = 0.5
 _Targets: typing.TypeAlias = tuple[placing.Target, ...]
 
 
@@ -42,29 +42,35 @@
         """Send a message to a node; it may get lost."""
         envelope = messages.Envelope(self._sender, message)
         if vm == self.peers.local.vm:
-            self._take(envelope, functools.partial(self.send, vm))
+            self._deliver(envelope, functools.partial(self.send, vm))
             return
         peer = self.peers.known.get(vm)
         if peer is not None:
             packed = messages.pack(envelope)
-            self.peers.send_tagged(packed, peer.address.socket)
+            self.peers.send_tagged(packed, peer.address.socket_address)
 
-    def received(self, packed: bytes, address: tuple[str, int]) -> None:
+    def datagram_received(
+        self, packed: bytes, address: tuple[str, int]
+    ) -> None:
         """Take a datagram about places."""
         try:
             envelope = messages.unpack(packed)
         except messages.MessageError as error:
             LOG.warning('unusable datagram', extra={'error': str(error)})
             return
-        self._take(envelope, functools.partial(self._reply, address))
+        self._deliver(envelope, functools.partial(self._reply, address))
 
     async def run(self) -> typing.NoReturn:
         """Look after what is granted here until cancelled."""
         while True:
-            await anyio.sleep(LOOK_S if self.allocator.is_busy else IDLE_S)
+            await anyio.sleep(
+                CHECK_INTERVAL_S
+                if self.allocator.is_busy
+                else IDLE_CHECK_INTERVAL_S
+            )
             self.allocator.look()
 
-    def _take(
+    def _deliver(
         self,
         envelope: messages.Envelope,
         reply: allocator_module.Replier,
@@ -81,14 +87,14 @@
     """The targets of each pool, picked once for each table of targets."""
 
     targets: state_module.Targets
-    _picked: dict[messages.Pool, tuple[_Targets, _Targets]] = attrs.field(
+    _by_pool: dict[messages.Pool, tuple[_Targets, _Targets]] = attrs.field(
         factory=dict
     )
 
     def of(self, pool: messages.Pool) -> _Targets:
         """Return the targets that take requests now."""
         table = self.targets.of(pool.service, pool.model)
-        known_table, picked = self._picked.get(pool, ((), ()))
+        known_table, picked = self._by_pool.get(pool, ((), ()))
         if known_table is table:
             return picked
         picked = tuple(
@@ -96,7 +102,7 @@
             for target in table
             if pool.data_centre in {'', target.data_centre}
         )
-        self._picked[pool] = (table, picked)
+        self._by_pool[pool] = (table, picked)
         return picked
 
 
@@ -110,23 +116,23 @@
     allocator = allocator_module.Allocator(
         _PoolTargets(state.targets).of, time.monotonic
     )
-    made = AllocationTransport(peers, allocator)
-    made.reserver = reserver_module.NodeReserver(
+    transport = AllocationTransport(peers, allocator)
+    transport.reserver = reserver_module.NodeReserver(
         data_centre=peers.local.data_centre,
         targets=state.targets,
         owners=owners.Owners(lambda: _candidates(peers), time.monotonic),
-        transport=made,
+        transport=transport,
         loads=state.loads,
         clock=time.monotonic,
         is_divided=lambda: peers.is_large_fleet,
     )
-    peers.on_tagged = made.received
-    state.reserver = made.reserver
+    peers.on_tagged = transport.datagram_received
+    state.reserver = transport.reserver
     state.in_use = status_exchange.usage.of
     state.waiting = allocator.waiting
     status_exchange.local_usage = allocator.usage
     status_exchange.on_node_lost = allocator.node_lost
-    return made
+    return transport
 
 
 def _candidates(peers: peers_module.Peers) -> list[owners.Candidate]:
--- a/redwingvalve/node/front_selection.py
+++ b/redwingvalve/node/front_selection.py
@@ -9,18 +9,18 @@
 MAX_FRONTS = 64
 # With so many nodes in a caller's data centre it is given no others: requests
 # and answers then stay within it.
-NEAR_FRONTS = 8
+MIN_LOCAL_FRONTS = 8
 
 
 def available_peers(peers: peers_module.Peers) -> list[peers_module.Peer]:
     """Return the nodes that seem to live and don't leave."""
     since_s = time.monotonic() - peers.alive_timeout_s
-    living = peers.alive()
+    alive = peers.alive()
     if not peers.is_large_fleet:
-        living = [
+        alive = [
             peer for peer in peers.known.values() if peer.last_seen_s >= since_s
         ]
-    return [peer for peer in living if peer.is_ready and not peer.is_leaving]
+    return [peer for peer in alive if peer.is_ready and not peer.is_leaving]
 
 
 def select_fronts(
@@ -30,8 +30,8 @@
     # A node that hears nobody is itself cut off, or all others are new.
     found = peers.alive() or available_peers(peers)
     ready = [one for one in found if one.is_ready and not one.is_leaving]
-    near = [one for one in ready if one.address.data_centre == data_centre]
-    chosen = near if len(near) >= NEAR_FRONTS else ready
+    local = [one for one in ready if one.address.data_centre == data_centre]
+    chosen = local if len(local) >= MIN_LOCAL_FRONTS else ready
     if len(chosen) > MAX_FRONTS:
         chosen = random.sample(chosen, MAX_FRONTS)
     return [peer.address.front for peer in chosen]
--- a/redwingvalve/node/listeners.py
+++ b/redwingvalve/node/listeners.py
@@ -21,7 +21,7 @@
         """Accept connections, those too that came before."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            self._make, sock=listening, backlog=early_sockets.BACKLOG
+            self._make_connection, sock=listening, backlog=early_sockets.BACKLOG
         )
 
     def close(self) -> None:
@@ -36,7 +36,7 @@
         for connection in self._connections:
             connection.close_if_idle()
 
-    def _make(self) -> server.CallerConnection:
+    def _make_connection(self) -> server.CallerConnection:
         connection = server.CallerConnection(self._application)
         self._connections = [
             one for one in self._connections if not one.is_lost
--- a/redwingvalve/node/peer_discovery.py
+++ b/redwingvalve/node/peer_discovery.py
@@ -27,7 +27,7 @@
 RETRY_MAX_S = 0.4
 # Stale listings cost a tenth. They make up for a node whose first words were
 # all lost, and tell which nodes are gone for good.
-READ_AGAIN_S = 10.0
+RELIST_INTERVAL_S = 10.0
 
 _ADDRESS_FIELDS = tuple(attrs.fields_dict(peers_module.PeerAddress))
 
@@ -38,28 +38,28 @@
 
     client: store.StoreClient
     peers: peers_module.Peers
-    _is_written: bool = False
-    _has_met: bool = False
+    _is_registered: bool = False
+    _is_complete: bool = False
 
     async def run(self) -> typing.NoReturn:
         """Meet the others, and read again now and then."""
         while True:
-            self._is_written = self._is_written or await self._write()
-            is_read = await self._read(is_stale=self._has_met)
+            self._is_registered = self._is_registered or await self._register()
+            is_listed = await self._list_peers(is_stale=self._is_complete)
             # What was read before the own object stood may lack a node that
             # has not read it either.
-            if is_read and self._is_written:
-                self._has_met = True
-            if self._has_met:
+            if is_listed and self._is_registered:
+                self._is_complete = True
+            if self._is_complete:
                 # Also after a reading that failed: the others are known.
-                await anyio.sleep(READ_AGAIN_S)
+                await anyio.sleep(RELIST_INTERVAL_S)
             else:
                 await anyio.sleep(random.uniform(RETRY_MIN_S, RETRY_MAX_S))
 
     @property
     def is_complete(self) -> bool:
         """Return whether the other nodes have been read."""
-        return self._has_met
+        return self._is_complete
 
     async def deregister(self) -> None:
         """Remove the own object, so that no other node looks for this one."""
@@ -69,7 +69,7 @@
             # The others hear no words of this node, which tells them too.
             LOG.warning('not deregistered', extra={'error': str(error)})
 
-    async def _read(self, *, is_stale: bool) -> bool:
+    async def _list_peers(self, *, is_stale: bool) -> bool:
         try:
             listing = await self.client.list_kind(NODE_KIND, is_stale)
         except store.StoreError as error:
@@ -78,24 +78,24 @@
         except (KeyError, TypeError, ValueError) as error:
             LOG.error('unusable list of nodes', extra={'error': str(error)})
             return False
-        found = [_read_address(stored) for stored in listing.objects]
-        self.peers.listed([address for address in found if address])
+        found = [_decode_address(stored) for stored in listing.objects]
+        self.peers.apply_listing([address for address in found if address])
         return True
 
-    async def _write(self) -> bool:
+    async def _register(self) -> bool:
         """Write the object in place of that of this VM's last process."""
         local = self.peers.local
         spec = attrs.asdict(local)
         try:
             await self.client.create(NODE_KIND, local.vm, spec)
         except store.ConflictError:
-            return await self._replace(spec)
+            return await self._replace_registration(spec)
         except store.StoreError as error:
             LOG.warning('not registered', extra={'error': str(error)})
             return False
         return True
 
-    async def _replace(self, spec: store.Document) -> bool:
+    async def _replace_registration(self, spec: store.Document) -> bool:
         local = self.peers.local
         try:
             await self.client.replace(NODE_KIND, local.vm, spec, None)
@@ -105,7 +105,7 @@
         return True
 
 
-def _read_address(stored: store.Document) -> peers_module.PeerAddress | None:
+def _decode_address(stored: store.Document) -> peers_module.PeerAddress | None:
     try:
         # A later release may write more.
         known = {
--- a/redwingvalve/node/peers.py
+++ b/redwingvalve/node/peers.py
@@ -24,32 +24,32 @@
 LOG = logs.make_logger('peers')
 # A node that the store lists no more is forgotten after this silence; a stale
 # listing may lack one that has just come.
-FORGET_S = 15.0
+FORGET_AFTER_S = 15.0
 # After the store was read, each word says where the node is for so long: some
 # ten words, of which the network loses a few.
-INTRODUCE_S = 3.0
+ANNOUNCE_S = 3.0
 # A node is given to callers while it was heard within this; four words of a
 # node at rest.
 ALIVE_TIMEOUT_S = 1.2
 # Words between a hub and its nodes. Two in a row may be lost before a node
 # counts as down.
-HUB_WORD_S = 0.25
+HUB_STATUS_INTERVAL_S = 0.25
 HUB_ALIVE_TIMEOUT_S = 0.9
 # The requests of a node count while it was heard within this many pauses: one
 # word that is lost on the way makes no difference.
-COUNTED_PAUSES = 3.5
+LOST_AFTER_INTERVALS = 3.5
 # Words while something changes, and at rest.
-BUSY_WORD_S = 0.1
-REST_WORD_S = 0.3
+BUSY_STATUS_INTERVAL_S = 0.1
+IDLE_STATUS_INTERVAL_S = 0.3
 # In a small fleet of more nodes than this words get rarer.
-PLAIN_NODES = 8
+FULL_RATE_PEERS = 8
 # From this many nodes on some watch the store for the others.
-LARGE_FROM_NODES = 12
+LARGE_FLEET_NODES = 12
 # The first byte of datagrams that are no words: no struct begins with it.
 TAG = b'\xff'
 
 
-Address: typing.TypeAlias = tuple[str, int]
+SocketAddress: typing.TypeAlias = tuple[str, int]
 
 
 @attrs.frozen
@@ -66,7 +66,7 @@
     link_mbps: float = 0
 
     @property
-    def socket(self) -> tuple[str, int]:
+    def socket_address(self) -> tuple[str, int]:
         """Return where the node's datagrams go."""
         return self.ip, self.peer_port
 
@@ -98,7 +98,7 @@
 class PeerObserver(typing.Protocol):
     """What takes the words of other nodes."""
 
-    def word(self, word: typing.Any) -> None:
+    def status_received(self, message: typing.Any) -> None:
         """Take a word, newer than the last one of its node."""
 
     def node_lost(self, vm: str) -> None:
@@ -111,36 +111,40 @@
 class Peers(asyncio.DatagramProtocol):
     """All other nodes."""
 
-    def __init__(self, local: PeerAddress, taker: PeerObserver) -> None:
+    def __init__(self, local: PeerAddress, observer: PeerObserver) -> None:
         """Speak for the own node."""
         self.known: dict[str, Peer] = {}
         self.local = local
-        self._taker = taker
+        self._observer = observer
         self._transport: asyncio.DatagramTransport | None = None
-        self._introduce_until_s = 0.0
+        self._announce_until_s = 0.0
         # When any other node was heard last.
         self.last_received_s = 0.0
         # After which silence of all others it was.
         self.receive_gap_s = 0.0
         # Takes datagrams that are no words, and where they came from.
-        self.on_tagged: typing.Callable[[bytes, Address], None] | None = None
+        self.on_tagged: typing.Callable[[bytes, SocketAddress], None] | None = (
+            None
+        )
 
     @property
     def is_announcing(self) -> bool:
         """Return whether others may not know this node yet."""
-        return time.monotonic() < self._introduce_until_s
+        return time.monotonic() < self._announce_until_s
 
     @property
-    def word_pause_s(self) -> float:
+    def status_interval_s(self) -> float:
         """Return the time between two words while something changes."""
         if self.is_large_fleet:
-            return HUB_WORD_S
-        return BUSY_WORD_S * max(1.0, len(self.known) / PLAIN_NODES)
+            return HUB_STATUS_INTERVAL_S
+        return BUSY_STATUS_INTERVAL_S * max(
+            1.0, len(self.known) / FULL_RATE_PEERS
+        )
 
     @property
     def is_large_fleet(self) -> bool:
         """Return whether the fleet is too large for each to watch the store."""
-        return len(self.known) + 1 >= LARGE_FROM_NODES
+        return len(self.known) + 1 >= LARGE_FLEET_NODES
 
     @property
     def alive_timeout_s(self) -> float:
@@ -160,42 +164,42 @@
         ]
 
     def send_status(
-        self, word: typing.Any, names: collections_abc.Iterable[str]
+        self, message: typing.Any, names: collections_abc.Iterable[str]
     ) -> None:
         """Send a word to some nodes."""
         if self._transport is None:
             return
-        packed = status_messages.pack(word)
+        packed = status_messages.pack(message)
         for name in names:
             peer = self.known.get(name)
             if peer is not None:
-                self._transport.sendto(packed, peer.address.socket)
+                self._transport.sendto(packed, peer.address.socket_address)
 
-    def send_tagged(self, packed: bytes, socket: Address) -> None:
+    def send_tagged(self, packed: bytes, socket_address: SocketAddress) -> None:
         """Send a datagram that is no word."""
         if self._transport is not None:
-            self._transport.sendto(TAG + packed, socket)
+            self._transport.sendto(TAG + packed, socket_address)
 
-    def listed(self, found: list[PeerAddress]) -> None:
+    def apply_listing(self, found: list[PeerAddress]) -> None:
         """Take the nodes that the store lists, perhaps seconds late.
 
         A node that isn't listed is gone once it is also silent.
         """
         names = {address.vm for address in found}
-        since_s = time.monotonic() - FORGET_S
+        since_s = time.monotonic() - FORGET_AFTER_S
         gone = [
             name
             for name, peer in self.known.items()
             if name not in names and peer.last_seen_s < since_s
         ]
         for name in gone:
-            self._drop(name)
+            self._remove(name)
         before = len(self.known)
         for address in found:
             self.add(address)
         if len(self.known) > before:
             LOG.info('nodes listed', extra={'known': len(self.known)})
-        self._introduce_until_s = time.monotonic() + INTRODUCE_S
+        self._announce_until_s = time.monotonic() + ANNOUNCE_S
 
     def close(self) -> None:
         """Give the address of datagrams back."""
@@ -216,72 +220,74 @@
                 self.on_tagged(data[len(TAG) :], addr)
             return
         try:
-            word = status_messages.unpack(data)
-        except status_messages.WordError as error:
+            message = status_messages.unpack(data)
+        except status_messages.StatusMessageError as error:
             LOG.warning('unusable datagram', extra={'error': str(error)})
             return
-        self._meet(word)
-        peer = self.known.get(word.vm)
+        self._update_address(message)
+        peer = self.known.get(message.vm)
         if peer is None:
             return
-        if not self._is_news(word, peer):
+        if not self._is_newer(message, peer):
             return
-        self._note_heard(peer, word)
-        self._taker.word(word)
+        self._record_received(peer, message)
+        self._observer.status_received(message)
 
     def error_received(self, exc: Exception) -> None:
         """Do without: a peer that isn't there is known by its silence."""
 
-    def drop_silent(self) -> None:
+    def report_silent(self) -> None:
         """Let the requests of nodes that fell silent count no more.
 
         A node that is killed takes its connections with it, and endpoints drop
         what ran there. Counted until the node itself is taken for gone, those
         requests keep others out of places that are free.
         """
-        since_s = time.monotonic() - COUNTED_PAUSES * self.word_pause_s
+        since_s = (
+            time.monotonic() - LOST_AFTER_INTERVALS * self.status_interval_s
+        )
         for name, peer in self.known.items():
             if (
                 peer.last_received_s is not None
                 and peer.last_received_s < since_s
             ):
-                self._taker.node_lost(name)
+                self._observer.node_lost(name)
 
-    def _note_heard(self, peer: Peer, word: typing.Any) -> None:
+    def _record_received(self, peer: Peer, message: typing.Any) -> None:
         now_s = time.monotonic()
         self.receive_gap_s = now_s - self.last_received_s
         self.last_received_s = now_s
         before = (peer.born_ms, peer.is_leaving, peer.is_ready, peer.is_down)
-        peer.born_ms = word.born_ms
-        peer.number = word.number
+        peer.born_ms = message.born_ms
+        peer.number = message.number
         peer.last_received_s = now_s
-        peer.is_leaving = bool(word.is_leaving)
-        peer.is_ready = bool(word.is_ready)
+        peer.is_leaving = bool(message.is_leaving)
+        peer.is_ready = bool(message.is_ready)
         peer.is_down = False
         after = (peer.born_ms, peer.is_leaving, peer.is_ready, peer.is_down)
         if before != after:
-            self._taker.node_changed(peer)
+            self._observer.node_changed(peer)
 
     def set_down(self, peer: Peer, *, is_down: bool) -> None:
         """Note whether a node is down."""
         if is_down and not peer.is_down:
-            self._taker.node_lost(peer.address.vm)
+            self._observer.node_lost(peer.address.vm)
         peer.is_down = is_down
 
-    def _meet(self, word: typing.Any) -> None:
-        address = announced_address(word)
+    def _update_address(self, message: typing.Any) -> None:
+        address = announced_address(message)
         if address is None:
             return
-        known = self.known.get(word.vm)
+        known = self.known.get(message.vm)
         if known is None:
-            LOG.info('node known', extra={'vm': word.vm, 'ip': address.ip})
-        elif known.address != address and self._is_news(word, known):
+            LOG.info('node known', extra={'vm': message.vm, 'ip': address.ip})
+        elif known.address != address and self._is_newer(message, known):
             # Its clock may have been set back since: its start then looks
             # earlier than that of the process which it replaces.
-            self.known.pop(word.vm)
+            self.known.pop(message.vm)
         self.add(address)
 
-    def _is_news(self, word: typing.Any, peer: Peer) -> bool:
+    def _is_newer(self, message: typing.Any, peer: Peer) -> bool:
         """Return whether a word is newer than the last one of its node.
 
         Starts are told apart by the time of day, which may be set back by
@@ -293,10 +299,10 @@
         """
         # Before its first word only the store tells of a start.
         born_ms = peer.born_ms or peer.address.born_ms
-        if word.born_ms == born_ms:
-            return bool(word.number > peer.number)
+        if message.born_ms == born_ms:
+            return bool(message.number > peer.number)
         is_silent = peer.last_seen_s < time.monotonic() - self.alive_timeout_s
-        return is_silent or word.born_ms > born_ms
+        return is_silent or message.born_ms > born_ms
 
     def add(self, address: PeerAddress) -> None:
         """Take where a node is, unless a later start of it is known."""
@@ -307,10 +313,10 @@
             return
         self.known[address.vm] = Peer(address, time.monotonic())
 
-    def _drop(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         if self.known.pop(name, None) is not None:
             LOG.info('node gone', extra={'vm': name})
-            self._taker.node_lost(name)
+            self._observer.node_lost(name)
 
 
 def local_address(node: settings.NodeSettings, born_ms: int) -> PeerAddress:
@@ -334,17 +340,17 @@
     )
 
 
-def announced_address(word: typing.Any) -> PeerAddress | None:
+def announced_address(message: typing.Any) -> PeerAddress | None:
     """Return where a word says that its node is, if it does."""
-    address = word.address
+    address = message.address
     if address is None or not (address.ip and address.peer_port):
         return None
     return PeerAddress(
-        vm=word.vm,
+        vm=message.vm,
         ip=address.ip,
         peer_port=address.peer_port,
         front=address.front or '',
         data_centre=address.data_centre or '',
-        born_ms=word.born_ms or 0,
+        born_ms=message.born_ms or 0,
         link_mbps=address.link_mbps or 0,
     )
--- a/redwingvalve/node/status_exchange.py
+++ b/redwingvalve/node/status_exchange.py
@@ -21,7 +21,7 @@
 # sound at once would else send forty words to each other node: 3 MB with 59
 # nodes, which fill a link of 10 Mbit/s for seconds, and its questions to
 # endpoints get no answers meanwhile.
-NEWS_PAUSE_S = 0.02
+COALESCE_S = 0.02
 
 
 @attrs.define(eq=False)
@@ -43,10 +43,12 @@
     on_node_lost: typing.Callable[[str], None] | None = None
     local_usage: typing.Callable[[], dict[str, int]] = dict
     # Another node has seen requests.
-    others_served: bool = False
-    _hub_news: update_forwarding.ForwardedUpdates = attrs.field(init=False)
+    has_peer_served: bool = False
+    _forwarded_updates: update_forwarding.ForwardedUpdates = attrs.field(
+        init=False
+    )
     _number: int = 0
-    _said_s: float = 0.0
+    _sent_s: float = 0.0
     _timer: asyncio.TimerHandle | None = None
     # Endpoints found sound here: their epoch and when.
     _cleared: dict[str, tuple[int, float]] = attrs.field(factory=dict)
@@ -55,108 +57,110 @@
         """Tell at once what others can't wait for."""
         self.peers = peers_module.Peers(self.local, self)
         self.hubs = hubs_module.Hubs(self.peers, self.node_changed)
-        self._hub_news = update_forwarding.ForwardedUpdates(
+        self._forwarded_updates = update_forwarding.ForwardedUpdates(
             self.peers, self.hubs
         )
-        self.table.on_suspect = self._suspected
-        self.table.on_clear = self._found_sound
-        self.table.on_tell_sound = self._note_sound
+        self.table.on_suspect = self._broadcast_suspicion
+        self.table.on_clear = self._broadcast_cleared
+        self.table.on_tell_sound = self._record_cleared
         self.lease.on_renewed = self.broadcast_soon
 
     @property
     def fleet_has_served(self) -> bool:
         """Return whether any node has seen a request."""
-        return self.front.has_served or self.others_served
+        return self.front.has_served or self.has_peer_served
 
     async def run(self) -> typing.NoReturn:
         """Speak whenever something has changed, and now and then at rest."""
         while True:
-            rest_s = time.monotonic() - self._said_s
+            rest_s = time.monotonic() - self._sent_s
             # While requests run here, silence means that they have ended.
             is_busy = bool(self.state.loads.own)
             is_due = self.peers.is_large_fleet or is_busy
-            if is_due or rest_s >= peers_module.REST_WORD_S:
+            if is_due or rest_s >= peers_module.IDLE_STATUS_INTERVAL_S:
                 self.broadcast_now()
-            self._look_around()
-            await anyio.sleep(self.peers.word_pause_s)
+            self._run_checks()
+            await anyio.sleep(self.peers.status_interval_s)
 
     def broadcast_now(self) -> None:
         """Send a word to all other nodes."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        self._said_s = time.monotonic()
-        audiences = self.hubs.audiences()
-        is_hub = bool(audiences.hubs and audiences.nodes)
-        self._say(audiences.hubs, is_hub=is_hub, with_far=False)
-        self._say(audiences.nodes, is_hub=is_hub, with_far=True)
-
-    def _say(
-        self, names: tuple[str, ...], *, is_hub: bool, with_far: bool
+        self._sent_s = time.monotonic()
+        recipients = self.hubs.recipients()
+        is_hub = bool(recipients.hubs and recipients.nodes)
+        self._send(recipients.hubs, is_hub=is_hub, with_hub_updates=False)
+        self._send(recipients.nodes, is_hub=is_hub, with_hub_updates=True)
+
+    def _send(
+        self, names: tuple[str, ...], *, is_hub: bool, with_hub_updates: bool
     ) -> None:
         if not names:
             return
-        word = self.make_word()
+        message = self.build_message()
         if is_hub:
-            self._hub_news.add_to(word, with_far=with_far)
-        self.peers.send_status(word, names)
+            self._forwarded_updates.add_to(
+                message, with_hub_updates=with_hub_updates
+            )
+        self.peers.send_status(message, names)
 
     def broadcast_soon(self) -> None:
         """Send a word at once, or with others a moment after the last one."""
         if self._timer is not None:
             return
-        wait_s = self._said_s + NEWS_PAUSE_S - time.monotonic()
+        wait_s = self._sent_s + COALESCE_S - time.monotonic()
         if wait_s <= 0:
             self.broadcast_now()
             return
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(wait_s, self.broadcast_now)
 
-    def make_word(self) -> typing.Any:
+    def build_message(self) -> typing.Any:
         """Return the next word of this node."""
         self._number += 1
         usage = self.local_usage()
         self.usage.heard(self.local.vm, usage)
-        word = status_messages.NodeWord(
+        message = status_messages.NodeWord(
             vm=self.local.vm,
             born_ms=self.local.born_ms,
             number=self._number,
             is_leaving=self.state.is_leaving,
             is_ready=self.state.configuration is not None,
-            suspects=status_fields.suspect_words(self.table),
+            suspects=status_fields.local_suspicion_messages(self.table),
             crashes=self.state.poison.counts(),
-            has_served=self._knows_served(),
-            cleared=status_fields.clear_words(self._cleared),
+            has_served=self._reports_served(),
+            cleared=status_fields.recent_clearance_messages(self._cleared),
             usage=usage,
         )
         if self.peers.is_announcing:
-            word.address = status_fields.address_word(self.local)
+            message.address = status_fields.address_message(self.local)
         if self.lease.is_held() or self.lease.is_releasing:
-            word.lease_revision = self.lease.revision
-            word.lease_left_ms = self.lease.left_ms()
+            message.lease_revision = self.lease.revision
+            message.lease_left_ms = self.lease.left_ms()
         elif self.peers.is_large_fleet and self.lease.heard_left_ms():
-            word.lease_revision = self.lease.heard_revision
-            word.lease_left_ms = self.lease.heard_left_ms()
-        return word
+            message.lease_revision = self.lease.heard_revision
+            message.lease_left_ms = self.lease.heard_left_ms()
+        return message
 
-    def _knows_served(self) -> bool:
+    def _reports_served(self) -> bool:
         # In a large fleet most hear of it from a hub only.
         if self.peers.is_large_fleet:
             return self.fleet_has_served
         return self.front.has_served
 
-    def word(self, word: typing.Any) -> None:
+    def status_received(self, message: typing.Any) -> None:
         """Take another node's word."""
         if self.peers.is_large_fleet:
-            self._take_passed_on(word)
-        self.usage.heard(word.vm, word.usage or {})
-        if word.lease_revision:
-            self.lease.heard(word.lease_revision, word.lease_left_ms)
-        self.others_served = self.others_served or bool(word.has_served)
-        self.state.poison.heard(word.crashes or {})
-        for suspicion in status_fields.read_suspicions(word):
+            self._apply_forwarded(message)
+        self.usage.heard(message.vm, message.usage or {})
+        if message.lease_revision:
+            self.lease.heard(message.lease_revision, message.lease_left_ms)
+        self.has_peer_served = self.has_peer_served or bool(message.has_served)
+        self.state.poison.heard(message.crashes or {})
+        for suspicion in status_fields.parse_suspicions(message):
             self.table.take_suspicion(suspicion)
-        for clear in status_fields.read_clears(word):
+        for clear in status_fields.parse_clearances(message):
             self.table.clear_older(
                 clear.endpoint_id, clear.epoch, clear.since_s
             )
@@ -164,14 +168,16 @@
     def node_changed(self, peer: peers_module.Peer) -> None:
         """Pass on what has become of a node."""
         if self.hubs.is_hub:
-            self._hub_news.changed(peer)
+            self._forwarded_updates.record_change(peer)
             self.broadcast_soon()
 
-    def _take_passed_on(self, word: typing.Any) -> None:
-        news = list(filter(self.hubs.take_state, word.states or ()))
-        for usage in word.usages or ():
+    def _apply_forwarded(self, message: typing.Any) -> None:
+        news = list(filter(self.hubs.apply_state, message.states or ()))
+        for usage in message.usages or ():
             self.usage.heard(usage.vm, usage.usage or {})
-        if self.hubs.is_hub and self._hub_news.heard(word, news):
+        if self.hubs.is_hub and self._forwarded_updates.record_received(
+            message, news
+        ):
             self.broadcast_soon()
 
     def node_lost(self, vm: str) -> None:
@@ -180,25 +186,25 @@
         if self.on_node_lost is not None:
             self.on_node_lost(vm)
 
-    def _look_around(self) -> None:
+    def _run_checks(self) -> None:
         if self.peers.is_large_fleet:
-            self.hubs.drop_silent()
+            self.hubs.mark_silent_down()
         else:
-            self.peers.drop_silent()
+            self.peers.report_silent()
         self.registry.drop_lapsed()
         if self.state.poison.has_breaks:
             self.state.poison.look(self.registry.incarnations())
         self.state.node_count = 1 + len(self.peers.alive())
 
-    def _found_sound(self, endpoint_id: str, epoch: int) -> None:
-        self._note_sound(endpoint_id, epoch)
+    def _broadcast_cleared(self, endpoint_id: str, epoch: int) -> None:
+        self._record_cleared(endpoint_id, epoch)
         self.broadcast_soon()
 
-    def _note_sound(self, endpoint_id: str, epoch: int) -> None:
+    def _record_cleared(self, endpoint_id: str, epoch: int) -> None:
         # Left for the next word: nobody waits for it.
         self._cleared[endpoint_id] = (epoch, time.monotonic())
 
-    def _suspected(self, suspicion: serving.Suspicion) -> None:
+    def _broadcast_suspicion(self, suspicion: serving.Suspicion) -> None:
         # Not left for the next word: requests go there from all nodes.
         self._cleared.pop(suspicion.endpoint_id, None)
         self.broadcast_soon()
--- a/redwingvalve/node/status_fields.py
+++ b/redwingvalve/node/status_fields.py
@@ -11,12 +11,12 @@
 
 # A lost datagram is made up for by one of those that follow, also with words
 # as rare as in a fleet of 82 nodes.
-CLEAR_TOLD_S = 2.0
+CLEARED_REPEAT_S = 2.0
 _MS_IN_S = 1000
 
 
 @attrs.frozen
-class Clearing:
+class Clearance:
     """An endpoint that another node found sound, and when, on this clock."""
 
     endpoint_id: str
@@ -24,7 +24,7 @@
     since_s: float
 
 
-def address_word(local: peers.PeerAddress) -> typing.Any:
+def address_message(local: peers.PeerAddress) -> typing.Any:
     """Return where a node is."""
     return status_messages.AddressWord(
         ip=local.ip,
@@ -35,12 +35,12 @@
     )
 
 
-def suspect_words(table: serving.ServingTable) -> list[typing.Any]:
+def local_suspicion_messages(table: serving.ServingTable) -> list[typing.Any]:
     """Return the endpoints that this node has taken out of use."""
-    return suspicion_words(table.own_suspicions())
+    return suspicion_messages(table.own_suspicions())
 
 
-def suspicion_words(
+def suspicion_messages(
     suspicions: collections_abc.Iterable[serving.Suspicion],
 ) -> list[typing.Any]:
     """Return how suspicions are told."""
@@ -55,37 +55,37 @@
     ]
 
 
-def clear_words(
+def recent_clearance_messages(
     cleared: dict[str, tuple[int, float]],
 ) -> list[typing.Any]:
     """Return the endpoints that were found sound lately.
 
     cleared holds the epoch and the moment of each finding.
     """
-    since_s = time.monotonic() - CLEAR_TOLD_S
-    return clearing_words(
-        Clearing(endpoint_id, epoch, cleared_s)
+    since_s = time.monotonic() - CLEARED_REPEAT_S
+    return clearance_messages(
+        Clearance(endpoint_id, epoch, cleared_s)
         for endpoint_id, (epoch, cleared_s) in cleared.items()
         if cleared_s > since_s
     )
 
 
-def clearing_words(
-    clearings: collections_abc.Iterable[Clearing],
+def clearance_messages(
+    clearances: collections_abc.Iterable[Clearance],
 ) -> list[typing.Any]:
     """Return how clearings are told."""
     now_s = time.monotonic()
     return [
         status_messages.ClearWord(
-            endpoint_id=clearing.endpoint_id,
-            epoch=clearing.epoch,
-            age_ms=int((now_s - clearing.since_s) * _MS_IN_S),
+            endpoint_id=clearance.endpoint_id,
+            epoch=clearance.epoch,
+            age_ms=int((now_s - clearance.since_s) * _MS_IN_S),
         )
-        for clearing in clearings
+        for clearance in clearances
     ]
 
 
-def read_suspicions(word: typing.Any) -> list[serving.Suspicion]:
+def parse_suspicions(message: typing.Any) -> list[serving.Suspicion]:
     """Return the endpoints that another node has taken out of use."""
     now_s = time.monotonic()
     return [
@@ -95,16 +95,16 @@
             now_s + suspect.left_ms / _MS_IN_S,
             now_s,
         )
-        for suspect in word.suspects or ()
+        for suspect in message.suspects or ()
     ]
 
 
-def read_clears(word: typing.Any) -> list[Clearing]:
+def parse_clearances(message: typing.Any) -> list[Clearance]:
     """Return the endpoints that another node has found sound."""
     now_s = time.monotonic()
     return [
-        Clearing(
+        Clearance(
             clear.endpoint_id, clear.epoch, now_s - clear.age_ms / _MS_IN_S
         )
-        for clear in word.cleared or ()
+        for clear in message.cleared or ()
     ]
--- a/redwingvalve/node/status_messages.py
+++ b/redwingvalve/node/status_messages.py
@@ -66,21 +66,21 @@
 )
 
 
-class WordError(ValueError):
+class StatusMessageError(ValueError):
     """A datagram that is no word of a node."""
 
 
-def pack(word: typing.Any) -> bytes:
+def pack(message: typing.Any) -> bytes:
     """Return the bytes of a word."""
-    return structs.pack(word)
+    return structs.pack(message)
 
 
 def unpack(packed: bytes) -> typing.Any:
     """Return the word in a datagram; raises WordError."""
     try:
-        word = structs.unpack(packed, NodeWord)
+        message = structs.unpack(packed, NodeWord)
     except structs.StructError as error:
-        raise WordError(str(error)) from error
-    if not word.vm or word.number is None:
-        raise WordError('fields are missing')
-    return word
+        raise StatusMessageError(str(error)) from error
+    if not message.vm or message.number is None:
+        raise StatusMessageError('fields are missing')
+    return message
--- a/redwingvalve/node/tests/test_hubs.py
+++ b/redwingvalve/node/tests/test_hubs.py
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def large(monkeypatch):
-    monkeypatch.setattr(peers, 'LARGE_FROM_NODES', 3)
+    monkeypatch.setattr(peers, 'LARGE_FLEET_NODES', 3)
 
 
 def by_duty(fleet):
@@ -45,7 +45,7 @@
 
 def silence(node):
     """Let a node say nothing more, as after a kill."""
-    node.peers.send_status = lambda word, names: None
+    node.peers.send_status = lambda message, names: None
     node.peers.send_tagged = lambda packed, address: None
 
 
@@ -136,9 +136,11 @@
         for node in plain:
             send_status = node.peers.send_status
 
-            def note(word, names, vm=node.settings.vm, send_status=send_status):
+            def note(
+                message, names, vm=node.settings.vm, send_status=send_status
+            ):
                 counts[vm] += len(tuple(names))
-                send_status(word, names)
+                send_status(message, names)
 
             node.peers.send_status = note
         await anyio.sleep(2)
@@ -150,7 +152,7 @@
 
 def test_what_a_node_says_does_not_grow_with_the_fleet(large):
     """The cost of 361 nodes is that of a few for each of them."""
-    most = hubs.HUBS * 1.5 / peers.HUB_WORD_S
+    most = hubs.HUBS_PER_DATA_CENTRE * 1.5 / peers.HUB_STATUS_INTERVAL_S
     assert count_words(5) <= most
     assert count_words(10) <= most
 
@@ -176,16 +178,16 @@
                 hub.peers.known[gone.vm].is_down = True
             send_status = hub.peers.send_status
 
-            def note(word, names, send_status=send_status):
-                sent.append(word)
-                send_status(word, names)
+            def note(message, names, send_status=send_status):
+                sent.append(message)
+                send_status(message, names)
 
             hub.peers.send_status = note
         await anyio.sleep(3)
 
     fleets.run(test, nodes=4, engines=0, plain=1)
     # To hubs and to nodes, from two hubs, and half again.
-    assert len(sent) <= 3 / peers.HUB_WORD_S * 2 * 2 * 1.5
+    assert len(sent) <= 3 / peers.HUB_STATUS_INTERVAL_S * 2 * 2 * 1.5
 
 
 def test_a_hub_tells_the_newest_state_of_a_node_only():
@@ -200,9 +202,9 @@
     news = update_forwarding.ForwardedUpdates(known, hubs.Hubs(known, None))
     leaving = known.known['vm-2']
     leaving.is_leaving = True
-    news.changed(leaving)
+    news.record_change(leaving)
     leaving.is_down = True
-    news.changed(leaving)
-    word = status_messages.NodeWord(suspects=[], cleared=[])
-    news.add_to(word, with_far=False)
-    assert {state.is_up for state in word.states} == {False}
+    news.record_change(leaving)
+    message = status_messages.NodeWord(suspects=[], cleared=[])
+    news.add_to(message, with_hub_updates=False)
+    assert {state.is_up for state in message.states} == {False}
--- a/redwingvalve/node/tests/test_peer_discovery.py
+++ b/redwingvalve/node/tests/test_peer_discovery.py
@@ -22,7 +22,7 @@
 
 
 class NoWords(peers.PeerObserver):
-    def word(self, word):
+    def status_received(self, message):
         """Nothing is taken."""
 
     def node_lost(self, vm):
@@ -33,8 +33,8 @@
     def __init__(self):
         self.words = []
 
-    def word(self, word):
-        self.words.append(word)
+    def status_received(self, message):
+        self.words.append(message)
 
     def node_lost(self, vm):
         """Nothing is kept."""
@@ -53,12 +53,12 @@
 
 def say(known, local, number):
     """Let a node's word arrive."""
-    word = status_messages.NodeWord(
+    message = status_messages.NodeWord(
         vm=local.vm, born_ms=local.born_ms, number=number, is_ready=True
     )
-    word.address = status_fields.address_word(local)
+    message.address = status_fields.address_message(local)
     known.datagram_received(
-        status_messages.pack(word), (local.ip, local.peer_port)
+        status_messages.pack(message), (local.ip, local.peer_port)
     )
 
 
@@ -91,24 +91,24 @@
     start. An old listing that is read afterwards changes nothing.
     """
     known = peers.Peers(address('vm-1'), NoWords())
-    known.listed([address('vm-1'), address('vm-2')])
+    known.apply_listing([address('vm-1'), address('vm-2')])
     moved = address('vm-2', born_ms=2, ip='127.0.0.2')
-    word = status_messages.NodeWord(
+    message = status_messages.NodeWord(
         vm='vm-2', born_ms=2, number=1, is_ready=True
     )
-    word.address = status_fields.address_word(moved)
-    known.datagram_received(status_messages.pack(word), ('127.0.0.2', 7000))
-    known.listed([address('vm-1'), address('vm-2')])
+    message.address = status_fields.address_message(moved)
+    known.datagram_received(status_messages.pack(message), ('127.0.0.2', 7000))
+    known.apply_listing([address('vm-1'), address('vm-2')])
     assert known.known['vm-2'].address == moved
     assert front_selection.select_fronts(known) == [moved.front]
 
 
 def test_a_node_is_forgotten_once_it_is_neither_listed_nor_heard(monkeypatch):
-    ticks = itertools.count(100.0, peers.FORGET_S / 4)
+    ticks = itertools.count(100.0, peers.FORGET_AFTER_S / 4)
     known = peers.Peers(address('vm-1'), NoWords())
-    known.listed([address('vm-2')])
+    known.apply_listing([address('vm-2')])
     monkeypatch.setattr(peers.time, 'monotonic', lambda: next(ticks) + 1e9)
-    known.listed([])
+    known.apply_listing([])
     assert not known.known
 
 
@@ -118,7 +118,7 @@
     It refuses one node for seconds. That node knows the others; each further
     call is refused too, and priced.
     """
-    monkeypatch.setattr(peer_discovery, 'READ_AGAIN_S', 0.4)
+    monkeypatch.setattr(peer_discovery, 'RELIST_INTERVAL_S', 0.4)
 
     async def test(fleet):
         await fleet.until(lambda: len(fleet.nodes[0].peers.known) == 1)
@@ -150,10 +150,10 @@
     say(known, address('vm-2', born_ms=9000), number=70)
     restarted = address('vm-2', born_ms=5000, ip='127.0.0.2')
     say(known, restarted, number=1)
-    assert [word.number for word in heard.words] == [70]
+    assert [message.number for message in heard.words] == [70]
     now.pass_s(peers.ALIVE_TIMEOUT_S + 0.1)
     say(known, restarted, number=2)
-    assert [word.number for word in heard.words] == [70, 2]
+    assert [message.number for message in heard.words] == [70, 2]
     assert known.known['vm-2'].address.ip == '127.0.0.2'
     assert front_selection.select_fronts(known) == ['127.0.0.2:80']
 
@@ -169,7 +169,7 @@
     say(known, address('vm-2'), number=7)
     now.pass_s(peers.ALIVE_TIMEOUT_S + 0.1)
     say(known, address('vm-2'), number=6)
-    assert [word.number for word in heard.words] == [7]
+    assert [message.number for message in heard.words] == [7]
 
 
 def test_a_late_word_of_the_last_process_does_not_bring_it_back():
@@ -181,9 +181,9 @@
     heard = HeardWords()
     known = peers.Peers(address('vm-1'), heard)
     replaced = address('vm-2', born_ms=9000, ip='127.0.0.2')
-    known.listed([replaced])
+    known.apply_listing([replaced])
     say(known, address('vm-2', born_ms=5000), number=70)
     assert known.known['vm-2'].address == replaced
     assert not heard.words
     say(known, replaced, number=1)
-    assert [word.number for word in heard.words] == [1]
+    assert [message.number for message in heard.words] == [1]
--- a/redwingvalve/node/tests/test_relays.py
+++ b/redwingvalve/node/tests/test_relays.py
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def relayed(monkeypatch):
-    monkeypatch.setattr(peers, 'LARGE_FROM_NODES', 3)
+    monkeypatch.setattr(peers, 'LARGE_FLEET_NODES', 3)
 
 
 def test_changes_reach_nodes_behind_relays(relayed):
@@ -126,7 +126,7 @@
         watch = kind_watch.KindWatch(
             'config', Deaf(), lambda: [of_relay(relay), of_store(platform)]
         )
-        with anyio.move_on_after(4 * kind_watch.FORGIVE_S):
+        with anyio.move_on_after(4 * kind_watch.RELAY_BACKOFF_S):
             await watch.run()
 
     anyio.run(main)
@@ -186,7 +186,9 @@
     own = known.pop()
     nobody = mock.create_autospec(peers.PeerObserver, instance=True)
     others = peers.Peers(own, nobody)
-    others.listed([*known, *(node_address(f'x-{n}', 1) for n in range(9))])
+    others.apply_listing(
+        [*known, *(node_address(f'x-{n}', 1) for n in range(9))]
+    )
     monkeypatch.setattr(
         watch_sources.SourceSelector, '_relay_source', lambda _, one: one.vm
     )
@@ -196,8 +198,8 @@
     # One of the two itself.
     assert [source.is_store for source in selector.select()] == [True]
     others = peers.Peers(known[0], nobody)
-    others.listed([*known[1:], own])
-    others.listed([node_address(f'x-{n}', 1) for n in range(9)])
+    others.apply_listing([*known[1:], own])
+    others.apply_listing([node_address(f'x-{n}', 1) for n in range(9)])
     selector = watch_sources.SourceSelector(
         None, None, others, hubs.Hubs(others, None), lambda: False, BOUND_S
     )
@@ -263,9 +265,9 @@
     time until the store is asked is left for a late wake-up.
     """
     relay_s = watch_sources.PAUSE_SHARE + watch_sources.RELAY_WAIT_SHARE
-    assert relay_s + 0.1 <= watch_sources.ASK_STORE_SHARE
+    assert relay_s + 0.1 <= watch_sources.STORE_FALLBACK_SHARE
 
 
 def test_the_store_is_asked_early_enough_for_its_answer():
     """A change is known in time behind relays that are frozen or cut off."""
-    assert watch_sources.ASK_STORE_SHARE <= 0.8
+    assert watch_sources.STORE_FALLBACK_SHARE <= 0.8
--- a/redwingvalve/node/tests/test_status_exchange.py
+++ b/redwingvalve/node/tests/test_status_exchange.py
@@ -23,7 +23,7 @@
     async def test(fleet):
         node = fleet.nodes[0]
         said = []
-        node.peers.send_status = lambda word, names: said.append(word)
+        node.peers.send_status = lambda message, names: said.append(message)
         await anyio.sleep(0.1)
         before = len(said)
         for number in range(FOUND):
@@ -50,7 +50,7 @@
         await fleet.until(lambda: len(pool.ledger) == 1)
         peer = granter.peers.known[killed.settings.vm]
         await fleet.until(lambda: peer.last_received_s is not None)
-        killed.peers.send_status = lambda word, names: None
+        killed.peers.send_status = lambda message, names: None
         killed.peers.send_tagged = lambda packed, address: None
         await fleet.until(lambda: not len(pool.ledger), 0.6)
 
@@ -139,8 +139,8 @@
     for nodes in (7, 59, 82, 361):
         found = [peer_address(number) for number in range(nodes)]
         known = peers.Peers(found[0], telling_nobody())
-        known.listed(found)
-        rest_s = max(peers.REST_WORD_S, known.word_pause_s)
+        known.apply_listing(found)
+        rest_s = max(peers.IDLE_STATUS_INTERVAL_S, known.status_interval_s)
         assert known.alive_timeout_s >= 2 * rest_s
 
 
--- a/redwingvalve/node/tests/test_status_messages.py
+++ b/redwingvalve/node/tests/test_status_messages.py
@@ -50,5 +50,5 @@
 
 @pytest.mark.parametrize('packed', [b'', b'no word', bytes(40)])
 def test_other_bytes_are_no_word(packed):
-    with pytest.raises(status_messages.WordError):
+    with pytest.raises(status_messages.StatusMessageError):
         status_messages.unpack(packed)
--- a/redwingvalve/node/tests/test_watch_cache.py
+++ b/redwingvalve/node/tests/test_watch_cache.py
@@ -23,9 +23,9 @@
     now_s = [100.0]
     monkeypatch.setattr(clock, 'boot_s', lambda: now_s[0])
     cache = watch_cache.WatchCache()
-    assert cache.age_s == watch_cache.NEVER_S
+    assert cache.age_s == watch_cache.NEVER_SYNCED_AGE_S
     cache.apply_listing(store.Listing([], 10))
-    cache.heard(1.0, is_from_store=True)
+    cache.record_sync(1.0, is_from_store=True)
     now_s[0] += 4
     assert cache.listing().age_s == pytest.approx(4)
     assert not cache.is_current
@@ -50,18 +50,18 @@
 
 async def hear_later(cache):
     await anyio.sleep(0.05)
-    cache.heard(1.0, is_from_store=True)
+    cache.record_sync(1.0, is_from_store=True)
 
 
 def test_a_relay_that_lost_the_store_says_so():
     async def main():
         cache = watch_cache.WatchCache()
         assert not cache.is_current
-        cache.heard(0.0, is_from_store=True)
+        cache.record_sync(0.0, is_from_store=True)
         assert cache.is_current
-        await anyio.sleep(watch_cache.CONTACT_SLACK_S + 0.05)
+        await anyio.sleep(watch_cache.RESPONSE_SLACK_S + 0.05)
         assert not cache.is_current
-        cache.heard(5.0, is_from_store=False)
+        cache.record_sync(5.0, is_from_store=False)
         assert not cache.is_current
 
     anyio.run(main)
@@ -146,7 +146,7 @@
         cache = watch_cache.WatchCache()
         cache.apply_listing(store.Listing([], 100))
         assert not cache.has_history(99) and cache.has_history(100)
-        for number in range(watch_cache.KEPT_BATCHES + 1):
+        for number in range(watch_cache.MAX_BATCHES + 1):
             batch = [change('a', 101 + number)]
             cache.apply_changes(store.Changes(batch, 101 + number))
         assert not cache.has_history(100) and cache.has_history(101)
--- a/redwingvalve/node/update_forwarding.py
+++ b/redwingvalve/node/update_forwarding.py
@@ -20,11 +20,11 @@
 from redwingvalve.node import status_fields, status_messages
 
 # Three regular words.
-NEWS_S = 1.0
+FORWARD_FOR_S = 1.0
 # A word stays within one packet.
-MOST_STATES = 12
-MOST_FINDINGS = 16
-MOST_USAGES = 12
+MAX_STATES = 12
+MAX_FINDINGS = 16
+MAX_USAGES = 12
 # Nodes that are down or leaving are told again in turn, so that one that has
 # just started hears of them.
 REPEATED_STATES = 4
@@ -33,39 +33,41 @@
 
 
 @attrs.frozen
-class _Item:
+class _Update:
     content: typing.Any
     at_s: float
 
 
-class News:
+class RecentUpdates:
     """The newest item for each key, for as long as it is news."""
 
     def __init__(self) -> None:
         """Start without news."""
-        self._items: dict[_Key, _Item] = {}
+        self._updates: dict[_Key, _Update] = {}
 
-    def note(self, key: _Key, content: typing.Any) -> bool:
+    def record(self, key: _Key, content: typing.Any) -> bool:
         """Take an item in place of an older one; return if it is the first."""
-        known = self._items.pop(key, None)
-        self._items[key] = _Item(content, time.monotonic())
+        known = self._updates.pop(key, None)
+        self._updates[key] = _Update(content, time.monotonic())
         return known is None
 
-    def fresh(self, most: int) -> list[typing.Any]:
+    def recent(self, limit: int) -> list[typing.Any]:
         """Return the newest items, and forget the old ones."""
-        since_s = time.monotonic() - NEWS_S
-        self._items = {
-            key: one for key, one in self._items.items() if one.at_s >= since_s
+        since_s = time.monotonic() - FORWARD_FOR_S
+        self._updates = {
+            key: one
+            for key, one in self._updates.items()
+            if one.at_s >= since_s
         }
-        return [one.content for one in list(self._items.values())[-most:]]
+        return [one.content for one in list(self._updates.values())[-limit:]]
 
 
 @attrs.define(eq=False)
-class _Heard:
-    suspicions: News = attrs.field(factory=News)
-    clearings: News = attrs.field(factory=News)
-    states: News = attrs.field(factory=News)
-    usages: News = attrs.field(factory=News)
+class _ReceivedUpdates:
+    suspicions: RecentUpdates = attrs.field(factory=RecentUpdates)
+    clearances: RecentUpdates = attrs.field(factory=RecentUpdates)
+    states: RecentUpdates = attrs.field(factory=RecentUpdates)
+    usages: RecentUpdates = attrs.field(factory=RecentUpdates)
 
 
 @attrs.define(eq=False)
@@ -74,57 +76,69 @@
 
     peers: peers_module.Peers
     hubs: hubs_module.Hubs
-    _near: _Heard = attrs.field(factory=_Heard)
-    _far: _Heard = attrs.field(factory=_Heard)
+    _from_spokes: _ReceivedUpdates = attrs.field(factory=_ReceivedUpdates)
+    _from_hubs: _ReceivedUpdates = attrs.field(factory=_ReceivedUpdates)
     # Names that are still to be repeated, to hubs and to nodes near by.
-    _repeated: dict[bool, collections.deque[str]] = attrs.field(
+    _repeat_queues: dict[bool, collections.deque[str]] = attrs.field(
         factory=lambda: collections.defaultdict(collections.deque)
     )
 
-    def heard(self, word: typing.Any, news: list[typing.Any]) -> bool:
+    def record_received(
+        self, message: typing.Any, news: list[typing.Any]
+    ) -> bool:
         """Take a word of another node; return whether others can't wait.
 
         news are those of its states that were not known here. What hubs
         repeat is no news: passed on at once, it would be repeated for ever.
         """
-        heard = self._near if self._is_near(word.vm) else self._far
+        record_received = (
+            self._from_spokes if self._is_spoke(message.vm) else self._from_hubs
+        )
         is_urgent = False
-        for suspicion in status_fields.read_suspicions(word):
+        for suspicion in status_fields.parse_suspicions(message):
             key = (suspicion.endpoint_id, suspicion.epoch)
-            is_urgent |= heard.suspicions.note(key, suspicion)
-        for clearing in status_fields.read_clears(word):
-            key = (clearing.endpoint_id, clearing.epoch)
-            is_urgent |= heard.clearings.note(key, clearing)
+            is_urgent |= record_received.suspicions.record(key, suspicion)
+        for clearance in status_fields.parse_clearances(message):
+            key = (clearance.endpoint_id, clearance.epoch)
+            is_urgent |= record_received.clearances.record(key, clearance)
         for state in news:
             is_urgent = True
-            heard.states.note(state.vm, state)
-        for usage in word.usages or ():
-            heard.usages.note(usage.vm, usage)
-        if word.usage:
-            told = status_messages.UsageWord(vm=word.vm, usage=word.usage)
-            heard.usages.note(word.vm, told)
+            record_received.states.record(state.vm, state)
+        for usage in message.usages or ():
+            record_received.usages.record(usage.vm, usage)
+        if message.usage:
+            usage_message = status_messages.UsageWord(
+                vm=message.vm, usage=message.usage
+            )
+            record_received.usages.record(message.vm, usage_message)
         return is_urgent
 
-    def changed(self, peer: peers_module.Peer) -> None:
+    def record_change(self, peer: peers_module.Peer) -> None:
         """Note that a node that is heard here has changed."""
-        self._near.states.note(peer.address.vm, _state_of(peer))
+        self._from_spokes.states.record(peer.address.vm, _state_message(peer))
 
-    def add_to(self, word: typing.Any, *, with_far: bool) -> None:
+    def add_to(self, message: typing.Any, *, with_hub_updates: bool) -> None:
         """Add what is to be passed on to a word of this node."""
-        sources = [self._near, self._far] if with_far else [self._near]
+        received = (
+            [self._from_spokes, self._from_hubs]
+            if with_hub_updates
+            else [self._from_spokes]
+        )
         suspicions: list[serving.Suspicion] = []
-        clearings: list[status_fields.Clearing] = []
-        word.states = self._states_again(with_far=with_far)
-        word.usages = []
-        for heard in sources:
-            suspicions += heard.suspicions.fresh(MOST_FINDINGS)
-            clearings += heard.clearings.fresh(MOST_FINDINGS)
-            word.states += heard.states.fresh(MOST_STATES)
-            word.usages += heard.usages.fresh(MOST_USAGES)
-        word.suspects += status_fields.suspicion_words(suspicions)
-        word.cleared += status_fields.clearing_words(clearings)
-
-    def _is_near(self, vm: str) -> bool:
+        clearances: list[status_fields.Clearance] = []
+        message.states = self._next_repeated_states(
+            with_hub_updates=with_hub_updates
+        )
+        message.usages = []
+        for record_received in received:
+            suspicions += record_received.suspicions.recent(MAX_FINDINGS)
+            clearances += record_received.clearances.recent(MAX_FINDINGS)
+            message.states += record_received.states.recent(MAX_STATES)
+            message.usages += record_received.usages.recent(MAX_USAGES)
+        message.suspects += status_fields.suspicion_messages(suspicions)
+        message.cleared += status_fields.clearance_messages(clearances)
+
+    def _is_spoke(self, vm: str) -> bool:
         peer = self.peers.known.get(vm)
         if peer is None:
             return False
@@ -132,29 +146,34 @@
         is_near = data_centre == self.peers.local.data_centre
         return is_near and vm not in self.hubs.of(data_centre)
 
-    def _states_again(self, *, with_far: bool) -> list[typing.Any]:
+    def _next_repeated_states(
+        self, *, with_hub_updates: bool
+    ) -> list[typing.Any]:
         """Return some of the nodes that are down or leaving, in turn."""
-        near = self.peers.local.data_centre
-        repeated = self._repeated[with_far]
-        if not repeated:
-            repeated.extend(
+        local_data_centre = self.peers.local.data_centre
+        queue = self._repeat_queues[with_hub_updates]
+        if not queue:
+            queue.extend(
                 vm
                 for vm, peer in self.peers.known.items()
                 if (peer.is_down or peer.is_leaving)
-                and (with_far or peer.address.data_centre == near)
+                and (
+                    with_hub_updates
+                    or peer.address.data_centre == local_data_centre
+                )
             )
-        count = min(len(repeated), REPEATED_STATES)
-        names = [repeated.popleft() for _ in range(count)]
+        count = min(len(queue), REPEATED_STATES)
+        names = [queue.popleft() for _ in range(count)]
         found = [self.peers.known.get(name) for name in names]
-        return [_state_of(peer) for peer in found if peer is not None]
+        return [_state_message(peer) for peer in found if peer is not None]
 
 
-def _state_of(peer: peers_module.Peer) -> typing.Any:
+def _state_message(peer: peers_module.Peer) -> typing.Any:
     return status_messages.StateWord(
         vm=peer.address.vm,
         born_ms=peer.born_ms or peer.address.born_ms,
         is_up=not peer.is_down,
         is_leaving=peer.is_leaving,
         is_ready=peer.is_ready,
-        address=status_fields.address_word(peer.address),
+        address=status_fields.address_message(peer.address),
     )
--- a/redwingvalve/node/watch_cache.py
+++ b/redwingvalve/node/watch_cache.py
@@ -21,11 +21,11 @@
 from redwingvalve.platform import store
 
 # Changes kept for nodes that come from another source or were held up.
-KEPT_BATCHES = 256
+MAX_BATCHES = 256
 # Beyond the wait of a watch, an answer takes a round trip.
-CONTACT_SLACK_S = 0.5
+RESPONSE_SLACK_S = 0.5
 # Said where the store was never heard: too old for any bound.
-NEVER_S = 3600.0
+NEVER_SYNCED_AGE_S = 3600.0
 
 
 @attrs.frozen
@@ -43,9 +43,9 @@
         self._first_revision = 0
         self._objects: dict[str, store.Document] = {}
         self._batches: collections.deque[_Batch] = collections.deque(
-            maxlen=KEPT_BATCHES
+            maxlen=MAX_BATCHES
         )
-        self._contact_s: float | None = None
+        self._synced_s: float | None = None
         self._wait_s = 0.0
         self._changed = asyncio.Event()
 
@@ -56,25 +56,25 @@
         Time in which this VM was suspended counts: after it, what is known
         here looks newer than it is by a clock that stood still.
         """
-        if self._contact_s is None:
-            return NEVER_S
-        return clock.boot_s() - self._contact_s
+        if self._synced_s is None:
+            return NEVER_SYNCED_AGE_S
+        return clock.boot_s() - self._synced_s
 
     @property
     def is_current(self) -> bool:
         """Return whether the store itself was heard lately."""
-        return self.age_s < self._wait_s + CONTACT_SLACK_S
+        return self.age_s < self._wait_s + RESPONSE_SLACK_S
 
     def listing(self) -> store.Listing:
         """Return all objects."""
         objects = list(self._objects.values())
         return store.Listing(objects, self.revision, self.age_s)
 
-    def heard(self, wait_s: float, is_from_store: bool) -> None:
+    def record_sync(self, wait_s: float, is_from_store: bool) -> None:
         """Note an answer; the next one is due within wait_s."""
         self._wait_s = wait_s
-        self._contact_s = clock.boot_s() if is_from_store else None
-        self._tell()
+        self._synced_s = clock.boot_s() if is_from_store else None
+        self._notify_waiters()
 
     def apply_listing(self, listing: store.Listing) -> None:
         """Take all objects at a revision.
@@ -88,15 +88,15 @@
             for stored in listing.objects
         }
         if self.revision and listing.revision >= self.revision:
-            missed = _differences(self._objects, found)
+            missed = _diff(self._objects, found)
             self.apply_changes(store.Changes(missed, listing.revision))
-            self._tell()
+            self._notify_waiters()
             return
         self._objects = found
         self._batches.clear()
         self.revision = listing.revision
         self._first_revision = listing.revision
-        self._tell()
+        self._notify_waiters()
 
     def apply_changes(self, found: store.Changes) -> None:
         """Take changes in their order."""
@@ -108,10 +108,10 @@
                 self._objects.pop(change.name, None)
             else:
                 self._objects[change.name] = change.stored
-        if len(self._batches) == KEPT_BATCHES:
+        if len(self._batches) == MAX_BATCHES:
             self._first_revision = self._batches[0].revision
         self._batches.append(_Batch(found.revision, found.changes))
-        self._tell()
+        self._notify_waiters()
 
     def has_history(self, after_revision: int) -> bool:
         """Return whether all changes after a revision are kept."""
@@ -142,7 +142,7 @@
         return store.Changes(found, revision, self.age_s)
 
     def _after(self, revision: int) -> list[store.Change]:
-        return _newest(
+        return _compact(
             change
             for batch in self._batches
             if batch.revision > revision
@@ -156,12 +156,12 @@
         except TimeoutError:
             return
 
-    def _tell(self) -> None:
+    def _notify_waiters(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
 
-def _differences(
+def _diff(
     known: dict[str, store.Document], found: dict[str, store.Document]
 ) -> list[store.Change]:
     """Return the changes that lead from the known objects to those found."""
@@ -179,7 +179,7 @@
     return [*removed, *apply_changes]
 
 
-def _newest(
+def _compact(
     changes: collections_abc.Iterable[store.Change],
 ) -> list[store.Change]:
     """Return the last state of each object, and its removal.
--- a/redwingvalve/node/watch_sources.py
+++ b/redwingvalve/node/watch_sources.py
@@ -39,9 +39,9 @@
 # store, which leaves the rest for its answer.
 PAUSE_SHARE = 0.25
 RELAY_WAIT_SHARE = 0.25
-ASK_STORE_SHARE = 0.7
+STORE_FALLBACK_SHARE = 0.7
 # Ages are told in steps of a tenth of a second.
-_AGES_IN_S = 10
+_AGE_STEPS_PER_S = 10
 _JSON = (b'content-type', b'application/json')
 _OK = 200
 _NOT_FOUND = 404
@@ -90,19 +90,21 @@
         is_large_fleet = self._peers.is_large_fleet
         relay_wait_s = RELAY_WAIT_SHARE * self._bound_s
         wait_s = relay_wait_s if is_large_fleet else STORE_WAIT_S
-        at_once = Source(self._store, is_store=True, wait_s=wait_s)
+        unpaused = Source(self._store, is_store=True, wait_s=wait_s)
         if self._holds_lease():
-            return [at_once]
-        own = attrs.evolve(at_once, pause_s=PAUSE_SHARE * self._bound_s)
+            return [unpaused]
+        store_source = attrs.evolve(
+            unpaused, pause_s=PAUSE_SHARE * self._bound_s
+        )
         if not is_large_fleet:
-            return [own]
+            return [store_source]
         relays = self._hubs.of(self._peers.local.data_centre)
         # The second hub follows the first, so that a data centre costs the
         # store the calls of one node.
-        before = itertools.takewhile(
+        preceding = itertools.takewhile(
             lambda address: address.vm != self._peers.local.vm, relays.values()
         )
-        return [*map(self._relay_source, before), own]
+        return [*map(self._relay_source, preceding), store_source]
 
     def _relay_source(self, address: peers_module.PeerAddress) -> Source:
         socket = settings_module.SocketAddress(address.ip, address.peer_port)
@@ -110,7 +112,7 @@
             client=store.StoreClient(socket, self._json),
             is_store=False,
             wait_s=(PAUSE_SHARE + RELAY_WAIT_SHARE) * self._bound_s,
-            max_age_s=ASK_STORE_SHARE * self._bound_s,
+            max_age_s=STORE_FALLBACK_SHARE * self._bound_s,
         )
 
 
@@ -139,13 +141,13 @@
         self, request: messages.Request, responder: server.Responder
     ) -> None:
         """Answer, at once or when something changes."""
-        asked = store_pages.read_request(request.target.decode('latin-1'))
-        cache = self._caches.get(asked.kind) if asked else None
-        if asked is None or cache is None:
+        query = store_pages.read_request(request.target.decode('latin-1'))
+        cache = self._caches.get(query.kind) if query else None
+        if query is None or cache is None:
             responder.answer(_NOT_FOUND, [_JSON], b'{}')
             return
         task = asyncio.get_running_loop().create_task(
-            self._answer(cache, asked, responder)
+            self._answer(cache, query, responder)
         )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -153,19 +155,19 @@
     async def _answer(
         self,
         cache: watch_cache.WatchCache,
-        asked: store_pages.PageRequest,
+        query: store_pages.PageRequest,
         responder: server.Responder,
     ) -> None:
         if not cache.is_current:
             responder.answer(_UNAVAILABLE, [_JSON], b'{}')
             return
-        if asked.after_revision is None:
+        if query.after_revision is None:
             page = store_pages.write_listing(cache.listing())
             responder.answer(_OK, list(store_pages.HEADERS), page)
             return
         try:
             found = await cache.changes_after(
-                asked.after_revision, asked.wait_s
+                query.after_revision, query.wait_s
             )
         except store.HistoryGoneError:
             responder.answer(_HISTORY_GONE, [_JSON], b'{}')
@@ -173,11 +175,11 @@
         if not (found.changes or cache.is_current):
             responder.answer(_UNAVAILABLE, [_JSON], b'{}')
             return
-        page = self._page(asked, found)
+        page = self._page(query, found)
         responder.answer(_OK, list(store_pages.HEADERS), page)
 
     def _page(
-        self, asked: store_pages.PageRequest, found: store.Changes
+        self, query: store_pages.PageRequest, found: store.Changes
     ) -> bytes:
         """Return the answer, made once for all nodes that wait for the same.
 
@@ -185,12 +187,12 @@
         for each of them takes the relay longer than the change should take.
         """
         # Never told younger than it is.
-        age_s = math.ceil(found.age_s * _AGES_IN_S) / _AGES_IN_S
-        key = (asked.after_revision, found.revision, age_s)
-        known, page = self._pages.get(asked.kind, (None, b''))
+        age_s = math.ceil(found.age_s * _AGE_STEPS_PER_S) / _AGE_STEPS_PER_S
+        key = (query.after_revision, found.revision, age_s)
+        known, page = self._pages.get(query.kind, (None, b''))
         if known != key:
             page = store_pages.write_changes(attrs.evolve(found, age_s=age_s))
-            self._pages[asked.kind] = (key, page)
+            self._pages[query.kind] = (key, page)
         return page
 
 
