--- a/redwingvalve/node/hubs.py
+++ b/redwingvalve/node/hubs.py
@@ -1,8 +1,9 @@
-"""Who speaks to whom in a large fleet, and whose silence means something.
+"""Hub topology of a large fleet, and failure detection along it.
 
-Each node speaks to the hubs of its data centre: its two living nodes with the
-widest links. Hubs speak to each other and to their nodes. So what a node spends
-doesn't grow with the fleet, and what a hub spends grows with its data centre.
+Each node exchanges status messages with the hubs of its data centre: the two
+live nodes with the highest bandwidth. Hubs exchange them with each other and
+with the nodes of their data centre. So the cost of a node doesn't grow with the
+fleet, and that of a hub grows with its data centre only.
 """
 
 import time
@@ -13,20 +14,21 @@
 from redwingvalve.node import peers as peers_module
 
 HUBS_PER_DATA_CENTRE = 2
-# The choice is made anew this often.
+# A selection of hubs is reused for this long.
 SELECTION_TTL_S = 0.1
-# A node that was heard within this is not down, whatever a hub says: it would
-# have been silent for longer. Two words.
+# A node whose own message arrived within this time isn't down, whatever a hub
+# reports, since a node that is down has been silent for longer. Two status
+# intervals of hubs.
 RECENTLY_RECEIVED_S = 0.5
-# Silence of all others for this long is this node's own.
+# If no node at all was heard for this long, this node itself was cut off.
 RECEIVE_GAP_S = 0.5
 
 
 @attrs.frozen
 class Recipients:
-    """To whom a node speaks."""
+    """The nodes that this node sends its status to."""
 
-    # Those that pass on what they hear, in a large fleet.
+    # Hubs, which forward updates; empty in a small fleet.
     hubs: tuple[str, ...]
     nodes: tuple[str, ...]
 
@@ -35,34 +37,34 @@
 
 
 class Hubs:
-    """The hubs of all data centres, as this node sees them."""
+    """The hubs of all data centres, as selected by this node."""
 
     def __init__(
         self,
         peers: peers_module.Peers,
         on_changed: typing.Callable[[peers_module.Peer], None],
     ) -> None:
-        """Tell on_changed of nodes that fell silent."""
+        """Call on_changed with nodes to be forwarded to others."""
         self._peers = peers
         self._on_changed = on_changed
         self._selected: dict[str, _Selection] = {}
         self._selected_s = 0.0
-        # Until when silence is excused: others were not heard here.
+        # Silence before this moment is ignored, as this node was cut off.
         self._excused_s = 0.0
-        # Since when words of a node are to come here: who has just become a
-        # hub has heard nobody yet.
+        # Since when each sender's messages are due here. A node that has just
+        # become a hub has received none yet.
         self._expected_since_s: dict[str, float] = {}
 
     @property
     def is_hub(self) -> bool:
-        """Return whether nodes of this data centre speak to this one."""
+        """Return whether this node is a hub of its data centre."""
         local = self._peers.local
         return self._peers.is_large_fleet and local.vm in self.of(
             local.data_centre
         )
 
     def of(self, data_centre: str) -> _Selection:
-        """Return the hubs of a data centre, the first one first."""
+        """Return the hubs of a data centre in order of preference."""
         now_s = time.monotonic()
         if now_s - self._selected_s > SELECTION_TTL_S:
             self._selected_s = now_s
@@ -74,7 +76,7 @@
         return known
 
     def recipients(self) -> Recipients:
-        """Return to whom this node speaks."""
+        """Return the nodes to send this node's status to."""
         peers = self._peers
         if not peers.is_large_fleet:
             return Recipients(hubs=(), nodes=tuple(peers.known))
@@ -92,14 +94,14 @@
         return Recipients(hubs=tuple(hubs), nodes=tuple(nodes))
 
     def receives_from(self, peer: peers_module.Peer) -> bool:
-        """Return whether a node's own words come here."""
+        """Return whether a node sends its own status to this node."""
         return peer.address.vm in self._senders()
 
     def mark_silent_down(self) -> None:
-        """Take nodes for down whose words should come here and don't."""
+        """Mark nodes as down whose status messages are overdue here."""
         now_s = time.monotonic()
         if self._peers.receive_gap_s > RECEIVE_GAP_S:
-            # What others said meanwhile was lost here.
+            # Messages of all other nodes were lost here in the meantime.
             self._peers.receive_gap_s = 0
             self._excused_s = now_s
         if now_s - self._peers.last_received_s > RECEIVE_GAP_S:
@@ -120,7 +122,7 @@
                 self._on_changed(peer)
 
     def apply_state(self, state: typing.Any) -> bool:
-        """Take what a hub says of a node; return whether it was news."""
+        """Apply a node's state from a hub; return whether it has changed."""
         peer = self._find_or_add(state)
         if peer is None or (state.born_ms or 0) < peer.born_ms:
             return False
@@ -129,7 +131,7 @@
             peer.last_received_s is not None and peer.last_received_s >= since_s
         )
         if not state.is_up and was_received and self.receives_from(peer):
-            # The hub that said so is cut off from it.
+            # The reporting hub has lost contact with the node; correct it.
             self._on_changed(peer)
             return False
         before = _view_of(peer)
@@ -148,7 +150,7 @@
         return known.get(state.vm)
 
     def _senders(self) -> tuple[str, ...]:
-        """Return the nodes that speak to this one: those it speaks to."""
+        """Return the nodes that send here: the recipients of this node."""
         recipients = self.recipients()
         return (*recipients.hubs, *recipients.nodes)
 
@@ -174,14 +176,14 @@
 
 
 def bandwidth_rank(address: peers_module.PeerAddress) -> tuple[float, str]:
-    """Rank nodes with wide links first: a hub speaks to some forty nodes."""
+    """Rank by bandwidth, highest first: a hub sends to about forty nodes."""
     return -address.link_mbps, address.vm
 
 
 def lease_rank(peers: peers_module.Peers) -> int:
-    """Return how many living nodes would rather hold the lease.
+    """Return how many live nodes are preferred as holder of the lease.
 
-    The holder has most to do: the widest VMs of a fleet come first.
+    The holder has the most work, so nodes with more bandwidth come first.
     """
     local = bandwidth_rank(peers.local)
     return sum(bandwidth_rank(peer.address) < local for peer in peers.alive())
--- a/redwingvalve/node/peers.py
+++ b/redwingvalve/node/peers.py
@@ -1,13 +1,15 @@
-"""The other nodes: where they are, which live, and what they last said.
-
-Each node says by datagram whom it suspects and what it knows of the lease. A
-lost datagram is made up for by the next. A node that the others don't know yet
-introduces itself in its first words.
-
-In a small fleet all nodes hear each other. In a large one a node speaks to the
-hubs of its data centre, two living nodes with the widest links, and hears from
-them what has happened to others; so what it spends doesn't grow with the fleet.
-A node that no hub has told of as down counts as living.
+"""Membership table of the other nodes: addresses, liveness, last status.
+
+Each node sends a status message as a UDP datagram at a fixed interval. It
+carries the endpoints that the node suspects and what it knows of the lease. A
+lost datagram needs no retransmission, since the next one repeats its content. A
+node that others may not know yet announces its address in its first messages.
+
+In a small fleet every node sends to every other node. In a large one a node
+sends only to the hubs of its data centre (two live nodes with the highest
+bandwidth) and receives updates about other nodes from them, so that its cost
+doesn't grow with the fleet. There a node counts as alive until it is marked
+down.
 """
 
 import asyncio
@@ -22,30 +24,32 @@
 from redwingvalve.platform import settings
 
 LOG = logs.make_logger('peers')
-# A node that the store lists no more is forgotten after this silence; a stale
-# listing may lack one that has just come.
+# A node that the store no longer lists is removed after this time without a
+# message. A stale listing may lack a node that has just started.
 FORGET_AFTER_S = 15.0
-# After the store was read, each word says where the node is for so long: some
-# ten words, of which the network loses a few.
+# Status messages include the address for this long after each listing of the
+# store: about ten messages, of which the network loses a few.
 ANNOUNCE_S = 3.0
-# A node is given to callers while it was heard within this; four words of a
-# node at rest.
+# A node is given to callers while its last status message is younger than
+# this: four messages of an idle node.
 ALIVE_TIMEOUT_S = 1.2
-# Words between a hub and its nodes. Two in a row may be lost before a node
-# counts as down.
+# Status messages between a hub and its nodes. Two in a row may be lost before
+# a node counts as down.
 HUB_STATUS_INTERVAL_S = 0.25
 HUB_ALIVE_TIMEOUT_S = 0.9
-# The requests of a node count while it was heard within this many pauses: one
-# word that is lost on the way makes no difference.
+# Requests of a node count until it has been silent for this many intervals, so
+# that a single lost message has no effect.
 LOST_AFTER_INTERVALS = 3.5
-# Words while something changes, and at rest.
+# Status messages while requests run, and while the node is idle.
 BUSY_STATUS_INTERVAL_S = 0.1
 IDLE_STATUS_INTERVAL_S = 0.3
-# In a small fleet of more nodes than this words get rarer.
+# With more peers than this, status messages of a small fleet become less
+# frequent.
 FULL_RATE_PEERS = 8
-# From this many nodes on some watch the store for the others.
+# A fleet of at least this many nodes uses hubs, and relays for store watches.
 LARGE_FLEET_NODES = 12
-# The first byte of datagrams that are no words: no struct begins with it.
+# First byte of datagrams that aren't status messages. No Thrift struct begins
+# with it.
 TAG = b'\xff'
 
 
@@ -54,7 +58,7 @@
 
 @attrs.frozen
 class PeerAddress:
-    """A node as it stands in the store."""
+    """Address and attributes of a node, as registered in the store."""
 
     vm: str
     ip: str
@@ -62,18 +66,18 @@
     front: str
     data_centre: str
     born_ms: int
-    # 0 where a node does not say.
+    # 0 if the node doesn't state its bandwidth.
     link_mbps: float = 0
 
     @property
     def socket_address(self) -> tuple[str, int]:
-        """Return where the node's datagrams go."""
+        """Return the address for datagrams to this node."""
         return self.ip, self.peer_port
 
 
 @attrs.define(eq=False)
 class Peer:
-    """What is known of another node."""
+    """State of another node."""
 
     address: PeerAddress
     first_seen_s: float
@@ -82,12 +86,12 @@
     number: int = -1
     is_leaving: bool = False
     is_ready: bool = True
-    # A hub of a large fleet has said so.
+    # Marked down in a large fleet, here or by a hub.
     is_down: bool = False
 
     @property
     def last_seen_s(self) -> float:
-        """Return when the node was heard last, or came to be known."""
+        """Return when the node last sent a message, or was first listed."""
         return (
             self.first_seen_s
             if self.last_received_s is None
@@ -96,45 +100,45 @@
 
 
 class PeerObserver(typing.Protocol):
-    """What takes the words of other nodes."""
+    """Receives status messages and membership changes."""
 
     def status_received(self, message: typing.Any) -> None:
-        """Take a word, newer than the last one of its node."""
+        """Handle a message that is newer than the node's previous one."""
 
     def node_lost(self, vm: str) -> None:
-        """Forget what a node that is gone has said."""
+        """Drop the state received from a node that is gone."""
 
     def node_changed(self, peer: 'Peer') -> None:
-        """Pass on that a node that speaks to this hub has changed."""
+        """Forward a state change of a node that sends to this hub."""
 
 
 class Peers(asyncio.DatagramProtocol):
-    """All other nodes."""
+    """The other nodes, and the datagram socket shared with them."""
 
     def __init__(self, local: PeerAddress, observer: PeerObserver) -> None:
-        """Speak for the own node."""
+        """Start without peers; local is the address of this node."""
         self.known: dict[str, Peer] = {}
         self.local = local
         self._observer = observer
         self._transport: asyncio.DatagramTransport | None = None
         self._announce_until_s = 0.0
-        # When any other node was heard last.
+        # When a message of any other node was last received.
         self.last_received_s = 0.0
-        # After which silence of all others it was.
+        # Time without any message before that one.
         self.receive_gap_s = 0.0
-        # Takes datagrams that are no words, and where they came from.
+        # Called with tagged datagrams and their sender's address.
         self.on_tagged: typing.Callable[[bytes, SocketAddress], None] | None = (
             None
         )
 
     @property
     def is_announcing(self) -> bool:
-        """Return whether others may not know this node yet."""
+        """Return whether status messages should carry the address."""
         return time.monotonic() < self._announce_until_s
 
     @property
     def status_interval_s(self) -> float:
-        """Return the time between two words while something changes."""
+        """Return the time between status messages of a busy node."""
         if self.is_large_fleet:
             return HUB_STATUS_INTERVAL_S
         return BUSY_STATUS_INTERVAL_S * max(
@@ -143,16 +147,16 @@
 
     @property
     def is_large_fleet(self) -> bool:
-        """Return whether the fleet is too large for each to watch the store."""
+        """Return whether the fleet is large enough to use hubs."""
         return len(self.known) + 1 >= LARGE_FLEET_NODES
 
     @property
     def alive_timeout_s(self) -> float:
-        """Return how long a node may be silent and count as living."""
+        """Return how long a silent node still counts as alive."""
         return HUB_ALIVE_TIMEOUT_S if self.is_large_fleet else ALIVE_TIMEOUT_S
 
     def alive(self) -> list[Peer]:
-        """Return the nodes that seem to live."""
+        """Return the nodes that count as alive."""
         if self.is_large_fleet:
             return [one for one in self.known.values() if not one.is_down]
         since_s = time.monotonic() - self.alive_timeout_s
@@ -166,7 +170,7 @@
     def send_status(
         self, message: typing.Any, names: collections_abc.Iterable[str]
     ) -> None:
-        """Send a word to some nodes."""
+        """Send a status message to the named nodes."""
         if self._transport is None:
             return
         packed = status_messages.pack(message)
@@ -176,14 +180,14 @@
                 self._transport.sendto(packed, peer.address.socket_address)
 
     def send_tagged(self, packed: bytes, socket_address: SocketAddress) -> None:
-        """Send a datagram that is no word."""
+        """Send a datagram that isn't a status message."""
         if self._transport is not None:
             self._transport.sendto(TAG + packed, socket_address)
 
     def apply_listing(self, found: list[PeerAddress]) -> None:
-        """Take the nodes that the store lists, perhaps seconds late.
+        """Apply a listing of the store, which may be seconds old.
 
-        A node that isn't listed is gone once it is also silent.
+        A node that isn't listed is removed once it is also silent.
         """
         names = {address.vm for address in found}
         since_s = time.monotonic() - FORGET_AFTER_S
@@ -198,11 +202,13 @@
         for address in found:
             self.add(address)
         if len(self.known) > before:
-            LOG.info('nodes listed', extra={'known': len(self.known)})
+            LOG.info(
+                'new nodes listed by store', extra={'known': len(self.known)}
+            )
         self._announce_until_s = time.monotonic() + ANNOUNCE_S
 
     def close(self) -> None:
-        """Give the address of datagrams back."""
+        """Close the datagram socket."""
         if self._transport is not None:
             self._transport.close()
             self._transport = None
@@ -214,7 +220,7 @@
     def datagram_received(
         self, data: bytes, addr: tuple[str | typing.Any, int]
     ) -> None:
-        """Take a word unless a newer one of the same node came first."""
+        """Handle a datagram; a status message that is outdated is ignored."""
         if data.startswith(TAG):
             if self.on_tagged is not None:
                 self.on_tagged(data[len(TAG) :], addr)
@@ -234,14 +240,14 @@
         self._observer.status_received(message)
 
     def error_received(self, exc: Exception) -> None:
-        """Do without: a peer that isn't there is known by its silence."""
+        """Ignore send errors; unreachable peers are detected by timeout."""
 
     def report_silent(self) -> None:
-        """Let the requests of nodes that fell silent count no more.
+        """Report silent nodes as lost, so that their requests don't count.
 
-        A node that is killed takes its connections with it, and endpoints drop
-        what ran there. Counted until the node itself is taken for gone, those
-        requests keep others out of places that are free.
+        When a node is killed its connections close, and endpoints drop the
+        requests that ran on them. If these requests counted until the node
+        itself is considered dead, they would block slots that are free.
         """
         since_s = (
             time.monotonic() - LOST_AFTER_INTERVALS * self.status_interval_s
@@ -269,7 +275,7 @@
             self._observer.node_changed(peer)
 
     def set_down(self, peer: Peer, *, is_down: bool) -> None:
-        """Note whether a node is down."""
+        """Mark a node as down or up."""
         if is_down and not peer.is_down:
             self._observer.node_lost(peer.address.vm)
         peer.is_down = is_down
@@ -280,24 +286,26 @@
             return
         known = self.known.get(message.vm)
         if known is None:
-            LOG.info('node known', extra={'vm': message.vm, 'ip': address.ip})
+            LOG.info(
+                'node discovered', extra={'vm': message.vm, 'ip': address.ip}
+            )
         elif known.address != address and self._is_newer(message, known):
-            # Its clock may have been set back since: its start then looks
-            # earlier than that of the process which it replaces.
+            # If the VM's clock was set back, the start time of this process is
+            # earlier than that of its predecessor, and add() would ignore it.
             self.known.pop(message.vm)
         self.add(address)
 
     def _is_newer(self, message: typing.Any, peer: Peer) -> bool:
-        """Return whether a word is newer than the last one of its node.
-
-        Starts are told apart by the time of day, which may be set back by
-        seconds before a process starts again. Its words would be taken for old
-        ones, and no caller sent to it, until its clock has caught up. So
-        another start counts as the later one once the process that was heard
-        before has fallen silent; of one start, a word that is repeated or late
-        never counts.
+        """Return whether a message is newer than the node's previous one.
+
+        Processes of a node are told apart by their start time, a wall clock
+        that may be set back by seconds between two starts. Messages of the new
+        process would then look outdated, and callers would not be sent to it,
+        until its clock has caught up. So a different start time also counts as
+        newer once the previous process is silent. Within one process,
+        duplicated or late messages are always ignored.
         """
-        # Before its first word only the store tells of a start.
+        # Until the first message the start time is known from the store only.
         born_ms = peer.born_ms or peer.address.born_ms
         if message.born_ms == born_ms:
             return bool(message.number > peer.number)
@@ -305,7 +313,7 @@
         return is_silent or message.born_ms > born_ms
 
     def add(self, address: PeerAddress) -> None:
-        """Take where a node is, unless a later start of it is known."""
+        """Add or update a node, unless a later process of it is known."""
         if address.vm == self.local.vm:
             return
         known = self.known.get(address.vm)
@@ -315,12 +323,12 @@
 
     def _remove(self, name: str) -> None:
         if self.known.pop(name, None) is not None:
-            LOG.info('node gone', extra={'vm': name})
+            LOG.info('node removed', extra={'vm': name})
             self._observer.node_lost(name)
 
 
 def local_address(node: settings.NodeSettings, born_ms: int) -> PeerAddress:
-    """Return what this node writes into the store."""
+    """Return the address that this node registers in the store."""
     return PeerAddress(
         vm=node.vm,
         ip=node.ip,
@@ -333,7 +341,7 @@
 
 
 async def open_socket(peers: Peers) -> None:
-    """Listen for the words of other nodes; raises OSError."""
+    """Open the datagram socket; raises OSError."""
     loop = asyncio.get_running_loop()
     await loop.create_datagram_endpoint(
         lambda: peers, local_addr=(peers.local.ip, peers.local.peer_port)
@@ -341,7 +349,7 @@
 
 
 def announced_address(message: typing.Any) -> PeerAddress | None:
-    """Return where a word says that its node is, if it does."""
+    """Return the sender's address if the message carries one."""
     address = message.address
     if address is None or not (address.ip and address.peer_port):
         return None
