--- a/redwingvalve/node/node.thrift
+++ b/redwingvalve/node/node.thrift
@@ -1,19 +1,20 @@
-// Datagrams between the nodes; fields are only ever added.
+// Status messages between nodes. For compatibility between versions fields are
+// only ever added.
 
-struct SuspectWord {
+struct SuspectedEndpoint {
   1: string endpoint_id
   2: i64 epoch
   3: i32 left_ms
 }
 
-struct ClearWord {
+struct ClearedEndpoint {
   1: string endpoint_id
   2: i64 epoch
   3: i32 age_ms
 }
 
-// Where a node is, for those that have not read its object in the store.
-struct AddressWord {
+// Address of a node, for nodes that have not read its object in the store.
+struct NodeAddress {
   1: string ip
   2: i32 peer_port
   3: string front
@@ -21,45 +22,46 @@
   5: double link_mbps
 }
 
-// What a node of a large fleet has been told of another one.
-struct StateWord {
+// State of another node, forwarded by a hub of a large fleet.
+struct PeerState {
   1: string vm
   2: i64 born_ms
   3: bool is_up
   4: bool is_leaving
   5: bool is_ready
-  // Where others may not know it yet.
-  6: AddressWord address
+  // For nodes that don't know the address yet.
+  6: NodeAddress address
 }
 
-struct UsageWord {
+struct PeerUsage {
   1: string vm
   2: map<string, i32> usage
 }
 
-// 6, 14 and 15 were used once and are not to be used again.
-struct NodeWord {
+// Field numbers 6, 14 and 15 were used by earlier versions and are reserved.
+struct StatusMessage {
   1: string vm
   2: i64 born_ms
   3: i64 number
   4: bool is_leaving
   5: bool is_ready
-  7: list<SuspectWord> suspects
-  // What the holder of the lease says of it; absent from all others.
+  7: list<SuspectedEndpoint> suspects
+  // Revision and remaining time of the lease, from its holder. In a large fleet
+  // other nodes repeat them.
   8: i64 lease_revision
   9: i32 lease_left_ms
-  // Requests have been seen, so that loads of weights take their full time.
+  // Whether requests have been received. Loading weights is free only until then.
   10: bool has_served
-  // Endpoints that were found sound lately.
-  11: list<ClearWord> cleared
-  // Bodies that crashed endpoints, by hash, and how often.
+  // Endpoints that were recently found healthy.
+  11: list<ClearedEndpoint> cleared
+  // Hashes of request bodies that crashed endpoints, with the number of crashes.
   12: map<i64, i32> crashes
-  // In the first words of a node and some of the later ones.
-  13: AddressWord address
-  // Places in use and wanted, of those that this node grants, by service and
-  // model.
+  // Sent in the first messages of a node and after each listing of the store.
+  13: NodeAddress address
+  // Slots in use and requested, by service and model, of those that this node
+  // allocates.
   16: map<string, i32> usage
-  // From here on a hub passes on what others have said.
-  17: list<StateWord> states
-  18: list<UsageWord> usages
+  // The following fields are updates about other nodes, forwarded by a hub.
+  17: list<PeerState> states
+  18: list<PeerUsage> usages
 }
--- a/redwingvalve/node/status_exchange.py
+++ b/redwingvalve/node/status_exchange.py
@@ -1,4 +1,4 @@
-"""What this node tells the others, and what it takes from their words."""
+"""Sends this node's status to other nodes and applies theirs."""
 
 import asyncio
 import time
@@ -17,16 +17,16 @@
 from redwingvalve.node import peers as peers_module
 from redwingvalve.node import status_fields, status_messages, update_forwarding
 
-# News that come close together go in one word. A node that finds forty heads
-# sound at once would else send forty words to each other node: 3 MB with 59
-# nodes, which fill a link of 10 Mbit/s for seconds, and its questions to
-# endpoints get no answers meanwhile.
+# Changes within this time are sent in one message. Otherwise a node that finds
+# forty heads healthy at once sends forty messages to each of the others: 3 MB
+# with 59 nodes, which saturate a 10 Mbit/s link for seconds, while the node's
+# requests to endpoints time out.
 COALESCE_S = 0.02
 
 
 @attrs.define(eq=False)
 class StatusExchange(peers_module.PeerObserver):
-    """Speaks for a node, and hands on what the others say."""
+    """Broadcasts this node's status and dispatches received messages."""
 
     local: peers_module.PeerAddress
     state: state_module.IngressState
@@ -36,13 +36,13 @@
     front: front_module.FrontApplication
     peers: peers_module.Peers = attrs.field(init=False)
     hubs: hubs_module.Hubs = attrs.field(init=False)
-    # What the nodes that grant places say is in use.
+    # Slots in use, as reported by the nodes that allocate them.
     usage: usage_module.FleetUsage = attrs.field(
         factory=usage_module.FleetUsage
     )
     on_node_lost: typing.Callable[[str], None] | None = None
     local_usage: typing.Callable[[], dict[str, int]] = dict
-    # Another node has seen requests.
+    # Whether another node has received requests.
     has_peer_served: bool = False
     _forwarded_updates: update_forwarding.ForwardedUpdates = attrs.field(
         init=False
@@ -50,11 +50,11 @@
     _number: int = 0
     _sent_s: float = 0.0
     _timer: asyncio.TimerHandle | None = None
-    # Endpoints found sound here: their epoch and when.
+    # Endpoints that this node found healthy: epoch and time of the check.
     _cleared: dict[str, tuple[int, float]] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        """Tell at once what others can't wait for."""
+        """Subscribe to the changes that are sent without delay."""
         self.peers = peers_module.Peers(self.local, self)
         self.hubs = hubs_module.Hubs(self.peers, self.node_changed)
         self._forwarded_updates = update_forwarding.ForwardedUpdates(
@@ -67,23 +67,23 @@
 
     @property
     def fleet_has_served(self) -> bool:
-        """Return whether any node has seen a request."""
+        """Return whether any node has received a request."""
         return self.front.has_served or self.has_peer_served
 
     async def run(self) -> typing.NoReturn:
-        """Speak whenever something has changed, and now and then at rest."""
+        """Broadcast at every interval, less often in an idle small fleet."""
         while True:
-            rest_s = time.monotonic() - self._sent_s
-            # While requests run here, silence means that they have ended.
+            idle_s = time.monotonic() - self._sent_s
+            # Peers take the silence of a node for the end of its requests.
             is_busy = bool(self.state.loads.own)
             is_due = self.peers.is_large_fleet or is_busy
-            if is_due or rest_s >= peers_module.IDLE_STATUS_INTERVAL_S:
+            if is_due or idle_s >= peers_module.IDLE_STATUS_INTERVAL_S:
                 self.broadcast_now()
             self._run_checks()
             await anyio.sleep(self.peers.status_interval_s)
 
     def broadcast_now(self) -> None:
-        """Send a word to all other nodes."""
+        """Send the status to all recipients."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -106,7 +106,7 @@
         self.peers.send_status(message, names)
 
     def broadcast_soon(self) -> None:
-        """Send a word at once, or with others a moment after the last one."""
+        """Send the status, at most once per COALESCE_S."""
         if self._timer is not None:
             return
         wait_s = self._sent_s + COALESCE_S - time.monotonic()
@@ -117,11 +117,11 @@
         self._timer = loop.call_later(wait_s, self.broadcast_now)
 
     def build_message(self) -> typing.Any:
-        """Return the next word of this node."""
+        """Return the next status message of this node."""
         self._number += 1
         usage = self.local_usage()
         self.usage.heard(self.local.vm, usage)
-        message = status_messages.NodeWord(
+        message = status_messages.StatusMessage(
             vm=self.local.vm,
             born_ms=self.local.born_ms,
             number=self._number,
@@ -144,13 +144,13 @@
         return message
 
     def _reports_served(self) -> bool:
-        # In a large fleet most hear of it from a hub only.
+        # In a large fleet most nodes receive this only by way of a hub.
         if self.peers.is_large_fleet:
             return self.fleet_has_served
         return self.front.has_served
 
     def status_received(self, message: typing.Any) -> None:
-        """Take another node's word."""
+        """Apply another node's status."""
         if self.peers.is_large_fleet:
             self._apply_forwarded(message)
         self.usage.heard(message.vm, message.usage or {})
@@ -160,13 +160,13 @@
         self.state.poison.heard(message.crashes or {})
         for suspicion in status_fields.parse_suspicions(message):
             self.table.take_suspicion(suspicion)
-        for clear in status_fields.parse_clearances(message):
+        for clearance in status_fields.parse_clearances(message):
             self.table.clear_older(
-                clear.endpoint_id, clear.epoch, clear.since_s
+                clearance.endpoint_id, clearance.epoch, clearance.since_s
             )
 
     def node_changed(self, peer: peers_module.Peer) -> None:
-        """Pass on what has become of a node."""
+        """Forward a node's changed state if this node is a hub."""
         if self.hubs.is_hub:
             self._forwarded_updates.record_change(peer)
             self.broadcast_soon()
@@ -181,7 +181,7 @@
             self.broadcast_soon()
 
     def node_lost(self, vm: str) -> None:
-        """Forget what a silent node holds and grants."""
+        """Drop the slots that a lost node holds or allocates."""
         self.usage.forget(vm)
         if self.on_node_lost is not None:
             self.on_node_lost(vm)
@@ -201,10 +201,10 @@
         self.broadcast_soon()
 
     def _record_cleared(self, endpoint_id: str, epoch: int) -> None:
-        # Left for the next word: nobody waits for it.
+        # Not urgent: sent with the next status message.
         self._cleared[endpoint_id] = (epoch, time.monotonic())
 
     def _broadcast_suspicion(self, suspicion: serving.Suspicion) -> None:
-        # Not left for the next word: requests go there from all nodes.
+        # Urgent: all nodes still send requests to this endpoint.
         self._cleared.pop(suspicion.endpoint_id, None)
         self.broadcast_soon()
--- a/redwingvalve/node/status_fields.py
+++ b/redwingvalve/node/status_fields.py
@@ -1,4 +1,4 @@
-"""What a node tells the others about endpoints."""
+"""Converts between node state and the fields of status messages."""
 
 import time
 import typing
@@ -9,44 +9,44 @@
 from redwingvalve.fleet import serving
 from redwingvalve.node import peers, status_messages
 
-# A lost datagram is made up for by one of those that follow, also with words
-# as rare as in a fleet of 82 nodes.
+# Cleared endpoints are repeated for this long. A later message makes up for a
+# lost one even at the status interval of a fleet of 82 nodes.
 CLEARED_REPEAT_S = 2.0
 _MS_IN_S = 1000
 
 
 @attrs.frozen
 class Clearance:
-    """An endpoint that another node found sound, and when, on this clock."""
+    """An endpoint found healthy, with the time on the local monotonic clock."""
 
     endpoint_id: str
     epoch: int
     since_s: float
 
 
-def address_message(local: peers.PeerAddress) -> typing.Any:
-    """Return where a node is."""
-    return status_messages.AddressWord(
-        ip=local.ip,
-        peer_port=local.peer_port,
-        front=local.front,
-        data_centre=local.data_centre,
-        link_mbps=local.link_mbps,
+def address_message(address: peers.PeerAddress) -> typing.Any:
+    """Return the message form of a node's address."""
+    return status_messages.NodeAddress(
+        ip=address.ip,
+        peer_port=address.peer_port,
+        front=address.front,
+        data_centre=address.data_centre,
+        link_mbps=address.link_mbps,
     )
 
 
 def local_suspicion_messages(table: serving.ServingTable) -> list[typing.Any]:
-    """Return the endpoints that this node has taken out of use."""
+    """Return the endpoints that this node itself suspects."""
     return suspicion_messages(table.own_suspicions())
 
 
 def suspicion_messages(
     suspicions: collections_abc.Iterable[serving.Suspicion],
 ) -> list[typing.Any]:
-    """Return how suspicions are told."""
+    """Return the message form of suspicions."""
     now_s = time.monotonic()
     return [
-        status_messages.SuspectWord(
+        status_messages.SuspectedEndpoint(
             endpoint_id=suspicion.endpoint_id,
             epoch=suspicion.epoch,
             left_ms=int((suspicion.until_s - now_s) * _MS_IN_S),
@@ -58,9 +58,9 @@
 def recent_clearance_messages(
     cleared: dict[str, tuple[int, float]],
 ) -> list[typing.Any]:
-    """Return the endpoints that were found sound lately.
+    """Return the endpoints that were found healthy within CLEARED_REPEAT_S.
 
-    cleared holds the epoch and the moment of each finding.
+    cleared maps endpoints to the epoch and time of the check.
     """
     since_s = time.monotonic() - CLEARED_REPEAT_S
     return clearance_messages(
@@ -73,10 +73,10 @@
 def clearance_messages(
     clearances: collections_abc.Iterable[Clearance],
 ) -> list[typing.Any]:
-    """Return how clearings are told."""
+    """Return the message form of clearances."""
     now_s = time.monotonic()
     return [
-        status_messages.ClearWord(
+        status_messages.ClearedEndpoint(
             endpoint_id=clearance.endpoint_id,
             epoch=clearance.epoch,
             age_ms=int((now_s - clearance.since_s) * _MS_IN_S),
@@ -86,7 +86,7 @@
 
 
 def parse_suspicions(message: typing.Any) -> list[serving.Suspicion]:
-    """Return the endpoints that another node has taken out of use."""
+    """Return the endpoints that the sender suspects."""
     now_s = time.monotonic()
     return [
         serving.Suspicion(
@@ -100,11 +100,13 @@
 
 
 def parse_clearances(message: typing.Any) -> list[Clearance]:
-    """Return the endpoints that another node has found sound."""
+    """Return the endpoints that the sender found healthy."""
     now_s = time.monotonic()
     return [
         Clearance(
-            clear.endpoint_id, clear.epoch, now_s - clear.age_ms / _MS_IN_S
+            cleared.endpoint_id,
+            cleared.epoch,
+            now_s - cleared.age_ms / _MS_IN_S,
         )
-        for clear in message.cleared or ()
+        for cleared in message.cleared or ()
     ]
--- a/redwingvalve/node/status_messages.py
+++ b/redwingvalve/node/status_messages.py
@@ -1,6 +1,6 @@
-"""Packs and reads the datagrams between nodes.
+"""Encodes and decodes the status messages between nodes.
 
-node.thrift declares them; their fields stand here once more.
+The fields are declared in node.thrift and repeated here.
 """
 
 import typing
@@ -9,78 +9,78 @@
 
 _Type = structs.Type
 _struct = structs.make_struct
-AddressWord: typing.Any = _struct(
-    'AddressWord',
+NodeAddress: typing.Any = _struct(
+    'NodeAddress',
     (_Type.STRING, 'ip'),
     (_Type.I32, 'peer_port'),
     (_Type.STRING, 'front'),
     (_Type.STRING, 'data_centre'),
     (_Type.DOUBLE, 'link_mbps'),
 )
-ClearWord: typing.Any = _struct(
-    'ClearWord',
+ClearedEndpoint: typing.Any = _struct(
+    'ClearedEndpoint',
     (_Type.STRING, 'endpoint_id'),
     (_Type.I64, 'epoch'),
     (_Type.I32, 'age_ms'),
 )
-SuspectWord: typing.Any = _struct(
-    'SuspectWord',
+SuspectedEndpoint: typing.Any = _struct(
+    'SuspectedEndpoint',
     (_Type.STRING, 'endpoint_id'),
     (_Type.I64, 'epoch'),
     (_Type.I32, 'left_ms'),
 )
-StateWord: typing.Any = _struct(
-    'StateWord',
+PeerState: typing.Any = _struct(
+    'PeerState',
     (_Type.STRING, 'vm'),
     (_Type.I64, 'born_ms'),
     (_Type.BOOL, 'is_up'),
     (_Type.BOOL, 'is_leaving'),
     (_Type.BOOL, 'is_ready'),
-    (_Type.STRUCT, 'address', AddressWord),
+    (_Type.STRUCT, 'address', NodeAddress),
 )
-UsageWord: typing.Any = _struct(
-    'UsageWord',
+PeerUsage: typing.Any = _struct(
+    'PeerUsage',
     (_Type.STRING, 'vm'),
     (_Type.MAP, 'usage', (_Type.STRING, _Type.I32)),
 )
-NodeWord: typing.Any = _struct(
-    'NodeWord',
+StatusMessage: typing.Any = _struct(
+    'StatusMessage',
     (_Type.STRING, 'vm'),
     (_Type.I64, 'born_ms'),
     (_Type.I64, 'number'),
     (_Type.BOOL, 'is_leaving'),
     (_Type.BOOL, 'is_ready'),
     None,
-    (_Type.LIST, 'suspects', (_Type.STRUCT, SuspectWord)),
+    (_Type.LIST, 'suspects', (_Type.STRUCT, SuspectedEndpoint)),
     (_Type.I64, 'lease_revision'),
     (_Type.I32, 'lease_left_ms'),
     (_Type.BOOL, 'has_served'),
-    (_Type.LIST, 'cleared', (_Type.STRUCT, ClearWord)),
+    (_Type.LIST, 'cleared', (_Type.STRUCT, ClearedEndpoint)),
     (_Type.MAP, 'crashes', (_Type.I64, _Type.I32)),
-    (_Type.STRUCT, 'address', AddressWord),
+    (_Type.STRUCT, 'address', NodeAddress),
     None,
     None,
     (_Type.MAP, 'usage', (_Type.STRING, _Type.I32)),
-    (_Type.LIST, 'states', (_Type.STRUCT, StateWord)),
-    (_Type.LIST, 'usages', (_Type.STRUCT, UsageWord)),
+    (_Type.LIST, 'states', (_Type.STRUCT, PeerState)),
+    (_Type.LIST, 'usages', (_Type.STRUCT, PeerUsage)),
 )
 
 
 class StatusMessageError(ValueError):
-    """A datagram that is no word of a node."""
+    """A datagram that isn't a valid status message."""
 
 
 def pack(message: typing.Any) -> bytes:
-    """Return the bytes of a word."""
+    """Return the encoded message."""
     return structs.pack(message)
 
 
 def unpack(packed: bytes) -> typing.Any:
-    """Return the word in a datagram; raises WordError."""
+    """Return the decoded message; raises StatusMessageError."""
     try:
-        message = structs.unpack(packed, NodeWord)
+        message = structs.unpack(packed, StatusMessage)
     except structs.StructError as error:
         raise StatusMessageError(str(error)) from error
     if not message.vm or message.number is None:
-        raise StatusMessageError('fields are missing')
+        raise StatusMessageError('required field missing: vm or number')
     return message
--- a/redwingvalve/node/tests/test_hubs.py
+++ b/redwingvalve/node/tests/test_hubs.py
@@ -205,6 +205,6 @@
     news.record_change(leaving)
     leaving.is_down = True
     news.record_change(leaving)
-    message = status_messages.NodeWord(suspects=[], cleared=[])
+    message = status_messages.StatusMessage(suspects=[], cleared=[])
     news.add_to(message, with_hub_updates=False)
     assert {state.is_up for state in message.states} == {False}
--- a/redwingvalve/node/tests/test_peer_discovery.py
+++ b/redwingvalve/node/tests/test_peer_discovery.py
@@ -53,7 +53,7 @@
 
 def say(known, local, number):
     """Let a node's word arrive."""
-    message = status_messages.NodeWord(
+    message = status_messages.StatusMessage(
         vm=local.vm, born_ms=local.born_ms, number=number, is_ready=True
     )
     message.address = status_fields.address_message(local)
@@ -93,7 +93,7 @@
     known = peers.Peers(address('vm-1'), NoWords())
     known.apply_listing([address('vm-1'), address('vm-2')])
     moved = address('vm-2', born_ms=2, ip='127.0.0.2')
-    message = status_messages.NodeWord(
+    message = status_messages.StatusMessage(
         vm='vm-2', born_ms=2, number=1, is_ready=True
     )
     message.address = status_fields.address_message(moved)
--- a/redwingvalve/node/update_forwarding.py
+++ b/redwingvalve/node/update_forwarding.py
@@ -1,10 +1,11 @@
-"""What a hub passes on, and to whom.
-
-Load pattern: in a large fleet a node finds a lost head, and two hundred others
-send requests there. What a node says goes to the hubs of its data centre, from
-there to all other hubs and the nodes near by, and from each hub to its own
-nodes: three datagrams after one another, within some milliseconds. News are
-repeated for NEWS_S, so that a lost datagram delays them by one word.
+"""Updates that a hub forwards, and their recipients.
+
+Load pattern: in a large fleet a node detects a lost head to which two hundred
+other nodes send requests. Its update goes to the hubs of its data centre, from
+there to all other hubs and to the nodes of that data centre, and from each hub
+to its own nodes (spokes): three hops, a few milliseconds in total. Updates are
+repeated for FORWARD_FOR_S, so that a lost datagram delays them by one status
+interval.
 """
 
 import collections
@@ -19,14 +20,14 @@
 from redwingvalve.node import peers as peers_module
 from redwingvalve.node import status_fields, status_messages
 
-# Three regular words.
+# Three regular status messages.
 FORWARD_FOR_S = 1.0
-# A word stays within one packet.
+# Limits that keep a message within one packet.
 MAX_STATES = 12
 MAX_FINDINGS = 16
 MAX_USAGES = 12
-# Nodes that are down or leaving are told again in turn, so that one that has
-# just started hears of them.
+# Nodes that are down or leaving, repeated in turn in each message, so that a
+# node that has just started learns of them.
 REPEATED_STATES = 4
 
 _Key = collections_abc.Hashable
@@ -39,20 +40,20 @@
 
 
 class RecentUpdates:
-    """The newest item for each key, for as long as it is news."""
+    """The latest update for each key, kept for FORWARD_FOR_S."""
 
     def __init__(self) -> None:
-        """Start without news."""
+        """Start empty."""
         self._updates: dict[_Key, _Update] = {}
 
     def record(self, key: _Key, content: typing.Any) -> bool:
-        """Take an item in place of an older one; return if it is the first."""
+        """Replace a key's update; return whether the key was not present."""
         known = self._updates.pop(key, None)
         self._updates[key] = _Update(content, time.monotonic())
         return known is None
 
     def recent(self, limit: int) -> list[typing.Any]:
-        """Return the newest items, and forget the old ones."""
+        """Return the latest updates, and drop those that have expired."""
         since_s = time.monotonic() - FORWARD_FOR_S
         self._updates = {
             key: one
@@ -72,13 +73,13 @@
 
 @attrs.define(eq=False)
 class ForwardedUpdates:
-    """What this hub has heard from its nodes, and from other hubs."""
+    """Updates received from the hub's spokes and from other hubs."""
 
     peers: peers_module.Peers
     hubs: hubs_module.Hubs
     _from_spokes: _ReceivedUpdates = attrs.field(factory=_ReceivedUpdates)
     _from_hubs: _ReceivedUpdates = attrs.field(factory=_ReceivedUpdates)
-    # Names that are still to be repeated, to hubs and to nodes near by.
+    # Nodes still to be repeated, to spokes (True) and to hubs (False).
     _repeat_queues: dict[bool, collections.deque[str]] = attrs.field(
         factory=lambda: collections.defaultdict(collections.deque)
     )
@@ -86,39 +87,43 @@
     def record_received(
         self, message: typing.Any, news: list[typing.Any]
     ) -> bool:
-        """Take a word of another node; return whether others can't wait.
+        """Record a message; return whether to forward it without delay.
 
-        news are those of its states that were not known here. What hubs
-        repeat is no news: passed on at once, it would be repeated for ever.
+        news holds those of its states that have changed here. States that hubs
+        merely repeat aren't urgent: forwarded without delay, they would
+        circulate between hubs forever.
         """
-        record_received = (
+        updates = (
             self._from_spokes if self._is_spoke(message.vm) else self._from_hubs
         )
         is_urgent = False
         for suspicion in status_fields.parse_suspicions(message):
             key = (suspicion.endpoint_id, suspicion.epoch)
-            is_urgent |= record_received.suspicions.record(key, suspicion)
+            is_urgent |= updates.suspicions.record(key, suspicion)
         for clearance in status_fields.parse_clearances(message):
             key = (clearance.endpoint_id, clearance.epoch)
-            is_urgent |= record_received.clearances.record(key, clearance)
+            is_urgent |= updates.clearances.record(key, clearance)
         for state in news:
             is_urgent = True
-            record_received.states.record(state.vm, state)
+            updates.states.record(state.vm, state)
         for usage in message.usages or ():
-            record_received.usages.record(usage.vm, usage)
+            updates.usages.record(usage.vm, usage)
         if message.usage:
-            usage_message = status_messages.UsageWord(
+            usage_message = status_messages.PeerUsage(
                 vm=message.vm, usage=message.usage
             )
-            record_received.usages.record(message.vm, usage_message)
+            updates.usages.record(message.vm, usage_message)
         return is_urgent
 
     def record_change(self, peer: peers_module.Peer) -> None:
-        """Note that a node that is heard here has changed."""
+        """Record the state of a node that this hub has seen change."""
         self._from_spokes.states.record(peer.address.vm, _state_message(peer))
 
     def add_to(self, message: typing.Any, *, with_hub_updates: bool) -> None:
-        """Add what is to be passed on to a word of this node."""
+        """Add the updates to be forwarded to a message of this node.
+
+        Messages to spokes contain the updates of hubs; those to hubs don't.
+        """
         received = (
             [self._from_spokes, self._from_hubs]
             if with_hub_updates
@@ -130,11 +135,11 @@
             with_hub_updates=with_hub_updates
         )
         message.usages = []
-        for record_received in received:
-            suspicions += record_received.suspicions.recent(MAX_FINDINGS)
-            clearances += record_received.clearances.recent(MAX_FINDINGS)
-            message.states += record_received.states.recent(MAX_STATES)
-            message.usages += record_received.usages.recent(MAX_USAGES)
+        for updates in received:
+            suspicions += updates.suspicions.recent(MAX_FINDINGS)
+            clearances += updates.clearances.recent(MAX_FINDINGS)
+            message.states += updates.states.recent(MAX_STATES)
+            message.usages += updates.usages.recent(MAX_USAGES)
         message.suspects += status_fields.suspicion_messages(suspicions)
         message.cleared += status_fields.clearance_messages(clearances)
 
@@ -143,13 +148,13 @@
         if peer is None:
             return False
         data_centre = peer.address.data_centre
-        is_near = data_centre == self.peers.local.data_centre
-        return is_near and vm not in self.hubs.of(data_centre)
+        is_local = data_centre == self.peers.local.data_centre
+        return is_local and vm not in self.hubs.of(data_centre)
 
     def _next_repeated_states(
         self, *, with_hub_updates: bool
     ) -> list[typing.Any]:
-        """Return some of the nodes that are down or leaving, in turn."""
+        """Return the next few nodes that are down or leaving, in turn."""
         local_data_centre = self.peers.local.data_centre
         queue = self._repeat_queues[with_hub_updates]
         if not queue:
@@ -169,7 +174,7 @@
 
 
 def _state_message(peer: peers_module.Peer) -> typing.Any:
-    return status_messages.StateWord(
+    return status_messages.PeerState(
         vm=peer.address.vm,
         born_ms=peer.born_ms or peer.address.born_ms,
         is_up=not peer.is_down,
