--- a/redwingvalve/node/kind_watch.py
+++ b/redwingvalve/node/kind_watch.py
@@ -1,8 +1,9 @@
-"""Follows one kind of objects in the store.
+"""Lists and watches one kind of object in the store.
 
-Configurations and leaving endpoints must be known within seconds. What relays
-say may be old; once it is too old the store itself is asked. A node that can't
-reach the store either goes on with what it knows: nobody can know better.
+Configurations and leaving endpoints must be known within seconds. Answers of
+relays may be stale; once they are too old the store itself is queried. A node
+that can't reach the store either continues with its last known state, as there
+is no better source.
 """
 
 import math
@@ -18,35 +19,37 @@
 from redwingvalve.platform import store
 
 LOG = logs.make_logger('watching')
-# Between two tries while the store gives no answers, so that nodes that lost
-# it together don't return together.
+# Delay between retries while the store doesn't answer, with jitter so that
+# nodes that lost it at the same time don't return at the same time.
 RETRY_MIN_S = 0.1
 RETRY_MAX_S = 0.4
-# A watch that only asks what is known by now.
+# Wait of a watch that only fetches the changes so far.
 REFRESH_WAIT_S = 0.01
-# A relay that failed is preferred again after this; one that is frozen is no
-# relay any more by then, as it says nothing.
+# A relay that failed is preferred again after this time. A frozen node is no
+# longer a hub by then, as it sends no status.
 RELAY_BACKOFF_S = 1.2
-# Each time that it fails again, twice that, up to this: one that has lost the
-# store for many seconds would cost each node behind it a call each time.
+# The backoff doubles with each repeated failure up to this limit: otherwise a
+# relay that has lost the store for many seconds would cost each downstream node
+# a call every time.
 RELAY_BACKOFF_MAX_S = 4.8
-# Before another source is asked in place of a relay: one that is out of touch
-# with the store for a moment is back within this more often than not.
+# Delay before the next source is tried after a relay failed. A relay that has
+# lost the store briefly usually recovers within this time.
 RELAY_RETRY_MIN_S = 0.02
 RELAY_RETRY_MAX_S = 0.15
-# A relay is given so long where the store failed and knowledge is old already.
+# Least time to wait for a relay when the store has failed and the known state
+# is already too old.
 MIN_RELAY_TIMEOUT_S = 0.25
 
 SelectPause: typing.TypeAlias = typing.Callable[[], float]
 
 
 def no_pause() -> float:
-    """Watch on at once."""
+    """Return no pause between two watches."""
     return 0
 
 
 class KindWatch:
-    """Lists a kind once, then watches it, for as long as it runs."""
+    """Lists the objects of a kind, then watches them for changes."""
 
     def __init__(
         self,
@@ -55,10 +58,10 @@
         select_sources: watch_sources.SelectSources,
         pause_s: SelectPause = no_pause,
     ) -> None:
-        """Tell the follower what the chosen sources say.
+        """Pass what the selected sources return to the handler.
 
-        pause_s is left between two watches, so that changes that come close
-        together cost one call.
+        pause_s gives the pause between two watches, so that changes in quick
+        succession cost one call.
         """
         self.cache = watch_cache.WatchCache()
         self.kind = kind
@@ -72,27 +75,27 @@
         self._is_store_down = False
         self._is_refresh_requested = False
         self._watch_scope = anyio.CancelScope()
-        # When the store said what is known here, on the clock of clock.boot_s.
+        # Time of the known state at the store, on the clock of clock.boot_s.
         self._synced_s = -math.inf
         self._has_asked_store = False
 
     @property
     def age_s(self) -> float:
-        """Return how long ago the store said what is known here."""
+        """Return the age of the known state, counted from the store."""
         return clock.boot_s() - self._synced_s
 
     @property
     def revision(self) -> int:
-        """Return the store's revision up to which all changes are known."""
+        """Return the store revision up to which all changes are known."""
         return self._revision or 0
 
     def refresh_now(self) -> None:
-        """Ask the store now, in place of the watch that is under way."""
+        """Fetch changes now, in place of the watch in progress."""
         self._is_refresh_requested = True
         self._watch_scope.cancel()
 
     async def run(self) -> typing.NoReturn:
-        """Follow until cancelled."""
+        """List and watch until cancelled."""
         while True:
             source = self._next_source()
             self._has_asked_store = source.is_store
@@ -101,7 +104,8 @@
             except store.HistoryGoneError:
                 LOG.info('history gone', extra={'kind': self.kind})
                 self._revision = None
-                # Relays list anew at the same time, and tell it for nothing.
+                # Relays relist at the same time; listing from them costs the
+                # store nothing.
                 self._failures = 0
                 self._handler.on_unavailable()
             except store.StoreError as error:
@@ -113,7 +117,7 @@
         found = self._select_sources()
         self._reset_after_backoff()
         source = found[self._failures % len(found)]
-        # Where the store has just failed, a relay may still reach it.
+        # If the store has just failed, a relay may still reach it.
         if self._has_asked_store or self.age_s <= source.max_age_s:
             return source
         if self._revision is not None:
@@ -143,10 +147,10 @@
             self._watch_scope.cancelled_caught
             and not self._is_refresh_requested
         ):
-            raise store.StoreError('nothing new in time')
+            raise store.StoreError('no answer before the known state expired')
 
     def _deadline_s(self, source: watch_sources.Source) -> float:
-        """Return until when an answer of a source is waited for."""
+        """Return the deadline for an answer of a source."""
         left_s = max(source.max_age_s - self.age_s, MIN_RELAY_TIMEOUT_S)
         return anyio.current_time() + left_s
 
@@ -162,7 +166,7 @@
         return max(self._pause_s(), source.pause_s)
 
     def _reset_after_backoff(self) -> None:
-        """Go back to the preferred source some time after a failure."""
+        """Return to the preferred source when the backoff has passed."""
         if time.monotonic() - self._failed_s > self._backoff_s:
             self._failures = 0
 
--- a/redwingvalve/node/watch_cache.py
+++ b/redwingvalve/node/watch_cache.py
@@ -1,14 +1,14 @@
-"""What this node knows of one kind, kept to pass it on to other nodes.
+"""Cache of one kind of object and its recent changes, for other nodes.
 
-Load pattern: some eighty nodes watch two hundred endpoints that change several
-times a second; each change would cost eighty answers of the store, which is
-dearer than the requests are worth. Two nodes of a data centre watch the store
-and the others watch them.
+Load pattern: about eighty nodes watch two hundred endpoints that change several
+times a second. Without relays each change would cost eighty answers of the
+store, which is more than the requests are worth. So two nodes of a data centre,
+its hubs, act as relays to the store, and the other nodes watch these.
 
-A mirror says how long ago the store itself was heard, so that a node behind it
-knows how old its knowledge is. A question is answered once something changed
-or the store was heard again: 'no changes' is then as good as the store's own
-word. A mirror that has lost touch with the store says so at once.
+The cache states how long ago the store itself answered, so that downstream
+nodes know the age of their state. A watch is answered when something has
+changed or the store has answered again, so that 'no changes' is as reliable as
+from the store itself. A cache that has lost the store reports it at once.
 """
 
 import asyncio
@@ -20,11 +20,11 @@
 from redwingvalve.core import clock
 from redwingvalve.platform import store
 
-# Changes kept for nodes that come from another source or were held up.
+# Batches kept for nodes that switch from another source or fell behind.
 MAX_BATCHES = 256
-# Beyond the wait of a watch, an answer takes a round trip.
+# Allowance for the round trip of a watch, in addition to its wait.
 RESPONSE_SLACK_S = 0.5
-# Said where the store was never heard: too old for any bound.
+# Age reported if the store has never answered: beyond any limit.
 NEVER_SYNCED_AGE_S = 3600.0
 
 
@@ -35,10 +35,10 @@
 
 
 class WatchCache:
-    """All objects of a kind, and the changes that led there."""
+    """All objects of a kind, and their recent changes."""
 
     def __init__(self) -> None:
-        """Know nothing."""
+        """Start empty."""
         self.revision = 0
         self._first_revision = 0
         self._objects: dict[str, store.Document] = {}
@@ -51,10 +51,10 @@
 
     @property
     def age_s(self) -> float:
-        """Return how long ago the store itself was heard.
+        """Return how long ago the store itself answered.
 
-        Time in which this VM was suspended counts: after it, what is known
-        here looks newer than it is by a clock that stood still.
+        Time in which the VM was suspended counts; by a clock that stops
+        meanwhile, the cached state would look newer than it is.
         """
         if self._synced_s is None:
             return NEVER_SYNCED_AGE_S
@@ -62,7 +62,7 @@
 
     @property
     def is_current(self) -> bool:
-        """Return whether the store itself was heard lately."""
+        """Return whether the store itself has answered recently."""
         return self.age_s < self._wait_s + RESPONSE_SLACK_S
 
     def listing(self) -> store.Listing:
@@ -71,17 +71,17 @@
         return store.Listing(objects, self.revision, self.age_s)
 
     def record_sync(self, wait_s: float, is_from_store: bool) -> None:
-        """Note an answer; the next one is due within wait_s."""
+        """Record an answer; the next one is due within wait_s."""
         self._wait_s = wait_s
         self._synced_s = clock.boot_s() if is_from_store else None
         self._notify_waiters()
 
     def apply_listing(self, listing: store.Listing) -> None:
-        """Take all objects at a revision.
+        """Replace all objects with a listing.
 
-        What differs from what was known is told as changes. When the store
-        forgets its history, its relays list anew, and the hundreds of nodes
-        behind them need not.
+        The differences are recorded as changes. So when the store drops its
+        history, only its relays have to relist, and not the hundreds of nodes
+        behind them.
         """
         found = {
             str(stored['metadata']['name']): stored
@@ -99,7 +99,7 @@
         self._notify_waiters()
 
     def apply_changes(self, found: store.Changes) -> None:
-        """Take changes in their order."""
+        """Apply changes in order."""
         self.revision = max(self.revision, found.revision)
         if not found.changes:
             return
@@ -114,30 +114,32 @@
         self._notify_waiters()
 
     def has_history(self, after_revision: int) -> bool:
-        """Return whether all changes after a revision are kept."""
+        """Return whether all changes after a revision are still kept."""
         return after_revision >= self._first_revision
 
     async def changes_after(
         self, after_revision: int, wait_s: float
     ) -> store.Changes:
-        """Return changes after a revision, or none.
+        """Return the changes after a revision, perhaps none.
 
-        None is said when the store was heard again, at the latest after wait_s.
+        Waits for a change or the next answer of the store, up to wait_s.
 
-        A batch that reaches past the revision is told whole: it may repeat
-        changes from before, but ends with the newest state of each object.
+        A batch that extends beyond the revision is returned whole. It may
+        repeat earlier changes, but ends with the latest state of each object.
 
-        Raises HistoryGoneError if changes after the revision aren't kept. The
-        mirror may have been listed anew during the wait: told 'no changes' and
-        the new revision then, a node would never hear of what the listing
-        brought, such as a key that was taken away.
+        Raises HistoryGoneError if changes after the revision aren't kept. This
+        is checked after the wait, as the cache may have been relisted
+        meanwhile: with 'no changes' and the new revision, a node would never
+        learn what the listing changed, such as a revoked key.
         """
         found = self._after(after_revision)
         if not found:
             await self._wait(wait_s)
             found = self._after(after_revision)
         if not self.has_history(after_revision):
-            raise store.HistoryGoneError('listed anew')
+            raise store.HistoryGoneError(
+                'changes after the revision are not kept'
+            )
         revision = max(self.revision, after_revision)
         return store.Changes(found, revision, self.age_s)
 
@@ -164,7 +166,7 @@
 def _diff(
     known: dict[str, store.Document], found: dict[str, store.Document]
 ) -> list[store.Change]:
-    """Return the changes that lead from the known objects to those found."""
+    """Return the changes from the known objects to the found ones."""
     removed = [
         store.Change(stored, is_removed=True)
         for name, stored in known.items()
@@ -184,10 +186,11 @@
 ) -> list[store.Change]:
     """Return the last state of each object, and its removal.
 
-    A configuration has tens of kilobytes, and in a series of them several
-    versions come in one batch; told all of them, the nodes behind a relay fill
-    its link for seconds, and neither they nor the relay hear of the last one.
-    The state before a removal stays: it may say that an endpoint was leaving.
+    A configuration has tens of kilobytes, and one batch may hold several of its
+    versions. If a relay sent all of them, it would saturate its link for
+    seconds, and neither it nor the nodes behind it would receive the last one.
+    The state before a removal is kept, as it may say that an endpoint was
+    leaving.
     """
     newest: dict[tuple[str, bool], store.Change] = {}
     for change in changes:
--- a/redwingvalve/node/watch_handler.py
+++ b/redwingvalve/node/watch_handler.py
@@ -1,4 +1,4 @@
-"""What is told of the objects of a kind."""
+"""Interface for the receivers of a watch."""
 
 import abc
 
@@ -6,15 +6,15 @@
 
 
 class WatchHandler(abc.ABC):
-    """What is told of a kind's objects."""
+    """Receives the objects of one kind and their changes."""
 
     @abc.abstractmethod
     def on_list(self, listed: list[store.Document]) -> None:
-        """Take all objects of the kind."""
+        """Replace all objects of the kind with a listing."""
 
     @abc.abstractmethod
     def on_changes(self, changes: list[store.Change]) -> None:
-        """Take changes in their order."""
+        """Apply changes in order."""
 
     @abc.abstractmethod
     def on_unavailable(self) -> None:
--- a/redwingvalve/node/watch_sources.py
+++ b/redwingvalve/node/watch_sources.py
@@ -1,18 +1,18 @@
-"""From whom a node hears what the store holds.
+"""Selects the sources of a node's watches: the store, or relays.
 
 In a small fleet each node watches the store. In a large one only the first hub
-of each data centre does, and the holder of the lease, which must see changes at
-once. The second hub watches the first, the others watch both, and the store if
-they fail.
-
-Endpoints change several times a second, and each answer of the store has its
-price. Only the holder acts on a change at once; all others leave a pause
-between two watches, so that what changes meanwhile costs one call.
-
-What relays say has an age, and a node knows by when it must know of a change.
-Two relays that are cut off at once, asked one after the other, cost more than
-that time; so a node asks the store itself once its knowledge is older than a
-share of it, whatever its relays do.
+of each data centre does, and the lease holder, which must see changes at once.
+The second hub watches the first. All other nodes watch the hubs, or the store
+if both fail.
+
+Endpoints change several times a second, and each answer of the store is
+charged. Only the lease holder acts on a change at once; all other nodes pause
+between two watches, so that the changes in between cost one call.
+
+Answers of relays carry an age, and there is a limit by which a node must know
+of a change. If two relays are cut off at once, waiting for both in turn takes
+longer than that limit. So a node queries the store itself as soon as its state
+is older than a share of the limit, regardless of its relays.
 """
 
 import asyncio
@@ -31,16 +31,17 @@
 from redwingvalve.platform import settings as settings_module
 from redwingvalve.platform import store, store_pages
 
-# How long a connection to the store that fell silent may go unnoticed.
+# Wait of a watch at the store, and so the time in which a silent connection
+# goes unnoticed.
 STORE_WAIT_S = 2.5
-# Shares of the time in which a node must know of a change. A relay leaves a
-# pause and then waits at the store, so that what it says is at most as old as
-# both; a node behind it that knows nothing newer than ASK_STORE_SHARE asks the
-# store, which leaves the rest for its answer.
+# Shares of the time limit for learning of a change. A relay pauses and then
+# waits at the store, so its answers are at most as old as both together. A node
+# behind it queries the store if its state is older than STORE_FALLBACK_SHARE,
+# which leaves the remaining time for the answer.
 PAUSE_SHARE = 0.25
 RELAY_WAIT_SHARE = 0.25
 STORE_FALLBACK_SHARE = 0.7
-# Ages are told in steps of a tenth of a second.
+# Ages are sent in steps of a tenth of a second.
 _AGE_STEPS_PER_S = 10
 _JSON = (b'content-type', b'application/json')
 _OK = 200
@@ -51,19 +52,19 @@
 
 @attrs.frozen
 class Source:
-    """A client, and how it is used."""
+    """A client for the store or a relay, and the timing of its watches."""
 
     client: store.StoreClient
     is_store: bool
     wait_s: float
-    # Left between two watches, so that changes in between cost one call.
+    # Pause between two watches, so that changes in between cost one call.
     pause_s: float = 0.0
-    # Older knowledge is not relied on while this source says nothing newer.
+    # If the known state is older than this, the store is queried instead.
     max_age_s: float = math.inf
 
 
 class SourceSelector:
-    """Chooses the sources of this node by who lives."""
+    """Selects this node's sources from the hubs that are alive."""
 
     def __init__(
         self,
@@ -74,9 +75,9 @@
         holds_lease: collections_abc.Callable[[], bool],
         bound_s: float,
     ) -> None:
-        """Prefer relays where the fleet is large.
+        """Prefer relays in a large fleet.
 
-        bound_s is the time in which changes must be known.
+        bound_s is the time limit for learning of a change.
         """
         self._store = store_client
         self._json = json_client
@@ -86,7 +87,7 @@
         self._bound_s = bound_s
 
     def select(self) -> list[Source]:
-        """Return the sources, the preferred one first."""
+        """Return the sources in order of preference."""
         is_large_fleet = self._peers.is_large_fleet
         relay_wait_s = RELAY_WAIT_SHARE * self._bound_s
         wait_s = relay_wait_s if is_large_fleet else STORE_WAIT_S
@@ -99,8 +100,8 @@
         if not is_large_fleet:
             return [store_source]
         relays = self._hubs.of(self._peers.local.data_centre)
-        # The second hub follows the first, so that a data centre costs the
-        # store the calls of one node.
+        # The second hub watches the first, so that a data centre costs the
+        # store the calls of one node only.
         preceding = itertools.takewhile(
             lambda address: address.vm != self._peers.local.vm, relays.values()
         )
@@ -117,30 +118,30 @@
 
 
 class WatchRelayApplication(server.Application):
-    """Tells other nodes what this one knows."""
+    """Serves listings and watches to other nodes from the caches."""
 
     def __init__(self, caches: dict[str, watch_cache.WatchCache]) -> None:
-        """Answer from mirrors by kind."""
+        """Serve the caches, which are keyed by kind."""
         self._caches = caches
         self._tasks: set[asyncio.Task[None]] = set()
-        # The last page of each kind, and the question that it answers.
+        # The last page of each kind, with the query that it answers.
         self._pages: dict[str, tuple[typing.Any, bytes]] = {}
 
     def limits(self) -> reading.ServerLimits:
-        """Return bounds that any question keeps."""
+        """Return limits that suffice for any query."""
         limits = routes.DEFAULT_LIMITS
         return reading.ServerLimits(
             limits.head_bytes, limits.head_bytes, 3.0, 15.0
         )
 
     def is_closing(self) -> bool:
-        """Keep connections; nodes turn elsewhere by themselves."""
+        """Return False: clients of a stopping relay switch by themselves."""
         return False
 
     def serve(
         self, request: messages.Request, responder: server.Responder
     ) -> None:
-        """Answer, at once or when something changes."""
+        """Answer at once, or when something changes."""
         query = store_pages.read_request(request.target.decode('latin-1'))
         cache = self._caches.get(query.kind) if query else None
         if query is None or cache is None:
@@ -181,12 +182,12 @@
     def _page(
         self, query: store_pages.PageRequest, found: store.Changes
     ) -> bytes:
-        """Return the answer, made once for all nodes that wait for the same.
+        """Return the encoded answer, shared by all nodes with the same query.
 
-        Some twenty nodes wait for each change; a configuration that is written
-        for each of them takes the relay longer than the change should take.
+        About twenty nodes wait for each change. Encoding a configuration for
+        each of them would take longer than the change may take to propagate.
         """
-        # Never told younger than it is.
+        # Rounded up, so that the state never looks newer than it is.
         age_s = math.ceil(found.age_s * _AGE_STEPS_PER_S) / _AGE_STEPS_PER_S
         key = (query.after_revision, found.revision, age_s)
         known, page = self._pages.get(query.kind, (None, b''))
