--- a/redwingvalve/node/allocation_transport.py
+++ b/redwingvalve/node/allocation_transport.py
@@ -1,4 +1,4 @@
-"""Carries messages about places between nodes, and to this node itself."""
+"""Transport of slot allocation messages between nodes and within this one."""
 
 import functools
 import time
@@ -18,16 +18,17 @@
 from redwingvalve.observability import logs
 
 LOG = logs.make_logger('places')
-# Lapsed holds are looked for, and late requests may take spare places.
+# Interval at which expired holds are freed and late requests may take spare
+# slots.
 CHECK_INTERVAL_S = 0.1
-# While nothing is granted here.
+# Interval while this node allocates no slots.
 IDLE_CHECK_INTERVAL_S = 0.5
 _Targets: typing.TypeAlias = tuple[placing.Target, ...]
 
 
 @attrs.define(eq=False)
 class AllocationTransport(reserver_module.Transport):
-    """This node's part in granting places."""
+    """Delivers messages to this node's allocator and reserver, and to peers."""
 
     peers: peers_module.Peers
     allocator: allocator_module.Allocator
@@ -39,7 +40,7 @@
         return messages.Sender(local.vm, local.born_ms)
 
     def send(self, vm: str, message: messages.Message) -> None:
-        """Send a message to a node; it may get lost."""
+        """Send a message to a node; it may be lost."""
         envelope = messages.Envelope(self._sender, message)
         if vm == self.peers.local.vm:
             self._deliver(envelope, functools.partial(self.send, vm))
@@ -52,7 +53,7 @@
     def datagram_received(
         self, packed: bytes, address: tuple[str, int]
     ) -> None:
-        """Take a datagram about places."""
+        """Handle a datagram that carries an allocation message."""
         try:
             envelope = messages.unpack(packed)
         except messages.MessageError as error:
@@ -61,7 +62,7 @@
         self._deliver(envelope, functools.partial(self._reply, address))
 
     async def run(self) -> typing.NoReturn:
-        """Look after what is granted here until cancelled."""
+        """Run the allocator's periodic checks until cancelled."""
         while True:
             await anyio.sleep(
                 CHECK_INTERVAL_S
@@ -84,7 +85,7 @@
 
 @attrs.define(eq=False)
 class _PoolTargets:
-    """The targets of each pool, picked once for each table of targets."""
+    """The targets of each pool, cached for each version of the target table."""
 
     targets: state_module.Targets
     _by_pool: dict[messages.Pool, tuple[_Targets, _Targets]] = attrs.field(
@@ -92,7 +93,7 @@
     )
 
     def of(self, pool: messages.Pool) -> _Targets:
-        """Return the targets that take requests now."""
+        """Return the pool's targets that accept requests now."""
         table = self.targets.of(pool.service, pool.model)
         known_table, picked = self._by_pool.get(pool, ((), ()))
         if known_table is table:
@@ -110,7 +111,7 @@
     state: state_module.IngressState,
     status_exchange: status_exchange_module.StatusExchange,
 ) -> AllocationTransport:
-    """Return a node's part in granting places, known to its other parts."""
+    """Create the allocator, reserver and transport, and wire them up."""
     peers = status_exchange.peers
 
     allocator = allocator_module.Allocator(
--- a/redwingvalve/node/front_selection.py
+++ b/redwingvalve/node/front_selection.py
@@ -1,19 +1,19 @@
-"""Which nodes callers are given, and which may grant places."""
+"""Selects the nodes that callers are given and that may allocate slots."""
 
 import random
 import time
 
 from redwingvalve.node import peers as peers_module
 
-# The platform heeds no more addresses than this.
+# The platform ignores further addresses.
 MAX_FRONTS = 64
-# With so many nodes in a caller's data centre it is given no others: requests
-# and answers then stay within it.
+# If a caller's data centre has at least this many nodes, the caller is given no
+# others, so that requests and answers stay within the data centre.
 MIN_LOCAL_FRONTS = 8
 
 
 def available_peers(peers: peers_module.Peers) -> list[peers_module.Peer]:
-    """Return the nodes that seem to live and don't leave."""
+    """Return the nodes that are alive, ready and not leaving."""
     since_s = time.monotonic() - peers.alive_timeout_s
     alive = peers.alive()
     if not peers.is_large_fleet:
@@ -26,8 +26,8 @@
 def select_fronts(
     peers: peers_module.Peers, data_centre: str = ''
 ) -> list[str]:
-    """Return addresses that callers of a data centre may be given."""
-    # A node that hears nobody is itself cut off, or all others are new.
+    """Return the front addresses to give to callers of a data centre."""
+    # If no peer counts as alive, this node is cut off or all peers are new.
     found = peers.alive() or available_peers(peers)
     ready = [one for one in found if one.is_ready and not one.is_leaving]
     local = [one for one in ready if one.address.data_centre == data_centre]
--- a/redwingvalve/node/listeners.py
+++ b/redwingvalve/node/listeners.py
@@ -1,4 +1,4 @@
-"""Addresses that a node listens at, and how it gives them back."""
+"""Listening sockets of a node and their connections."""
 
 import asyncio
 import socket
@@ -9,7 +9,7 @@
 
 
 class Listener:
-    """Listens at one address and knows its connections."""
+    """Listens at one address and tracks its connections."""
 
     def __init__(self, application: server.Application) -> None:
         """Serve an application."""
@@ -18,21 +18,21 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self, listening: socket.socket) -> None:
-        """Accept connections, those too that came before."""
+        """Accept connections, including those already in the backlog."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             self._make_connection, sock=listening, backlog=early_sockets.BACKLOG
         )
 
     def close(self) -> None:
-        """Give the address back and break off what is left."""
+        """Stop listening and reset the remaining connections."""
         if self._server is not None:
             self._server.close()
         for connection in self._connections:
             connection.break_off()
 
     def close_idle(self) -> None:
-        """Close connections on which no request waits."""
+        """Close connections without a pending request."""
         for connection in self._connections:
             connection.close_if_idle()
 
@@ -46,10 +46,10 @@
 
 
 class Listeners:
-    """All addresses of one node."""
+    """All listening addresses of one node."""
 
     def __init__(self, early: early_sockets.EarlySockets) -> None:
-        """Go on with the sockets that listen already."""
+        """Take over the sockets that are already listening."""
         self._listeners: list[Listener] = []
         self._early = early
 
@@ -66,6 +66,6 @@
         return listener
 
     def close(self) -> None:
-        """Give all addresses back."""
+        """Close all listeners."""
         for listener in self._listeners:
             listener.close()
--- a/redwingvalve/node/peer_discovery.py
+++ b/redwingvalve/node/peer_discovery.py
@@ -1,12 +1,12 @@
-"""How nodes find each other: by objects in the store, and by their words.
+"""Peer discovery through objects in the store and status messages.
 
 Load pattern: all nodes of a fleet start within a second, and many may be
-killed and start again at once. A node writes an object of its own, then reads
-those of the others, and speaks to all that it found; they learn of it from its
-words. Of any two nodes the one that wrote later has read the other's object,
-so that no pair stays apart. A watch of these objects would tell each node of
-each other one: 3,400 calls when 59 nodes start, dearer than all other calls to
-the store together.
+killed and restart at once. A node registers an object of its own, then lists
+those of the others and sends its status to all of them; they learn its address
+from these messages. Of any two nodes, the one that registered later has listed
+the other's object, so that each pair finds each other. A watch of these objects
+would notify each node of each other one: 3,400 calls when 59 nodes start, which
+costs more than all other calls to the store together.
 """
 
 import random
@@ -21,12 +21,12 @@
 
 LOG = logs.make_logger('meeting')
 NODE_KIND = 'redwingvalve-nodes'
-# While the object isn't written or the others weren't read; the time differs,
-# so that nodes that lost the store together don't return together.
+# Delay between attempts to register and to list the peers, with jitter so that
+# nodes that lost the store at the same time don't return at the same time.
 RETRY_MIN_S = 0.15
 RETRY_MAX_S = 0.4
-# Stale listings cost a tenth. They make up for a node whose first words were
-# all lost, and tell which nodes are gone for good.
+# Later listings may be stale, which costs a tenth. They make up for a node
+# whose first messages were all lost, and show which nodes are gone for good.
 RELIST_INTERVAL_S = 10.0
 
 _ADDRESS_FIELDS = tuple(attrs.fields_dict(peers_module.PeerAddress))
@@ -34,7 +34,7 @@
 
 @attrs.define
 class PeerDiscovery:
-    """This node's object, and those of the others."""
+    """Registers this node in the store and lists the others."""
 
     client: store.StoreClient
     peers: peers_module.Peers
@@ -42,31 +42,31 @@
     _is_complete: bool = False
 
     async def run(self) -> typing.NoReturn:
-        """Meet the others, and read again now and then."""
+        """Register, list the peers, and relist them periodically."""
         while True:
             self._is_registered = self._is_registered or await self._register()
             is_listed = await self._list_peers(is_stale=self._is_complete)
-            # What was read before the own object stood may lack a node that
-            # has not read it either.
+            # A listing from before the registration may lack a node whose own
+            # listing lacks this one.
             if is_listed and self._is_registered:
                 self._is_complete = True
             if self._is_complete:
-                # Also after a reading that failed: the others are known.
+                # Also after a failed listing, since the peers are known.
                 await anyio.sleep(RELIST_INTERVAL_S)
             else:
                 await anyio.sleep(random.uniform(RETRY_MIN_S, RETRY_MAX_S))
 
     @property
     def is_complete(self) -> bool:
-        """Return whether the other nodes have been read."""
+        """Return whether the other nodes have been listed."""
         return self._is_complete
 
     async def deregister(self) -> None:
-        """Remove the own object, so that no other node looks for this one."""
+        """Remove this node's object, so that no other node discovers it."""
         try:
             await self.client.remove(NODE_KIND, self.peers.local.vm)
         except store.StoreError as error:
-            # The others hear no words of this node, which tells them too.
+            # The other nodes also detect the end of the status messages.
             LOG.warning('not deregistered', extra={'error': str(error)})
 
     async def _list_peers(self, *, is_stale: bool) -> bool:
@@ -76,14 +76,14 @@
             LOG.warning('nodes not read', extra={'error': str(error)})
             return False
         except (KeyError, TypeError, ValueError) as error:
-            LOG.error('unusable list of nodes', extra={'error': str(error)})
+            LOG.error('invalid listing of nodes', extra={'error': str(error)})
             return False
         found = [_decode_address(stored) for stored in listing.objects]
         self.peers.apply_listing([address for address in found if address])
         return True
 
     async def _register(self) -> bool:
-        """Write the object in place of that of this VM's last process."""
+        """Write this node's object, replacing that of its last process."""
         local = self.peers.local
         spec = attrs.asdict(local)
         try:
@@ -107,7 +107,7 @@
 
 def _decode_address(stored: store.Document) -> peers_module.PeerAddress | None:
     try:
-        # A later release may write more.
+        # A later release may write further fields.
         known = {
             name: stored['spec'][name]
             for name in _ADDRESS_FIELDS
@@ -115,5 +115,5 @@
         }
         return peers_module.PeerAddress(**known)
     except (KeyError, TypeError) as error:
-        LOG.warning('unusable node object', extra={'error': str(error)})
+        LOG.warning('invalid node object', extra={'error': str(error)})
         return None
