--- a/redwingvalve/node/allocation_transport.py
+++ b/redwingvalve/node/allocation_transport.py
@@ -8,7 +8,7 @@
 import attrs
 
 from redwingvalve.allocation import allocator as allocator_module
-from redwingvalve.allocation import delivery, messages, owners
+from redwingvalve.allocation import dispatch, messages, owners
 from redwingvalve.allocation import reserver as reserver_module
 from redwingvalve.ingress import placing
 from redwingvalve.ingress import state as state_module
@@ -69,14 +69,16 @@
                 if self.allocator.is_busy
                 else IDLE_CHECK_INTERVAL_S
             )
-            self.allocator.look()
+            self.allocator.tick()
 
     def _deliver(
         self,
         envelope: messages.Envelope,
-        reply: allocator_module.Replier,
+        reply: allocator_module.ReplyCallback,
     ) -> None:
-        delivery.deliver(envelope, self.allocator, self.reserver, reply)
+        dispatch.dispatch_message(
+            envelope, self.allocator, self.reserver, reply
+        )
 
     def _reply(self, address: tuple[str, int], reply: messages.Reply) -> None:
         packed = messages.pack(messages.Envelope(self._sender, reply))
@@ -121,18 +123,18 @@
     transport.reserver = reserver_module.NodeReserver(
         data_centre=peers.local.data_centre,
         targets=state.targets,
-        owners=owners.Owners(lambda: _candidates(peers), time.monotonic),
+        owners=owners.PoolOwners(lambda: _candidates(peers), time.monotonic),
         transport=transport,
         loads=state.loads,
         clock=time.monotonic,
-        is_divided=lambda: peers.is_large_fleet,
+        is_split_by_data_centre=lambda: peers.is_large_fleet,
     )
     peers.on_tagged = transport.datagram_received
     state.reserver = transport.reserver
-    state.in_use = status_exchange.usage.of
-    state.waiting = allocator.waiting
+    state.in_use = status_exchange.usage.slots_in_use
+    state.waiting = allocator.queue_length
     status_exchange.local_usage = allocator.usage
-    status_exchange.on_node_lost = allocator.node_lost
+    status_exchange.on_node_lost = allocator.drop_node
     return transport
 
 
--- a/redwingvalve/node/daemon.py
+++ b/redwingvalve/node/daemon.py
@@ -23,12 +23,12 @@
     configuration_watch,
     control_loop,
     early_sockets,
+    endpoint_prober,
+    failure_detector,
     front,
     gauges,
-    inspecting,
     kind_watch,
-    log_telling,
-    loss_watch,
+    log_drop_reporter,
     supervision,
     watch_sources,
 )
@@ -54,7 +54,7 @@
 HOLDER_PAUSE_S = 0.02
 # What a start takes until the store has told what requests need, with some
 # slack; callers are told to come back if it doesn't answer within this.
-START_WAIT_S = 0.3
+START_TIMEOUT_S = 0.3
 START_LOOK_S = 0.005
 STOP_IDLE_CLOSE_S = 2.5
 STOP_EXIT_S = 4.0
@@ -73,8 +73,8 @@
     table: serving.ServingTable
     client: store.StoreClient
     endpoint_client: endpoint_orders.EndpointClient
-    inspector: inspecting.Inspector
-    losses: loss_watch.LossWatch
+    prober: endpoint_prober.EndpointProber
+    detector: failure_detector.FailureDetector
     lease: lease_module.Lease
     front: front.FrontApplication
     listeners: listeners_module.Listeners
@@ -86,7 +86,7 @@
     watches: list[kind_watch.KindWatch] = attrs.field(init=False)
     control: control_loop.ControlLoop = attrs.field(init=False)
     front_listener: listeners_module.Listener | None = None
-    log_handler: bounded_logs.BoundedHandler | None = None
+    log_handler: bounded_logs.NonBlockingHandler | None = None
 
     @property
     def peers(self) -> peers_module.Peers:
@@ -108,12 +108,12 @@
     async def run(self, stop: anyio.Event) -> None:
         """Run until stop is set, and then until all requests have ended."""
         self.table.on_sound = self.state.silence.found_sound
-        self.table.on_rebuilt = self.allocation.allocator.look
-        self.table.on_doubt = self.losses.doubt
-        self.table.on_told_sound = self.losses.told_sound
+        self.table.on_rebuilt = self.allocation.allocator.tick
+        self.table.on_doubt = self.detector.doubt
+        self.table.on_told_sound = self.detector.told_sound
         self.watches = self._make_watches()
         self.control = self._make_control()
-        self.lease.on_taken = self._lease_taken
+        self.lease.on_acquired = self._lease_taken
         try:
             await self._listen()
             await self._serve(stop)
@@ -160,7 +160,7 @@
         configuration is known, they have spent the only retry that most of
         them make; in the kernel's queue they wait for as long.
         """
-        until_s = time.monotonic() + START_WAIT_S
+        until_s = time.monotonic() + START_TIMEOUT_S
         while not self._knows_enough() and time.monotonic() < until_s:
             await anyio.sleep(START_LOOK_S)
         self.front_listener = await self.listeners.serve(
@@ -187,10 +187,10 @@
             self.status_exchange.run,
             self.allocation.run,
             self.allocation.reserver.run,
-            self.losses.run,
+            self.detector.run,
             self._hold_lease,
             self.gauges.run,
-            functools.partial(log_telling.run, self.log_handler),
+            functools.partial(log_drop_reporter.run, self.log_handler),
         ]
 
     def _make_watches(self) -> list[kind_watch.KindWatch]:
@@ -230,7 +230,7 @@
             registry=self.registry,
             table=self.table,
             client=self.endpoint_client,
-            inspector=self.inspector,
+            prober=self.prober,
             lease=self.lease,
             status_exchange=self.status_exchange,
             endpoint_watch=self.endpoint_watch,
@@ -290,7 +290,7 @@
     json_client = store.JsonClient(pool.Pool())
     client = store.StoreClient(node_settings.store, json_client)
     endpoint_client = endpoint_orders.EndpointClient(json_client)
-    inspector = inspecting.Inspector(endpoint_client)
+    prober = endpoint_prober.EndpointProber(endpoint_client)
     lease = lease_module.Lease(node_settings.vm, client)
     application = front.FrontApplication(state)
     status_exchange = status_exchange_module.StatusExchange(
@@ -303,8 +303,8 @@
         table=table,
         client=client,
         endpoint_client=endpoint_client,
-        inspector=inspector,
-        losses=loss_watch.LossWatch(state, table, inspector, lease),
+        prober=prober,
+        detector=failure_detector.FailureDetector(state, table, prober, lease),
         lease=lease,
         front=application,
         status_exchange=status_exchange,
--- a/redwingvalve/node/status_exchange.py
+++ b/redwingvalve/node/status_exchange.py
@@ -120,7 +120,7 @@
         """Return the next status message of this node."""
         self._number += 1
         usage = self.local_usage()
-        self.usage.heard(self.local.vm, usage)
+        self.usage.update(self.local.vm, usage)
         message = status_messages.StatusMessage(
             vm=self.local.vm,
             born_ms=self.local.born_ms,
@@ -138,9 +138,9 @@
         if self.lease.is_held() or self.lease.is_releasing:
             message.lease_revision = self.lease.revision
             message.lease_left_ms = self.lease.left_ms()
-        elif self.peers.is_large_fleet and self.lease.heard_left_ms():
-            message.lease_revision = self.lease.heard_revision
-            message.lease_left_ms = self.lease.heard_left_ms()
+        elif self.peers.is_large_fleet and self.lease.observed_left_ms():
+            message.lease_revision = self.lease.observed_revision
+            message.lease_left_ms = self.lease.observed_left_ms()
         return message
 
     def _reports_served(self) -> bool:
@@ -153,9 +153,9 @@
         """Apply another node's status."""
         if self.peers.is_large_fleet:
             self._apply_forwarded(message)
-        self.usage.heard(message.vm, message.usage or {})
+        self.usage.update(message.vm, message.usage or {})
         if message.lease_revision:
-            self.lease.heard(message.lease_revision, message.lease_left_ms)
+            self.lease.observe(message.lease_revision, message.lease_left_ms)
         self.has_peer_served = self.has_peer_served or bool(message.has_served)
         self.state.poison.heard(message.crashes or {})
         for suspicion in status_fields.parse_suspicions(message):
@@ -174,7 +174,7 @@
     def _apply_forwarded(self, message: typing.Any) -> None:
         news = list(filter(self.hubs.apply_state, message.states or ()))
         for usage in message.usages or ():
-            self.usage.heard(usage.vm, usage.usage or {})
+            self.usage.update(usage.vm, usage.usage or {})
         if self.hubs.is_hub and self._forwarded_updates.record_received(
             message, news
         ):
@@ -182,7 +182,7 @@
 
     def node_lost(self, vm: str) -> None:
         """Drop the slots that a lost node holds or allocates."""
-        self.usage.forget(vm)
+        self.usage.remove(vm)
         if self.on_node_lost is not None:
             self.on_node_lost(vm)
 
