--- a/redwingvalve/node/watch_sources.py
+++ b/redwingvalve/node/watch_sources.py
@@ -29,7 +29,7 @@
 from redwingvalve.node import peers as peers_module
 from redwingvalve.node import watch_cache
 from redwingvalve.platform import settings as settings_module
-from redwingvalve.platform import store, store_pages
+from redwingvalve.platform import store, store_responses
 
 # Wait of a watch at the store, and so the time in which a silent connection
 # goes unnoticed.
@@ -142,7 +142,7 @@
         self, request: messages.Request, responder: server.Responder
     ) -> None:
         """Answer at once, or when something changes."""
-        query = store_pages.read_request(request.target.decode('latin-1'))
+        query = store_responses.parse_query(request.target.decode('latin-1'))
         cache = self._caches.get(query.kind) if query else None
         if query is None or cache is None:
             responder.answer(_NOT_FOUND, [_JSON], b'{}')
@@ -156,15 +156,15 @@
     async def _answer(
         self,
         cache: watch_cache.WatchCache,
-        query: store_pages.PageRequest,
+        query: store_responses.StoreQuery,
         responder: server.Responder,
     ) -> None:
         if not cache.is_current:
             responder.answer(_UNAVAILABLE, [_JSON], b'{}')
             return
         if query.after_revision is None:
-            page = store_pages.write_listing(cache.listing())
-            responder.answer(_OK, list(store_pages.HEADERS), page)
+            page = store_responses.encode_listing(cache.listing())
+            responder.answer(_OK, list(store_responses.HEADERS), page)
             return
         try:
             found = await cache.changes_after(
@@ -177,10 +177,10 @@
             responder.answer(_UNAVAILABLE, [_JSON], b'{}')
             return
         page = self._page(query, found)
-        responder.answer(_OK, list(store_pages.HEADERS), page)
+        responder.answer(_OK, list(store_responses.HEADERS), page)
 
     def _page(
-        self, query: store_pages.PageRequest, found: store.Changes
+        self, query: store_responses.StoreQuery, found: store.Changes
     ) -> bytes:
         """Return the encoded answer, shared by all nodes with the same query.
 
@@ -192,7 +192,9 @@
         key = (query.after_revision, found.revision, age_s)
         known, page = self._pages.get(query.kind, (None, b''))
         if known != key:
-            page = store_pages.write_changes(attrs.evolve(found, age_s=age_s))
+            page = store_responses.encode_changes(
+                attrs.evolve(found, age_s=age_s)
+            )
             self._pages[query.kind] = (key, page)
         return page
 
