--- a/redwingvalve/node/status_exchange.py
+++ b/redwingvalve/node/status_exchange.py
@@ -61,8 +61,8 @@
             self.peers, self.hubs
         )
         self.table.on_suspect = self._broadcast_suspicion
-        self.table.on_clear = self._broadcast_cleared
-        self.table.on_tell_sound = self._record_cleared
+        self.table.on_cleared = self._broadcast_cleared
+        self.table.on_announce_healthy = self._record_cleared
         self.lease.on_renewed = self.broadcast_soon
 
     @property
@@ -159,9 +159,9 @@
         self.has_peer_served = self.has_peer_served or bool(message.has_served)
         self.state.poison.heard(message.crashes or {})
         for suspicion in status_fields.parse_suspicions(message):
-            self.table.take_suspicion(suspicion)
+            self.table.add_suspicion(suspicion)
         for clearance in status_fields.parse_clearances(message):
-            self.table.clear_older(
+            self.table.clear_if_older(
                 clearance.endpoint_id, clearance.epoch, clearance.since_s
             )
 
@@ -191,7 +191,7 @@
             self.hubs.mark_silent_down()
         else:
             self.peers.report_silent()
-        self.registry.drop_lapsed()
+        self.registry.drop_expired()
         if self.state.poison.has_breaks:
             self.state.poison.look(self.registry.incarnations())
         self.state.node_count = 1 + len(self.peers.alive())
