--- a/redwingvalve/node/tests/members.py
+++ b/redwingvalve/node/tests/members.py
@@ -1,10 +1,10 @@
-"""Members of replicas, for tests without a network."""
+"""Replica members for tests without a network."""
 
 from redwingvalve.fleet import endpoints
 
 
 def make_member(endpoint_id, number, rank, state):
-    """Return a member of the small model's replica of a number."""
+    """Return a member of the numbered replica of the small model."""
     return endpoints.Endpoint(
         endpoint_id=endpoint_id,
         born_ms=1,
--- a/redwingvalve/node/tests/test_hubs.py
+++ b/redwingvalve/node/tests/test_hubs.py
@@ -1,4 +1,4 @@
-"""Nodes of a large fleet hear of each other by way of two hubs."""
+"""Propagation of node states and suspicions through two hubs."""
 
 from unittest import mock
 
@@ -16,7 +16,8 @@
 from redwingvalve.platform.tests import fleet_harness
 
 NODES = 6
-# What callers may be told of a dead node, and how long a suspicion may take.
+# Limits for removing a dead node from the directory and for the propagation of
+# a suspicion.
 GONE_S = 1.5
 SPREAD_S = 0.3
 
@@ -26,58 +27,59 @@
     monkeypatch.setattr(peers, 'LARGE_FLEET_NODES', 3)
 
 
-def by_duty(fleet):
+def split_by_role(fleet):
     """Return the hubs and the other nodes."""
     found = [node for node in fleet.nodes if node.status_exchange.hubs.is_hub]
     return found, [node for node in fleet.nodes if node not in found]
 
 
-async def met(fleet):
-    """Wait until all nodes know each other and the same hubs."""
+async def wait_until_connected(fleet):
+    """Wait until all nodes know each other and there are two hubs."""
     await fleet.wait_until(
         lambda: all(
             len(node.peers.known) == len(fleet.nodes) - 1
             for node in fleet.nodes
         )
     )
-    await fleet.wait_until(lambda: len(by_duty(fleet)[0]) == 2)
+    await fleet.wait_until(lambda: len(split_by_role(fleet)[0]) == 2)
 
 
-def silence(node):
-    """Let a node say nothing more, as after a kill."""
+def stop_sending(node):
+    """Stop all datagrams of a node, as if it were killed."""
     node.peers.send_status = lambda message, names: None
     node.peers.send_tagged = lambda packed, address: None
 
 
-def fronts(node):
+def selected_fronts(node):
     return set(front_selection.select_fronts(node.peers))
 
 
-@pytest.mark.parametrize('duty', [0, 1])
-def test_callers_are_not_given_a_dead_node_for_long(large, duty):
-    """A hub, or any other node, is killed and leaves the directory."""
+@pytest.mark.parametrize('role_index', [0, 1])
+def test_a_dead_node_is_soon_removed_from_the_directory(large, role_index):
+    """Callers must not be given a hub or other node that was killed."""
 
     async def test(fleet):
-        await met(fleet)
-        dead = by_duty(fleet)[duty][0]
+        await wait_until_connected(fleet)
+        dead = split_by_role(fleet)[role_index][0]
         others = [node for node in fleet.nodes if node is not dead]
         front = dead.peers.local.front
-        assert all(front in fronts(node) for node in others)
-        silence(dead)
+        assert all(front in selected_fronts(node) for node in others)
+        stop_sending(dead)
         await fleet.wait_until(
-            lambda: not any(front in fronts(node) for node in others), GONE_S
+            lambda: not any(front in selected_fronts(node) for node in others),
+            GONE_S,
         )
-        assert all(len(fronts(node)) == NODES - 2 for node in others)
+        assert all(len(selected_fronts(node)) == NODES - 2 for node in others)
 
     fleet_harness.run(test, nodes=NODES, engines=0, plain=1)
 
 
 def test_a_suspicion_reaches_all_nodes_soon(large):
-    """Requests don't go to a lost endpoint until each node finds it lost."""
+    """Nodes must not each have to find out that an endpoint is lost."""
 
     async def test(fleet):
-        await met(fleet)
-        plain = by_duty(fleet)[1][0]
+        await wait_until_connected(fleet)
+        plain = split_by_role(fleet)[1][0]
         head = plain.table.of(
             fleet_harness.ENGINE_SERVICE, fleet_harness.SMALL_MODEL
         )[0].endpoint_id
@@ -90,33 +92,34 @@
     fleet_harness.run(test, nodes=NODES, plain=0)
 
 
-def test_a_node_that_leaves_is_told_to_all(large):
+def test_a_leaving_node_is_removed_from_all_directories(large):
     """A leaving node gets no new callers."""
 
     async def test(fleet):
-        await met(fleet)
-        leaving = by_duty(fleet)[1][0]
+        await wait_until_connected(fleet)
+        leaving = split_by_role(fleet)[1][0]
         leaving.state.is_leaving = True
         leaving.status_exchange.broadcast_now()
         front = leaving.peers.local.front
         others = [node for node in fleet.nodes if node is not leaving]
         await fleet.wait_until(
-            lambda: not any(front in fronts(node) for node in others), SPREAD_S
+            lambda: not any(front in selected_fronts(node) for node in others),
+            SPREAD_S,
         )
 
     fleet_harness.run(test, nodes=NODES, engines=0, plain=1)
 
 
-def test_a_hub_that_was_deaf_takes_nobody_for_dead(large):
-    """A node that was cut off hears the others again before it judges them."""
+def test_a_hub_that_was_cut_off_marks_no_node_down(large):
+    """After an outage of its own a hub waits for new messages of the others."""
 
     async def test(fleet):
-        await met(fleet)
-        hub = by_duty(fleet)[0][0]
-        take = hub.peers.datagram_received
+        await wait_until_connected(fleet)
+        hub = split_by_role(fleet)[0][0]
+        receive = hub.peers.datagram_received
         hub.peers.datagram_received = lambda packed, address: None
         await anyio.sleep(1.6)
-        hub.peers.datagram_received = take
+        hub.peers.datagram_received = receive
         down = []
         for _ in range(20):
             await anyio.sleep(0.02)
@@ -126,25 +129,25 @@
     fleet_harness.run(test, nodes=NODES, engines=0, plain=1)
 
 
-def count_words(nodes):
-    """Return the words that the busiest plain node sends in a second."""
+def max_send_rate(nodes):
+    """Return the messages per second of the non-hub node that sends most."""
     sent = []
 
     async def test(fleet):
-        await met(fleet)
+        await wait_until_connected(fleet)
         await anyio.sleep(1)
-        plain = by_duty(fleet)[1]
+        plain = split_by_role(fleet)[1]
         counts = dict.fromkeys((node.settings.vm for node in plain), 0)
         for node in plain:
             send_status = node.peers.send_status
 
-            def note(
+            def record(
                 message, names, vm=node.settings.vm, send_status=send_status
             ):
                 counts[vm] += len(tuple(names))
                 send_status(message, names)
 
-            node.peers.send_status = note
+            node.peers.send_status = record
         await anyio.sleep(2)
         sent.append(max(counts.values()) / 2)
 
@@ -152,25 +155,26 @@
     return sent[0]
 
 
-def test_what_a_node_says_does_not_grow_with_the_fleet(large):
-    """The cost of 361 nodes is that of a few for each of them."""
-    most = hubs.HUBS_PER_DATA_CENTRE * 1.5 / peers.HUB_STATUS_INTERVAL_S
-    assert count_words(5) <= most
-    assert count_words(10) <= most
+def test_the_send_rate_does_not_grow_with_the_fleet(large):
+    """In a fleet of 361 nodes each node only pays for a few peers."""
+    limit = hubs.HUBS_PER_DATA_CENTRE * 1.5 / peers.HUB_STATUS_INTERVAL_S
+    assert max_send_rate(5) <= limit
+    assert max_send_rate(10) <= limit
 
 
-def test_hubs_do_not_answer_each_others_repetitions(large):
-    """Many nodes are down, and hubs speak no more often for it.
+def test_hubs_do_not_react_to_each_others_repeated_states(large):
+    """The send rate of hubs must not rise when many nodes are down.
 
-    Each told the others again of those that are down, took what it heard for
-    news, and passed it on at once: fifty words a second from each hub to all
-    of its nodes, which had no processor left for callers.
+    Hubs repeat the nodes that are down to each other. When they took these
+    repeated states for changes and forwarded them at once, each hub sent fifty
+    messages a second to all of its nodes, which left these no processor time
+    for callers.
     """
     sent = []
 
     async def test(fleet):
-        await met(fleet)
-        hubs = by_duty(fleet)[0]
+        await wait_until_connected(fleet)
+        hubs = split_by_role(fleet)[0]
         for hub in hubs:
             for number in range(40):
                 gone = attrs.evolve(
@@ -180,26 +184,27 @@
                 hub.peers.known[gone.vm].is_down = True
             send_status = hub.peers.send_status
 
-            def note(message, names, send_status=send_status):
+            def record(message, names, send_status=send_status):
                 sent.append(message)
                 send_status(message, names)
 
-            hub.peers.send_status = note
+            hub.peers.send_status = record
         await anyio.sleep(3)
 
     fleet_harness.run(test, nodes=4, engines=0, plain=1)
-    # To hubs and to nodes, from two hubs, and half again.
+    # Messages to hubs and to nodes, from two hubs, plus a margin of one half.
     assert len(sent) <= 3 / peers.HUB_STATUS_INTERVAL_S * 2 * 2 * 1.5
 
 
-def test_a_hub_tells_the_newest_state_of_a_node_only():
-    """A node that leaves and ends isn't told as up and down in turn.
+def test_a_hub_forwards_only_the_latest_state_of_a_node():
+    """A node that leaves and then ends must not be sent as both up and down.
 
-    Told both for a second, other hubs take each for news of the other.
+    Sent for a second, each state would look to other hubs like a change from the
+    other one.
     """
-    nobody = mock.create_autospec(peers.PeerObserver, instance=True)
+    observer = mock.create_autospec(peers.PeerObserver, instance=True)
     local = peers.PeerAddress('vm-1', '127.0.0.1', 1, '', 'dc', 1)
-    known = peers.Peers(local, nobody)
+    known = peers.Peers(local, observer)
     known.add(attrs.evolve(local, vm='vm-2'))
     news = update_forwarding.ForwardedUpdates(known, hubs.Hubs(known, None))
     leaving = known.known['vm-2']
--- a/redwingvalve/node/tests/test_peer_discovery.py
+++ b/redwingvalve/node/tests/test_peer_discovery.py
@@ -1,4 +1,4 @@
-"""Nodes find each other by few calls to the store."""
+"""Peer discovery with few calls to the store, and restarts of nodes."""
 
 import itertools
 
@@ -15,44 +15,44 @@
 from redwingvalve.platform.tests import fleet_harness
 
 NODES = 6
-# Writing the own object, perhaps in place of an older one, and reading all;
-# one more for a try that came too early.
-CALLS_TO_MEET = 3
-CALLS_OTHERWISE = 8
+# Registering, perhaps by replacing an older object, and listing; one more for
+# an attempt that came too early.
+CALLS_FOR_DISCOVERY = 3
+OTHER_CALLS = 8
 
 
-class NoWords(peers.PeerObserver):
+class IgnoringObserver(peers.PeerObserver):
     def status_received(self, message):
-        """Nothing is taken."""
+        """Ignore the message."""
 
     def node_lost(self, vm):
-        """Nothing is kept."""
+        """Ignore the loss."""
 
 
-class HeardWords(peers.PeerObserver):
+class RecordingObserver(peers.PeerObserver):
     def __init__(self):
-        self.words = []
+        self.messages = []
 
     def status_received(self, message):
-        self.words.append(message)
+        self.messages.append(message)
 
     def node_lost(self, vm):
-        """Nothing is kept."""
+        """Ignore the loss."""
 
 
-class FakeTime:
-    """The monotonic clock of peers, moved by hand."""
+class FakeClock:
+    """Replaces the monotonic clock of peers; advanced by the test."""
 
     def __init__(self, monkeypatch):
         self._now_s = 100.0
         monkeypatch.setattr(peers.time, 'monotonic', lambda: self._now_s)
 
-    def pass_s(self, seconds):
+    def advance(self, seconds):
         self._now_s += seconds
 
 
-def say(known, local, number):
-    """Let a node's word arrive."""
+def receive_status(known, local, number):
+    """Deliver a status message of the node at an address."""
     message = status_messages.StatusMessage(
         vm=local.vm, born_ms=local.born_ms, number=number, is_ready=True
     )
@@ -66,31 +66,31 @@
     return peers.PeerAddress(vm, ip, 7000, f'{ip}:80', 'zone-1', born_ms)
 
 
-def know(fleet):
+def is_discovery_complete(fleet):
     return all(len(node.peers.known) == NODES - 1 for node in fleet.nodes)
 
 
-def test_a_fleet_that_starts_meets_by_a_few_calls_of_each_node():
-    """Callers are given all nodes, and the store isn't asked for each pair.
+def test_a_starting_fleet_needs_few_store_calls_per_node():
+    """All nodes are discovered without a store call for each pair of them.
 
-    Six nodes start together. Each writes its object and reads the others';
-    whoever wrote later is made known by its own words.
+    Six nodes start together. Each registers and lists the others; those that
+    registered later are discovered through their own status messages.
     """
 
     async def test(fleet):
-        await fleet.wait_until(lambda: know(fleet), 2)
-        assert fleet.store.calls <= NODES * (CALLS_TO_MEET + CALLS_OTHERWISE)
+        await fleet.wait_until(lambda: is_discovery_complete(fleet), 2)
+        assert fleet.store.calls <= NODES * (CALLS_FOR_DISCOVERY + OTHER_CALLS)
 
     fleet_harness.run(test, nodes=NODES, engines=0, plain=0)
 
 
-def test_a_node_that_starts_again_elsewhere_is_known_there():
-    """Requests and words go to the new address at once.
+def test_a_node_that_restarts_elsewhere_gets_its_new_address():
+    """Requests and status messages go to the new address at once.
 
-    A VM is replaced: its node has the old name, a new address and a later
-    start. An old listing that is read afterwards changes nothing.
+    When a VM is replaced, its node has the old name, a new address and a later
+    start. A stale listing that arrives afterwards must not revert the address.
     """
-    known = peers.Peers(address('vm-1'), NoWords())
+    known = peers.Peers(address('vm-1'), IgnoringObserver())
     known.apply_listing([address('vm-1'), address('vm-2')])
     moved = address('vm-2', born_ms=2, ip='127.0.0.2')
     message = status_messages.StatusMessage(
@@ -103,20 +103,20 @@
     assert front_selection.select_fronts(known) == [moved.front]
 
 
-def test_a_node_is_forgotten_once_it_is_neither_listed_nor_heard(monkeypatch):
+def test_a_node_that_is_unlisted_and_silent_is_removed(monkeypatch):
     ticks = itertools.count(100.0, peers.FORGET_AFTER_S / 4)
-    known = peers.Peers(address('vm-1'), NoWords())
+    known = peers.Peers(address('vm-1'), IgnoringObserver())
     known.apply_listing([address('vm-2')])
     monkeypatch.setattr(peers.time, 'monotonic', lambda: next(ticks) + 1e9)
     known.apply_listing([])
     assert not known.known
 
 
-def test_a_node_that_has_met_the_others_does_not_press_the_store(monkeypatch):
-    """A store that turns nodes away is asked again after the usual time.
+def test_a_refused_listing_is_retried_at_the_usual_interval(monkeypatch):
+    """A node that knows its peers doesn't retry faster when it is refused.
 
-    It refuses one node for seconds. That node knows the others; each further
-    call is refused too, and priced.
+    While the store refuses a node for seconds, each further call is refused
+    too, and charged.
     """
     monkeypatch.setattr(peer_discovery, 'RELIST_INTERVAL_S', 0.4)
 
@@ -137,53 +137,53 @@
     fleet_harness.run(test, nodes=2, engines=0, plain=0)
 
 
-def test_a_node_that_starts_again_with_a_clock_set_back_is_heard(monkeypatch):
-    """Callers are given the node again as soon as it serves.
+def test_a_node_that_restarts_with_its_clock_set_back_is_accepted(monkeypatch):
+    """Callers are given the node again soon after its restart.
 
-    The time of day jumps back on a VM, and its node is killed and starts
-    again: it states an earlier start than before. Its words are taken once
-    the earlier process has been silent, at its new address.
+    If the wall clock of a VM jumps back before its node restarts, the new
+    process has an earlier start time than its predecessor. Its messages and its
+    new address are accepted once the predecessor has been silent.
     """
-    heard = HeardWords()
-    now = FakeTime(monkeypatch)
-    known = peers.Peers(address('vm-1'), heard)
-    say(known, address('vm-2', born_ms=9000), number=70)
+    observer = RecordingObserver()
+    now = FakeClock(monkeypatch)
+    known = peers.Peers(address('vm-1'), observer)
+    receive_status(known, address('vm-2', born_ms=9000), number=70)
     restarted = address('vm-2', born_ms=5000, ip='127.0.0.2')
-    say(known, restarted, number=1)
-    assert [message.number for message in heard.words] == [70]
-    now.pass_s(peers.ALIVE_TIMEOUT_S + 0.1)
-    say(known, restarted, number=2)
-    assert [message.number for message in heard.words] == [70, 2]
+    receive_status(known, restarted, number=1)
+    assert [message.number for message in observer.messages] == [70]
+    now.advance(peers.ALIVE_TIMEOUT_S + 0.1)
+    receive_status(known, restarted, number=2)
+    assert [message.number for message in observer.messages] == [70, 2]
     assert known.known['vm-2'].address.ip == '127.0.0.2'
     assert front_selection.select_fronts(known) == ['127.0.0.2:80']
 
 
-def test_a_repeated_word_of_a_silent_node_is_not_taken(monkeypatch):
-    """Old counts of requests don't come back with a late datagram.
+def test_an_outdated_message_of_a_silent_node_is_ignored(monkeypatch):
+    """A late datagram must not restore old request counts.
 
-    A node falls silent, and its last word but one arrives seconds late.
+    A node becomes silent, and its last message but one arrives seconds late.
     """
-    heard = HeardWords()
-    now = FakeTime(monkeypatch)
-    known = peers.Peers(address('vm-1'), heard)
-    say(known, address('vm-2'), number=7)
-    now.pass_s(peers.ALIVE_TIMEOUT_S + 0.1)
-    say(known, address('vm-2'), number=6)
-    assert [message.number for message in heard.words] == [7]
+    observer = RecordingObserver()
+    now = FakeClock(monkeypatch)
+    known = peers.Peers(address('vm-1'), observer)
+    receive_status(known, address('vm-2'), number=7)
+    now.advance(peers.ALIVE_TIMEOUT_S + 0.1)
+    receive_status(known, address('vm-2'), number=6)
+    assert [message.number for message in observer.messages] == [7]
 
 
-def test_a_late_word_of_the_last_process_does_not_bring_it_back():
+def test_a_late_message_of_the_previous_process_is_ignored():
     """Callers are given the new address of a VM that was replaced.
 
-    The store lists the new process; a word of the old one, with its address,
-    was held up on the way and arrives afterwards.
+    The store lists the new process, and then a delayed message of the old one
+    arrives with the old address.
     """
-    heard = HeardWords()
-    known = peers.Peers(address('vm-1'), heard)
+    observer = RecordingObserver()
+    known = peers.Peers(address('vm-1'), observer)
     replaced = address('vm-2', born_ms=9000, ip='127.0.0.2')
     known.apply_listing([replaced])
-    say(known, address('vm-2', born_ms=5000), number=70)
+    receive_status(known, address('vm-2', born_ms=5000), number=70)
     assert known.known['vm-2'].address == replaced
-    assert not heard.words
-    say(known, replaced, number=1)
-    assert [message.number for message in heard.words] == [1]
+    assert not observer.messages
+    receive_status(known, replaced, number=1)
+    assert [message.number for message in observer.messages] == [1]
--- a/redwingvalve/node/tests/test_relays.py
+++ b/redwingvalve/node/tests/test_relays.py
@@ -1,4 +1,4 @@
-"""Nodes of a large fleet hear of changes by way of a few of them."""
+"""Propagation of store changes through relays in a large fleet."""
 
 from unittest import mock
 
@@ -16,10 +16,10 @@
 from redwingvalve.platform import store
 from redwingvalve.platform.tests import fleet_harness
 
-# In which a change must be known.
+# Limit within which a change must be known.
 BOUND_S = fleet_harness.BOUNDS['config_apply_ms'] / 1000
-# How old knowledge may be in the tests of one watch.
-RELIED_ON_S = 0.3
+# Limit for the age of the known state in the tests of a single watch.
+MAX_AGE_S = 0.3
 
 
 @pytest.fixture
@@ -28,7 +28,7 @@
 
 
 def test_changes_reach_nodes_behind_relays(relayed):
-    """All nodes know the configuration within a second, at two watches."""
+    """All nodes get a configuration within a second, for two watches."""
 
     async def test(fleet):
         await anyio.sleep(1.5)
@@ -47,17 +47,17 @@
     fleet_harness.run(test, nodes=5, engines=0)
 
 
-def test_a_node_behind_silent_relays_turns_to_the_store(relayed):
+def test_a_node_behind_hanging_relays_falls_back_to_the_store(relayed):
     """A leaving endpoint is known in two seconds though both relays hang.
 
-    The relays take questions and answer none, as frozen processes do.
+    Like frozen processes, the relays accept requests but answer none.
     """
 
     async def test(fleet):
         await anyio.sleep(1.5)
         for node in fleet.nodes[:2]:
             for watch in node.watches:
-                # The relay's loop stands still, its sockets do not.
+                # Connections are still accepted, as by a frozen process.
                 watch.cache.changes_after = hang
         fleet.endpoints['p0'].drain()
         last = fleet.nodes[-1]
@@ -74,11 +74,11 @@
 
 
 def test_a_configuration_is_in_force_in_time_though_both_relays_hang(relayed):
-    """A caller whose key was taken away is refused within the bound.
+    """A caller with a revoked key is refused within the limit.
 
-    Both relays of a node are cut off; asked one after the other until each
-    has missed its time, they would cost more than the bound. The new version
-    comes as the node waits at the first of them.
+    Both relays of a node are cut off. Waiting for the time-out of each in turn
+    would take longer than the limit. The new version is written while the node
+    waits for the first of them.
     """
 
     async def test(fleet):
@@ -86,7 +86,7 @@
         for node in fleet.nodes[:2]:
             for watch in node.watches:
                 watch.cache.changes_after = hang
-        # Questions that the relays had taken before are answered.
+        # Watches that the relays accepted earlier are still answered.
         await anyio.sleep(1.2)
         fleet.store.put(
             'config', 'main', fleet_harness.configuration(version=2)
@@ -100,36 +100,40 @@
 
 
 @pytest.mark.parametrize('age_s', [0.1, 5.0])
-def test_a_relay_that_tells_old_news_is_not_relied_on(age_s):
-    """A relay answers, but has not heard the store for longer than it thinks.
+def test_a_stale_answer_of_a_relay_is_not_relied_on(age_s):
+    """A node queries the store itself if its relay's state is too old.
 
-    Its 'no changes' is true of a moment that has passed; a key taken away
-    since then would be let in. The node behind it asks the store itself.
+    A relay may have lost the store for longer than it notices. Its 'no changes'
+    then refers to the past, and a key revoked since would be accepted.
     """
-    relay = Told(age_s)
-    platform = Told(0)
+    relay = IdleSource(age_s)
+    platform = IdleSource(0)
 
     async def main():
         watch = kind_watch.KindWatch(
-            'config', Deaf(), lambda: [of_relay(relay), of_store(platform)]
+            'config',
+            IgnoringHandler(),
+            lambda: [relay_source(relay), store_source(platform)],
         )
-        with anyio.move_on_after(2 * RELIED_ON_S):
+        with anyio.move_on_after(2 * MAX_AGE_S):
             await watch.run()
 
     anyio.run(main)
-    # The first question of all goes to the store.
-    is_relied_on = platform.asked == 1
-    assert is_relied_on == (age_s < RELIED_ON_S)
+    # The first listing always goes to the store.
+    is_relay_used = platform.asked == 1
+    assert is_relay_used == (age_s < MAX_AGE_S)
 
 
-def test_a_relay_that_fails_again_is_asked_more_rarely():
-    """A relay that has lost the store costs the nodes behind it few calls."""
-    relay = Lost(0)
-    platform = Told(0)
+def test_a_relay_that_fails_again_gets_a_longer_backoff():
+    """A relay that has lost the store costs its downstream nodes few calls."""
+    relay = FailingSource(0)
+    platform = IdleSource(0)
 
     async def main():
         watch = kind_watch.KindWatch(
-            'config', Deaf(), lambda: [of_relay(relay), of_store(platform)]
+            'config',
+            IgnoringHandler(),
+            lambda: [relay_source(relay), store_source(platform)],
         )
         with anyio.move_on_after(4 * kind_watch.RELAY_BACKOFF_S):
             await watch.run()
@@ -138,8 +142,8 @@
     assert 2 <= relay.asked <= 3
 
 
-class Told:
-    """A source that has nothing new, as of some time ago."""
+class IdleSource:
+    """A source without changes, whose state has a given age."""
 
     def __init__(self, age_s):
         self.asked = 0
@@ -155,58 +159,68 @@
         return store.Changes([], revision, self._age_s)
 
 
-class Lost(Told):
+class FailingSource(IdleSource):
     """A relay that has lost the store."""
 
     async def watch(self, kind, revision, wait_s):
         self.asked += 1
-        raise store.StoreError('no touch')
+        raise store.StoreError('relay has lost the store')
 
 
-class Deaf(watch_handler.WatchHandler):
-    """Takes what it is told."""
+class IgnoringHandler(watch_handler.WatchHandler):
+    """Ignores all changes."""
 
     def on_list(self, listed):
-        """Keep nothing."""
+        """Ignore the listing."""
 
     def on_changes(self, changes):
-        """Keep nothing."""
+        """Ignore the changes."""
 
     def on_unavailable(self):
-        """Go on."""
+        """Ignore the failure."""
 
 
-def of_relay(client):
-    return watch_sources.Source(client, False, 0.1, max_age_s=RELIED_ON_S)
+def relay_source(client):
+    return watch_sources.Source(client, False, 0.1, max_age_s=MAX_AGE_S)
 
 
-def of_store(client):
+def store_source(client):
     return watch_sources.Source(client, is_store=True, wait_s=0.1)
 
 
-def test_the_nodes_with_the_widest_links_are_the_relays(monkeypatch):
-    """A VM with a narrow link doesn't speak for a data centre."""
+def test_the_nodes_with_the_highest_bandwidth_are_the_relays(monkeypatch):
+    """A VM with low bandwidth must not serve a whole data centre."""
     known = [node_address(f'vm-{number}', 20) for number in range(1, 9)]
     known += [node_address('vm-9', 200), node_address('vm-10', 200)]
-    own = known.pop()
-    nobody = mock.create_autospec(peers.PeerObserver, instance=True)
-    others = peers.Peers(own, nobody)
-    others.apply_listing(
+    widest = known.pop()
+    observer = mock.create_autospec(peers.PeerObserver, instance=True)
+    known_peers = peers.Peers(widest, observer)
+    known_peers.apply_listing(
         [*known, *(node_address(f'x-{n}', 1) for n in range(9))]
     )
     monkeypatch.setattr(
         watch_sources.SourceSelector, '_relay_source', lambda _, one: one.vm
     )
     selector = watch_sources.SourceSelector(
-        None, None, others, hubs.Hubs(others, None), lambda: False, BOUND_S
+        None,
+        None,
+        known_peers,
+        hubs.Hubs(known_peers, None),
+        lambda: False,
+        BOUND_S,
     )
-    # One of the two itself.
+    # This node is one of the two relays itself.
     assert [source.is_store for source in selector.select()] == [True]
-    others = peers.Peers(known[0], nobody)
-    others.apply_listing([*known[1:], own])
-    others.apply_listing([node_address(f'x-{n}', 1) for n in range(9)])
+    known_peers = peers.Peers(known[0], observer)
+    known_peers.apply_listing([*known[1:], widest])
+    known_peers.apply_listing([node_address(f'x-{n}', 1) for n in range(9)])
     selector = watch_sources.SourceSelector(
-        None, None, others, hubs.Hubs(others, None), lambda: False, BOUND_S
+        None,
+        None,
+        known_peers,
+        hubs.Hubs(known_peers, None),
+        lambda: False,
+        BOUND_S,
     )
     assert selector.select()[:2] == ['vm-10', 'vm-9']
 
@@ -215,18 +229,19 @@
     return peers.PeerAddress(vm, '127.0.0.1', 1, '', 'dc', 1, link_mbps)
 
 
-def test_nodes_without_relays_ask_the_store_in_moderation(relayed, monkeypatch):
-    """The store isn't flooded when all relays are out of touch at once.
+def test_nodes_without_relays_query_the_store_moderately(relayed, monkeypatch):
+    """The store isn't flooded when all relays lose it at the same time.
 
-    It has dropped its history, and endpoints change twenty times a second.
-    Six nodes ask it themselves, four of which are no relays: 106 calls in a
-    second and a half at the pace of relays, 66 at their own.
+    Endpoints change twenty times a second after the store dropped its history,
+    and all six nodes watch it themselves. Four of them are no relays: at the
+    interval of relays they would make 106 calls in a second and a half, at
+    their own interval 66.
     """
 
     async def test(fleet):
         await anyio.sleep(1.5)
-        out_of_touch = property(lambda cache: False)
-        monkeypatch.setattr(watch_cache.WatchCache, 'is_current', out_of_touch)
+        never_current = property(lambda cache: False)
+        monkeypatch.setattr(watch_cache.WatchCache, 'is_current', never_current)
         await anyio.sleep(1.5)
         calls = fleet.store.calls
         for number in range(30):
@@ -238,12 +253,12 @@
     fleet_harness.run(test, nodes=6, engines=0)
 
 
-def test_changes_in_series_cost_a_node_few_calls():
-    """Each node follows within a second, for a few answers of the store.
+def test_changes_in_quick_succession_cost_few_calls():
+    """Each node is up to date within a second, for a few calls to the store.
 
-    Twenty changes come within a second. Of six nodes the holder of the lease
-    takes each at once; answered one by one, the others would make a hundred
-    calls more.
+    There are twenty changes within a second. The lease holder, one of six
+    nodes, fetches each at once. If the others did so too, they would make a
+    hundred more calls.
     """
 
     async def test(fleet):
@@ -265,16 +280,16 @@
     fleet_harness.run(test, nodes=6, engines=0)
 
 
-def test_a_relay_in_touch_is_never_too_old_for_those_behind_it():
-    """The store isn't asked by all nodes while their relays are well.
+def test_a_healthy_relay_is_never_too_old_for_downstream_nodes():
+    """Nodes don't query the store while their relays are healthy.
 
-    What a relay says is as old as its pause and its wait; the rest of the
-    time until the store is asked is left for a late wake-up.
+    The answer of a relay is at most as old as its pause and its wait. The
+    remaining time until the store is queried allows for a late wake-up.
     """
     relay_s = watch_sources.PAUSE_SHARE + watch_sources.RELAY_WAIT_SHARE
     assert relay_s + 0.1 <= watch_sources.STORE_FALLBACK_SHARE
 
 
-def test_the_store_is_asked_early_enough_for_its_answer():
-    """A change is known in time behind relays that are frozen or cut off."""
+def test_the_store_is_queried_early_enough_for_its_answer():
+    """A change is known in time though the relays are frozen or cut off."""
     assert watch_sources.STORE_FALLBACK_SHARE <= 0.8
--- a/redwingvalve/node/tests/test_status_exchange.py
+++ b/redwingvalve/node/tests/test_status_exchange.py
@@ -1,4 +1,4 @@
-"""What a node tells the others, and how often."""
+"""Content and frequency of status messages."""
 
 from unittest import mock
 
@@ -9,46 +9,46 @@
 from redwingvalve.node import peers
 from redwingvalve.platform.tests import fleet_harness
 
-FOUND = 40
+CLEARED_ENDPOINTS = 40
 
 
-def test_forty_findings_at_once_go_in_a_few_words():
-    """Callers' requests are not held up by the words of a busy node.
+def test_forty_changes_at_once_are_sent_in_few_messages():
+    """Status messages of a busy node must not delay callers' requests.
 
-    The holder of the lease finds forty heads sound within one turn of its
-    loop. Each word goes to all nodes: one for each finding would fill its
-    link, and its questions to endpoints would stay without answers.
+    The lease holder finds forty heads healthy in one iteration of its event
+    loop. With a message to all nodes for each of them, it would saturate its
+    link, and its requests to endpoints would time out.
     """
 
     async def test(fleet):
         node = fleet.nodes[0]
-        said = []
-        node.peers.send_status = lambda message, names: said.append(message)
+        sent = []
+        node.peers.send_status = lambda message, names: sent.append(message)
         await anyio.sleep(0.1)
-        before = len(said)
-        for number in range(FOUND):
+        before = len(sent)
+        for number in range(CLEARED_ENDPOINTS):
             node.table.on_cleared(f'e{number}', 1)
         await anyio.sleep(0.05)
-        assert len(said) - before <= 3
-        assert len(said[-1].cleared) == FOUND
+        assert len(sent) - before <= 3
+        assert len(sent[-1].cleared) == CLEARED_ENDPOINTS
 
     fleet_harness.run(test, nodes=2, engines=0, plain=0)
 
 
-def test_places_of_a_killed_node_are_free_within_half_a_second():
-    """Callers of the other nodes are given the places that a kill frees.
+def test_slots_of_a_killed_node_are_free_within_half_a_second():
+    """Slots that a killed node held are available to the other nodes.
 
-    Its connections close and the endpoints drop its requests. Held until the
-    node itself is taken for gone, they would keep others out.
+    Its connections close and the endpoints drop its requests. If the slots were
+    held until the node itself counts as dead, they would block other requests.
     """
 
     async def test(fleet):
-        await fleet.wait_until(lambda: granters(fleet))
-        killed, granter = granters(fleet)
-        await reserve_plain(killed)
-        pool = granter.allocation.allocator.pool(PLAIN_POOL)
+        await fleet.wait_until(lambda: holder_and_owner(fleet))
+        killed, owner = holder_and_owner(fleet)
+        await reserve_slot(killed)
+        pool = owner.allocation.allocator.pool(PLAIN_POOL)
         await fleet.wait_until(lambda: len(pool.holds) == 1)
-        peer = granter.peers.known[killed.settings.vm]
+        peer = owner.peers.known[killed.settings.vm]
         await fleet.wait_until(lambda: peer.last_received_s is not None)
         killed.peers.send_status = lambda message, names: None
         killed.peers.send_tagged = lambda packed, address: None
@@ -57,14 +57,14 @@
     fleet_harness.run(test, nodes=2, engines=0, plain=1)
 
 
-def test_a_place_of_a_living_node_is_held_all_the_time():
-    """An endpoint isn't filled twice while its answers take seconds."""
+def test_a_slot_of_a_live_node_stays_held():
+    """An endpoint isn't overcommitted while its answers take seconds."""
 
     async def test(fleet):
-        await fleet.wait_until(lambda: granters(fleet))
-        holder, granter = granters(fleet)
-        await reserve_plain(holder)
-        pool = granter.allocation.allocator.pool(PLAIN_POOL)
+        await fleet.wait_until(lambda: holder_and_owner(fleet))
+        holder, owner = holder_and_owner(fleet)
+        await reserve_slot(holder)
+        pool = owner.allocation.allocator.pool(PLAIN_POOL)
         for _ in range(60):
             await anyio.sleep(0.05)
             assert len(pool.holds) == 1
@@ -72,27 +72,27 @@
     fleet_harness.run(test, nodes=2, engines=0, plain=1)
 
 
-def test_a_freed_place_reaches_the_request_that_waits_at_another_node():
-    """Nobody waits for the next heartbeat to hear of a place."""
+def test_a_freed_slot_goes_at_once_to_a_request_at_another_node():
+    """A waiting request isn't delayed until the next status message."""
 
     async def test(fleet):
-        await fleet.wait_until(lambda: granters(fleet))
-        holder, waits = granters(fleet)
+        await fleet.wait_until(lambda: holder_and_owner(fleet))
+        holder, waiter = holder_and_owner(fleet)
         slots = (
             fleet.nodes[0].table.of(fleet_harness.PLAIN_SERVICE, '')[0].slots
         )
-        held = [await reserve_plain(holder) for _ in range(slots)]
-        got = []
+        held = [await reserve_slot(holder) for _ in range(slots)]
+        reservations = []
 
         async def wait():
-            got.append(await reserve_plain(waits))
+            reservations.append(await reserve_slot(waiter))
 
         async with anyio.create_task_group() as group:
             group.start_soon(wait)
             await anyio.sleep(0.1)
-            assert not got
+            assert not reservations
             held[0].release(reserving.Leaving.FREE)
-            await fleet.wait_until(lambda: got, 0.1)
+            await fleet.wait_until(lambda: reservations, 0.1)
 
     fleet_harness.run(test, nodes=2, engines=0, plain=1)
 
@@ -100,57 +100,57 @@
 PLAIN_POOL = messages.Pool(fleet_harness.PLAIN_SERVICE, '', '')
 
 
-def granters(fleet):
-    """Return the nodes, that which grants places last, once both know it."""
+def holder_and_owner(fleet):
+    """Return the other node and the pool owner, once both nodes agree."""
     owners = {
         node.allocation.reserver.owners.ranked_for(PLAIN_POOL)
         for node in fleet.nodes
     }
     if len(owners) != 1 or len(*owners) != 2:
         return None
-    granter = next(iter(owners))[0]
-    return sorted(fleet.nodes, key=lambda node: node.settings.vm == granter)
+    owner = next(iter(owners))[0]
+    return sorted(fleet.nodes, key=lambda node: node.settings.vm == owner)
 
 
-async def reserve_plain(node):
-    """Reserve a place at a plain endpoint."""
-    need = waiting.Ask(urgency=1, on_time_s=0.3, wait_s=1.0)
+async def reserve_slot(node):
+    """Reserve a slot at an endpoint of the plain service."""
+    request = waiting.Ask(urgency=1, on_time_s=0.3, wait_s=1.0)
     return await node.state.reserver.reserve(
-        fleet_harness.PLAIN_SERVICE, '', need, (), ()
+        fleet_harness.PLAIN_SERVICE, '', request, (), ()
     )
 
 
-def test_a_head_found_sound_is_told_with_the_next_word():
-    """Other nodes needn't ask the same endpoints about the same head."""
+def test_a_healthy_head_is_reported_in_the_next_message():
+    """Other nodes needn't probe the members of the same head again."""
 
     async def test(fleet):
         asked, other = fleet.nodes
-        told = []
-        other.table.on_reported_healthy = lambda head, found_s: told.append(
+        reported = []
+        other.table.on_reported_healthy = lambda head, found_s: reported.append(
             head
         )
         head = asked.table.of(
             fleet_harness.ENGINE_SERVICE, fleet_harness.SMALL_MODEL
         )[0].endpoint_id
         asked.table.announce_healthy(head)
-        await fleet.wait_until(lambda: told, 1)
-        assert set(told) == {head}
+        await fleet.wait_until(lambda: reported, 1)
+        assert set(reported) == {head}
 
     fleet_harness.run(test, nodes=2, plain=0)
 
 
-def test_nodes_of_a_large_fleet_speak_before_they_count_as_gone():
-    """Callers are given all nodes of a fleet with few requests.
+def test_the_status_interval_is_shorter_than_the_alive_timeout():
+    """Nodes of an idle fleet must not drop out of the directory.
 
-    Words get rarer with the number of nodes. A node that is heard each second
-    and taken for gone after 1.2 s is left out whenever a word is lost.
+    The status interval grows with the number of nodes. A node that sends once a
+    second and counts as dead after 1.2 s would drop out with each lost message.
     """
     for nodes in (7, 59, 82, 361):
         found = [peer_address(number) for number in range(nodes)]
-        known = peers.Peers(found[0], telling_nobody())
+        known = peers.Peers(found[0], make_observer())
         known.apply_listing(found)
-        rest_s = max(peers.IDLE_STATUS_INTERVAL_S, known.status_interval_s)
-        assert known.alive_timeout_s >= 2 * rest_s
+        interval_s = max(peers.IDLE_STATUS_INTERVAL_S, known.status_interval_s)
+        assert known.alive_timeout_s >= 2 * interval_s
 
 
 def peer_address(number):
@@ -158,5 +158,5 @@
     return peers.PeerAddress(f'vm-{number}', ip, 7000, f'{ip}:80', 'zone-1', 1)
 
 
-def telling_nobody():
+def make_observer():
     return mock.create_autospec(peers.PeerObserver, instance=True)
--- a/redwingvalve/node/tests/test_watch_cache.py
+++ b/redwingvalve/node/tests/test_watch_cache.py
@@ -1,4 +1,4 @@
-"""What a relay keeps of the store, and what it tells of it."""
+"""Content of a relay's watch cache and its answers to other nodes."""
 
 import anyio
 import pytest
@@ -14,11 +14,11 @@
     return store.Change(stored, is_removed)
 
 
-def test_a_mirror_says_how_old_its_knowledge_is(monkeypatch):
-    """Time in which the relay was suspended counts.
+def test_the_age_of_a_cache_includes_suspended_time(monkeypatch):
+    """A relay that was suspended must not present old state as current.
 
-    It wakes with the changes of seconds ago; by a clock that stood still they
-    would pass for new.
+    It resumes with a state that is seconds old, which a clock that stopped
+    during the suspension would not show.
     """
     now_s = [100.0]
     monkeypatch.setattr(clock, 'boot_s', lambda: now_s[0])
@@ -31,14 +31,14 @@
     assert not cache.is_current
 
 
-def test_a_question_is_answered_when_the_store_was_heard_again():
-    """'No changes' is as new as the relay's own knowledge."""
+def test_a_watch_is_answered_when_the_store_has_answered_again():
+    """'No changes' is as recent as the relay's own state."""
 
     async def main():
         cache = watch_cache.WatchCache()
         cache.apply_listing(store.Listing([], 10))
         async with anyio.create_task_group() as group:
-            group.start_soon(hear_later, cache)
+            group.start_soon(sync_later, cache)
             began_s = anyio.current_time()
             found = await cache.changes_after(10, 5.0)
             assert anyio.current_time() - began_s < 1
@@ -48,12 +48,12 @@
     anyio.run(main)
 
 
-async def hear_later(cache):
+async def sync_later(cache):
     await anyio.sleep(0.05)
     cache.record_sync(1.0, is_from_store=True)
 
 
-def test_a_relay_that_lost_the_store_says_so():
+def test_a_cache_that_lost_the_store_is_not_current():
     async def main():
         cache = watch_cache.WatchCache()
         assert not cache.is_current
@@ -67,8 +67,8 @@
     anyio.run(main)
 
 
-def test_a_mirror_tells_a_batch_that_reaches_past_the_revision_whole():
-    """A node that comes from another source ends with the newest states."""
+def test_a_batch_beyond_the_revision_is_returned_whole():
+    """A node that switches from another source gets the latest states."""
 
     async def main():
         cache = watch_cache.WatchCache()
@@ -81,18 +81,18 @@
         assert found.revision == 106
         found = await cache.changes_after(106, 0.0)
         assert not found.changes
-        # A node ahead of the mirror never goes back.
+        # The revision of a node ahead of the cache is never set back.
         assert (await cache.changes_after(110, 0.0)).revision == 110
 
     anyio.run(main)
 
 
-def test_a_series_of_versions_is_told_by_its_last():
-    """All nodes hear of a key that was taken away, in a storm of changes.
+def test_only_the_last_of_several_versions_is_returned():
+    """All nodes learn of a revoked key during frequent changes.
 
-    Four versions a second of some 100 KB each, told in full to twenty nodes,
-    fill a relay's link of 20 Mbit/s: it loses touch with the store and all
-    nodes behind it go on with an old version for seconds.
+    Four versions a second of about 100 KB each, all sent to twenty nodes, would
+    saturate a relay's link of 20 Mbit/s. It would lose the store, and all nodes
+    behind it would use an old version for seconds.
     """
 
     async def main():
@@ -109,8 +109,8 @@
     anyio.run(main)
 
 
-def test_a_removal_is_told_with_the_state_before_it():
-    """An endpoint that said it would leave isn't taken for a dead one."""
+def test_a_removal_is_returned_with_the_state_before_it():
+    """An endpoint that announced its leave must not be taken for dead."""
 
     async def main():
         cache = watch_cache.WatchCache()
@@ -125,8 +125,8 @@
     anyio.run(main)
 
 
-def test_a_configuration_takes_little_of_a_relays_link():
-    """Twenty nodes hear of four versions a second over 20 Mbit/s."""
+def test_a_configuration_uses_little_of_a_relays_bandwidth():
+    """Four versions a second reach twenty nodes over 20 Mbit/s."""
     routes = [
         fleet_harness.route(
             f'r{number}', f'/{number * 7919:x}/', 'stream', 'one'
@@ -143,7 +143,7 @@
     assert bits_per_s < 0.5 * 20e6
 
 
-def test_a_mirror_knows_which_history_it_has():
+def test_has_history_follows_the_batches_kept():
     async def main():
         cache = watch_cache.WatchCache()
         cache.apply_listing(store.Listing([], 100))
@@ -156,20 +156,19 @@
     anyio.run(main)
 
 
-def test_a_node_that_waits_while_its_relay_lists_anew_hears_what_is_new():
-    """A key that was taken away is refused everywhere within the bound.
+def test_a_watch_during_a_relist_returns_the_changes():
+    """A revoked key is refused by all nodes within the limit.
 
-    The store's history is dropped; a relay lists all objects anew, which
-    brings a configuration that no event told of. A node waits at that relay
-    for events meanwhile: told 'none' and the new revision, it would never
-    hear of this configuration.
+    When the store drops its history, a relay relists all objects and so learns
+    of a configuration without any event. If a node that waits at this relay got
+    'no changes' and the new revision, it would never learn of it.
     """
 
     async def main():
         cache = watch_cache.WatchCache()
         cache.apply_listing(store.Listing([], 10))
         async with anyio.create_task_group() as group:
-            group.start_soon(list_anew, cache)
+            group.start_soon(relist_later, cache)
             found = await cache.changes_after(10, 1.0)
         assert [one.name for one in found.changes] == ['main']
         assert found.revision == 20
@@ -177,7 +176,7 @@
     anyio.run(main)
 
 
-def test_a_node_from_before_the_history_lists_too():
+def test_a_node_from_before_the_history_must_relist():
     async def main():
         cache = watch_cache.WatchCache()
         cache.apply_listing(store.Listing([], 10))
@@ -187,14 +186,14 @@
     anyio.run(main)
 
 
-async def list_anew(cache):
+async def relist_later(cache):
     await anyio.sleep(0.02)
     stored = {'metadata': {'name': 'main', 'revision': 15}, 'spec': {}}
     cache.apply_listing(store.Listing([stored], 20))
 
 
-def test_nodes_behind_a_relay_that_lists_anew_are_told_the_difference():
-    """Two hundred nodes don't list all endpoints when history is forgotten."""
+def test_a_relist_is_returned_as_changes():
+    """Two hundred nodes needn't relist when the store drops its history."""
 
     async def main():
         cache = watch_cache.WatchCache()
@@ -205,15 +204,15 @@
             store.Listing([*after, change('d', 130).stored], 140)
         )
         found = await cache.changes_after(100, 0.0)
-        told = {(one.name, one.is_removed) for one in found.changes}
-        assert told == {('b', False), ('c', True), ('d', False)}
+        changed = {(one.name, one.is_removed) for one in found.changes}
+        assert changed == {('b', False), ('c', True), ('d', False)}
         assert found.revision == 140
 
     anyio.run(main)
 
 
-def test_a_listing_from_before_ends_the_history():
-    """A relay that follows an older one never tells what was before as new."""
+def test_an_older_listing_ends_the_history():
+    """A relay that lists an older state must not return it as changes."""
     cache = watch_cache.WatchCache()
     cache.apply_listing(store.Listing([change('a', 90).stored], 100))
     cache.apply_listing(store.Listing([change('a', 80).stored], 85))
