--- a/redwingvalve/node/hubs.py
+++ b/redwingvalve/node/hubs.py
@@ -20,7 +20,7 @@
 # reports, since a node that is down has been silent for longer. Two status
 # intervals of hubs.
 RECENTLY_RECEIVED_S = 0.5
-# If no node at all was heard for this long, this node itself was cut off.
+# If no message at all arrived for this long, this node itself was cut off.
 RECEIVE_GAP_S = 0.5
 
 
--- a/redwingvalve/node/tests/test_hubs.py
+++ b/redwingvalve/node/tests/test_hubs.py
@@ -199,8 +199,8 @@
 def test_a_hub_forwards_only_the_latest_state_of_a_node():
     """A node that leaves and then ends must not be sent as both up and down.
 
-    Sent for a second, each state would look to other hubs like a change from the
-    other one.
+    Sent for a second, each state would look to other hubs like a change of the
+    other.
     """
     observer = mock.create_autospec(peers.PeerObserver, instance=True)
     local = peers.PeerAddress('vm-1', '127.0.0.1', 1, '', 'dc', 1)
--- a/redwingvalve/node/tests/test_peer_discovery.py
+++ b/redwingvalve/node/tests/test_peer_discovery.py
@@ -122,17 +122,17 @@
 
     async def test(fleet):
         await fleet.wait_until(lambda: len(fleet.nodes[0].peers.known) == 1)
-        asked = []
+        listings = []
         node = fleet.nodes[0].peer_discovery
 
         async def refuse(kind, is_stale):
-            asked.append(is_stale)
+            listings.append(is_stale)
             raise store.StoreRefusedError('status 429')
 
         monkeypatch.setattr(node.client, 'list_kind', refuse)
         await anyio.sleep(1.3)
-        assert 1 <= len(asked) <= 4
-        assert all(asked)
+        assert 1 <= len(listings) <= 4
+        assert all(listings)
 
     fleet_harness.run(test, nodes=2, engines=0, plain=0)
 
--- a/redwingvalve/node/tests/test_relays.py
+++ b/redwingvalve/node/tests/test_relays.py
@@ -120,7 +120,7 @@
 
     anyio.run(main)
     # The first listing always goes to the store.
-    is_relay_used = platform.asked == 1
+    is_relay_used = platform.calls == 1
     assert is_relay_used == (age_s < MAX_AGE_S)
 
 
@@ -139,22 +139,22 @@
             await watch.run()
 
     anyio.run(main)
-    assert 2 <= relay.asked <= 3
+    assert 2 <= relay.calls <= 3
 
 
 class IdleSource:
     """A source without changes, whose state has a given age."""
 
     def __init__(self, age_s):
-        self.asked = 0
+        self.calls = 0
         self._age_s = age_s
 
     async def list_kind(self, kind):
-        self.asked += 1
+        self.calls += 1
         return store.Listing([], 1, self._age_s)
 
     async def watch(self, kind, revision, wait_s):
-        self.asked += 1
+        self.calls += 1
         await anyio.sleep(0.05)
         return store.Changes([], revision, self._age_s)
 
@@ -163,7 +163,7 @@
     """A relay that has lost the store."""
 
     async def watch(self, kind, revision, wait_s):
-        self.asked += 1
+        self.calls += 1
         raise store.StoreError('relay has lost the store')
 
 
--- a/redwingvalve/node/tests/test_status_exchange.py
+++ b/redwingvalve/node/tests/test_status_exchange.py
@@ -124,15 +124,15 @@
     """Other nodes needn't probe the members of the same head again."""
 
     async def test(fleet):
-        asked, other = fleet.nodes
+        reporter, other = fleet.nodes
         reported = []
         other.table.on_reported_healthy = lambda head, found_s: reported.append(
             head
         )
-        head = asked.table.of(
+        head = reporter.table.of(
             fleet_harness.ENGINE_SERVICE, fleet_harness.SMALL_MODEL
         )[0].endpoint_id
-        asked.table.announce_healthy(head)
+        reporter.table.announce_healthy(head)
         await fleet.wait_until(lambda: reported, 1)
         assert set(reported) == {head}
 
