--- a/redwingvalve/node/watch_cache.py
+++ b/redwingvalve/node/watch_cache.py
@@ -24,7 +24,7 @@
 MAX_BATCHES = 256
 # Allowance for the round trip of a watch, in addition to its wait.
 RESPONSE_SLACK_S = 0.5
-# Age reported if the store has never answered: beyond any limit.
+# Age reported if the last answer, if any, came from a relay: beyond any limit.
 NEVER_SYNCED_AGE_S = 3600.0
 
 
