--- a/redwingvalve/allocation/ledger.py
+++ b/redwingvalve/allocation/hold_table.py
@@ -27,7 +27,7 @@
     confirmed_s: float
 
 
-class Ledger:
+class HoldTable:
     """The places of one pool."""
 
     def __init__(self) -> None:
@@ -99,7 +99,7 @@
             self.release(key)
         return bool(found)
 
-    def drop_lapsed(self, now_s: float) -> bool:
+    def drop_expired(self, now_s: float) -> bool:
         """Free the places of holders that fell silent; return if any."""
         lapsed = [
             key
--- a/redwingvalve/allocation/pool.py
+++ b/redwingvalve/allocation/pool.py
@@ -14,9 +14,13 @@
 
 import attrs
 
-from redwingvalve.allocation import ledger as ledger_module
-from redwingvalve.allocation import messages
-from redwingvalve.ingress import observed, placing, reserving, waiting
+from redwingvalve.allocation import hold_table, messages
+from redwingvalve.ingress import (
+    duration_estimates,
+    load_balancing,
+    reservations,
+    wait_queue,
+)
 
 # Places that late requests leave free, in spreads of the number in use, and at
 # most as a share of all.
@@ -32,7 +36,9 @@
 SLOW_S = 2.0
 
 Clock = collections_abc.Callable[[], float]
-Targets = collections_abc.Callable[[], collections_abc.Sequence[placing.Target]]
+Targets = collections_abc.Callable[
+    [], collections_abc.Sequence[load_balancing.Target]
+]
 
 
 @attrs.frozen
@@ -44,31 +50,33 @@
 
 
 @attrs.define(eq=False)
-class PlacePool(waiting.Places):
+class SlotPool(wait_queue.SlotCapacity):
     """Counts, grants and queues for one pool."""
 
     targets: Targets
-    chance: random.Random
+    rng: random.Random
     clock: Clock
-    ledger: ledger_module.Ledger = attrs.field(factory=ledger_module.Ledger)
-    _hold: observed.Typical = attrs.field(factory=observed.make_hold)
+    holds: hold_table.HoldTable = attrs.field(factory=hold_table.HoldTable)
+    _hold: duration_estimates.DurationEstimate = attrs.field(
+        factory=duration_estimates.make_hold_time_estimate
+    )
     _refused_until_s: dict[str, float] = attrs.field(factory=dict)
     _slow_until_s: dict[str, float] = attrs.field(factory=dict)
     _unsure: list[_Unsure] = attrs.field(factory=list)
-    room: waiting.WaitingRoom = attrs.field(init=False)
+    queue: wait_queue.WaitQueue = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Open the waiting room."""
-        self.room = waiting.WaitingRoom(self.clock, self)
+        self.queue = wait_queue.WaitQueue(self.clock, self)
 
     @property
     def is_busy(self) -> bool:
         """Return whether places are held or waited for."""
-        return bool(len(self.ledger) or len(self.room))
+        return bool(len(self.holds) or len(self.queue))
 
     def selector(
         self, sender: messages.Sender, ask: messages.Ask
-    ) -> placing.Selector:
+    ) -> load_balancing.AcquireSlot:
         """Return what takes a place for an ask."""
         return functools.partial(self._take, sender, ask)
 
@@ -79,48 +87,48 @@
             self._slow_until_s[endpoint_id] = until_s
 
     def release(
-        self, key: ledger_module.Key, leaving: reserving.Leaving
+        self, key: hold_table.Key, leaving: reservations.ReleaseState
     ) -> None:
         """Free a place and give it to the first that waits."""
-        hold = self.ledger.release(key)
+        hold = self.holds.release(key)
         if hold is None:
             return
         now_s = self.clock()
-        if leaving is reserving.Leaving.REFUSED:
+        if leaving is reservations.ReleaseState.REFUSED:
             self._refused_until_s[hold.endpoint_id] = now_s + REFUSED_S
-        elif leaving is reserving.Leaving.UNSURE:
+        elif leaving is reservations.ReleaseState.UNCERTAIN:
             self._unsure.append(_Unsure(hold.endpoint_id, now_s + UNSURE_S))
         else:
-            self._hold.saw(now_s - hold.since_s)
-        self.room.poke()
+            self._hold.observe(now_s - hold.since_s)
+        self.queue.dispatch()
 
     def confirm(
         self, sender: messages.Sender, endpoint_ids: dict[int, str]
     ) -> None:
         """Take what a node holds."""
-        self.ledger.confirm(sender, endpoint_ids, self.clock())
-        self.room.poke()
+        self.holds.confirm(sender, endpoint_ids, self.clock())
+        self.queue.dispatch()
 
-    def node_lost(self, vm: str) -> None:
+    def drop_node(self, vm: str) -> None:
         """Free what a node held that is gone."""
-        if self.ledger.drop_node(vm):
-            self.room.poke()
+        if self.holds.drop_node(vm):
+            self.queue.dispatch()
 
-    def look(self) -> None:
+    def tick(self) -> None:
         """Forget what is over, and let those that wait look again."""
         now_s = self.clock()
-        self.ledger.drop_lapsed(now_s)
+        self.holds.drop_expired(now_s)
         self._refused_until_s = _unexpired(self._refused_until_s, now_s)
         self._slow_until_s = _unexpired(self._slow_until_s, now_s)
         self._unsure = [one for one in self._unsure if one.until_s > now_s]
-        self.room.poke()
+        self.queue.dispatch()
 
-    def expected_s(self, ask: waiting.Ask) -> float:
+    def expected_s(self, ask: wait_queue.SlotRequest) -> float:
         """Return how long a request would wait."""
-        next_s = 1 / max(self.freed_per_s(), waiting.LEAST_FREED_PER_S)
-        return max(self.room.expected_s(ask), next_s)
+        next_s = 1 / max(self.freed_per_s(), wait_queue.MIN_FREED_PER_S)
+        return max(self.queue.expected_wait_s(ask), next_s)
 
-    def free(self) -> int:
+    def free_slots(self) -> int:
         """Return the places that are free."""
         return sum(map(self._free_at, self.targets()))
 
@@ -132,7 +140,7 @@
         """Return the places that come free in a second while all are taken."""
         return self.slots() / self._hold.seconds
 
-    def has_spare(self) -> bool:
+    def has_spare_slots(self) -> bool:
         """Return whether late requests may take a place now.
 
         Some places are kept for requests that can be on time: half of the
@@ -140,20 +148,20 @@
         """
         slots = self.slots()
         strays = RESERVED_SPREADS * math.sqrt(slots)
-        return self.free() > min(strays, slots * MOST_RESERVED_SHARE)
+        return self.free_slots() > min(strays, slots * MOST_RESERVED_SHARE)
 
     def _take(
         self, sender: messages.Sender, ask: messages.Ask
-    ) -> placing.Target | None:
+    ) -> load_balancing.Target | None:
         found = self._choose(ask.avoid)
         if found is not None:
             key = (sender, ask.number)
-            self.ledger.hold(key, found.endpoint_id, self.clock())
+            self.holds.hold(key, found.endpoint_id, self.clock())
         return found
 
     def _choose(
         self, avoid: collections_abc.Container[str]
-    ) -> placing.Target | None:
+    ) -> load_balancing.Target | None:
         free = [
             target
             for target in self.targets()
@@ -161,12 +169,12 @@
         ]
         return min(free, key=self._rank, default=None)
 
-    def _rank(self, target: placing.Target) -> tuple[bool, float, float]:
-        filled = self.ledger.count(target.endpoint_id) / target.slots
+    def _rank(self, target: load_balancing.Target) -> tuple[bool, float, float]:
+        filled = self.holds.count(target.endpoint_id) / target.slots
         is_slow = target.endpoint_id in self._slow_until_s
-        return is_slow, filled, self.chance.random()
+        return is_slow, filled, self.rng.random()
 
-    def _free_at(self, target: placing.Target) -> int:
+    def _free_at(self, target: load_balancing.Target) -> int:
         now_s = self.clock()
         if self._refused_until_s.get(target.endpoint_id, 0) > now_s:
             return 0
@@ -174,7 +182,7 @@
             one.endpoint_id == target.endpoint_id and one.until_s > now_s
             for one in self._unsure
         )
-        held = self.ledger.count(target.endpoint_id) + unsure
+        held = self.holds.count(target.endpoint_id) + unsure
         return max(0, target.slots - held)
 
 
@@ -183,5 +191,5 @@
 
 
 PoolTargets: typing.TypeAlias = collections_abc.Callable[
-    [messages.Pool], collections_abc.Sequence[placing.Target]
+    [messages.Pool], collections_abc.Sequence[load_balancing.Target]
 ]
--- a/redwingvalve/fleet/registry.py
+++ b/redwingvalve/fleet/registry.py
@@ -38,7 +38,7 @@
     ) -> None:
         """Start without endpoints."""
         self.live: dict[str, endpoints.Endpoint] = {}
-        self.is_known = False
+        self.is_synced = False
         self.on_change: list[collections_abc.Callable[[], None]] = []
         self._clock = clock
         self._lapsed: dict[str, _Lapsed] = {}
@@ -46,7 +46,7 @@
         # Those that said that they would leave, until they are forgotten.
         self._leavers: dict[tuple[str, int], float] = {}
 
-    def replaced(self, listed: list[store.Document]) -> None:
+    def on_list(self, listed: list[store.Document]) -> None:
         """Take a whole listing."""
         found = dict(_decode_all(listed))
         missing = [name for name in self.live if name not in found]
@@ -54,21 +54,23 @@
             self._lapse(name)
         for endpoint in found.values():
             self._take(endpoint)
-        self.is_known = True
+        self.is_synced = True
         self._tell()
 
-    def changed(self, changes: list[store.Change]) -> None:
+    def on_changes(self, changes: list[store.Change]) -> None:
         """Take changes in their order."""
         for change in changes:
             self._change(change)
         if changes:
             self._tell()
 
-    def troubled(self) -> None:
+    def on_unavailable(self) -> None:
         """Note that the store gives no usable answers."""
         self._trouble_s = self._clock()
 
-    def may_leave(self, endpoint: endpoints.Endpoint, within_s: float) -> bool:
+    def may_be_leaving(
+        self, endpoint: endpoints.Endpoint, within_s: float
+    ) -> bool:
         """Return whether an endpoint may be leaving rather than dead.
 
         It said so, or the store has been away within within_s and could not
@@ -95,7 +97,7 @@
         """Return the lives that the store tells of."""
         return {endpoint.incarnation for endpoint in self.usable()}
 
-    def drop_lapsed(self) -> None:
+    def drop_expired(self) -> None:
         """Forget endpoints that did not come back in time."""
         until_s = self._clock() - LAPSE_GRACE_S
         gone = [
@@ -115,7 +117,7 @@
             return
         try:
             endpoint = entries.decode_endpoint(change.stored)
-        except entries.EntryError as error:
+        except entries.EndpointEntryError as error:
             LOG.warning('unusable entry', extra={'error': str(error)})
             self.live.pop(change.name, None)
             return
@@ -146,7 +148,7 @@
     for stored in listed:
         try:
             endpoint = entries.decode_endpoint(stored)
-        except entries.EntryError as error:
+        except entries.EndpointEntryError as error:
             LOG.warning('unusable entry', extra={'error': str(error)})
             continue
         yield endpoint.endpoint_id, endpoint
--- a/redwingvalve/fleet/serving.py
+++ b/redwingvalve/fleet/serving.py
@@ -7,7 +7,7 @@
 
 from redwingvalve.fleet import endpoints
 from redwingvalve.fleet import registry as registry_module
-from redwingvalve.ingress import placing, routes, state
+from redwingvalve.ingress import load_balancing, routes, state
 from redwingvalve.observability import logs, node_metrics
 
 LOG = logs.make_logger('serving')
@@ -31,34 +31,44 @@
     since_s: float
 
 
-class ServingTable(state.Targets):
+class ServingTable(state.TargetProvider):
     """Targets by service and model, made anew at each change."""
 
     def __init__(self, registry: registry_module.Registry) -> None:
         """Follow the registry."""
         self.on_suspect: collections_abc.Callable[[Suspicion], None] | None
         self.on_suspect = None
-        self.on_doubt: collections_abc.Callable[[str, str], None] | None
-        self.on_doubt = None
-        self.on_clear: collections_abc.Callable[[str, int], None] | None
-        self.on_clear = None
-        self.on_tell_sound: collections_abc.Callable[[str, int], None] | None
-        self.on_tell_sound = None
-        self.on_told_sound: collections_abc.Callable[[str, float], None] | None
-        self.on_told_sound = None
-        self.on_sound: collections_abc.Callable[[str, float], None] | None
-        self.on_sound = None
+        self.on_check_requested: (
+            collections_abc.Callable[[str, str], None] | None
+        )
+        self.on_check_requested = None
+        self.on_cleared: collections_abc.Callable[[str, int], None] | None
+        self.on_cleared = None
+        self.on_announce_healthy: (
+            collections_abc.Callable[[str, int], None] | None
+        )
+        self.on_announce_healthy = None
+        self.on_reported_healthy: (
+            collections_abc.Callable[[str, float], None] | None
+        )
+        self.on_reported_healthy = None
+        self.on_reinstated: collections_abc.Callable[[str, float], None] | None
+        self.on_reinstated = None
         self.on_rebuilt: collections_abc.Callable[[], None] | None = None
         self._registry = registry
         self._configuration: routes.Configuration | None = None
-        self._targets: dict[tuple[str, str], tuple[placing.Target, ...]] = {}
+        self._targets: dict[
+            tuple[str, str], tuple[load_balancing.Target, ...]
+        ] = {}
         self._suspicions: dict[str, Suspicion] = {}
         self._own: set[str] = set()
         # Members of replicas that were seen whole, by name and epoch.
         self._whole: dict[tuple[str, int], endpoints.Replica] = {}
         registry.on_change.append(self.rebuild)
 
-    def of(self, service: str, model: str) -> tuple[placing.Target, ...]:
+    def find_targets(
+        self, service: str, model: str
+    ) -> tuple[load_balancing.Target, ...]:
         """Return the targets for a model, or of a plain service."""
         return self._targets.get((service, model), ())
 
@@ -78,7 +88,7 @@
         now_s = time.monotonic()
         suspicion = Suspicion(endpoint_id, epoch, now_s + wait_s, now_s)
         self._own.add(endpoint_id)
-        if self.take_suspicion(suspicion):
+        if self.add_suspicion(suspicion):
             node_metrics.METRICS.count('redwingvalve_suspicions')
             LOG.warning(
                 'endpoint out of use',
@@ -91,14 +101,14 @@
             if self.on_suspect is not None:
                 self.on_suspect(suspicion)
 
-    def doubt(self, endpoint_id: str, reason: str) -> None:
+    def check_endpoint(self, endpoint_id: str, reason: str) -> None:
         """Let whoever can ask find out about an endpoint."""
-        if self.on_doubt is None:
+        if self.on_check_requested is None:
             self.suspect(endpoint_id, reason)
         elif not self.is_suspect(endpoint_id):
-            self.on_doubt(endpoint_id, reason)
+            self.on_check_requested(endpoint_id, reason)
 
-    def take_suspicion(self, suspicion: Suspicion) -> bool:
+    def add_suspicion(self, suspicion: Suspicion) -> bool:
         """Take an endpoint out of use; return whether that is new."""
         known = self._suspicions.get(suspicion.endpoint_id)
         is_known = known is not None and known.epoch >= suspicion.epoch
@@ -108,41 +118,41 @@
         self.rebuild()
         return True
 
-    def found_sound(self, endpoint_id: str) -> None:
+    def mark_healthy(self, endpoint_id: str) -> None:
         """Put an endpoint back into use here and elsewhere."""
         suspicion = self._suspicions.get(endpoint_id)
-        if suspicion is not None and self.on_clear is not None:
-            self.on_clear(endpoint_id, suspicion.epoch)
-        self.clear(endpoint_id)
+        if suspicion is not None and self.on_cleared is not None:
+            self.on_cleared(endpoint_id, suspicion.epoch)
+        self.clear_suspicion(endpoint_id)
 
-    def tell_sound(self, endpoint_id: str) -> None:
+    def announce_healthy(self, endpoint_id: str) -> None:
         """Let other nodes know that an endpoint in use was found sound."""
         endpoint = self._registry.live.get(endpoint_id)
         if endpoint is None or endpoint.membership is None:
             return
-        if self.on_tell_sound is not None:
-            self.on_tell_sound(endpoint_id, endpoint.membership.epoch)
+        if self.on_announce_healthy is not None:
+            self.on_announce_healthy(endpoint_id, endpoint.membership.epoch)
 
-    def clear(self, endpoint_id: str) -> None:
+    def clear_suspicion(self, endpoint_id: str) -> None:
         """Put an endpoint back into use."""
         self._own.discard(endpoint_id)
         if self._suspicions.pop(endpoint_id, None) is None:
             return
-        if self.on_sound is not None:
-            self.on_sound(endpoint_id, time.monotonic())
+        if self.on_reinstated is not None:
+            self.on_reinstated(endpoint_id, time.monotonic())
         self.rebuild()
 
-    def clear_older(
+    def clear_if_older(
         self, endpoint_id: str, epoch: int, cleared_s: float
     ) -> None:
         """Put an endpoint back into use unless it is suspect anew."""
-        if self.on_told_sound is not None:
-            self.on_told_sound(endpoint_id, cleared_s)
+        if self.on_reported_healthy is not None:
+            self.on_reported_healthy(endpoint_id, cleared_s)
         suspicion = self._suspicions.get(endpoint_id)
         if suspicion is None or suspicion.epoch > epoch:
             return
         if suspicion.since_s < cleared_s:
-            self.clear(endpoint_id)
+            self.clear_suspicion(endpoint_id)
 
     def replica_of(self, head_id: str) -> endpoints.Replica | None:
         """Return the replica of a head with all its members, if known."""
@@ -151,7 +161,7 @@
             return None
         return self._whole.get(head.membership.key)
 
-    def own_suspicions(self) -> list[Suspicion]:
+    def local_suspicions(self) -> list[Suspicion]:
         """Return suspicions that this node itself holds."""
         now_s = time.monotonic()
         return [
@@ -179,8 +189,8 @@
             return
         usable = self._registry.usable()
         by_id = {endpoint.endpoint_id: endpoint for endpoint in usable}
-        replicas = endpoints.find_replicas(usable)
-        targets: dict[tuple[str, str], tuple[placing.Target, ...]] = {}
+        replicas = endpoints.group_replicas(usable)
+        targets: dict[tuple[str, str], tuple[load_balancing.Target, ...]] = {}
         for service in configuration.services.values():
             if service.engine is None:
                 targets[service.name, ''] = self._plain(service.name, usable)
@@ -195,7 +205,7 @@
 
     def _plain(
         self, service: str, usable: list[endpoints.Endpoint]
-    ) -> tuple[placing.Target, ...]:
+    ) -> tuple[load_balancing.Target, ...]:
         ready = [
             endpoint
             for endpoint in usable
@@ -215,7 +225,7 @@
         model: routes.Model,
         engine: routes.Engine,
         by_id: dict[str, endpoints.Endpoint],
-    ) -> tuple[placing.Target, ...]:
+    ) -> tuple[load_balancing.Target, ...]:
         found = []
         for seen in replicas:
             if seen.model != model.name:
@@ -269,8 +279,8 @@
         )
 
 
-def _plain_target(endpoint: endpoints.Endpoint) -> placing.Target:
-    return placing.Target(
+def _plain_target(endpoint: endpoints.Endpoint) -> load_balancing.Target:
+    return load_balancing.Target(
         endpoint_id=endpoint.endpoint_id,
         host=endpoint.host,
         port=endpoint.port,
@@ -280,9 +290,11 @@
     )
 
 
-def _head_target(replica: endpoints.Replica, slots: int) -> placing.Target:
+def _head_target(
+    replica: endpoints.Replica, slots: int
+) -> load_balancing.Target:
     head = replica.members[0]
-    return placing.Target(
+    return load_balancing.Target(
         endpoint_id=head.endpoint_id,
         host=head.host,
         port=head.port,
--- a/redwingvalve/ingress/taking.py
+++ b/redwingvalve/ingress/slot_requests.py
@@ -4,23 +4,23 @@
 from collections import abc as collections_abc
 
 from redwingvalve.ingress import (
-    admitting,
-    answering,
+    admission_control,
     refusals,
-    reserving,
-    waiting,
+    reservations,
+    responses,
+    wait_queue,
 )
 from redwingvalve.ingress import state as state_module
 from redwingvalve.observability import node_metrics
 from redwingvalve.platform import caller_requests
 
 
-async def take_place(
+async def reserve_slot(
     state: state_module.IngressState,
     caller: caller_requests.CallerRequest,
-    admission: admitting.Admission,
+    admission: admission_control.Admission,
     avoid: collections_abc.Collection[str],
-) -> reserving.Reservation | reserving.NoPlace:
+) -> reservations.Reservation | reservations.NoSlot:
     """Return a place, or when the caller may come back.
 
     avoid names the endpoints that were tried.
@@ -32,9 +32,9 @@
         admission.model,
         _ask(state, admission, is_resumed=bool(avoid)),
         avoid,
-        state.silence.slow_heads(began_s),
+        state.stall_detector.slow_heads(began_s),
     )
-    has_place = isinstance(found, reserving.Reservation)
+    has_place = isinstance(found, reservations.Reservation)
     held_s = time.monotonic() - began_s
     node_metrics.METRICS.observe(
         'redwingvalve_wait_seconds',
@@ -49,14 +49,14 @@
 
 def _ask(
     state: state_module.IngressState,
-    admission: admitting.Admission,
+    admission: admission_control.Admission,
     *,
     is_resumed: bool,
-) -> waiting.Ask:
+) -> wait_queue.SlotRequest:
     begin = state.begin(admission.service, admission.model)
     left_s = admission.timeout_at_s - time.monotonic()
     begin_s = begin.seconds + admission.prompt_s
-    return waiting.Ask(
+    return wait_queue.SlotRequest(
         urgency=admission.urgency,
         on_time_s=refusals.on_time_wait_s(admission.route, begin_s),
         wait_s=refusals.wait_s(admission.route, left_s),
@@ -68,15 +68,15 @@
 def _log_no_place(
     state: state_module.IngressState,
     caller: caller_requests.CallerRequest,
-    admission: admitting.Admission,
+    admission: admission_control.Admission,
     held_s: float,
 ) -> None:
     service, model = admission.service, admission.model
-    answering.log_no_place(
+    responses.log_no_place(
         caller,
         admission,
-        targets=len(state.targets.of(service, model)),
-        under_way=state.in_use(service, model),
-        waiting=state.waiting(service, model),
+        targets=len(state.targets.find_targets(service, model)),
+        under_way=state.slot_demand(service, model),
+        waiting=state.waiting_requests(service, model),
         held_s=held_s,
     )
--- a/redwingvalve/node/place_messages.py
+++ b/redwingvalve/node/allocation_transport.py
@@ -8,12 +8,13 @@
 import attrs
 
 from redwingvalve.allocation import allocator as allocator_module
-from redwingvalve.allocation import delivery, messages, owners
+from redwingvalve.allocation import dispatch, messages, owners
 from redwingvalve.allocation import reserver as reserver_module
-from redwingvalve.ingress import placing
+from redwingvalve.ingress import load_balancing
 from redwingvalve.ingress import state as state_module
-from redwingvalve.node import fronts, telling
+from redwingvalve.node import front_selection
 from redwingvalve.node import peers as peers_module
+from redwingvalve.node import status_exchange as status_exchange_module
 from redwingvalve.observability import logs
 
 LOG = logs.make_logger('places')
@@ -21,11 +22,11 @@
 LOOK_S = 0.1
 # While nothing is granted here.
 IDLE_S = 0.5
-_Targets: typing.TypeAlias = tuple[placing.Target, ...]
+_Targets: typing.TypeAlias = tuple[load_balancing.Target, ...]
 
 
 @attrs.define(eq=False)
-class PlaceMessages(reserver_module.Transport):
+class AllocationTransport(reserver_module.Transport):
     """This node's part in granting places."""
 
     peers: peers_module.Peers
@@ -34,13 +35,13 @@
 
     @property
     def _sender(self) -> messages.Sender:
-        own = self.peers.own
-        return messages.Sender(own.vm, own.born_ms)
+        local = self.peers.local
+        return messages.Sender(local.vm, local.born_ms)
 
     def send(self, vm: str, message: messages.Message) -> None:
         """Send a message to a node; it may get lost."""
         envelope = messages.Envelope(self._sender, message)
-        if vm == self.peers.own.vm:
+        if vm == self.peers.local.vm:
             self._take(envelope, functools.partial(self.send, vm))
             return
         peer = self.peers.known.get(vm)
@@ -61,14 +62,16 @@
         """Look after what is granted here until cancelled."""
         while True:
             await anyio.sleep(LOOK_S if self.allocator.is_busy else IDLE_S)
-            self.allocator.look()
+            self.allocator.tick()
 
     def _take(
         self,
         envelope: messages.Envelope,
-        reply: allocator_module.Replier,
+        reply: allocator_module.ReplyCallback,
     ) -> None:
-        delivery.deliver(envelope, self.allocator, self.reserver, reply)
+        dispatch.dispatch_message(
+            envelope, self.allocator, self.reserver, reply
+        )
 
     def _reply(self, address: tuple[str, int], reply: messages.Reply) -> None:
         packed = messages.pack(messages.Envelope(self._sender, reply))
@@ -79,14 +82,14 @@
 class _PoolTargets:
     """The targets of each pool, picked once for each table of targets."""
 
-    targets: state_module.Targets
+    targets: state_module.TargetProvider
     _picked: dict[messages.Pool, tuple[_Targets, _Targets]] = attrs.field(
         factory=dict
     )
 
     def of(self, pool: messages.Pool) -> _Targets:
         """Return the targets that take requests now."""
-        table = self.targets.of(pool.service, pool.model)
+        table = self.targets.find_targets(pool.service, pool.model)
         known_table, picked = self._picked.get(pool, ((), ()))
         if known_table is table:
             return picked
@@ -99,37 +102,38 @@
         return picked
 
 
-def make_places(
-    state: state_module.IngressState, teller: telling.Teller
-) -> PlaceMessages:
+def make_allocation(
+    state: state_module.IngressState,
+    status_exchange: status_exchange_module.StatusExchange,
+) -> AllocationTransport:
     """Return a node's part in granting places, known to its other parts."""
-    peers = teller.peers
+    peers = status_exchange.peers
 
     allocator = allocator_module.Allocator(
         _PoolTargets(state.targets).of, time.monotonic
     )
-    made = PlaceMessages(peers, allocator)
+    made = AllocationTransport(peers, allocator)
     made.reserver = reserver_module.NodeReserver(
-        data_centre=peers.own.data_centre,
+        data_centre=peers.local.data_centre,
         targets=state.targets,
-        owners=owners.Owners(lambda: _candidates(peers), time.monotonic),
+        owners=owners.PoolOwners(lambda: _candidates(peers), time.monotonic),
         transport=made,
         loads=state.loads,
         clock=time.monotonic,
-        is_divided=lambda: peers.is_large,
+        is_split_by_data_centre=lambda: peers.is_large_fleet,
     )
     peers.on_tagged = made.received
     state.reserver = made.reserver
-    state.in_use = teller.usage.of
-    state.waiting = allocator.waiting
-    teller.own_usage = allocator.usage
-    teller.on_node_lost = allocator.node_lost
+    state.slot_demand = status_exchange.usage.slots_in_use
+    state.waiting_requests = allocator.queue_length
+    status_exchange.local_usage = allocator.usage
+    status_exchange.on_node_lost = allocator.drop_node
     return made
 
 
 def _candidates(peers: peers_module.Peers) -> list[owners.Candidate]:
-    own = owners.Candidate(peers.own.vm, peers.own.data_centre)
-    return [own, *map(_candidate, fronts.usable(peers))]
+    local = owners.Candidate(peers.local.vm, peers.local.data_centre)
+    return [local, *map(_candidate, front_selection.available_peers(peers))]
 
 
 def _candidate(peer: peers_module.Peer) -> owners.Candidate:
--- a/redwingvalve/node/configuration_watch.py
+++ b/redwingvalve/node/configuration_watch.py
@@ -5,7 +5,7 @@
 
 from redwingvalve.ingress import routes
 from redwingvalve.ingress import state as state_module
-from redwingvalve.node import following
+from redwingvalve.node import watch_handler
 from redwingvalve.observability import logs
 from redwingvalve.platform import configuration as configuration_module
 from redwingvalve.platform import names, store
@@ -14,7 +14,7 @@
 Taker: typing.TypeAlias = collections_abc.Callable[[routes.Configuration], None]
 
 
-class ConfigurationFollower(following.Follower):
+class ConfigurationFollower(watch_handler.WatchHandler):
     """Takes configurations, never an older one than is in force."""
 
     def __init__(self, state: state_module.IngressState, taker: Taker) -> None:
@@ -22,18 +22,18 @@
         self._state = state
         self._taker = taker
 
-    def replaced(self, listed: list[store.Document]) -> None:
+    def on_list(self, listed: list[store.Document]) -> None:
         """Take what the store lists."""
         for stored in listed:
             self._take(stored)
 
-    def changed(self, changes: list[store.Change]) -> None:
+    def on_changes(self, changes: list[store.Change]) -> None:
         """Take the newest of some changes."""
         for change in changes:
             if not change.is_removed:
                 self._take(change.stored)
 
-    def troubled(self) -> None:
+    def on_unavailable(self) -> None:
         """Go on with the configuration in force."""
 
     def _take(self, stored: store.Document) -> None:
--- a/redwingvalve/node/controller.py
+++ b/redwingvalve/node/controller.py
@@ -8,7 +8,12 @@
 from redwingvalve.fleet import demand, endpoints, history, serving
 from redwingvalve.fleet import registry as registry_module
 from redwingvalve.ingress import routes
-from redwingvalve.node import forming, inspecting, replica_orders, tasks
+from redwingvalve.node import (
+    endpoint_prober,
+    endpoint_scheduler,
+    replica_orders,
+    tasks,
+)
 from redwingvalve.observability import logs
 from redwingvalve.platform import endpoint_orders
 
@@ -37,7 +42,7 @@
         registry: registry_module.Registry,
         table: serving.ServingTable,
         client: endpoint_orders.EndpointClient,
-        inspector: inspecting.Inspector,
+        prober: endpoint_prober.EndpointProber,
         group: anyio.abc.TaskGroup,
         holds_lease: typing.Callable[[], bool],
         in_use: typing.Callable[[str, str], float],
@@ -56,9 +61,11 @@
         self._table = table
         self._tasks = tasks.EndpointTasks(group)
         self._orders = replica_orders.ReplicaOrders(
-            client, inspector, registry, holds_lease
+            client, prober, registry, holds_lease
+        )
+        self._scheduler = endpoint_scheduler.EndpointScheduler(
+            client, self._orders, self._tasks
         )
-        self._former = forming.Former(client, self._orders, self._tasks)
         self._inspected_s: dict[replica_orders.Key, float] = {}
         self._history = history.ReplicaHistory()
         self._demand = demand.ModelDemand()
@@ -66,7 +73,7 @@
         self._engine: routes.Engine | None = None
         self._count = 0
         self._changed_s = 0.0
-        registry.on_change.append(self.note_fleet)
+        registry.on_change.append(self.record_fleet_state)
 
     def configure(self, engine: routes.Engine) -> None:
         """Take how the service's endpoints work."""
@@ -75,40 +82,40 @@
         if is_first:
             # Endpoints may be listed before the configuration is known. Not
             # noted, members whose head isn't listed yet would count as free.
-            self.note_fleet()
+            self.record_fleet_state()
 
-    def note_fleet(self) -> None:
+    def record_fleet_state(self) -> None:
         """Remember what is only told by passing states."""
         engine = self._engine
         if engine is None:
             return
         live = self._live()
         for endpoint in live:
-            self._former.note(endpoint)
-        replicas = endpoints.find_replicas(live).get(self._service, [])
-        self._history.note(replicas, engine, clock.boot_s())
+            self._scheduler.note(endpoint)
+        replicas = endpoints.group_replicas(live).get(self._service, [])
+        self._history.update(replicas, engine, clock.boot_s())
 
-    def look(self, engine: routes.Engine) -> None:
+    def reconcile(self, engine: routes.Engine) -> None:
         """Start what is to be done now."""
         live = self._live()
         if not self._is_settled(live):
             return
-        self._former.term = self.term
-        replicas = endpoints.find_replicas(live).get(self._service, [])
+        self._scheduler.term = self.term
+        replicas = endpoints.group_replicas(live).get(self._service, [])
         for replica in replicas:
             self._look_at(replica, engine)
         free = self._free(live, replicas)
         if self._is_early() and any(not one.staged for one in free):
-            self._former.start_all(free, engine)
+            self._scheduler.start_all(free, engine)
             return
-        self._former.form_all(free, engine)
-        self._former.load_all(free, live, engine, self._needed_vms(engine))
+        self._scheduler.form_all(free, engine)
+        self._scheduler.load_all(free, live, engine, self._needed_vms(engine))
 
     def _needed_vms(self, engine: routes.Engine) -> dict[str, float]:
         now_s = clock.boot_s()
         for model in engine.models:
             places = self._in_use(self._service, model.name)
-            self._demand.note(model.name, places, now_s)
+            self._demand.record(model.name, places, now_s)
         return self._demand.needed_vms(engine.models, engine.slots)
 
     def _is_early(self) -> bool:
@@ -158,7 +165,7 @@
         if now_s - asked_s < again_s:
             return
         self._inspected_s[replica.key] = now_s
-        past = self._history.of(replica.key)
+        past = self._history.get(replica.key)
         known = past.whole if past and past.whole else replica
         self._tasks.start(known.members, self._inspect(known))
 
@@ -174,7 +181,7 @@
 
     async def _settle(self, replica: endpoints.Replica) -> None:
         """Open a replica that is ready, or see to it that it never opens."""
-        past = self._history.of(replica.key)
+        past = self._history.get(replica.key)
         known = past.whole if past is not None else None
         is_whole = known and len(known.members) == len(replica.members)
         if is_whole and await self._orders.open_ready(replica):
@@ -183,9 +190,9 @@
             self._mark_ended(replica.key)
 
     def _mark_ended(self, key: replica_orders.Key) -> None:
-        past = self._history.of(key)
+        past = self._history.get(key)
         if past is not None:
-            past.is_ended = True
+            past.is_head_stopped = True
 
     async def _inspect(self, replica: endpoints.Replica) -> None:
         is_whole = await self._orders.inspect(replica.members)
@@ -193,7 +200,7 @@
             self._mark_ended(replica.key)
             return
         LOG.info('replica is whole', extra={'replica': replica.name})
-        self._table.found_sound(replica.members[0].endpoint_id)
+        self._table.mark_healthy(replica.members[0].endpoint_id)
 
     def _free(
         self,
@@ -228,8 +235,12 @@
         """
         if head.membership.state in _ACTIVE:
             return True
-        past = self._history.of(replica.key)
-        if past is None or past.is_ended or not self._was_ready(past, replica):
+        past = self._history.get(replica.key)
+        if (
+            past is None
+            or past.is_head_stopped
+            or not self._was_ready(past, replica)
+        ):
             return False
         if head.membership.state is endpoints.MemberState.BROKEN:
             return False
@@ -238,7 +249,7 @@
         return True
 
     def _was_ready(
-        self, past: history.Past, replica: endpoints.Replica
+        self, past: history.ReplicaRecord, replica: endpoints.Replica
     ) -> bool:
         # The states in between may pass too fast to be seen.
         return past.was_ready or replica.key in self._orders.told_to_open
@@ -247,10 +258,14 @@
         head = replica.head
         if head is not None:
             return self._may_open(replica, head)
-        past = self._history.of(replica.key)
-        if past is None or past.is_ended or past.head_gone_s is None:
+        past = self._history.get(replica.key)
+        if (
+            past is None
+            or past.is_head_stopped
+            or past.head_missing_since_s is None
+        ):
             return False
-        gone_s = past.head_gone_s
+        gone_s = past.head_missing_since_s
         is_seen_ready = past.has_served or self._was_ready(past, replica)
         if past.whole is None or not is_seen_ready:
             # Nobody here knows the head, or saw it get ready: it may have
--- a/redwingvalve/node/daemon.py
+++ b/redwingvalve/node/daemon.py
@@ -12,32 +12,32 @@
 from redwingvalve.fleet import serving
 from redwingvalve.http1 import pool
 from redwingvalve.ingress import (
-    retry_window,
+    retry_budget,
     routes,
 )
 from redwingvalve.ingress import (
     state as state_module,
 )
 from redwingvalve.node import (
+    allocation_transport,
     configuration_watch,
     control_loop,
     early_sockets,
+    endpoint_prober,
+    failure_detector,
     front,
     gauges,
-    inspecting,
-    listening,
-    log_telling,
-    loss_watch,
-    place_messages,
-    sources,
+    kind_watch,
+    log_drop_reporter,
     supervision,
-    telling,
-    watching,
+    watch_sources,
 )
 from redwingvalve.node import hubs as hubs_module
 from redwingvalve.node import lease as lease_module
-from redwingvalve.node import meeting as meeting_module
+from redwingvalve.node import listeners as listeners_module
+from redwingvalve.node import peer_discovery as peer_discovery_module
 from redwingvalve.node import peers as peers_module
+from redwingvalve.node import status_exchange as status_exchange_module
 from redwingvalve.observability import bounded_logs, logs, node_metrics
 from redwingvalve.platform import (
     endpoint_orders,
@@ -54,7 +54,7 @@
 HOLDER_PAUSE_S = 0.02
 # What a start takes until the store has told what requests need, with some
 # slack; callers are told to come back if it doesn't answer within this.
-START_WAIT_S = 0.3
+START_TIMEOUT_S = 0.3
 START_LOOK_S = 0.005
 STOP_IDLE_CLOSE_S = 2.5
 STOP_EXIT_S = 4.0
@@ -73,25 +73,25 @@
     table: serving.ServingTable
     client: store.StoreClient
     endpoint_client: endpoint_orders.EndpointClient
-    inspector: inspecting.Inspector
-    losses: loss_watch.LossWatch
+    prober: endpoint_prober.EndpointProber
+    detector: failure_detector.FailureDetector
     lease: lease_module.Lease
     front: front.FrontApplication
-    listeners: listening.Listeners
+    listeners: listeners_module.Listeners
     json_client: store.JsonClient
-    teller: telling.Teller
-    meeting: meeting_module.Meeting
-    places: place_messages.PlaceMessages
+    status_exchange: status_exchange_module.StatusExchange
+    peer_discovery: peer_discovery_module.PeerDiscovery
+    allocation: allocation_transport.AllocationTransport
     gauges: gauges.NodeGauges
-    watches: list[watching.KindWatch] = attrs.field(init=False)
+    watches: list[kind_watch.KindWatch] = attrs.field(init=False)
     control: control_loop.ControlLoop = attrs.field(init=False)
-    front_listener: listening.Listener | None = None
-    log_handler: bounded_logs.BoundedHandler | None = None
+    front_listener: listeners_module.Listener | None = None
+    log_handler: bounded_logs.NonBlockingHandler | None = None
 
     @property
     def peers(self) -> peers_module.Peers:
         """Return the other nodes."""
-        return self.teller.peers
+        return self.status_exchange.peers
 
     @property
     def is_listening(self) -> bool:
@@ -99,7 +99,7 @@
         return self.front_listener is not None
 
     @property
-    def endpoint_watch(self) -> watching.KindWatch:
+    def endpoint_watch(self) -> kind_watch.KindWatch:
         """Return the watch that tells of endpoints."""
         return next(
             watch for watch in self.watches if watch.kind == names.ENDPOINT_KIND
@@ -107,13 +107,13 @@
 
     async def run(self, stop: anyio.Event) -> None:
         """Run until stop is set, and then until all requests have ended."""
-        self.table.on_sound = self.state.silence.found_sound
-        self.table.on_rebuilt = self.places.allocator.look
-        self.table.on_doubt = self.losses.doubt
-        self.table.on_told_sound = self.losses.told_sound
+        self.table.on_reinstated = self.state.stall_detector.mark_slow
+        self.table.on_rebuilt = self.allocation.allocator.tick
+        self.table.on_check_requested = self.detector.doubt
+        self.table.on_reported_healthy = self.detector.told_sound
         self.watches = self._make_watches()
         self.control = self._make_control()
-        self.lease.on_taken = self._lease_taken
+        self.lease.on_acquired = self._lease_taken
         try:
             await self._listen()
             await self._serve(stop)
@@ -138,11 +138,11 @@
         node_application = front.NodeApplication(
             self.state, self.peers, self.settings.bounds.directory_ttl_max_s
         )
-        await peers_module.open_datagrams(self.peers)
-        mirrors = {watch.kind: watch.mirror for watch in self.watches}
+        await peers_module.open_socket(self.peers)
+        caches = {watch.kind: watch.cache for watch in self.watches}
         ip = self.settings.ip
         await self.listeners.serve(
-            sources.RelayApplication(mirrors),
+            watch_sources.WatchRelayApplication(caches),
             settings.SocketAddress(ip, self.settings.peer_port),
         )
         addresses = {
@@ -160,7 +160,7 @@
         configuration is known, they have spent the only retry that most of
         them make; in the kernel's queue they wait for as long.
         """
-        until_s = time.monotonic() + START_WAIT_S
+        until_s = time.monotonic() + START_TIMEOUT_S
         while not self._knows_enough() and time.monotonic() < until_s:
             await anyio.sleep(START_LOOK_S)
         self.front_listener = await self.listeners.serve(
@@ -170,7 +170,11 @@
 
     def _knows_enough(self) -> bool:
         has_routes = self.state.configuration is not None
-        return has_routes and self.registry.is_known and self.meeting.has_met
+        return (
+            has_routes
+            and self.registry.is_synced
+            and self.peer_discovery.is_complete
+        )
 
     def _close(self) -> None:
         self.peers.close()
@@ -179,22 +183,22 @@
     def _loops(self) -> list[supervision.Loop]:
         return [
             *(watch.run for watch in self.watches),
-            self.meeting.run,
-            self.teller.run,
-            self.places.run,
-            self.places.reserver.run,
-            self.losses.run,
+            self.peer_discovery.run,
+            self.status_exchange.run,
+            self.allocation.run,
+            self.allocation.reserver.run,
+            self.detector.run,
             self._hold_lease,
             self.gauges.run,
-            functools.partial(log_telling.run, self.log_handler),
+            functools.partial(log_drop_reporter.run, self.log_handler),
         ]
 
-    def _make_watches(self) -> list[watching.KindWatch]:
-        chooser = sources.Sources(
+    def _make_watches(self) -> list[kind_watch.KindWatch]:
+        selector = watch_sources.SourceSelector(
             self.client,
             self.json_client,
             self.peers,
-            self.teller.hubs,
+            self.status_exchange.hubs,
             self.lease.is_held,
             self._known_within_s(),
         )
@@ -202,13 +206,13 @@
             self.state, self._configure
         )
         return [
-            watching.KindWatch(
-                names.CONFIGURATION_KIND, configurations, chooser.now
+            kind_watch.KindWatch(
+                names.CONFIGURATION_KIND, configurations, selector.select
             ),
-            watching.KindWatch(
+            kind_watch.KindWatch(
                 names.ENDPOINT_KIND,
                 self.registry,
-                chooser.now,
+                selector.select,
                 self._endpoint_pause_s,
             ),
         ]
@@ -226,14 +230,14 @@
             registry=self.registry,
             table=self.table,
             client=self.endpoint_client,
-            inspector=self.inspector,
+            prober=self.prober,
             lease=self.lease,
-            teller=self.teller,
+            status_exchange=self.status_exchange,
             endpoint_watch=self.endpoint_watch,
         )
 
     def _lease_taken(self) -> None:
-        self.endpoint_watch.hurry()
+        self.endpoint_watch.refresh_now()
         self.control.wake()
 
     async def _hold_lease(self) -> None:
@@ -258,9 +262,9 @@
         LOG.info('stopping', extra={'running': len(self.front.running)})
         began_s = time.monotonic()
         self.state.is_leaving = True
-        self.teller.say_now()
+        self.status_exchange.broadcast_now()
         await self.lease.release()
-        self.teller.say_now()
+        self.status_exchange.broadcast_now()
         until_s = began_s + self.settings.bounds.grace_s - STOP_MARGIN_S
         while time.monotonic() < until_s:
             stopped_s = time.monotonic() - began_s
@@ -269,7 +273,7 @@
             if stopped_s > STOP_EXIT_S and not self.front.running:
                 break
             await anyio.sleep(0.1)
-        await self.meeting.leave()
+        await self.peer_discovery.deregister()
 
 
 def make_node(
@@ -286,10 +290,10 @@
     json_client = store.JsonClient(pool.Pool())
     client = store.StoreClient(node_settings.store, json_client)
     endpoint_client = endpoint_orders.EndpointClient(json_client)
-    inspector = inspecting.Inspector(endpoint_client)
+    prober = endpoint_prober.EndpointProber(endpoint_client)
     lease = lease_module.Lease(node_settings.vm, client)
     application = front.FrontApplication(state)
-    teller = telling.Teller(
+    status_exchange = status_exchange_module.StatusExchange(
         _own_address(node_settings), state, registry, table, lease, application
     )
     return Node(
@@ -299,15 +303,17 @@
         table=table,
         client=client,
         endpoint_client=endpoint_client,
-        inspector=inspector,
-        losses=loss_watch.LossWatch(state, table, inspector, lease),
+        prober=prober,
+        detector=failure_detector.FailureDetector(state, table, prober, lease),
         lease=lease,
         front=application,
-        teller=teller,
-        meeting=meeting_module.Meeting(client, teller.peers),
-        places=place_messages.make_places(state, teller),
-        gauges=gauges.NodeGauges(state, table, lease, teller.peers),
-        listeners=listening.Listeners(early or {}),
+        status_exchange=status_exchange,
+        peer_discovery=peer_discovery_module.PeerDiscovery(
+            client, status_exchange.peers
+        ),
+        allocation=allocation_transport.make_allocation(state, status_exchange),
+        gauges=gauges.NodeGauges(state, table, lease, status_exchange.peers),
+        listeners=listeners_module.Listeners(early or {}),
         json_client=json_client,
     )
 
@@ -315,11 +321,11 @@
 def _own_address(
     node_settings: settings.NodeSettings,
 ) -> peers_module.PeerAddress:
-    return peers_module.own_address(node_settings, int(time.time() * 1000))
+    return peers_module.local_address(node_settings, int(time.time() * 1000))
 
 
-def _allowance(bounds: settings.Bounds) -> retry_window.RetryAllowance:
-    return retry_window.RetryAllowance(
+def _allowance(bounds: settings.Bounds) -> retry_budget.RetryBudgetConfig:
+    return retry_budget.RetryBudgetConfig(
         bounds.retry_ratio, bounds.retry_extra, bounds.retry_window_s
     )
 
--- a/redwingvalve/node/loss_watch.py
+++ b/redwingvalve/node/failure_detector.py
@@ -22,9 +22,9 @@
 import attrs
 
 from redwingvalve.fleet import serving
-from redwingvalve.ingress import silence
+from redwingvalve.ingress import stall_detection
 from redwingvalve.ingress import state as state_module
-from redwingvalve.node import inspecting
+from redwingvalve.node import endpoint_prober
 from redwingvalve.node import lease as lease_module
 from redwingvalve.observability import logs
 
@@ -41,12 +41,12 @@
 
 
 @attrs.define(eq=False)
-class LossWatch:
+class FailureDetector:
     """Watches this node's streams for heads that fell silent."""
 
     state: state_module.IngressState
     table: serving.ServingTable
-    inspector: inspecting.Inspector
+    prober: endpoint_prober.EndpointProber
     lease: lease_module.Lease
     _asking: set[str] = attrs.field(factory=set)
     # Heads to ask about, and why.
@@ -65,8 +65,8 @@
     def _pause_s(self) -> float:
         """Return the time until the next look; each wakes an idle process."""
         if self._doubts:
-            return silence.LOOK_EVERY_S
-        return self.state.silence.pause_s(time.monotonic())
+            return stall_detection.MIN_CHECK_INTERVAL_S
+        return self.state.stall_detector.time_to_next_check_s(time.monotonic())
 
     def doubt(self, head: str, reason: str) -> None:
         """Ask about a head at the next look, within 0.1 s."""
@@ -80,8 +80,8 @@
     def look(self, group: anyio.abc.TaskGroup) -> None:
         """Take silent heads out of use, or ask about them first."""
         now_s = time.monotonic()
-        for found in self.state.silence.look(now_s):
-            if found.has_begun or self.state.node_count <= FEW_NODES:
+        for found in self.state.stall_detector.find_stalled(now_s):
+            if found.has_started or self.state.node_count <= FEW_NODES:
                 self._lose(found.head)
             elif not self._is_told_sound(found.head, now_s):
                 self.doubt(found.head, SILENT)
@@ -96,9 +96,9 @@
         return told_s is not None and now_s - told_s < TOLD_SOUND_S
 
     def _recheck(self, group: anyio.abc.TaskGroup) -> None:
-        if self.lease.is_in_hands():
+        if self.lease.has_known_holder():
             return
-        for suspicion in self.table.own_suspicions():
+        for suspicion in self.table.local_suspicions():
             self._start(group, suspicion.endpoint_id, self._clear_if_sound)
 
     def _start(
@@ -130,21 +130,21 @@
             return
         LOG.info('head is sound', extra={'endpoint': head, 'doubt': reason})
         if reason == SILENT:
-            self.state.silence.found_sound(head, time.monotonic())
-            self.table.tell_sound(head)
+            self.state.stall_detector.mark_slow(head, time.monotonic())
+            self.table.announce_healthy(head)
 
     async def _clear_if_sound(self, head: str) -> None:
         if await self._is_whole(head):
             LOG.info('suspicion cleared', extra={'endpoint': head})
-            self.table.found_sound(head)
+            self.table.mark_healthy(head)
 
     async def _is_whole(self, head: str) -> bool:
         replica = self.table.replica_of(head)
         if replica is None:
             return False
-        return await self.inspector.are_sound(replica.members)
+        return await self.prober.are_healthy(replica.members)
 
     def _lose(self, head: str, reason: str = SILENT) -> None:
         self.table.suspect(head, reason)
-        for send in list(self.state.open_sends.get(head, ())):
-            send.head_is_silent()
+        for send in list(self.state.in_flight_requests.get(head, ())):
+            send.head_stalled()
--- a/redwingvalve/node/front.py
+++ b/redwingvalve/node/front.py
@@ -4,9 +4,9 @@
 import json
 
 from redwingvalve.http1 import messages, reading, server
-from redwingvalve.ingress import relay, routes
+from redwingvalve.ingress import request_handler, routes
 from redwingvalve.ingress import state as state_module
-from redwingvalve.node import fronts
+from redwingvalve.node import front_selection
 from redwingvalve.node import peers as peers_module
 from redwingvalve.observability import logs, node_metrics
 from redwingvalve.platform import caller_requests, names
@@ -54,13 +54,13 @@
     ) -> None:
         """Relay one request in a task of its own."""
         self.has_served = True
-        run = relay.RequestRun(self._state, request, responder)
+        run = request_handler.RequestHandler(self._state, request, responder)
         task = asyncio.get_running_loop().create_task(self._run(run, responder))
         self.running.add(task)
         task.add_done_callback(self.running.discard)
 
     async def _run(
-        self, run: relay.RequestRun, responder: server.Responder
+        self, run: request_handler.RequestHandler, responder: server.Responder
     ) -> None:
         try:
             await run.run()
@@ -125,9 +125,9 @@
         self, request: messages.Request, responder: server.Responder
     ) -> None:
         data_centre = caller_requests.read_data_centre(request)
-        addresses = fronts.callable_fronts(self._peers, data_centre)
-        if self.is_ready() and len(addresses) < fronts.MOST_FRONTS:
-            addresses.append(self._peers.own.front)
+        addresses = front_selection.select_fronts(self._peers, data_centre)
+        if self.is_ready() and len(addresses) < front_selection.MAX_FRONTS:
+            addresses.append(self._peers.local.front)
         if not addresses:
             responder.answer(_UNAVAILABLE, [_JSON], b'{"error":"none ready"}')
             return
--- a/redwingvalve/node/gauges.py
+++ b/redwingvalve/node/gauges.py
@@ -18,7 +18,7 @@
 # Between two looks at the delay of the loop.
 LOOK_S = 0.5
 _STATM = pathlib.Path('/proc/self/statm')
-_Readings = list[node_metrics.Reading]
+_Readings = list[node_metrics.Sample]
 
 
 @attrs.define(eq=False)
@@ -68,19 +68,19 @@
 
     def _targets(self) -> _Readings:
         table = self.table
-        return self._by_model(lambda *model: len(table.of(*model)))
+        return self._by_model(lambda *model: len(table.find_targets(*model)))
 
     def _under_way(self) -> _Readings:
-        return self._by_model(self.state.in_use)
+        return self._by_model(self.state.slot_demand)
 
     def _waiting(self) -> _Readings:
-        return self._by_model(self.state.waiting)
+        return self._by_model(self.state.waiting_requests)
 
     def _retries_left(self) -> _Readings:
         now_s = time.monotonic()
         return [
-            node_metrics.Reading(
-                self.state.window(service.name).left(
+            node_metrics.Sample(
+                self.state.retry_budget(service.name).left(
                     now_s, self.state.node_count
                 ),
                 (('service', service.name),),
@@ -105,12 +105,12 @@
             for name in [model.name for model in models] or ['']:
                 labels = (('service', service.name), ('model', name))
                 count = read(service.name, name)
-                found.append(node_metrics.Reading(count, labels))
+                found.append(node_metrics.Sample(count, labels))
         return found
 
 
 def _one(value: float) -> _Readings:
-    return [node_metrics.Reading(value)]
+    return [node_metrics.Sample(value)]
 
 
 def _memory() -> _Readings:
--- a/redwingvalve/node/word_parts.py
+++ b/redwingvalve/node/status_fields.py
@@ -7,7 +7,7 @@
 import attrs
 
 from redwingvalve.fleet import serving
-from redwingvalve.node import peers, words
+from redwingvalve.node import peers, status_messages
 
 # A lost datagram is made up for by one of those that follow, also with words
 # as rare as in a fleet of 82 nodes.
@@ -24,20 +24,20 @@
     since_s: float
 
 
-def address_word(own: peers.PeerAddress) -> typing.Any:
+def address_word(local: peers.PeerAddress) -> typing.Any:
     """Return where a node is."""
-    return words.AddressWord(
-        ip=own.ip,
-        peer_port=own.peer_port,
-        front=own.front,
-        data_centre=own.data_centre,
-        link_mbps=own.link_mbps,
+    return status_messages.AddressWord(
+        ip=local.ip,
+        peer_port=local.peer_port,
+        front=local.front,
+        data_centre=local.data_centre,
+        link_mbps=local.link_mbps,
     )
 
 
 def suspect_words(table: serving.ServingTable) -> list[typing.Any]:
     """Return the endpoints that this node has taken out of use."""
-    return suspicion_words(table.own_suspicions())
+    return suspicion_words(table.local_suspicions())
 
 
 def suspicion_words(
@@ -46,7 +46,7 @@
     """Return how suspicions are told."""
     now_s = time.monotonic()
     return [
-        words.SuspectWord(
+        status_messages.SuspectWord(
             endpoint_id=suspicion.endpoint_id,
             epoch=suspicion.epoch,
             left_ms=int((suspicion.until_s - now_s) * _MS_IN_S),
@@ -76,7 +76,7 @@
     """Return how clearings are told."""
     now_s = time.monotonic()
     return [
-        words.ClearWord(
+        status_messages.ClearWord(
             endpoint_id=clearing.endpoint_id,
             epoch=clearing.epoch,
             age_ms=int((now_s - clearing.since_s) * _MS_IN_S),
--- a/redwingvalve/node/tests/test_loss_watch.py
+++ b/redwingvalve/node/tests/test_failure_detector.py
@@ -5,9 +5,9 @@
 import anyio
 import attrs
 
-from redwingvalve.ingress import retry_window, silence
+from redwingvalve.ingress import retry_budget, stall_detection
 from redwingvalve.ingress import state as state_module
-from redwingvalve.node import loss_watch
+from redwingvalve.node import failure_detector
 
 MANY_NODES = 59
 
@@ -20,7 +20,7 @@
     cleared: list = attrs.field(factory=list)
     told: list = attrs.field(factory=list)
 
-    def tell_sound(self, head):
+    def announce_healthy(self, head):
         self.told.append(head)
 
     def replica_of(self, head):
@@ -29,10 +29,10 @@
     def suspect(self, head, reason):
         self.suspects.append(head)
 
-    def own_suspicions(self):
+    def local_suspicions(self):
         return [Suspicion(head) for head in self.suspects]
 
-    def found_sound(self, head):
+    def mark_healthy(self, head):
         self.cleared.append(head)
 
 
@@ -47,11 +47,11 @@
 
 
 @attrs.define(eq=False)
-class Inspector:
+class EndpointProber:
     is_whole: bool
     asked: int = 0
 
-    async def are_sound(self, members):
+    async def are_healthy(self, members):
         self.asked += 1
         return self.is_whole
 
@@ -60,17 +60,17 @@
 class Lease:
     has_holder: bool
 
-    def is_in_hands(self):
+    def has_known_holder(self):
         return self.has_holder
 
 
 def watch(is_whole, *, nodes=MANY_NODES, has_holder=True):
-    allowance = retry_window.RetryAllowance(0.2, 100, 10)
+    allowance = retry_budget.RetryBudgetConfig(0.2, 100, 10)
     table = Table()
     state = state_module.IngressState(table, allowance)
     state.node_count = nodes
-    return loss_watch.LossWatch(
-        state, table, Inspector(is_whole), Lease(has_holder)
+    return failure_detector.FailureDetector(
+        state, table, EndpointProber(is_whole), Lease(has_holder)
     )
 
 
@@ -85,12 +85,14 @@
     anyio.run(main)
 
 
-def look_after_silence(made, *, has_begun):
+def look_after_silence(made, *, has_started):
     """Look at a head from which nothing has come for a long time."""
-    pulse = silence.StreamPulse('head', sent_s=0.0, prompt_s=0, pause_s=0.05)
-    made.state.silence.begin(pulse)
-    if has_begun:
-        made.state.silence.noted(pulse, 0.0)
+    pulse = stall_detection.MonitoredStream(
+        'head', sent_s=0.0, prompt_s=0, pause_s=0.05
+    )
+    made.state.stall_detector.add(pulse)
+    if has_started:
+        made.state.stall_detector.record_event(pulse, 0.0)
     look(made)
 
 
@@ -101,8 +103,8 @@
     members answer: the head is slow. Taken out of use, it would fill others.
     """
     made = watch(is_whole=True)
-    look_after_silence(made, has_begun=False)
-    assert made.inspector.asked == 1
+    look_after_silence(made, has_started=False)
+    assert made.prober.asked == 1
     assert not made.table.suspects
 
 
@@ -113,35 +115,35 @@
     asks tells the others; they ask themselves once that is some seconds ago.
     """
     first = watch(is_whole=True)
-    look_after_silence(first, has_begun=False)
+    look_after_silence(first, has_started=False)
     assert first.table.told == ['head']
     other = watch(is_whole=True)
     other.told_sound('head', time.monotonic())
-    look_after_silence(other, has_begun=False)
-    assert other.inspector.asked == 0
-    other.told_sound('head', time.monotonic() - loss_watch.TOLD_SOUND_S)
+    look_after_silence(other, has_started=False)
+    assert other.prober.asked == 0
+    other.told_sound('head', time.monotonic() - failure_detector.TOLD_SOUND_S)
     look(other)
-    assert other.inspector.asked == 1
+    assert other.prober.asked == 1
 
 
 def test_streams_that_stop_count_whatever_was_told():
     made = watch(is_whole=False)
     made.told_sound('head', time.monotonic())
-    look_after_silence(made, has_begun=True)
+    look_after_silence(made, has_started=True)
     assert made.table.suspects == ['head']
 
 
 def test_a_head_without_a_member_goes_out_of_use():
     made = watch(is_whole=False)
-    look_after_silence(made, has_begun=False)
+    look_after_silence(made, has_started=False)
     assert made.table.suspects == ['head']
 
 
 def test_streams_that_stop_need_no_question():
     """A broken stream goes on elsewhere within its allowed pause."""
     made = watch(is_whole=True)
-    look_after_silence(made, has_begun=True)
-    assert made.inspector.asked == 0
+    look_after_silence(made, has_started=True)
+    assert made.prober.asked == 0
     assert made.table.suspects == ['head']
 
 
@@ -163,7 +165,7 @@
     made.table.suspects.append('head')
 
     look(made)
-    assert made.inspector.asked == 0
+    assert made.prober.asked == 0
 
 
 def test_a_lost_answer_takes_no_head_out_of_use():
@@ -176,7 +178,7 @@
     made.doubt('head', 'broken stream')
 
     look(made, times=2)
-    assert made.inspector.asked == 1
+    assert made.prober.asked == 1
     assert not made.table.suspects
 
 
--- a/redwingvalve/node/tests/test_hubs.py
+++ b/redwingvalve/node/tests/test_hubs.py
@@ -6,9 +6,14 @@
 import attrs
 import pytest
 
-from redwingvalve.node import fronts as fronts_module
-from redwingvalve.node import hubs, passing_on, peers, words
-from redwingvalve.platform.tests import fleet as fleets
+from redwingvalve.node import (
+    front_selection,
+    hubs,
+    peers,
+    status_messages,
+    update_forwarding,
+)
+from redwingvalve.platform.tests import fleet_harness
 
 NODES = 6
 # What callers may be told of a dead node, and how long a suspicion may take.
@@ -23,29 +28,29 @@
 
 def by_duty(fleet):
     """Return the hubs and the other nodes."""
-    found = [node for node in fleet.nodes if node.teller.hubs.is_hub]
+    found = [node for node in fleet.nodes if node.status_exchange.hubs.is_hub]
     return found, [node for node in fleet.nodes if node not in found]
 
 
 async def met(fleet):
     """Wait until all nodes know each other and the same hubs."""
-    await fleet.until(
+    await fleet.wait_until(
         lambda: all(
             len(node.peers.known) == len(fleet.nodes) - 1
             for node in fleet.nodes
         )
     )
-    await fleet.until(lambda: len(by_duty(fleet)[0]) == 2)
+    await fleet.wait_until(lambda: len(by_duty(fleet)[0]) == 2)
 
 
 def silence(node):
     """Let a node say nothing more, as after a kill."""
-    node.peers.say = lambda word, names: None
+    node.peers.send_status = lambda word, names: None
     node.peers.send_tagged = lambda packed, address: None
 
 
 def fronts(node):
-    return set(fronts_module.callable_fronts(node.peers))
+    return set(front_selection.select_fronts(node.peers))
 
 
 @pytest.mark.parametrize('duty', [0, 1])
@@ -56,15 +61,15 @@
         await met(fleet)
         dead = by_duty(fleet)[duty][0]
         others = [node for node in fleet.nodes if node is not dead]
-        front = dead.peers.own.front
+        front = dead.peers.local.front
         assert all(front in fronts(node) for node in others)
         silence(dead)
-        await fleet.until(
+        await fleet.wait_until(
             lambda: not any(front in fronts(node) for node in others), GONE_S
         )
         assert all(len(fronts(node)) == NODES - 2 for node in others)
 
-    fleets.run(test, nodes=NODES, engines=0, plain=1)
+    fleet_harness.run(test, nodes=NODES, engines=0, plain=1)
 
 
 def test_a_suspicion_reaches_all_nodes_soon(large):
@@ -73,14 +78,16 @@
     async def test(fleet):
         await met(fleet)
         plain = by_duty(fleet)[1][0]
-        head = plain.table.of(fleets.ENGINE, fleets.SMALL)[0].endpoint_id
+        head = plain.table.find_targets(
+            fleet_harness.ENGINE_SERVICE, fleet_harness.SMALL_MODEL
+        )[0].endpoint_id
         plain.table.suspect(head, 'silent')
-        await fleet.until(
+        await fleet.wait_until(
             lambda: all(node.table.is_suspect(head) for node in fleet.nodes),
             SPREAD_S,
         )
 
-    fleets.run(test, nodes=NODES, plain=0)
+    fleet_harness.run(test, nodes=NODES, plain=0)
 
 
 def test_a_node_that_leaves_is_told_to_all(large):
@@ -90,14 +97,14 @@
         await met(fleet)
         leaving = by_duty(fleet)[1][0]
         leaving.state.is_leaving = True
-        leaving.teller.say_now()
-        front = leaving.peers.own.front
+        leaving.status_exchange.broadcast_now()
+        front = leaving.peers.local.front
         others = [node for node in fleet.nodes if node is not leaving]
-        await fleet.until(
+        await fleet.wait_until(
             lambda: not any(front in fronts(node) for node in others), SPREAD_S
         )
 
-    fleets.run(test, nodes=NODES, engines=0, plain=1)
+    fleet_harness.run(test, nodes=NODES, engines=0, plain=1)
 
 
 def test_a_hub_that_was_deaf_takes_nobody_for_dead(large):
@@ -116,7 +123,7 @@
             down += [one for one in hub.peers.known.values() if one.is_down]
         assert not down
 
-    fleets.run(test, nodes=NODES, engines=0, plain=1)
+    fleet_harness.run(test, nodes=NODES, engines=0, plain=1)
 
 
 def count_words(nodes):
@@ -129,17 +136,17 @@
         plain = by_duty(fleet)[1]
         counts = dict.fromkeys((node.settings.vm for node in plain), 0)
         for node in plain:
-            say = node.peers.say
+            send_status = node.peers.send_status
 
-            def note(word, names, vm=node.settings.vm, say=say):
+            def note(word, names, vm=node.settings.vm, send_status=send_status):
                 counts[vm] += len(tuple(names))
-                say(word, names)
+                send_status(word, names)
 
-            node.peers.say = note
+            node.peers.send_status = note
         await anyio.sleep(2)
         sent.append(max(counts.values()) / 2)
 
-    fleets.run(test, nodes=nodes, engines=0, plain=1)
+    fleet_harness.run(test, nodes=nodes, engines=0, plain=1)
     return sent[0]
 
 
@@ -165,20 +172,20 @@
         for hub in hubs:
             for number in range(40):
                 gone = attrs.evolve(
-                    hub.peers.own, vm=f'gone-{number}', born_ms=1
+                    hub.peers.local, vm=f'gone-{number}', born_ms=1
                 )
                 hub.peers.add(gone)
                 hub.peers.known[gone.vm].is_down = True
-            say = hub.peers.say
+            send_status = hub.peers.send_status
 
-            def note(word, names, say=say):
+            def note(word, names, send_status=send_status):
                 sent.append(word)
-                say(word, names)
+                send_status(word, names)
 
-            hub.peers.say = note
+            hub.peers.send_status = note
         await anyio.sleep(3)
 
-    fleets.run(test, nodes=4, engines=0, plain=1)
+    fleet_harness.run(test, nodes=4, engines=0, plain=1)
     # To hubs and to nodes, from two hubs, and half again.
     assert len(sent) <= 3 / peers.HUB_WORD_S * 2 * 2 * 1.5
 
@@ -188,16 +195,16 @@
 
     Told both for a second, other hubs take each for news of the other.
     """
-    nobody = mock.create_autospec(peers.WordTaker, instance=True)
-    own = peers.PeerAddress('vm-1', '127.0.0.1', 1, '', 'dc', 1)
-    known = peers.Peers(own, nobody)
-    known.add(attrs.evolve(own, vm='vm-2'))
-    news = passing_on.HubNews(known, hubs.Hubs(known, None))
+    nobody = mock.create_autospec(peers.PeerObserver, instance=True)
+    local = peers.PeerAddress('vm-1', '127.0.0.1', 1, '', 'dc', 1)
+    known = peers.Peers(local, nobody)
+    known.add(attrs.evolve(local, vm='vm-2'))
+    news = update_forwarding.ForwardedUpdates(known, hubs.Hubs(known, None))
     leaving = known.known['vm-2']
     leaving.is_leaving = True
     news.changed(leaving)
     leaving.is_down = True
     news.changed(leaving)
-    word = words.NodeWord(suspects=[], cleared=[])
+    word = status_messages.NodeWord(suspects=[], cleared=[])
     news.add_to(word, with_far=False)
     assert {state.is_up for state in word.states} == {False}
--- a/redwingvalve/node/following.py
+++ b/redwingvalve/node/watch_handler.py
@@ -5,17 +5,17 @@
 from redwingvalve.platform import store
 
 
-class Follower(abc.ABC):
+class WatchHandler(abc.ABC):
     """What is told of a kind's objects."""
 
     @abc.abstractmethod
-    def replaced(self, listed: list[store.Document]) -> None:
+    def on_list(self, listed: list[store.Document]) -> None:
         """Take all objects of the kind."""
 
     @abc.abstractmethod
-    def changed(self, changes: list[store.Change]) -> None:
+    def on_changes(self, changes: list[store.Change]) -> None:
         """Take changes in their order."""
 
     @abc.abstractmethod
-    def troubled(self) -> None:
+    def on_unavailable(self) -> None:
         """Note that the store gives no usable answers."""
--- a/redwingvalve/node/sources.py
+++ b/redwingvalve/node/watch_sources.py
@@ -26,10 +26,10 @@
 from redwingvalve.http1 import messages, reading, server
 from redwingvalve.ingress import routes
 from redwingvalve.node import hubs as hubs_module
-from redwingvalve.node import mirror as mirror_module
 from redwingvalve.node import peers as peers_module
+from redwingvalve.node import watch_cache
 from redwingvalve.platform import settings as settings_module
-from redwingvalve.platform import store, store_pages
+from redwingvalve.platform import store, store_responses
 
 # How long a connection to the store that fell silent may go unnoticed.
 STORE_WAIT_S = 2.5
@@ -62,7 +62,7 @@
     max_age_s: float = math.inf
 
 
-class Sources:
+class SourceSelector:
     """Chooses the sources of this node by who lives."""
 
     def __init__(
@@ -85,22 +85,22 @@
         self._holds_lease = holds_lease
         self._bound_s = bound_s
 
-    def now(self) -> list[Source]:
+    def select(self) -> list[Source]:
         """Return the sources, the preferred one first."""
-        is_large = self._peers.is_large
+        is_large_fleet = self._peers.is_large_fleet
         relay_wait_s = RELAY_WAIT_SHARE * self._bound_s
-        wait_s = relay_wait_s if is_large else STORE_WAIT_S
+        wait_s = relay_wait_s if is_large_fleet else STORE_WAIT_S
         at_once = Source(self._store, is_store=True, wait_s=wait_s)
         if self._holds_lease():
             return [at_once]
         own = attrs.evolve(at_once, pause_s=PAUSE_SHARE * self._bound_s)
-        if not is_large:
+        if not is_large_fleet:
             return [own]
-        relays = self._hubs.of(self._peers.own.data_centre)
+        relays = self._hubs.of(self._peers.local.data_centre)
         # The second hub follows the first, so that a data centre costs the
         # store the calls of one node.
         before = itertools.takewhile(
-            lambda address: address.vm != self._peers.own.vm, relays.values()
+            lambda address: address.vm != self._peers.local.vm, relays.values()
         )
         return [*map(self._relay_source, before), own]
 
@@ -114,12 +114,12 @@
         )
 
 
-class RelayApplication(server.Application):
+class WatchRelayApplication(server.Application):
     """Tells other nodes what this one knows."""
 
-    def __init__(self, mirrors: dict[str, mirror_module.Mirror]) -> None:
+    def __init__(self, caches: dict[str, watch_cache.WatchCache]) -> None:
         """Answer from mirrors by kind."""
-        self._mirrors = mirrors
+        self._caches = caches
         self._tasks: set[asyncio.Task[None]] = set()
         # The last page of each kind, and the question that it answers.
         self._pages: dict[str, tuple[typing.Any, bytes]] = {}
@@ -139,45 +139,45 @@
         self, request: messages.Request, responder: server.Responder
     ) -> None:
         """Answer, at once or when something changes."""
-        asked = store_pages.read_request(request.target.decode('latin-1'))
-        mirror = self._mirrors.get(asked.kind) if asked else None
-        if asked is None or mirror is None:
+        asked = store_responses.parse_query(request.target.decode('latin-1'))
+        cache = self._caches.get(asked.kind) if asked else None
+        if asked is None or cache is None:
             responder.answer(_NOT_FOUND, [_JSON], b'{}')
             return
         task = asyncio.get_running_loop().create_task(
-            self._answer(mirror, asked, responder)
+            self._answer(cache, asked, responder)
         )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _answer(
         self,
-        mirror: mirror_module.Mirror,
-        asked: store_pages.PageRequest,
+        cache: watch_cache.WatchCache,
+        asked: store_responses.StoreQuery,
         responder: server.Responder,
     ) -> None:
-        if not mirror.is_in_touch:
+        if not cache.is_current:
             responder.answer(_UNAVAILABLE, [_JSON], b'{}')
             return
         if asked.after_revision is None:
-            page = store_pages.write_listing(mirror.listing())
-            responder.answer(_OK, list(store_pages.HEADERS), page)
+            page = store_responses.encode_listing(cache.listing())
+            responder.answer(_OK, list(store_responses.HEADERS), page)
             return
         try:
-            found = await mirror.changes_after(
+            found = await cache.changes_after(
                 asked.after_revision, asked.wait_s
             )
         except store.HistoryGoneError:
             responder.answer(_HISTORY_GONE, [_JSON], b'{}')
             return
-        if not (found.changes or mirror.is_in_touch):
+        if not (found.changes or cache.is_current):
             responder.answer(_UNAVAILABLE, [_JSON], b'{}')
             return
         page = self._page(asked, found)
-        responder.answer(_OK, list(store_pages.HEADERS), page)
+        responder.answer(_OK, list(store_responses.HEADERS), page)
 
     def _page(
-        self, asked: store_pages.PageRequest, found: store.Changes
+        self, asked: store_responses.StoreQuery, found: store.Changes
     ) -> bytes:
         """Return the answer, made once for all nodes that wait for the same.
 
@@ -189,9 +189,11 @@
         key = (asked.after_revision, found.revision, age_s)
         known, page = self._pages.get(asked.kind, (None, b''))
         if known != key:
-            page = store_pages.write_changes(attrs.evolve(found, age_s=age_s))
+            page = store_responses.encode_changes(
+                attrs.evolve(found, age_s=age_s)
+            )
             self._pages[asked.kind] = (key, page)
         return page
 
 
-SourceChooser: typing.TypeAlias = collections_abc.Callable[[], list[Source]]
+SelectSources: typing.TypeAlias = collections_abc.Callable[[], list[Source]]
