--- a/redwingvalve/cli/check.py
+++ b/redwingvalve/cli/check.py
@@ -48,7 +48,7 @@
     try:
         return Ok(platform_settings.read_settings(pathlib.Path(file_name)))
     except platform_settings.SettingsError as error:
-        return Error(error.found)
+        return Error(error.findings)
 
 
 def _looks_like_settings(file_name: str) -> bool:
--- a/redwingvalve/platform/settings.py
+++ b/redwingvalve/platform/settings.py
@@ -23,7 +23,7 @@
     def __init__(self, found: findings.Findings) -> None:
         """Keep all findings."""
         super().__init__(str(found))
-        self.found = found
+        self.findings = found
 
 
 @attrs.frozen
@@ -105,8 +105,8 @@
     """Turn the file's content into settings; raises SettingsError."""
     fields = _Fields(document, file_name)
     made = _decode(fields)
-    if fields.found:
-        raise SettingsError(findings.Findings(tuple(fields.found)))
+    if fields.findings:
+        raise SettingsError(findings.Findings(tuple(fields.findings)))
     return made
 
 
@@ -114,7 +114,7 @@
     """Reads fields by their path, and collects what is wrong with them."""
 
     def __init__(self, document: typing.Any, file_name: str) -> None:
-        self.found: list[findings.Finding] = []
+        self.findings: list[findings.Finding] = []
         self._document = document
         self._file_name = file_name
 
@@ -153,7 +153,7 @@
 
     def _note(self, path: str, message: str) -> None:
         place = findings.Place(self._file_name, path=path)
-        self.found.append(findings.Finding(place, message))
+        self.findings.append(findings.Finding(place, message))
 
 
 def _decode(fields: _Fields) -> NodeSettings:
--- a/redwingvalve/platform/tests/test_decoding.py
+++ b/redwingvalve/platform/tests/test_decoding.py
@@ -195,7 +195,9 @@
     path.write_text(json.dumps(document))
     with pytest.raises(settings.SettingsError) as caught:
         settings.read_settings(path)
-    found = {one.place.path: one.message for one in caught.value.found.entries}
+    found = {
+        one.place.path: one.message for one in caught.value.findings.entries
+    }
     assert {
         'node',
         'region',
