--- a/redwingvalve/allocation/tests/test_reserver.py
+++ b/redwingvalve/allocation/tests/test_reserver.py
@@ -65,7 +65,7 @@
         nodes=nodes, heads=9, data_centres=3
     )
     got = play(load_simulation.Simulation, deployment, CALM)
-    assert got.messages / len(got.asked) <= 6
+    assert got.messages / len(got.arrivals) <= 6
 
 
 class ReorderingPlay(load_simulation.Simulation):
--- a/redwingvalve/ingress/admission_control.py
+++ b/redwingvalve/ingress/admission_control.py
@@ -27,8 +27,8 @@
     timeout_at_s: float
     caller_until_s: float
     # Seconds to read the prompt, and between two events, at an endpoint.
-    prompt_s: float
-    pause_s: float
+    prompt_read_s: float
+    event_interval_s: float
     # It was refused before and has come back.
     has_returned: bool = False
 
@@ -60,8 +60,8 @@
         urgency=min(_priority(route, account), MAX_URGENCY),
         timeout_at_s=now_s + timeout_ms / _MS_IN_S,
         caller_until_s=now_s + caller_ms / _MS_IN_S,
-        prompt_s=_prompt_s(engine, caller),
-        pause_s=_pause_s(engine, caller.model),
+        prompt_read_s=_prompt_s(engine, caller),
+        event_interval_s=_pause_s(engine, caller.model),
     )
 
 
@@ -102,7 +102,7 @@
     model = engine.find_model(caller.model) if engine else None
     if engine is None or model is None:
         return 0
-    return caller.prompt_tokens / engine.prompt_tokens_per_s * model.pace
+    return caller.prompt_tokens / engine.prompt_tokens_per_s * model.time_factor
 
 
 def _pause_s(engine: routes.Engine | None, name: str) -> float:
@@ -110,4 +110,4 @@
     if engine is None or model is None:
         return 0
     step_ms = engine.step_ms + engine.slots * engine.step_ms_per_request
-    return step_ms * engine.steps_per_event * model.pace / _MS_IN_S
+    return step_ms * engine.steps_per_event * model.time_factor / _MS_IN_S
--- a/redwingvalve/ingress/request_handler.py
+++ b/redwingvalve/ingress/request_handler.py
@@ -83,7 +83,7 @@
         if self._state.poison.is_poison(self._fingerprint):
             responses.refuse(self._responder, self._caller, refusals.POISON)
             return
-        self._state.prompts(admission.model).observe(admission.prompt_s)
+        self._state.prompts(admission.model).observe(admission.prompt_read_s)
         self._state.retry_budget(admission.service).count_request(
             self._times.began_s
         )
@@ -137,7 +137,7 @@
             self._times.teach(
                 self._state.begin(admission.service, admission.model),
                 began_s,
-                admission.prompt_s,
+                admission.prompt_read_s,
             )
         return ending
 
@@ -286,8 +286,8 @@
         return stall_detection.MonitoredStream(
             head=target.endpoint_id,
             sent_s=time.monotonic(),
-            prompt_s=admission.prompt_s,
-            pause_s=admission.pause_s,
+            prompt_read_s=admission.prompt_read_s,
+            event_interval_s=admission.event_interval_s,
             others_s=self._state.prompts(admission.model).others_s(),
         )
 
--- a/redwingvalve/ingress/routes.py
+++ b/redwingvalve/ingress/routes.py
@@ -24,7 +24,7 @@
     # Share of the service's work at the start, between 0 and 1.
     share: float
     # Factor on all times of the model's replicas.
-    pace: float
+    time_factor: float
     load_s: float
     load_from_host_s: float
 
--- a/redwingvalve/ingress/slot_requests.py
+++ b/redwingvalve/ingress/slot_requests.py
@@ -55,7 +55,7 @@
 ) -> wait_queue.SlotRequest:
     begin = state.begin(admission.service, admission.model)
     left_s = admission.timeout_at_s - time.monotonic()
-    begin_s = begin.seconds + admission.prompt_s
+    begin_s = begin.seconds + admission.prompt_read_s
     return wait_queue.SlotRequest(
         urgency=admission.urgency,
         on_time_s=refusals.on_time_wait_s(admission.route, begin_s),
--- a/redwingvalve/ingress/stall_detection.py
+++ b/redwingvalve/ingress/stall_detection.py
@@ -52,9 +52,9 @@
             maxlen=PROMPTS_KEPT
         )
 
-    def observe(self, prompt_s: float) -> None:
+    def observe(self, prompt_read_s: float) -> None:
         """Take one more prompt, in seconds of reading."""
-        self._seen_s.append(prompt_s)
+        self._seen_s.append(prompt_read_s)
 
     def others_s(self) -> float:
         """Return what the prompts of other nodes may hold a head up."""
@@ -71,9 +71,9 @@
     head: str
     sent_s: float
     # Seconds that reading its prompt takes.
-    prompt_s: float
+    prompt_read_s: float
     # Seconds between two events.
-    pause_s: float
+    event_interval_s: float
     # Seconds that reading other nodes' prompts may take.
     others_s: float = 0.0
     has_started: bool = False
@@ -185,8 +185,8 @@
             name: _left_s(head, now_s, self._factor(name, now_s))
             for name, head in self._heads.items()
         }
-        pause_s = max(min(left_s.values()), MIN_CHECK_INTERVAL_S)
-        self._due_s = now_s + min(pause_s, MAX_CHECK_INTERVAL_S)
+        delay_s = max(min(left_s.values()), MIN_CHECK_INTERVAL_S)
+        self._due_s = now_s + min(delay_s, MAX_CHECK_INTERVAL_S)
         return [
             StalledHead(name, any(one.has_started for one in head.live()))
             for name, head in self._heads.items()
@@ -217,9 +217,11 @@
     begun = [pulse for pulse in live if pulse.has_started]
     if not begun:
         return min(_begin_left_s(one, head, now_s, factor) for one in live)
-    reading_s = sum(pulse.prompt_s for pulse in live if not pulse.has_started)
+    reading_s = sum(
+        pulse.prompt_read_s for pulse in live if not pulse.has_started
+    )
     usual = begun[0]
-    bound_s = max(MIN_SILENCE_S, PAUSES * usual.pause_s)
+    bound_s = max(MIN_SILENCE_S, PAUSES * usual.event_interval_s)
     bound_s += reading_s + usual.others_s
     return head.last_event_s + bound_s * factor - now_s
 
@@ -227,7 +229,7 @@
 def _begin_left_s(
     pulse: MonitoredStream, head: _Head, now_s: float, factor: float
 ) -> float:
-    bound_s = FIRST_EVENT_S + PAUSES * pulse.pause_s
-    bound_s += pulse.prompt_s + pulse.others_s
+    bound_s = FIRST_EVENT_S + PAUSES * pulse.event_interval_s
+    bound_s += pulse.prompt_read_s + pulse.others_s
     since_s = max(pulse.sent_s, head.last_event_s)
     return since_s + bound_s * factor - now_s
--- a/redwingvalve/ingress/tests/load_simulation.py
+++ b/redwingvalve/ingress/tests/load_simulation.py
@@ -72,7 +72,7 @@
 class Results:
     """What became of the callers, by the moment at which they came."""
 
-    asked: list = attrs.field(factory=list)
+    arrivals: list = attrs.field(factory=list)
     on_time: list = attrs.field(factory=list)
     late: list = attrs.field(factory=list)
     lost: list = attrs.field(factory=list)
@@ -83,8 +83,8 @@
 
     def share(self, moments, from_s, to_s):
         """Return the share of callers of a time that are among moments."""
-        asked = _between(self.asked, from_s, to_s)
-        return _between(moments, from_s, to_s) / max(asked, 1)
+        arrivals = _between(self.arrivals, from_s, to_s)
+        return _between(moments, from_s, to_s) / max(arrivals, 1)
 
     def rate(self, moments, from_s, to_s):
         """Return how many of a time are among moments, a second."""
@@ -339,7 +339,7 @@
 
     async def _caller(self):
         first_s = anyio.current_time()
-        self.got.asked.append(first_s)
+        self.got.arrivals.append(first_s)
         node = self.rng.choice(self.nodes)
         again_s = await node.ask(first_s, has_returned=False)
         if again_s is None:
--- a/redwingvalve/ingress/tests/test_routing_and_stalls.py
+++ b/redwingvalve/ingress/tests/test_routing_and_stalls.py
@@ -143,9 +143,15 @@
     assert splitter.is_between_events
 
 
-def pulse(head='h', sent_s=0.0, prompt_s=0.02, pause_s=0.04, others_s=0.0):
+def pulse(
+    head='h',
+    sent_s=0.0,
+    prompt_read_s=0.02,
+    event_interval_s=0.04,
+    others_s=0.0,
+):
     return stall_detection.MonitoredStream(
-        head, sent_s, prompt_s, pause_s, others_s
+        head, sent_s, prompt_read_s, event_interval_s, others_s
     )
 
 
--- a/redwingvalve/ingress/timing.py
+++ b/redwingvalve/ingress/timing.py
@@ -59,8 +59,8 @@
         self,
         begin: duration_estimates.DurationEstimate,
         sent_s: float,
-        prompt_s: float,
+        prompt_read_s: float,
     ) -> None:
         """Learn from the whole answer to an only send at sent_s."""
         first_s = self.first_s or time.monotonic()
-        begin.observe(first_s - sent_s - prompt_s)
+        begin.observe(first_s - sent_s - prompt_read_s)
--- a/redwingvalve/node/tests/test_failure_detector.py
+++ b/redwingvalve/node/tests/test_failure_detector.py
@@ -88,7 +88,7 @@
 def look_after_silence(made, *, has_started):
     """Look at a head from which nothing has come for a long time."""
     pulse = stall_detection.MonitoredStream(
-        'head', sent_s=0.0, prompt_s=0, pause_s=0.05
+        'head', sent_s=0.0, prompt_read_s=0, event_interval_s=0.05
     )
     made.state.stall_detector.add(pulse)
     if has_started:
--- a/redwingvalve/platform/configuration.py
+++ b/redwingvalve/platform/configuration.py
@@ -105,7 +105,7 @@
         name=entry['name'],
         size=int(entry['size']),
         share=float(entry.get('share') or 0),
-        pace=float(entry.get('pace') or 1),
+        time_factor=float(entry.get('pace') or 1),
         load_s=float(entry['load_s']),
         load_from_host_s=float(entry['warm_s']),
     )
