--- a/redwingvalve/platform/__init__.py
+++ b/redwingvalve/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls; nothing here decides."""
+"""Client for the users' platform: names, formats and calls, no decisions."""
--- a/redwingvalve/platform/configuration.py
+++ b/redwingvalve/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decodes the operator's configuration object."""
+"""Decodes the operator's configuration object from the store."""
 
 import types
 import typing
@@ -15,19 +15,19 @@
 Document = dict[str, typing.Any]
 
 
-# What reading a document of another shape raises.
-_UNREADABLE = (KeyError, TypeError, ValueError, AttributeError)
+# Raised when a document has an unexpected structure.
+_MALFORMED_DOCUMENT = (KeyError, TypeError, ValueError, AttributeError)
 
 
 class ConfigurationError(ValueError):
-    """A configuration that can't be used; the text says why."""
+    """The configuration is invalid; the message says why."""
 
 
 def decode_configuration(stored: Document) -> routes.Configuration:
-    """Turn the stored object into a version; raises ConfigurationError."""
+    """Decode the stored configuration; raises ConfigurationError."""
     try:
         return _decode(stored['metadata']['revision'], stored['spec'])
-    except _UNREADABLE as error:
+    except _MALFORMED_DOCUMENT as error:
         raise ConfigurationError(f'{type(error).__name__}: {error}') from error
 
 
--- a/redwingvalve/platform/entries.py
+++ b/redwingvalve/platform/entries.py
@@ -1,4 +1,4 @@
-"""Decodes what endpoints say of themselves in the store and in reports."""
+"""Decodes endpoints' entries in the store and the reports they send."""
 
 import typing
 
@@ -9,23 +9,23 @@
 _DRAINING = 'draining'
 
 
-# What reading a document of another shape raises.
-_UNREADABLE = (KeyError, TypeError, ValueError, AttributeError)
+# Raised when a document has an unexpected structure.
+_MALFORMED_DOCUMENT = (KeyError, TypeError, ValueError, AttributeError)
 
 
 class EndpointEntryError(ValueError):
-    """An entry that names no usable endpoint; the text says why."""
+    """The entry does not describe a usable endpoint; the message says why."""
 
 
 def decode_endpoint(stored: dict[str, typing.Any]) -> endpoints.Endpoint:
-    """Turn a stored entry into an endpoint; raises EntryError.
+    """Decode a stored entry; raises EndpointEntryError.
 
-    Entries may come from another writer: missing fields, other types and
-    unknown states are errors, never an endpoint to be used.
+    Other writers may create entries: missing fields, wrong types and unknown
+    states are errors, so that such an endpoint is never used.
     """
     try:
         return _decode(stored['metadata']['name'], stored['spec'])
-    except _UNREADABLE as error:
+    except _MALFORMED_DOCUMENT as error:
         raise EndpointEntryError(f'{type(error).__name__}: {error}') from error
 
 
@@ -33,15 +33,15 @@
     state = entry['state']
     if state not in {_READY, _DRAINING}:
         raise EndpointEntryError(f'unknown state {state!r}')
-    address = settings.parse_address(_text(entry['address']))
+    address = settings.parse_address(_require_text(entry['address']))
     return endpoints.Endpoint(
-        endpoint_id=_text(name),
-        born_ms=_whole(entry.get('born', 0)),
-        service=_text(entry['service']),
+        endpoint_id=_require_text(name),
+        born_ms=_require_int(entry.get('born', 0)),
+        service=_require_text(entry['service']),
         host=address.host,
         port=address.port,
-        data_centre=_text(entry['zone']),
-        slots=_whole(entry['slots']),
+        data_centre=_require_text(entry['zone']),
+        slots=_require_int(entry['slots']),
         draining=state == _DRAINING,
         domain=str(entry.get('domain', '')),
         staged=decode_models(entry.get('staged')),
@@ -51,14 +51,14 @@
 
 
 def decode_membership(group: typing.Any) -> endpoints.Membership | None:
-    """Read the `group` of an entry or of a report; raises EntryError."""
+    """Decode the `group` of an entry or report; raises EndpointEntryError."""
     if not group or not group.get('name'):
         return None
     try:
         return endpoints.Membership(
-            replica=_text(group['name']),
-            epoch=_whole(group['epoch']),
-            rank=_whole(group['rank']),
+            replica=_require_text(group['name']),
+            epoch=_require_int(group['epoch']),
+            rank=_require_int(group['rank']),
             state=endpoints.MemberState(group['state']),
         )
     except (KeyError, TypeError, ValueError) as error:
@@ -66,23 +66,23 @@
 
 
 def decode_models(models: typing.Any) -> tuple[str, ...]:
-    """Return the names in a list of models; raises EntryError."""
+    """Return the model names in a list; raises EndpointEntryError."""
     return tuple(map(_model_name, models or ()))
 
 
 def _model_name(model: typing.Any) -> str:
     if isinstance(model, dict):
-        return _text(model['name'])
-    return _text(model)
+        return _require_text(model['name'])
+    return _require_text(model)
 
 
-def _text(value: typing.Any) -> str:
+def _require_text(value: typing.Any) -> str:
     if not isinstance(value, str) or not value:
-        raise EndpointEntryError(f'no text: {value!r}')
+        raise EndpointEntryError(f'expected a non-empty string, got {value!r}')
     return value
 
 
-def _whole(value: typing.Any) -> int:
+def _require_int(value: typing.Any) -> int:
     if isinstance(value, bool) or not isinstance(value, int):
-        raise EndpointEntryError(f'no whole number: {value!r}')
+        raise EndpointEntryError(f'expected an integer, got {value!r}')
     return value
--- a/redwingvalve/platform/names.py
+++ b/redwingvalve/platform/names.py
@@ -1,4 +1,4 @@
-"""Names that the platform uses on the wire."""
+"""Paths, headers, object kinds and variables of the platform's protocol."""
 
 import typing
 
@@ -11,12 +11,12 @@
 REPORT_PATH: typing.Final = '/redwingvalve/report'
 OBJECTS_PATH: typing.Final = '/redwingvalve/objects/'
 
-# Kinds that the platform itself writes.
+# Kinds of objects that the platform writes to its store.
 ENDPOINT_KIND: typing.Final = 'servers'
 CONFIGURATION_KIND: typing.Final = 'config'
 CONFIGURATION_NAME: typing.Final = 'main'
 
-# Headers in lower case, as they are compared.
+# Headers, in lower case because they are compared that way.
 ATTEMPT_ID_HEADER: typing.Final = b'x-attempt-id'
 DEADLINE_MS_HEADER: typing.Final = b'x-deadline-ms'
 API_KEY_HEADER: typing.Final = b'api-key'
@@ -31,5 +31,5 @@
 SEAL_HEADER: typing.Final = b'x-server-seal'
 NOT_RUN_HEADER: typing.Final = b'x-not-run'
 ENDPOINT_AT_FAULT: typing.Final = b'at-server'
-# In the query of callers that ask the directory.
+# Query parameter of directory requests.
 DATA_CENTRE_PARAMETER = 'zone'
--- a/redwingvalve/platform/settings.py
+++ b/redwingvalve/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for each process."""
+"""Reads the settings file that the platform writes for each process."""
 
 import json
 import os
@@ -10,18 +10,19 @@
 from redwingvalve.core import findings
 from redwingvalve.platform import names
 
-_UNREADABLE = (TypeError, ValueError, AttributeError, IndexError)
-HIGHEST_PORT = 65_535
+# Raised by converters when a field has an unexpected type or value.
+_INVALID_FIELD = (TypeError, ValueError, AttributeError, IndexError)
+MAX_PORT = 65_535
 
-# Where metrics are read; the deploy file names the same port and path.
+# Port for Prometheus scrapes; the deployment file uses the same port and path.
 METRICS_PORT = 9464
 
 
 class SettingsError(Exception):
-    """The settings file can't be used; the text names every place."""
+    """The settings file is invalid; the message lists every error found."""
 
     def __init__(self, found: findings.Findings) -> None:
-        """Keep all findings."""
+        """Store all findings."""
         super().__init__(str(found))
         self.found = found
 
@@ -40,10 +41,10 @@
 
 @attrs.frozen
 class Bounds:
-    """Times that the platform holds this system to."""
+    """Limits that the platform requires this system to meet."""
 
     drain_ms: int
-    # Within this of its acknowledgement a configuration is in force.
+    # Time from the acknowledgement of a configuration until it is in force.
     configuration_ms: int
     grace_s: float
     retry_ratio: float
@@ -55,7 +56,7 @@
 
 @attrs.frozen
 class NodeSettings:
-    """What one process is told at its start."""
+    """Settings that a process receives when it starts."""
 
     vm: str
     ip: str
@@ -64,54 +65,54 @@
     front: SocketAddress
     ready: SocketAddress
     directory: SocketAddress
-    # First of the ports that are free for traffic between the VMs.
+    # First of the ports reserved for traffic between VMs.
     peer_port: int
     store: SocketAddress
     endpoint_heartbeat_ms: int
     metrics_port: int
-    # 0 where the platform does not say.
+    # 0 if the platform does not specify it.
     link_mbps: float
     bounds: Bounds
 
 
 def parse_address(text: str) -> SocketAddress:
-    """Split host:port; raises ValueError."""
+    """Parse host:port; raises ValueError."""
     host, _, port = text.rpartition(':')
     if not host:
-        raise ValueError(f'{text!r} is not host:port')
-    return SocketAddress(host, _port(port))
+        raise ValueError(f'{text!r} is not in the form host:port')
+    return SocketAddress(host, _parse_port(port))
 
 
 def settings_path() -> pathlib.Path:
-    """Return where the platform has put the settings of this process."""
+    """Return the path of this process's settings file."""
     path = os.environ.get(names.SETTINGS_VARIABLE, names.DEFAULT_SETTINGS_PATH)
     return pathlib.Path(path)
 
 
 def read_settings(path: pathlib.Path) -> NodeSettings:
-    """Read and check the file; raises SettingsError with all places."""
+    """Read and validate the file; raises SettingsError with all findings."""
     try:
         document = json.loads(path.read_text(encoding='utf-8'))
     except OSError as error:
         raise _error(path, error.strerror or str(error)) from error
     except ValueError as error:
-        raise _error(path, f'not JSON: {error}') from error
+        raise _error(path, f'invalid JSON: {error}') from error
     return decode_settings(document, str(path))
 
 
 def decode_settings(
     document: typing.Any, file_name: str = 'settings'
 ) -> NodeSettings:
-    """Turn the file's content into settings; raises SettingsError."""
-    fields = _Fields(document, file_name)
-    made = _decode(fields)
-    if fields.found:
-        raise SettingsError(findings.Findings(tuple(fields.found)))
-    return made
+    """Decode the parsed file; raises SettingsError."""
+    reader = _FieldReader(document, file_name)
+    node_settings = _decode(reader)
+    if reader.found:
+        raise SettingsError(findings.Findings(tuple(reader.found)))
+    return node_settings
 
 
-class _Fields:
-    """Reads fields by their path, and collects what is wrong with them."""
+class _FieldReader:
+    """Reads fields by their path and collects errors."""
 
     def __init__(self, document: typing.Any, file_name: str) -> None:
         self.found: list[findings.Finding] = []
@@ -121,13 +122,13 @@
     def read(
         self, path: str, convert: typing.Callable[..., typing.Any]
     ) -> typing.Any:
-        """Return a converted field, or None with one more finding."""
+        """Return the converted field; on errors, add a finding, return None."""
         try:
             return convert(self._find(path))
         except KeyError as error:
-            self._note(path, f'field {error} is missing')
-        except _UNREADABLE as error:
-            self._note(path, str(error))
+            self._add_finding(path, f'field {error} is missing')
+        except _INVALID_FIELD as error:
+            self._add_finding(path, str(error))
         return None
 
     def read_or(
@@ -136,7 +137,7 @@
         convert: typing.Callable[..., typing.Any],
         default: typing.Any,
     ) -> typing.Any:
-        """Return a converted field, or the default where it is missing."""
+        """Return the converted field, or the default if it is missing."""
         try:
             self._find(path)
         except (KeyError, TypeError):
@@ -144,82 +145,92 @@
         return self.read(path, convert)
 
     def _find(self, path: str) -> typing.Any:
-        found = self._document
+        current = self._document
         for name in path.split('.'):
-            if not isinstance(found, dict):
-                raise TypeError('not an object')
-            found = found[name]
-        return found
+            if not isinstance(current, dict):
+                raise TypeError('parent is not an object')
+            current = current[name]
+        return current
 
-    def _note(self, path: str, message: str) -> None:
+    def _add_finding(self, path: str, message: str) -> None:
         place = findings.Place(self._file_name, path=path)
         self.found.append(findings.Finding(place, message))
 
 
-def _decode(fields: _Fields) -> NodeSettings:
+def _decode(fields: _FieldReader) -> NodeSettings:
     return NodeSettings(
-        vm=fields.read('node', _text),
-        ip=fields.read('ip', _text),
-        data_centre=fields.read('zone', _text),
-        region=fields.read('region', _text),
+        vm=fields.read('node', _require_text),
+        ip=fields.read('ip', _require_text),
+        data_centre=fields.read('zone', _require_text),
+        region=fields.read('region', _require_text),
         front=fields.read('listen.front', parse_address),
         ready=fields.read('listen.ready', parse_address),
         directory=fields.read('listen.directory', parse_address),
-        peer_port=fields.read('internal_ports', _first_port),
+        peer_port=fields.read('internal_ports', _parse_first_port),
         store=fields.read('platform.address', parse_address),
-        endpoint_heartbeat_ms=fields.read('heartbeat_ms', _positive),
+        endpoint_heartbeat_ms=fields.read('heartbeat_ms', _require_positive),
         metrics_port=METRICS_PORT,
-        link_mbps=fields.read_or('limits.link_mbps', _not_negative, 0),
+        link_mbps=fields.read_or('limits.link_mbps', _require_not_negative, 0),
         bounds=Bounds(
-            drain_ms=fields.read('bounds.drain_ms', _positive),
-            configuration_ms=fields.read('bounds.config_apply_ms', _positive),
-            grace_s=fields.read('bounds.grace_s', _positive),
-            retry_ratio=fields.read('bounds.retry_budget_ratio', _not_negative),
-            retry_window_s=fields.read('bounds.budget_window_s', _positive),
-            retry_extra=fields.read('bounds.budget_extra', _not_negative),
-            directory_ttl_max_s=fields.read('bounds.ttl_max_s', _positive),
-            stall_ms=fields.read('bounds.stall_ms', _positive),
+            drain_ms=fields.read('bounds.drain_ms', _require_positive),
+            configuration_ms=fields.read(
+                'bounds.config_apply_ms', _require_positive
+            ),
+            grace_s=fields.read('bounds.grace_s', _require_positive),
+            retry_ratio=fields.read(
+                'bounds.retry_budget_ratio', _require_not_negative
+            ),
+            retry_window_s=fields.read(
+                'bounds.budget_window_s', _require_positive
+            ),
+            retry_extra=fields.read(
+                'bounds.budget_extra', _require_not_negative
+            ),
+            directory_ttl_max_s=fields.read(
+                'bounds.ttl_max_s', _require_positive
+            ),
+            stall_ms=fields.read('bounds.stall_ms', _require_positive),
         ),
     )
 
 
-def _text(found: typing.Any) -> str:
-    if not isinstance(found, str) or not found:
-        raise ValueError(f'{found!r} is not a text')
-    return found
+def _require_text(value: typing.Any) -> str:
+    if not isinstance(value, str) or not value:
+        raise ValueError(f'{value!r} is not a non-empty string')
+    return value
 
 
-def _port(found: typing.Any) -> int:
-    port = int(found)
-    if not 0 < port <= HIGHEST_PORT:
-        raise ValueError(f'{found!r} is not a port')
+def _parse_port(value: typing.Any) -> int:
+    port = int(value)
+    if not 0 < port <= MAX_PORT:
+        raise ValueError(f'{value!r} is not a valid port')
     return port
 
 
-def _first_port(found: typing.Any) -> int:
-    if not isinstance(found, list) or not found:
-        raise ValueError(f'{found!r} is not a list of ports')
-    return _port(found[0])
+def _parse_first_port(value: typing.Any) -> int:
+    if not isinstance(value, list) or not value:
+        raise ValueError(f'{value!r} is not a non-empty list of ports')
+    return _parse_port(value[0])
 
 
-def _positive(found: typing.Any) -> float:
-    number = _number(found)
+def _require_positive(value: typing.Any) -> float:
+    number = _require_number(value)
     if not number > 0:
-        raise ValueError(f'{found!r} is not above 0')
+        raise ValueError(f'{value!r} must be greater than 0')
     return number
 
 
-def _not_negative(found: typing.Any) -> float:
-    number = _number(found)
+def _require_not_negative(value: typing.Any) -> float:
+    number = _require_number(value)
     if not number >= 0:
-        raise ValueError(f'{found!r} is below 0')
+        raise ValueError(f'{value!r} must not be negative')
     return number
 
 
-def _number(found: typing.Any) -> float:
-    if isinstance(found, bool) or not isinstance(found, int | float):
-        raise TypeError(f'{found!r} is not a number')
-    return found
+def _require_number(value: typing.Any) -> float:
+    if isinstance(value, bool) or not isinstance(value, int | float):
+        raise TypeError(f'{value!r} is not a number')
+    return value
 
 
 def _error(path: pathlib.Path, message: str) -> SettingsError:
