--- a/redwingvalve/observability/__init__.py
+++ b/redwingvalve/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Logs, metrics and spans."""
+"""Logs, metrics, traces, and the analysis of logs."""
--- a/redwingvalve/observability/bounded_logs.py
+++ b/redwingvalve/observability/bounded_logs.py
@@ -1,10 +1,10 @@
-"""JSON log lines that never block the process and never flood its reader.
+"""Log handler that never blocks the process and limits its output.
 
-Load pattern: callers press ten times the usual, every request is refused, and
-the pipe's reader falls behind. A blocking write would then stop the process
-that answers. Lines about requests that were answered plainly are bounded by
-ROUTINE_PER_S; lines about anything else are left out only when the pipe and
-the buffer are full. What was left out is counted and told in a line.
+Load pattern: callers send ten times the usual load, every request is refused,
+and the reader of the log pipe falls behind. A blocking write would then stall
+the process that serves requests. Lines about successful requests are limited
+to MAX_ROUTINE_LINES_PER_S; other lines are dropped only when the pipe and the
+buffer are full. Dropped lines are counted, and the counts are logged.
 """
 
 import collections
@@ -15,50 +15,50 @@
 
 from redwingvalve.observability import logs
 
-# A line takes some 30 microseconds and 300 bytes: at this rate the routine
-# takes half a hundredth of a core.
+# A line takes about 30 microseconds and 300 bytes: at this rate, routine lines
+# use about 0.5% of a core.
 MAX_ROUTINE_LINES_PER_S = 100
 MAX_BUFFERED_LINES = 2000
-TELL_EVERY_S = 5.0
-# Readers cut longer lines.
+REPORT_INTERVAL_S = 5.0
+# Log collectors truncate longer lines.
 MAX_LINE_BYTES = 8000
-# What is left of a field that makes its line too long.
-SHORTENED_CHARS = 400
-# Attribute of a record that says nothing went wrong.
+# Length to which fields of a too long line are truncated.
+SHORTENED_FIELD_CHARS = 400
+# Attribute of log records about requests that succeeded.
 ROUTINE_ATTRIBUTE = 'is_routine'
 
 
 class NonBlockingHandler(logging.Handler):
-    """Writes to a file descriptor without waiting for it."""
+    """Writes to a file descriptor in non-blocking mode."""
 
     def __init__(self, descriptor: int) -> None:
-        """Write to descriptor, which is set not to block."""
+        """Put the descriptor into non-blocking mode."""
         super().__init__()
         os.set_blocking(descriptor, False)
-        self.routine_omitted = 0
+        self.routine_dropped = 0
         self.dropped = 0
         self._descriptor = descriptor
         self._buffer: collections.deque[bytes] = collections.deque()
         self._second = 0
         self._routine_written = 0
-        self._told_s = time.monotonic()
+        self._reported_s = time.monotonic()
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Take a record; it may be counted only."""
+        """Write, buffer or drop a record; dropped records are counted."""
         if (
             record.__dict__.pop(ROUTINE_ATTRIBUTE, False)
             and not self._may_write()
         ):
-            self.routine_omitted += 1
+            self.routine_dropped += 1
             return
         if len(self._buffer) >= MAX_BUFFERED_LINES:
             self.dropped += 1
             return
-        self._buffer.append(f'{_bounded(self.format(record))}\n'.encode())
+        self._buffer.append(f'{_shorten(self.format(record))}\n'.encode())
         self.flush()
 
     def flush(self) -> None:
-        """Write what the pipe takes."""
+        """Write buffered lines until the pipe is full."""
         while self._buffer:
             line = self._buffer[0]
             try:
@@ -66,7 +66,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The reader has gone; there is nobody to tell.
+                # The reader has closed the pipe.
                 self.dropped += len(self._buffer)
                 self._buffer.clear()
                 return
@@ -76,16 +76,17 @@
             self._buffer.popleft()
 
     def take_drop_counts(self) -> tuple[int, int] | None:
-        """Return lines omitted and dropped since the last call, if any.
+        """Return and reset the counts of dropped routine and other lines.
 
-        None if there were none, or if the last call was a moment ago.
+        None if no line was dropped, or if the counts were reset less than
+        REPORT_INTERVAL_S ago.
         """
         now_s = time.monotonic()
-        if now_s - self._told_s < TELL_EVERY_S:
+        if now_s - self._reported_s < REPORT_INTERVAL_S:
             return None
-        self._told_s = now_s
-        counts = (self.routine_omitted, self.dropped)
-        self.routine_omitted = 0
+        self._reported_s = now_s
+        counts = (self.routine_dropped, self.dropped)
+        self.routine_dropped = 0
         self.dropped = 0
         return counts if any(counts) else None
 
@@ -99,14 +100,14 @@
 
 
 def configure(level: str, descriptor: int, node: str) -> NonBlockingHandler:
-    """Send all logs of this process to a descriptor."""
+    """Send all logs of this process to a file descriptor."""
     handler = NonBlockingHandler(descriptor)
     logs.attach(handler, level, node)
     return handler
 
 
-def _bounded(line: str) -> str:
-    """Return a line with its longest fields shortened until it fits."""
+def _shorten(line: str) -> str:
+    """Truncate the longest fields until the line fits MAX_LINE_BYTES."""
     if len(line) < MAX_LINE_BYTES:
         return line
     try:
@@ -115,11 +116,11 @@
         return line[: MAX_LINE_BYTES - 1]
     shortened: list[str] = []
     while len(line) >= MAX_LINE_BYTES - 1:
-        texts = {name: json.dumps(one) for name, one in fields.items()}
+        texts = {name: json.dumps(field) for name, field in fields.items()}
         _, longest = max((len(text), name) for name, text in texts.items())
         if longest in shortened:
             return line[: MAX_LINE_BYTES - 1]
         shortened.append(longest)
-        fields[longest] = texts[longest][:SHORTENED_CHARS]
+        fields[longest] = texts[longest][:SHORTENED_FIELD_CHARS]
         line = json.dumps({**fields, 'shortened': shortened})
     return line
--- a/redwingvalve/observability/log_files.py
+++ b/redwingvalve/observability/log_files.py
@@ -1,4 +1,4 @@
-"""Reads the nodes' logs, as collectors have put them into files."""
+"""Reads log files of nodes as written by log collectors."""
 
 import glob
 import json
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class LogLine:
-    """One line: what it says, or why that can't be read."""
+    """A parsed log line, or the reason why it could not be parsed."""
 
     place: str
     entry: dict[str, typing.Any]
@@ -19,7 +19,7 @@
 
 
 def expand(patterns: collections_abc.Iterable[str]) -> list[str]:
-    """Return the files that patterns name; one without any stays itself."""
+    """Expand glob patterns; a pattern without a match is returned as it is."""
     return [
         name
         for pattern in patterns
@@ -28,9 +28,9 @@
 
 
 def read(path: str, start: str = '{') -> typing.Iterator[LogLine]:
-    """Read the lines in which start begins an object; raises OSError.
+    """Yield the lines that contain start, parsed from there; raises OSError.
 
-    Collectors put their own prefix before a line.
+    Log collectors add their own prefix to each line.
     """
     text = pathlib.Path(path).read_text(errors='replace')
     for number, line in enumerate(text.split('\n'), 1):
@@ -43,5 +43,5 @@
     try:
         entry = json.loads(text)
     except ValueError as error:
-        return LogLine(place, {}, f'cut or no JSON: {error}')
+        return LogLine(place, {}, f'truncated or invalid JSON: {error}')
     return LogLine(place, entry if isinstance(entry, dict) else {})
--- a/redwingvalve/observability/metrics.py
+++ b/redwingvalve/observability/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by statsd; an empty host sends nothing."""
+"""Metrics sent to statsd; without a configured host they are dropped."""
 
 import abc
 
@@ -24,10 +24,10 @@
 
 
 class StatsdMetrics(Metrics):
-    """Sends each reading as one UDP datagram."""
+    """Sends each value as one UDP datagram."""
 
     def __init__(self, client: statsd.StatsClient) -> None:
-        """Send through client."""
+        """Send through the statsd client."""
         self._client = client
 
     def count(self, name: str, change: int = 1) -> None:
@@ -44,20 +44,20 @@
 
 
 class NoMetrics(Metrics):
-    """Drops everything."""
+    """Discards all metrics."""
 
     def count(self, name: str, change: int = 1) -> None:
-        """Drop the change."""
+        """Discard the change."""
 
     def gauge(self, name: str, reading: float) -> None:
-        """Drop the reading."""
+        """Discard the reading."""
 
     def timing(self, name: str, duration_ms: float) -> None:
-        """Drop the duration."""
+        """Discard the duration."""
 
 
 def make_metrics(settings: schema.MetricSettings) -> Metrics:
-    """Return metrics as the settings want them."""
+    """Create the metrics client that the settings select."""
     if not settings.statsd_host:
         return NoMetrics()
     return StatsdMetrics(
--- a/redwingvalve/observability/node_metrics.py
+++ b/redwingvalve/observability/node_metrics.py
@@ -1,8 +1,8 @@
-"""Counters and histograms of a node, read as text by whoever asks.
+"""Counters, histograms and gauges of a node in the Prometheus text format.
 
-Counting costs a dictionary access. The library that writes the text format is
-imported at the first reading: it takes 0.13 s of processor time, which a node
-that starts after a kill would spend before it listens.
+Counting costs a dictionary access. prometheus_client is imported at the first
+scrape: the import takes 0.13 s of CPU time, which would delay a node that is
+restarted after a kill before it listens.
 """
 
 import bisect
@@ -13,7 +13,7 @@
 
 import attrs
 
-# Seconds; from a call within a data centre to the longest deadline.
+# Histogram buckets, from a call within a data centre to the longest deadline.
 LATENCY_BOUNDS_S = (
     0.005,
     0.01,
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class Sample:
-    """One value of a gauge."""
+    """One value of a gauge with its labels."""
 
     value: float
     labels: Labels = ()
@@ -46,14 +46,14 @@
 Gauge = collections_abc.Callable[[], collections_abc.Iterable[Sample]]
 
 
-def _zeros() -> list[int]:
-    # One more than there are bounds, for what exceeds the last.
+def _empty_buckets() -> list[int]:
+    # One count per bucket and one for values above the last bound.
     return [0 for _ in (*LATENCY_BOUNDS_S, None)]
 
 
 @attrs.define(eq=False)
 class _Histogram:
-    counts: list[int] = attrs.field(factory=_zeros)
+    counts: list[int] = attrs.field(factory=_empty_buckets)
     total: float = 0.0
 
     def observe(self, value: float) -> None:
@@ -62,19 +62,19 @@
 
     def buckets(self) -> list[tuple[str, float]]:
         bounds = [*map(str, LATENCY_BOUNDS_S), '+Inf']
-        running = 0
-        found = []
+        cumulative = 0
+        buckets = []
         for bound, count in zip(bounds, self.counts, strict=True):
-            running += count
-            found.append((bound, float(running)))
-        return found
+            cumulative += count
+            buckets.append((bound, float(cumulative)))
+        return buckets
 
 
 class NodeMetrics:
     """All metrics of one process."""
 
     def __init__(self) -> None:
-        """Start at zero."""
+        """Start without any metric."""
         self._counts: collections.Counter[tuple[str, Labels]] = (
             collections.Counter()
         )
@@ -82,76 +82,80 @@
         self._gauges: dict[str, Gauge] = {}
 
     def count(self, name: str, by: int = 1, **labels: str) -> None:
-        """Add to a counter."""
+        """Increment a counter."""
         self._counts[name, tuple(sorted(labels.items()))] += by
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Add to a histogram of seconds."""
+        """Add a duration to a histogram."""
         key = (name, tuple(sorted(labels.items())))
         if key not in self._histograms:
             self._histograms[key] = _Histogram()
         self._histograms[key].observe(seconds)
 
     def gauge(self, name: str, read: Gauge) -> None:
-        """Read values whenever the metrics are read."""
+        """Register a callback that returns the gauge's samples at scrape."""
         self._gauges[name] = read
 
     def value(self, name: str, **labels: str) -> int:
-        """Return a counter."""
+        """Return the value of a counter."""
         return self._counts[name, tuple(sorted(labels.items()))]
 
     def render(self) -> bytes:
-        """Return the text format of Prometheus."""
+        """Render all metrics in the Prometheus text format."""
         library: typing.Any = importlib.import_module('prometheus_client')
         registry = library.CollectorRegistry()
         registry.register(_Collector(self, library))
         return bytes(library.generate_latest(registry))
 
     def families(self, core: typing.Any) -> typing.Iterator[typing.Any]:
-        """Yield the library's families for all that was counted.
+        """Yield a metric family of the library for each metric name.
 
-        A family holds all label values of a name: readers of the text format
+        A family holds all label values of a name: parsers of the text format
         reject a name that is declared twice.
         """
-        for name, samples in _by_name(self._counts).items():
-            family = core.CounterMetricFamily(name, name, labels=_keys(samples))
+        for name, samples in _group_by_name(self._counts).items():
+            family = core.CounterMetricFamily(
+                name, name, labels=_label_names(samples)
+            )
             for labels, count in samples:
-                family.add_metric(_texts(labels), count)
+                family.add_metric(_label_values(labels), count)
             yield family
-        for name, observed in _by_name(self._histograms).items():
+        for name, observed in _group_by_name(self._histograms).items():
             family = core.HistogramMetricFamily(
-                name, name, labels=_keys(observed)
+                name, name, labels=_label_names(observed)
             )
             for labels, histogram in observed:
                 family.add_metric(
-                    _texts(labels),
+                    _label_values(labels),
                     buckets=histogram.buckets(),
                     sum_value=histogram.total,
                 )
             yield family
         for name, read in self._gauges.items():
-            readings = [(found.labels, found.value) for found in read()]
-            family = core.GaugeMetricFamily(name, name, labels=_keys(readings))
+            readings = [(sample.labels, sample.value) for sample in read()]
+            family = core.GaugeMetricFamily(
+                name, name, labels=_label_names(readings)
+            )
             for labels, value in readings:
-                family.add_metric(_texts(labels), value)
+                family.add_metric(_label_values(labels), value)
             yield family
 
 
-def _by_name(
-    counted: dict[tuple[str, Labels], _Counted],
+def _group_by_name(
+    metrics: dict[tuple[str, Labels], _Counted],
 ) -> dict[str, _Samples[_Counted]]:
-    found: dict[str, _Samples[_Counted]] = {}
-    for (name, labels), content in list(counted.items()):
-        found.setdefault(name, []).append((labels, content))
-    return found
+    grouped: dict[str, _Samples[_Counted]] = {}
+    for (name, labels), content in list(metrics.items()):
+        grouped.setdefault(name, []).append((labels, content))
+    return grouped
 
 
-def _keys(samples: _Samples[_Counted]) -> list[str]:
+def _label_names(samples: _Samples[_Counted]) -> list[str]:
     return [label for label, _ in samples[0][0]] if samples else []
 
 
-def _texts(labels: Labels) -> list[str]:
-    return [text for _, text in labels]
+def _label_values(labels: Labels) -> list[str]:
+    return [value for _, value in labels]
 
 
 class _Collector:
@@ -163,5 +167,5 @@
         return self._metrics.families(self._core)
 
 
-# One for the process: its counters are its own, whoever adds to them.
+# Shared by all components of the process.
 METRICS = NodeMetrics()
--- a/redwingvalve/observability/request_explanation.py
+++ b/redwingvalve/observability/request_explanation.py
@@ -1,4 +1,4 @@
-"""One request's log lines of all nodes, and what they say of its cause."""
+"""Explains one request's outcome from the log lines of all nodes."""
 
 import typing
 from collections import abc as collections_abc
@@ -8,33 +8,40 @@
 from redwingvalve.observability import log_files
 
 REQUEST_KEY = 'request'
-# The last line that has one of these messages decides; X stands for more.
+# Sentence for the last log line with one of these messages; placeholders are
+# fields of that line.
 _CAUSES: typing.Final = (
-    ('ingress: answered', 'answered whole by {endpoint} after {sends} sends'),
-    ('ingress: caller left', 'the caller left while {endpoint} answered'),
+    (
+        'ingress: answered',
+        'answered completely by {endpoint} after {sends} sends',
+    ),
+    (
+        'ingress: caller left',
+        'the caller disconnected while {endpoint} was responding',
+    ),
     (
         'ingress: no place',
-        'refused: {targets} endpoints in use, {under_way} requests there,'
-        + ' {waiting} waiting here',
+        'refused: {targets} endpoints in use with {under_way} requests,'
+        + ' {waiting} requests waiting on this node',
     ),
     (
         'ingress: given up: silent',
-        'given up: {endpoint} (replica {replica}, epoch {epoch}) fell'
-        + ' silent after send {sends}; no more sends were allowed',
+        'given up: {endpoint} (replica {replica}, epoch {epoch}) stopped'
+        + ' responding after send {sends}; no more sends were allowed',
     ),
     (
         'ingress: given up: broken',
-        'given up: {endpoint} ended the connection ({reason}) after it may'
-        + ' have begun; sends: {sends}',
+        'given up: {endpoint} closed the connection ({reason}) after the'
+        + ' request may have begun; sends: {sends}',
     ),
     (
         'ingress: given up: failure',
-        'the failure is the own answer of {endpoint}',
+        '{endpoint} itself responded with the failure',
     ),
     (
         'ingress: given up: not-run',
-        'refused: {endpoint} did not run it; no more than {sends} sends'
-        + ' were allowed',
+        'refused: {endpoint} did not run the request; no more than {sends}'
+        + ' sends were allowed',
     ),
     ('ingress: refused', 'refused with {status}: {reason}'),
 )
@@ -42,10 +49,10 @@
 
 @attrs.frozen
 class Explanation:
-    """The lines in order of time, and the cause in a sentence."""
+    """A request's log lines in time order, and the cause in a sentence."""
 
     lines: tuple[dict[str, typing.Any], ...]
-    # Lines of other matters that name the same replica.
+    # Lines about the request's replicas that belong to no request.
     replica_lines: tuple[dict[str, typing.Any], ...]
     cause: str
 
@@ -55,33 +62,33 @@
 ) -> Explanation:
     """Read logs and explain one request; raises OSError.
 
-    Lines that are no JSON objects are passed over.
+    Lines that are not JSON objects are skipped.
     """
-    read = (line.entry for path in paths for line in log_files.read(path))
-    entries = sorted((entry for entry in read if entry), key=_time)
+    parsed = (line.entry for path in paths for line in log_files.read(path))
+    entries = sorted((entry for entry in parsed if entry), key=_time)
     lines = [entry for entry in entries if entry.get(REQUEST_KEY) == request_id]
     replicas = {entry.get('replica') for entry in lines} - {None, ''}
-    about = [
+    replica_lines = [
         entry
         for entry in entries
         if entry.get('replica') in replicas and REQUEST_KEY not in entry
     ]
-    return Explanation(tuple(lines), tuple(about), _cause(lines))
+    return Explanation(tuple(lines), tuple(replica_lines), _find_cause(lines))
 
 
-def _cause(lines: list[dict[str, typing.Any]]) -> str:
+def _find_cause(lines: list[dict[str, typing.Any]]) -> str:
     for entry in reversed(lines):
         message = entry.get('message', '')
-        # A refusal follows the line that says what decided it.
+        # A refusal is logged after the line that gives its cause.
         if message == 'ingress: refused' and len(lines) > 1:
             continue
-        for known, sentence in _CAUSES:
-            if message == known:
-                return sentence.format_map(_Fields(entry))
+        for cause_message, sentence in _CAUSES:
+            if message == cause_message:
+                return sentence.format_map(_LineFields(entry))
     return 'no line says how it ended'
 
 
-class _Fields(dict[str, typing.Any]):
+class _LineFields(dict[str, typing.Any]):
     def __missing__(self, key: str) -> str:
         return '?'
 
--- a/redwingvalve/observability/span_files.py
+++ b/redwingvalve/observability/span_files.py
@@ -1,4 +1,4 @@
-"""Reads what processes wrote, spans and logs, and finds one request in it."""
+"""Finds the spans and log lines of one request in files of all processes."""
 
 import datetime
 import json
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class SpanEvent:
-    """A decision or observation inside a hop; at_s is a wall time."""
+    """A decision or observation within a hop; at_s is wall-clock time."""
 
     at_s: float
     name: str
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class Span:
-    """One hop of a request; times are wall seconds."""
+    """One hop of a request; times are wall-clock seconds."""
 
     trace_id: str
     span_id: str
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class LogLine:
-    """One line of a log that names the request."""
+    """A log line that contains the request's id."""
 
     time: str
     node: str
@@ -48,14 +48,14 @@
 
 @attrs.frozen
 class RequestTrace:
-    """Everything that is known of one request, in the order of time."""
+    """Spans of a request, sorted by start time, and its log lines."""
 
     spans: tuple[Span, ...]
     logs: tuple[LogLine, ...]
 
     def depth(self, span: Span) -> int:
-        """Return how many known hops stand above a span."""
-        by_id = {known.span_id: known for known in self.spans}
+        """Return the number of the span's ancestors in this trace."""
+        by_id = {other.span_id: other for other in self.spans}
         depth = 0
         while span.parent_id in by_id:
             span = by_id[span.parent_id]
@@ -68,39 +68,44 @@
     span_files: collections_abc.Iterable[str],
     log_files: collections_abc.Iterable[str],
 ) -> RequestTrace:
-    """Return the hops and log lines of a request; OSError on bad files."""
+    """Return the spans and log lines of a request; raises OSError."""
     spans = [
-        _read_span(row) for name in span_files for row in _rows(name, 'context')
+        _decode_span(row)
+        for name in span_files
+        for row in _rows(name, 'context')
     ]
-    traces = {
+    trace_ids = {
         span.trace_id
         for span in spans
         if span.attributes.get(REQUEST_ID) == request_id
     }
-    kept = [span for span in spans if span.trace_id in traces]
-    kept.sort(key=lambda span: span.started_s)
+    matching = [span for span in spans if span.trace_id in trace_ids]
+    matching.sort(key=lambda span: span.started_s)
     lines = [
         LogLine(row.get('time', ''), row.get('node', ''), row['message'])
         for name in log_files
         for row in _rows(name, 'message')
         if request_id in json.dumps(row)
     ]
-    return RequestTrace(tuple(kept), tuple(lines))
+    return RequestTrace(tuple(matching), tuple(lines))
 
 
-def _rows(file_name: str, wanted: str) -> collections_abc.Iterator[Row]:
-    """Yield the JSON lines that hold a key; a torn last line is left out."""
+def _rows(file_name: str, required_key: str) -> collections_abc.Iterator[Row]:
+    """Yield the JSON objects with a key; invalid lines are skipped.
+
+    The last line of a file may be incomplete.
+    """
     with pathlib.Path(file_name).open(encoding='utf-8') as lines:
         for line in lines:
             try:
                 row = json.loads(line)
             except ValueError:
                 continue
-            if isinstance(row, dict) and wanted in row:
+            if isinstance(row, dict) and required_key in row:
                 yield row
 
 
-def _read_span(row: Row) -> Span:
+def _decode_span(row: Row) -> Span:
     return Span(
         trace_id=row['context']['trace_id'],
         span_id=row['context']['span_id'],
@@ -109,12 +114,12 @@
         node=row.get('resource', {})
         .get('attributes', {})
         .get(SERVICE_NAME, ''),
-        started_s=_seconds(row['start_time']),
-        ended_s=_seconds(row['end_time']),
+        started_s=_parse_time_s(row['start_time']),
+        ended_s=_parse_time_s(row['end_time']),
         attributes=row.get('attributes') or {},
         events=tuple(
             SpanEvent(
-                _seconds(event['timestamp']),
+                _parse_time_s(event['timestamp']),
                 event['name'],
                 event.get('attributes') or {},
             )
@@ -123,5 +128,5 @@
     )
 
 
-def _seconds(text: str) -> float:
+def _parse_time_s(text: str) -> float:
     return datetime.datetime.fromisoformat(text).timestamp()
--- a/redwingvalve/observability/tests/test_bounded_logs.py
+++ b/redwingvalve/observability/tests/test_bounded_logs.py
@@ -1,4 +1,4 @@
-"""Log lines neither block the process nor flood the reader."""
+"""Tests that logging does not block the process and limits its output."""
 
 import json
 import logging
@@ -11,7 +11,7 @@
 
 
 @pytest.fixture
-def piped():
+def pipe():
     reader, writer = os.pipe()
     handler = bounded_logs.NonBlockingHandler(writer)
     logger = logging.getLogger('bounded-test')
@@ -26,43 +26,43 @@
 
 def read_lines(reader):
     os.set_blocking(reader, False)
-    found = b''
+    received = b''
     while True:
         try:
             chunk = os.read(reader, 1 << 20)
         except BlockingIOError:
-            return found.splitlines()
+            return received.splitlines()
         if not chunk:
-            return found.splitlines()
-        found += chunk
+            return received.splitlines()
+        received += chunk
 
 
-def test_a_full_pipe_drops_lines_and_does_not_block(piped):
-    logger, handler, reader = piped
+def test_full_pipe_drops_lines_without_blocking(pipe):
+    logger, handler, reader = pipe
     for number in range(20_000):
         logger.warning('x' * 100 + str(number))
     assert handler.dropped > 0
     lines = read_lines(reader)
     handler.flush()
     lines += read_lines(reader)
-    # What was kept is whole, also where the pipe took half a line.
+    # Lines are complete even if the pipe accepted only part of one at first.
     assert all(line.startswith(b'x' * 100) for line in lines)
 
 
-def test_routine_lines_are_bounded_and_counted_and_failures_are_not(piped):
-    logger, handler, reader = piped
+def test_only_routine_lines_are_rate_limited_and_counted(pipe):
+    logger, handler, reader = pipe
     for _ in range(500):
         logger.info('answered', extra={bounded_logs.ROUTINE_ATTRIBUTE: True})
         logger.info('given up')
     lines = read_lines(reader)
     assert lines.count(b'given up') == 500
     written = lines.count(b'answered')
-    # The bound holds for each second of the clock; two may be touched.
+    # The limit applies per clock second; the test may span two of them.
     assert written <= 2 * bounded_logs.MAX_ROUTINE_LINES_PER_S
-    assert written + handler.routine_omitted == 500
+    assert written + handler.routine_dropped == 500
 
 
-def test_lines_are_json_with_the_node_and_the_inputs():
+def test_lines_are_json_with_node_and_extra_fields():
     reader, writer = os.pipe()
     handler = bounded_logs.configure('INFO', writer, 'node-1')
     logging.getLogger('redwingvalve.test').info(
@@ -78,9 +78,9 @@
     os.close(writer)
 
 
-def test_a_record_too_long_for_one_line_is_shortened_and_stays_readable(piped):
-    """A line that the reader cuts can't be parsed, and its record is lost."""
-    logger, handler, reader = piped
+def test_overlong_record_is_shortened_and_stays_valid_json(pipe):
+    """A line truncated by the log collector cannot be parsed and is lost."""
+    logger, handler, reader = pipe
     handler.setFormatter(json_logger.JsonFormatter('{message}', style='{'))
     heads = [f'endpoint-{number}' for number in range(2000)]
     logger.info('listed', extra={'heads': heads, 'request': 'r1'})
@@ -92,8 +92,8 @@
     assert entry['shortened'] == ['heads']
 
 
-def test_a_long_line_that_is_no_json_is_cut(piped):
-    logger, _, reader = piped
+def test_overlong_line_that_is_not_json_is_truncated(pipe):
+    logger, _, reader = pipe
     logger.info('x' * 20_000)
     [line] = read_lines(reader)
     assert len(line) < bounded_logs.MAX_LINE_BYTES
--- a/redwingvalve/observability/tests/test_node_metrics.py
+++ b/redwingvalve/observability/tests/test_node_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics in the usual text format."""
+"""Tests of metrics in the Prometheus text format."""
 
 from redwingvalve.observability import node_metrics
 
@@ -18,8 +18,8 @@
     assert metrics.value('sends', outcome='answered') == 2
 
 
-def test_each_name_is_declared_once_with_all_its_label_values():
-    """A scrape is accepted: readers reject a name that is declared twice."""
+def test_each_name_is_declared_once_with_all_label_values():
+    """Parsers reject a scrape in which a metric name is declared twice."""
     metrics = node_metrics.NodeMetrics()
     metrics.count('sends', outcome='answered')
     metrics.count('sends', outcome='refused')
--- a/redwingvalve/observability/tracing.py
+++ b/redwingvalve/observability/tracing.py
@@ -1,4 +1,4 @@
-"""OpenTelemetry spans, one per hop, with the W3C context passed on."""
+"""OpenTelemetry spans, one per hop, with W3C trace context propagation."""
 
 import pathlib
 import sys
@@ -18,10 +18,13 @@
 
 
 class Tracing:
-    """Makes spans for one process and writes them as settings say."""
+    """Creates spans and exports them as configured."""
 
     def __init__(self, provider: sdk_trace.TracerProvider) -> None:
-        """Use a provider of our own, so that several roles may share a loop."""
+        """Use a provider per instance, not a global one.
+
+        Several roles may run on one event loop, each with its own provider.
+        """
         self._provider = provider
         self._tracer = provider.get_tracer('redwingvalve')
 
@@ -32,7 +35,7 @@
         parent: trace.Span | None = None,
         attributes: collections_abc.Mapping[str, typing.Any] | None = None,
     ) -> trace.Span:
-        """Start a span under parent, or under the context in headers."""
+        """Start a span as a child of parent or of the context in headers."""
         parent_context: otel_context.Context | None = None
         if parent is not None:
             parent_context = trace.set_span_in_context(parent)
@@ -43,18 +46,18 @@
         )
 
     def headers(self, span: trace.Span) -> dict[str, str]:
-        """Return the headers that pass the span's context on."""
+        """Return the headers that propagate the span's context."""
         carrier: dict[str, str] = {}
         PROPAGATOR.inject(carrier, trace.set_span_in_context(span))
         return carrier
 
     def shutdown(self) -> None:
-        """Write what is left."""
+        """Export the remaining spans."""
         self._provider.shutdown()
 
 
 def make_tracing(settings: schema.TracingSettings, node: str) -> Tracing:
-    """Return tracing with the exporter that the settings name."""
+    """Create tracing with the configured exporter."""
     sampler: sampling.Sampler = sampling.ParentBased(
         sampling.TraceIdRatioBased(settings.ratio)
     )
@@ -68,8 +71,8 @@
     if settings.exporter == 'console':
         _export_to(provider, sys.stderr)
     if settings.exporter == 'file':
-        spans = pathlib.Path(settings.file_name)
-        _export_to(provider, spans.open('a', encoding='utf-8'))
+        span_file = pathlib.Path(settings.file_name)
+        _export_to(provider, span_file.open('a', encoding='utf-8'))
     return Tracing(provider)
 
 
