--- a/redwingvalve/allocation/allocator.py
+++ b/redwingvalve/allocation/allocator.py
@@ -14,7 +14,7 @@
 from redwingvalve.allocation import messages
 from redwingvalve.allocation import pool as pool_module
 from redwingvalve.allocation import usage as usage_module
-from redwingvalve.ingress import placing
+from redwingvalve.ingress import load_balancing
 from redwingvalve.observability import logs
 
 LOG = logs.make_logger('allocation')
@@ -64,7 +64,7 @@
             return
         pool.note_slow(ask)
         select = pool.selector(sender, ask)
-        target = pool.queue.take_now(ask.need, select)
+        target = pool.queue.try_acquire(ask.need, select)
         if target is not None:
             reply(_granted(ask, target.endpoint_id))
         elif ask.may_wait:
@@ -158,11 +158,11 @@
         pool = self.pool(ask.pool)
         take = pool.selector(key[0], ask)
 
-        def select() -> placing.Target | None:
+        def select() -> load_balancing.Target | None:
             return None if waits.is_withdrawn else take()
 
         try:
-            target = await pool.queue.take(ask.need, select)
+            target = await pool.queue.acquire(ask.need, select)
         finally:
             if self._waiting.get(key) is waits:
                 self._waiting.pop(key)
--- a/redwingvalve/node/failure_detector.py
+++ b/redwingvalve/node/failure_detector.py
@@ -22,7 +22,7 @@
 import attrs
 
 from redwingvalve.fleet import serving
-from redwingvalve.ingress import silence
+from redwingvalve.ingress import stall_detection
 from redwingvalve.ingress import state as state_module
 from redwingvalve.node import endpoint_prober
 from redwingvalve.node import lease as lease_module
@@ -65,7 +65,7 @@
     def _pause_s(self) -> float:
         """Return the time until the next look; each wakes an idle process."""
         if self._doubts:
-            return silence.LOOK_EVERY_S
+            return stall_detection.LOOK_EVERY_S
         return self.state.silence.pause_s(time.monotonic())
 
     def doubt(self, head: str, reason: str) -> None:
@@ -98,7 +98,7 @@
     def _recheck(self, group: anyio.abc.TaskGroup) -> None:
         if self.lease.has_known_holder():
             return
-        for suspicion in self.table.own_suspicions():
+        for suspicion in self.table.local_suspicions():
             self._start(group, suspicion.endpoint_id, self._clear_if_sound)
 
     def _start(
@@ -131,12 +131,12 @@
         LOG.info('head is sound', extra={'endpoint': head, 'doubt': reason})
         if reason == SILENT:
             self.state.silence.found_sound(head, time.monotonic())
-            self.table.tell_sound(head)
+            self.table.announce_healthy(head)
 
     async def _clear_if_sound(self, head: str) -> None:
         if await self._is_whole(head):
             LOG.info('suspicion cleared', extra={'endpoint': head})
-            self.table.found_sound(head)
+            self.table.mark_healthy(head)
 
     async def _is_whole(self, head: str) -> bool:
         replica = self.table.replica_of(head)
--- a/redwingvalve/node/tests/test_status_exchange.py
+++ b/redwingvalve/node/tests/test_status_exchange.py
@@ -5,7 +5,7 @@
 import anyio
 
 from redwingvalve.allocation import messages
-from redwingvalve.ingress import reserving, waiting
+from redwingvalve.ingress import reservations, wait_queue
 from redwingvalve.node import peers
 from redwingvalve.platform.tests import fleet_harness
 
@@ -27,7 +27,7 @@
         await anyio.sleep(0.1)
         before = len(said)
         for number in range(FOUND):
-            node.table.on_clear(f'e{number}', 1)
+            node.table.on_cleared(f'e{number}', 1)
         await anyio.sleep(0.05)
         assert len(said) - before <= 3
         assert len(said[-1].cleared) == FOUND
@@ -91,7 +91,7 @@
             group.start_soon(wait)
             await anyio.sleep(0.1)
             assert not got
-            held[0].release(reserving.Leaving.FREE)
+            held[0].release(reservations.ReleaseState.FREE)
             await fleet.wait_until(lambda: got, 0.1)
 
     fleet_harness.run(test, nodes=2, engines=0, plain=1)
@@ -114,7 +114,7 @@
 
 async def reserve_plain(node):
     """Reserve a place at a plain endpoint."""
-    need = waiting.Ask(urgency=1, on_time_s=0.3, wait_s=1.0)
+    need = wait_queue.SlotRequest(urgency=1, on_time_s=0.3, wait_s=1.0)
     return await node.state.reserver.reserve(
         fleet_harness.PLAIN_SERVICE, '', need, (), ()
     )
@@ -126,11 +126,13 @@
     async def test(fleet):
         asked, other = fleet.nodes
         told = []
-        other.table.on_told_sound = lambda head, found_s: told.append(head)
+        other.table.on_reported_healthy = lambda head, found_s: told.append(
+            head
+        )
         head = asked.table.of(
             fleet_harness.ENGINE_SERVICE, fleet_harness.SMALL_MODEL
         )[0].endpoint_id
-        asked.table.tell_sound(head)
+        asked.table.announce_healthy(head)
         await fleet.wait_until(lambda: told, 1)
         assert set(told) == {head}
 
