--- a/redwingvalve/platform/standins/__init__.py
+++ b/redwingvalve/platform/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the users' platform, which speak its published protocol."""
+"""In-process fakes of the users' platform that speak its protocol."""
--- a/redwingvalve/platform/standins/endpoint.py
+++ b/redwingvalve/platform/standins/endpoint.py
@@ -1,9 +1,9 @@
-"""A stand-in for one endpoint of the users' platform.
+"""In-process fake of an endpoint of the users' platform.
 
-It takes the published orders, reports, and answers requests: models with a
-stream of numbered events, plain services with one body. Faults: it may go
-dark, crash, stand still as a head does that lost a member, answer twice, break
-off, or carry an order out late.
+It executes the orders of the platform's protocol, sends reports and answers
+requests: models with a stream of numbered events, plain services with a single
+body. Faults: it can stop responding, crash, stall like a head that lost a
+member, send a response twice, abort a stream, or execute an order late.
 """
 
 import asyncio
@@ -17,15 +17,15 @@
 
 _LIMITS = reading.ServerLimits(65_536, 4_194_304, 10, 60)
 Document = dict[str, typing.Any]
-# Times of the sheet, made short for tests.
-JOIN_S = 0.15
-OPEN_S = 0.03
-EVENT_S = 0.02
+# Durations from the platform's specification, shortened for tests.
+JOIN_DURATION_S = 0.15
+OPEN_DURATION_S = 0.03
+EVENT_INTERVAL_S = 0.02
 
 
 @attrs.define
 class EndpointFaults:
-    """What the endpoint does wrong now."""
+    """Faults that are currently injected into the endpoint."""
 
     is_unresponsive: bool = False
     is_stalled: bool = False
@@ -33,19 +33,19 @@
     aborts_at_event: int | None = None
     rejects_requests: bool = False
     returns_server_error: bool = False
-    # Operations that are carried out late, and never answered.
+    # Orders with these operations are executed late and never acknowledged.
     delayed_operations: tuple[str, ...] = ()
     order_delay_s: float = 2.5
     omits_content_length: bool = False
-    # Its entry stays as it was.
+    # The endpoint's entry in the store is no longer updated.
     is_cut_off_from_store: bool = False
-    # A close that lets requests finish never ends.
+    # After an order to close, the endpoint stays in the closing state.
     never_drains: bool = False
 
 
 @attrs.frozen
 class Run:
-    """A request that ran here."""
+    """A request that the endpoint executed."""
 
     attempt_id: bytes
     target: bytes
@@ -54,7 +54,7 @@
 
 
 class FakeEndpoint(server.Application):
-    """One endpoint with its entry in the store."""
+    """An endpoint with its entry in the store."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         service: str,
         domain: str = '',
     ) -> None:
-        """Write its entry once it listens."""
+        """Create an endpoint that is not listening yet."""
         self.endpoint_id = endpoint_id
         self.faults = EndpointFaults()
         self.runs: list[Run] = []
@@ -87,20 +87,22 @@
     async def start(self) -> None:
         """Listen on a free port and write the entry."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(self._make, '127.0.0.1', 0)
+        self._server = await loop.create_server(
+            self._make_connection, '127.0.0.1', 0
+        )
         port = self._server.sockets[0].getsockname()[1]
         self.address = f'127.0.0.1:{port}'
         self.write_entry()
 
     def stop_listening(self) -> None:
-        """Take no new connections and end the idle ones."""
+        """Accept no new connections and close idle ones."""
         if self._server is not None:
             self._server.close()
         for connection in self._connections:
             connection.close_if_idle()
 
     def crash(self) -> None:
-        """End at once, with all connections, and lose the entry."""
+        """Abort all connections, stop listening and remove the entry."""
         if self._server is not None:
             self._server.close()
         for connection in self._connections:
@@ -108,7 +110,7 @@
         self._store.remove('servers', self.endpoint_id)
 
     def crash_and_restart(self) -> None:
-        """Start again under the same id, without any memory."""
+        """Restart under the same id without any earlier state."""
         for connection in self._connections:
             connection.break_off()
         self.group = None
@@ -119,12 +121,12 @@
         self.write_entry()
 
     def drain(self) -> None:
-        """Say that it is about to leave."""
+        """Announce in the entry that the endpoint is going to leave."""
         self.state = 'draining'
         self.write_entry()
 
     def write_entry(self) -> None:
-        """Write what it says of itself, unless the entry was removed."""
+        """Update the entry in the store, unless the entry was removed."""
         entries = self._store.objects.get('servers', {})
         was_removed = self._sequence and self.endpoint_id not in entries
         if was_removed or self.faults.is_cut_off_from_store:
@@ -132,32 +134,32 @@
         self._store.put('servers', self.endpoint_id, self._entry())
 
     def limits(self) -> reading.ServerLimits:
-        """Return wide bounds."""
+        """Return limits that no test reaches."""
         return _LIMITS
 
     def is_closing(self) -> bool:
-        """Keep connections."""
+        """Keep connections open."""
         return False
 
     def serve(
         self, request: messages.Request, responder: server.Responder
     ) -> None:
-        """Answer an order, a report or a request."""
+        """Handle an order, a report request or a caller's request."""
         if self.faults.is_unresponsive:
             return
         expected = request.header(b'x-expect-instance')
         if expected is not None and expected.decode() != self.endpoint_id:
             responder.answer(421, [], b'')
         elif request.target == b'/redwingvalve/report':
-            _json(responder, 200, self._entry())
+            _answer_json(responder, 200, self._entry())
         elif request.target == b'/redwingvalve/order':
-            self._order(json.loads(request.body), responder)
+            self._handle_order(json.loads(request.body), responder)
         else:
             asyncio.get_running_loop().create_task(
                 self._run(request, responder)
             )
 
-    def _make(self) -> server.CallerConnection:
+    def _make_connection(self) -> server.CallerConnection:
         connection = server.CallerConnection(self)
         self._connections.append(connection)
         return connection
@@ -179,15 +181,19 @@
             'group': self.group,
         }
 
-    def _order(self, order: Document, responder: server.Responder) -> None:
+    def _handle_order(
+        self, order: Document, responder: server.Responder
+    ) -> None:
         self.orders.append(order)
         if order['operation'] in self.faults.delayed_operations:
             loop = asyncio.get_running_loop()
-            loop.call_later(self.faults.order_delay_s, self._obey, order)
+            loop.call_later(
+                self.faults.order_delay_s, self._execute_order, order
+            )
             return
-        _json(responder, self._obey(order), {})
+        _answer_json(responder, self._execute_order(order), {})
 
-    def _obey(self, order: Document) -> int:
+    def _execute_order(self, order: Document) -> int:
         self._sequence += 1
         operation = order['operation']
         if operation == 'stage':
@@ -214,7 +220,9 @@
             'state': 'joining',
         }
         self.write_entry()
-        self._later(JOIN_S, self.group, 'ready', order['model'])
+        self._schedule_state(
+            JOIN_DURATION_S, self.group, 'ready', order['model']
+        )
         return 202
 
     def _change_state(self, operation: str) -> int:
@@ -222,17 +230,17 @@
         if operation == 'open':
             if self.group['state'] != 'ready':
                 return 409
-            self._later(OPEN_S, self.group, 'open')
+            self._schedule_state(OPEN_DURATION_S, self.group, 'open')
         elif operation == 'close':
-            waits = self.faults.never_drains
-            state = 'closing' if waits else 'ready'
+            is_stuck = self.faults.never_drains
+            state = 'closing' if is_stuck else 'ready'
             self.group = {**self.group, 'state': state}
         elif operation == 'leave':
             self.group = None
         self.write_entry()
         return 202
 
-    def _later(
+    def _schedule_state(
         self, delay_s: float, group: Document, state: str, model: str = ''
     ) -> None:
         def change() -> None:
@@ -270,7 +278,7 @@
         elif request.header(b'x-model'):
             await self._stream(responder, headers, int(last or 0))
         else:
-            await asyncio.sleep(EVENT_S)
+            await asyncio.sleep(EVENT_INTERVAL_S)
             self._answer(responder, headers, attempt)
 
     def _answer(
@@ -296,11 +304,11 @@
         kind = (b'content-type', b'text/event-stream')
         responder.start(200, [*headers, kind])
         for number in range(last + 1, self.events_per_response + 1):
-            await asyncio.sleep(EVENT_S)
+            await asyncio.sleep(EVENT_INTERVAL_S)
             while self.faults.is_stalled:
-                await asyncio.sleep(EVENT_S)
+                await asyncio.sleep(EVENT_INTERVAL_S)
             if number == self.faults.aborts_at_event:
-                # In the middle of an event.
+                # Abort in the middle of an event.
                 responder.write(b'id: %d\ndata: ha' % number)
                 await asyncio.sleep(0)
                 responder.abort()
@@ -309,7 +317,9 @@
         responder.finish()
 
 
-def _json(responder: server.Responder, status: int, document: Document) -> None:
+def _answer_json(
+    responder: server.Responder, status: int, document: Document
+) -> None:
     responder.answer(
         status,
         [(b'content-type', b'application/json')],
--- a/redwingvalve/platform/standins/store.py
+++ b/redwingvalve/platform/standins/store.py
@@ -1,7 +1,7 @@
-"""A stand-in for the users' object store: objects, revisions and watches.
+"""In-process fake of the users' object store with revisions and watches.
 
-It speaks what the platform's pages publish. Faults: silence, refusal, answers
-that are lost after the write was made, and history that is dropped.
+It implements the platform's published protocol. Faults: no responses, error
+responses, responses lost after the write was executed, and a dropped history.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 @attrs.define
 class StoreFaults:
-    """What the store does wrong now."""
+    """Faults that are currently injected into the store."""
 
     is_unresponsive: bool = False
     error_status: int = 0
@@ -40,7 +40,7 @@
     """Objects by kind and name, in memory."""
 
     def __init__(self) -> None:
-        """Start at revision 100 without objects."""
+        """Create an empty store at revision 100."""
         self.faults = StoreFaults()
         self.calls = 0
         self.objects: dict[str, dict[str, Document]] = {}
@@ -50,20 +50,20 @@
         self._changed = asyncio.Event()
 
     def limits(self) -> reading.ServerLimits:
-        """Return wide bounds."""
+        """Return limits that no test reaches."""
         return _LIMITS
 
     def is_closing(self) -> bool:
-        """Keep connections."""
+        """Keep connections open."""
         return False
 
     def put(self, kind: str, name: str, spec: Document) -> Document:
-        """Write an object, as the operator or an endpoint does."""
+        """Create or replace an object, as operators and endpoints do."""
         self.revision += 1
-        found = self.objects.setdefault(kind, {})
+        objects = self.objects.setdefault(kind, {})
         created = (
-            found[name]['metadata']['created']
-            if name in found
+            objects[name]['metadata']['created']
+            if name in objects
             else (self.revision)
         )
         stored = {
@@ -77,26 +77,26 @@
             'spec': spec,
             'status': None,
         }
-        found[name] = stored
-        self._tell(kind, stored, is_removed=False)
+        objects[name] = stored
+        self._publish(kind, stored, is_removed=False)
         return stored
 
     def remove(self, kind: str, name: str) -> None:
-        """Remove an object if it is there."""
+        """Remove an object if it exists."""
         stored = self.objects.get(kind, {}).pop(name, None)
         if stored is not None:
             self.revision += 1
-            self._tell(kind, stored, is_removed=True)
+            self._publish(kind, stored, is_removed=True)
 
     def drop_history(self) -> None:
-        """Forget all changes, so that watches from before get 410."""
+        """Drop all past changes, so that watches from before get 410."""
         self.first_watchable_revision = self.revision
         self._events.clear()
 
     def serve(
         self, request: messages.Request, responder: server.Responder
     ) -> None:
-        """Answer one call, now or when a watch has something to tell."""
+        """Handle one call; a watch is answered when there are changes."""
         self.calls += 1
         if self.faults.is_unresponsive:
             return
@@ -121,16 +121,16 @@
         self._read(kind, name, responder)
 
     def _read(self, kind: str, name: str, responder: server.Responder) -> None:
-        found = self.objects.get(kind, {})
+        objects = self.objects.get(kind, {})
         if not name:
-            listed = {
-                'items': list(found.values()),
+            listing = {
+                'items': list(objects.values()),
                 'has_more': False,
                 'store_revision': self.revision,
             }
-            _answer(responder, 200, listed)
+            _answer(responder, 200, listing)
             return
-        stored = found.get(name)
+        stored = objects.get(name)
         if stored is None:
             _answer(responder, 404, {'error': 'none'})
             return
@@ -151,8 +151,8 @@
         if method == b'DELETE':
             self.remove(kind, name)
             return 200, {}
-        known = stored['metadata']['revision']
-        if metadata.get('revision', known) != known:
+        current = stored['metadata']['revision']
+        if metadata.get('revision', current) != current:
             return 409, stored
         return 200, self.put(kind, name, body['spec'])
 
@@ -161,23 +161,23 @@
     ) -> None:
         since = int(query['watch'])
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + int(query['wait_ms']) / 1000
+        deadline_s = loop.time() + int(query['wait_ms']) / 1000
         while True:
             if since < self.first_watchable_revision:
                 _answer(responder, 410, {'error': 'gone'})
                 return
-            found = [
+            matching = [
                 event
                 for event in self._events
                 if event.kind == kind and event.revision > since
             ]
-            left_s = until_s - loop.time()
-            if found or left_s <= 0:
+            remaining_s = deadline_s - loop.time()
+            if matching or remaining_s <= 0:
                 break
-            await self._wait_change(left_s)
+            await self._wait_change(remaining_s)
         events = [
             {'deleted': event.is_removed, 'object': event.stored}
-            for event in found
+            for event in matching
         ]
         _answer(
             responder,
@@ -185,14 +185,16 @@
             {'events': events, 'store_revision': self.revision},
         )
 
-    async def _wait_change(self, left_s: float) -> None:
+    async def _wait_change(self, timeout_s: float) -> None:
         try:
-            async with asyncio.timeout(left_s):
+            async with asyncio.timeout(timeout_s):
                 await self._changed.wait()
         except TimeoutError:
             return
 
-    def _tell(self, kind: str, stored: Document, *, is_removed: bool) -> None:
+    def _publish(
+        self, kind: str, stored: Document, *, is_removed: bool
+    ) -> None:
         self._events.append(_Event(self.revision, kind, stored, is_removed))
         self._changed.set()
         self._changed = asyncio.Event()
