--- a/redwingvalve/ingress/slot_requests.py
+++ b/redwingvalve/ingress/slot_requests.py
@@ -32,7 +32,7 @@
         admission.model,
         _ask(state, admission, is_resumed=bool(avoid)),
         avoid,
-        state.silence.slow_heads(began_s),
+        state.stall_detector.slow_heads(began_s),
     )
     has_place = isinstance(found, reservations.Reservation)
     held_s = time.monotonic() - began_s
@@ -75,8 +75,8 @@
     responses.log_no_place(
         caller,
         admission,
-        targets=len(state.targets.of(service, model)),
-        under_way=state.in_use(service, model),
-        waiting=state.waiting(service, model),
+        targets=len(state.targets.find_targets(service, model)),
+        under_way=state.slot_demand(service, model),
+        waiting=state.waiting_requests(service, model),
         held_s=held_s,
     )
