--- a/redwingvalve/platform/tests/fleet_harness.py
+++ b/redwingvalve/platform/tests/fleet_harness.py
@@ -163,16 +163,16 @@
         return b'a%d-%d' % (self.serial, number)
 
     async def ask(self, path, body=b'', *, key=API_KEY, headers=(), host=HOST):
-        taker = await self.start_request(
+        reader = await self.start_request(
             path, body, key=key, headers=headers, host=host
         )
         async with asyncio.timeout(8):
-            ending = await taker.done
-        head = taker.head
+            ending = await reader.done
+        head = reader.head
         return Response(
             head.status if head else 0,
             dict(head.headers) if head else {},
-            taker.body,
+            reader.body,
             ending,
         )
 
@@ -185,7 +185,7 @@
                 client.Connection, *self.address
             )
         self.number += 1
-        taker = _ResponseReader()
+        reader = _ResponseReader()
         sent = [
             (b'Host', host.encode()),
             (b'X-Attempt-Id', self.attempt_id(self.number)),
@@ -196,8 +196,8 @@
         if key:
             sent.append((b'Api-Key', key.encode()))
         head = messages.render_head(b'POST %b HTTP/1.1' % path.encode(), sent)
-        self.connection.send(head + body, taker, lambda one: None)
-        return taker
+        self.connection.send(head + body, reader, lambda connection: None)
+        return reader
 
     async def stream(self, **more):
         return await self.ask(
@@ -242,10 +242,10 @@
         target = self.targets(index)[0]
         return self.endpoints[target.endpoint_id]
 
-    async def wait_until(self, is_so, timeout_s=6.0):
-        limit_s = time.monotonic() + timeout_s
-        while not is_so():
-            assert time.monotonic() < limit_s, 'not so in time'
+    async def wait_until(self, condition, timeout_s=6.0):
+        deadline_s = time.monotonic() + timeout_s
+        while not condition():
+            assert time.monotonic() < deadline_s, 'condition not met in time'
             await anyio.sleep(0.01)
 
     async def add_endpoint(self, name, service, domain=''):
@@ -256,24 +256,24 @@
 
 
 def node_settings(name, store_address):
-    free = ports.free_ports(5)
+    free_ports = ports.free_ports(5)
     document = {
         'node': name,
         'ip': '127.0.0.1',
         'zone': 'zone-1',
         'region': 'region-1',
         'listen': {
-            'front': f'127.0.0.1:{free[0]}',
-            'ready': f'127.0.0.1:{free[1]}',
-            'directory': f'127.0.0.1:{free[2]}',
+            'front': f'127.0.0.1:{free_ports[0]}',
+            'ready': f'127.0.0.1:{free_ports[1]}',
+            'directory': f'127.0.0.1:{free_ports[2]}',
         },
-        'internal_ports': [free[3], free[3]],
+        'internal_ports': [free_ports[3], free_ports[3]],
         'heartbeat_ms': 1200,
         'bounds': BOUNDS,
         'platform': {'address': store_address},
     }
-    made = settings.decode_settings(json.loads(json.dumps(document)))
-    return attrs.evolve(made, metrics_port=free[4])
+    decoded = settings.decode_settings(json.loads(json.dumps(document)))
+    return attrs.evolve(decoded, metrics_port=free_ports[4])
 
 
 @contextlib.asynccontextmanager
@@ -283,10 +283,10 @@
     """Yield a fleet once its nodes are serving."""
     store = fake_store.FakeStore()
     loop = asyncio.get_running_loop()
-    listening = await loop.create_server(
+    store_server = await loop.create_server(
         lambda: server.CallerConnection(store), '127.0.0.1', 0
     )
-    port = listening.sockets[0].getsockname()[1]
+    port = store_server.sockets[0].getsockname()[1]
     fleet = Fleet(store, f'127.0.0.1:{port}', {})
     if lease_term:
         released = {'holder': '', 'term': lease_term}
@@ -299,11 +299,11 @@
         await fleet.add_endpoint(f'p{number}', PLAIN_SERVICE)
     async with anyio.create_task_group() as group:
         for number in range(nodes):
-            made = daemon.make_node(
+            node = daemon.make_node(
                 node_settings(f'node-{number}', fleet.store_address)
             )
-            fleet.nodes.append(made)
-            group.start_soon(made.run, anyio.Event())
+            fleet.nodes.append(node)
+            group.start_soon(node.run, anyio.Event())
         await fleet.wait_until(
             lambda: all(node.is_listening for node in fleet.nodes)
         )
@@ -323,7 +323,7 @@
             )
         yield fleet
         group.cancel_scope.cancel()
-    listening.close()
+    store_server.close()
 
 
 def run(test, **shape):
--- a/redwingvalve/platform/tests/test_decoding.py
+++ b/redwingvalve/platform/tests/test_decoding.py
@@ -1,4 +1,4 @@
-"""What the platform writes, decoded once; what is odd, refused with a place."""
+"""Tests of decoding the platform's documents and of errors in them."""
 
 import json
 
@@ -35,7 +35,7 @@
     return {'metadata': {'name': name, 'revision': 5}, 'spec': spec}
 
 
-def test_an_entry_becomes_an_endpoint():
+def test_entry_is_decoded_to_an_endpoint():
     found = entries.decode_endpoint(stored(ENTRY))
     assert (found.host, found.port, found.slots) == ('10.0.0.1', 80, 9)
     assert found.staged == found.models == ('m',)
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    'odd',
+    'invalid',
     [
         {'state': 'asleep'},
         {'service': 3},
@@ -57,9 +57,9 @@
         {'staged': [3]},
     ],
 )
-def test_an_odd_entry_names_no_endpoint(odd):
+def test_invalid_entry_is_rejected(invalid):
     with pytest.raises(entries.EndpointEntryError):
-        entries.decode_endpoint(stored({**ENTRY, **odd}))
+        entries.decode_endpoint(stored({**ENTRY, **invalid}))
 
 
 json_values = strategies.recursive(
@@ -78,15 +78,15 @@
 @hypothesis.given(
     strategies.dictionaries(strategies.sampled_from(sorted(ENTRY)), json_values)
 )
-def test_any_entry_is_decoded_or_refused(odd):
+def test_any_entry_is_decoded_or_rejected(changes):
     try:
-        entries.decode_endpoint(stored({**ENTRY, **odd}))
+        entries.decode_endpoint(stored({**ENTRY, **changes}))
     except entries.EndpointEntryError:
         return
 
 
 @hypothesis.given(json_values)
-def test_any_configuration_is_decoded_or_refused(spec):
+def test_any_configuration_is_decoded_or_rejected(spec):
     try:
         configuration.decode_configuration(stored(spec))
     except configuration.ConfigurationError:
@@ -94,14 +94,14 @@
 
 
 @hypothesis.given(json_values)
-def test_any_settings_are_decoded_or_refused(document):
+def test_any_settings_are_decoded_or_rejected(document):
     try:
         settings.decode_settings(document)
     except settings.SettingsError:
         return
 
 
-def test_settings_that_lack_a_field_name_it(tmp_path):
+def test_settings_error_names_the_missing_field(tmp_path):
     path = tmp_path / 'settings.json'
     path.write_text('{"node": "n"}')
     with pytest.raises(settings.SettingsError, match="'listen'"):
@@ -111,7 +111,7 @@
         settings.read_settings(path)
 
 
-def test_a_stream_may_be_repeated_only_if_it_may_be_resumed():
+def test_stream_may_be_repeated_only_if_it_is_resumable():
     spec = {
         'version': 3,
         'routes': [
@@ -133,7 +133,7 @@
     assert found.limits == routes.DEFAULT_LIMITS
 
 
-def test_what_this_system_sets_is_never_the_callers():
+def test_callers_cannot_set_headers_of_this_system():
     request = messages.Request(
         method=b'POST',
         target=b'/a',
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize('text', ['', 'x', '1.5', '-3', '9' * 30, '²'])
-def test_an_unreadable_deadline_counts_as_none(text):
+def test_malformed_deadline_counts_as_not_stated(text):
     request = messages.Request(
         b'GET', b'/', [(b'x-deadline-ms', text.encode())], b'', True
     )
@@ -178,8 +178,8 @@
     assert found is None or found == int(text)
 
 
-def test_all_that_is_wrong_with_settings_is_told_at_once(tmp_path):
-    """An operator mends a file in one go; nothing listens meanwhile."""
+def test_all_settings_errors_are_reported_at_once(tmp_path):
+    """The operator can fix the file in one go, while no node listens."""
     path = tmp_path / 'settings.json'
     document = {
         'node': 7,
--- a/redwingvalve/platform/tests/test_lease_and_store.py
+++ b/redwingvalve/platform/tests/test_lease_and_store.py
@@ -1,4 +1,4 @@
-"""How the lease is handed on, and what holds while the store is away."""
+"""Tests of lease handover and of operation while the store is unavailable."""
 
 import anyio
 import pytest
@@ -8,31 +8,31 @@
 from redwingvalve.platform.tests import fleet_harness
 
 
-def test_the_lease_passes_on_soon_after_its_holder_stops():
+def test_lease_is_taken_over_soon_after_its_holder_stops():
     async def test(fleet):
         (holder,) = fleet_harness.lease_holders(fleet)
         holder.lease.is_releasing = True
-        # As after a kill: it says and renews nothing more.
-        holder.peers.send_status = lambda word, names: None
-        limit_s = lease_module.LEASE_DURATION_S * 2 + 1
+        # As after a kill: the holder sends no status and does not renew.
+        holder.peers.send_status = lambda message, names: None
+        timeout_s = lease_module.LEASE_DURATION_S * 2 + 1
         await fleet.wait_until(
             lambda: any(
                 node is not holder
                 for node in fleet_harness.lease_holders(fleet)
             ),
-            limit_s,
+            timeout_s,
         )
-        (new,) = [
+        (new_holder,) = [
             node
             for node in fleet_harness.lease_holders(fleet)
             if node is not holder
         ]
-        assert new.lease.term == holder.lease.term + 1
+        assert new_holder.lease.term == holder.lease.term + 1
 
     fleet_harness.run(test, nodes=3)
 
 
-def test_a_released_lease_is_taken_at_once():
+def test_released_lease_is_taken_over_immediately():
     async def test(fleet):
         (holder,) = fleet_harness.lease_holders(fleet)
         await holder.lease.release()
@@ -44,11 +44,11 @@
     fleet_harness.run(test, nodes=3)
 
 
-def test_a_holder_that_lost_the_store_stops_ordering():
-    """Two nodes never give orders at the same time.
+def test_holder_that_lost_the_store_stops_giving_orders():
+    """Two nodes must never give orders at the same time.
 
-    The store falls silent; the holder counts its term from before its last
-    renewal and stops when it is over.
+    When the store stops responding, the holder must stop at the end of its
+    term, which it counts from before its last renewal.
     """
 
     async def test(fleet):
@@ -65,7 +65,7 @@
     fleet_harness.run(test, nodes=2)
 
 
-def test_a_renewal_whose_answer_is_lost_does_not_lock_the_fleet_out():
+def test_renewal_with_a_lost_response_does_not_block_the_lease():
     async def test(fleet):
         fleet.store.faults.drops_write_responses = True
         await anyio.sleep(lease_module.LEASE_DURATION_S + 1)
@@ -77,22 +77,22 @@
     fleet_harness.run(test, nodes=2, engines=0)
 
 
-def test_requests_are_served_while_the_store_is_away():
+def test_requests_are_served_while_the_store_is_unavailable():
     async def test(fleet):
         fleet.store.faults.error_status = 503
         await anyio.sleep(0.5)
-        got = await fleet.caller().stream()
-        assert got.events == [1, 2, 3, 4, 5, 6]
+        response = await fleet.caller().stream()
+        assert response.events == [1, 2, 3, 4, 5, 6]
         fleet.store.faults.error_status = 0
 
     fleet_harness.run(test)
 
 
-def test_entries_that_lapsed_with_the_store_stay_in_use_for_a_moment():
-    """Callers are served right after the store is back.
+def test_entries_that_expired_during_an_outage_stay_in_use_briefly():
+    """Callers must be served as soon as the store is back.
 
-    While it was away all entries lapsed and its history went; living
-    endpoints write theirs anew within two seconds.
+    During the outage all entries expired and the history was dropped. Live
+    endpoints write new entries within two seconds.
     """
 
     async def test(fleet):
@@ -104,8 +104,8 @@
         fleet.store.drop_history()
         fleet.store.faults.error_status = 0
         await anyio.sleep(0.8)
-        got = await fleet.caller().ask('/card/1')
-        assert got.status == 200
+        response = await fleet.caller().ask('/card/1')
+        assert response.status == 200
         await anyio.sleep(2.2)
         assert not fleet.nodes[0].table.find_targets(
             fleet_harness.PLAIN_SERVICE, ''
@@ -114,13 +114,13 @@
     fleet_harness.run(test, engines=0)
 
 
-def test_entries_of_another_writer_name_no_endpoint():
+def test_malformed_entries_of_other_writers_are_ignored():
     async def test(fleet):
         known = len(fleet.nodes[0].registry.live)
         for number, spec in enumerate(
             ({}, {'service': 1}, 'text', None, {'state': 'sleeping'}, [])
         ):
-            fleet.store.put('servers', f'odd-{number}', spec)
+            fleet.store.put('servers', f'malformed-{number}', spec)
         await anyio.sleep(0.2)
         assert len(fleet.nodes[0].registry.live) == known
         assert (await fleet.caller().ask('/card/1')).status == 200
@@ -128,12 +128,12 @@
     fleet_harness.run(test, engines=0)
 
 
-def test_a_holder_that_was_suspended_gives_no_more_orders(monkeypatch):
-    """Two nodes never give orders: the sleeper finds its term over.
+def test_holder_whose_vm_was_suspended_gives_no_more_orders(monkeypatch):
+    """Two nodes must never give orders at the same time.
 
-    Its VM is suspended for three seconds, in which its steady clock stands
-    still; another node takes the lease. The first thing that runs when it
-    wakes is a task in the middle of its orders.
+    The holder's VM is suspended for three seconds, in which its monotonic
+    clock stops and another node takes the lease. After the resume, a task in
+    the middle of giving orders runs first and must find the term expired.
     """
 
     async def test(fleet):
@@ -150,45 +150,45 @@
     fleet_harness.run(test)
 
 
-def test_a_new_holder_reads_the_endpoints_before_its_first_order():
-    """No VM is in two replicas after the lease has changed hands.
+def test_new_holder_reads_the_endpoints_before_its_first_order():
+    """No VM may be in two replicas after the lease changes hands.
 
-    The last holder opened a replica just before it lost the lease. The next
-    one has not heard of that: its watch is held up. It must not let the
-    members join elsewhere by what it knew before.
+    The previous holder opened a replica just before it lost the lease. The
+    new holder has not seen that because its watch is delayed. It must not
+    order the members into another replica based on outdated state.
     """
 
     async def test(fleet):
         (holder,) = fleet_harness.lease_holders(fleet)
         (other,) = [node for node in fleet.nodes if node is not holder]
-        looked = []
+        reconciled = []
 
-        async def hang(kind, revision, wait_s):
+        async def never_respond(kind, revision, wait_s):
             await anyio.sleep(60)
 
-        with pytest.MonkeyPatch.context() as patched:
-            patched.setattr(
+        with pytest.MonkeyPatch.context() as patch:
+            patch.setattr(
                 controller.Controller,
                 'reconcile',
-                lambda made, engine: looked.append(made),
+                lambda self, engine: reconciled.append(self),
             )
-            patched.setattr(other.client, 'watch', hang)
+            patch.setattr(other.client, 'watch', never_respond)
             await anyio.sleep(3)
             await holder.lease.release()
             holder.status_exchange.broadcast_now()
             await fleet.wait_until(other.lease.is_held, 2)
             await anyio.sleep(0.3)
-            assert not set(looked) & set(other.control.controllers.values())
-            patched.undo()
-            patched.setattr(
+            assert not set(reconciled) & set(other.control.controllers.values())
+            patch.undo()
+            patch.setattr(
                 controller.Controller,
                 'reconcile',
-                lambda made, engine: looked.append(made),
+                lambda self, engine: reconciled.append(self),
             )
             other.endpoint_watch.refresh_now()
             await fleet.wait_until(
                 lambda: bool(
-                    set(looked) & set(other.control.controllers.values())
+                    set(reconciled) & set(other.control.controllers.values())
                 ),
                 1,
             )
--- a/redwingvalve/platform/tests/test_leaving.py
+++ b/redwingvalve/platform/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""How endpoints and nodes leave without a cut."""
+"""Tests of endpoints and nodes that leave without interrupting requests."""
 
 import contextlib
 import socket
@@ -8,7 +8,7 @@
 from redwingvalve.platform.tests import fleet_harness
 
 
-def test_a_leaving_member_lets_the_replica_finish_and_no_new_work_in():
+def test_replica_of_a_leaving_member_drains_and_gets_no_new_requests():
     async def test(fleet):
         head = fleet.head()
         member = fleet.endpoints[head.members[1]]
@@ -23,11 +23,15 @@
             ),
             1,
         )
-        closes = [o for o in head.orders if o['operation'] == 'close']
+        closes = [
+            order for order in head.orders if order['operation'] == 'close'
+        ]
         await fleet.wait_until(
-            lambda: any(o['operation'] == 'close' for o in head.orders)
+            lambda: any(order['operation'] == 'close' for order in head.orders)
         )
-        closes = [o for o in head.orders if o['operation'] == 'close']
+        closes = [
+            order for order in head.orders if order['operation'] == 'close'
+        ]
         assert closes[0]['close_mode'] == 'queue'
         await fleet.wait_until(
             lambda: all(
@@ -41,57 +45,57 @@
     fleet_harness.run(test)
 
 
-def test_callers_are_told_living_nodes_only():
+def test_directory_lists_only_live_nodes():
     async def test(fleet):
         fronts = {str(node.settings.front) for node in fleet.nodes}
         path = '/redwingvalve/resolve?name=x&region=r&zone=z'
 
-        async def told():
-            got = await fleet.directory().ask(path)
-            return set(fleet_harness.json.loads(got.body)['addresses'])
+        async def resolve():
+            response = await fleet.directory().ask(path)
+            return set(fleet_harness.json.loads(response.body)['addresses'])
 
         await anyio.sleep(0.5)
-        assert await told() == fronts
-        gone = fleet.nodes[2]
-        gone.peers.send_status = lambda word, names: None
-        gone.state.is_leaving = True
+        assert await resolve() == fronts
+        stopped_node = fleet.nodes[2]
+        stopped_node.peers.send_status = lambda message, names: None
+        stopped_node.state.is_leaving = True
         await anyio.sleep(1.5)
-        assert await told() == fronts - {str(gone.settings.front)}
+        assert await resolve() == fronts - {str(stopped_node.settings.front)}
 
     fleet_harness.run(test, nodes=3, engines=0)
 
 
-def test_a_node_that_stops_finishes_its_requests():
-    """A planned stop cuts nothing.
+def test_stopping_node_finishes_its_requests():
+    """A planned stop must not interrupt requests.
 
-    The node is told to stop in the middle of a stream: it isn't ready any
-    more, but the stream ends whole, and the node after it.
+    The node is told to stop in the middle of a stream: it reports that it is
+    not ready, completes the stream, and only then stops.
     """
 
     async def test(fleet):
         node = fleet.nodes[0]
         caller = fleet.caller()
-        taker = await caller.start_stream()
-        await fleet.wait_until(lambda: b'id: ' in taker.body)
+        reader = await caller.start_stream()
+        await fleet.wait_until(lambda: b'id: ' in reader.body)
         address = node.settings.ready
-        async with anyio.create_task_group() as group:
-            group.start_soon(node._stop)
+        async with anyio.create_task_group() as task_group:
+            task_group.start_soon(node._stop)
             await anyio.sleep(0.05)
             ready = fleet_harness.Caller((address.host, address.port))
-            got = await ready.ask('/redwingvalve/ready')
-            assert got.status == 503
-            await fleet.wait_until(taker.done.done, 2)
-            assert taker.done.result() == 'whole'
-            assert taker.body.count(b'id: ') == 6
+            response = await ready.ask('/redwingvalve/ready')
+            assert response.status == 503
+            await fleet.wait_until(reader.done.done, 2)
+            assert reader.done.result() == 'whole'
+            assert reader.body.count(b'id: ') == 6
 
     fleet_harness.run(test)
 
 
 def test_members_stay_while_a_head_that_left_finishes_its_requests():
-    """No VM is in two replicas while a leaving head still works.
+    """No VM may be in two replicas while a leaving head still serves.
 
-    The head leaves without a word: its entry goes, it answers on for a while,
-    then it listens no more but its last stream goes on.
+    The head leaves without announcing it: its entry is removed, it continues
+    to serve for a while, then stops listening while its last stream goes on.
     """
 
     async def test(fleet):
@@ -101,24 +105,24 @@
             'spare', fleet_harness.ENGINE_SERVICE, 'domain-1'
         )
         await anyio.sleep(0.5)
-        before = len(member.orders)
+        orders_before = len(member.orders)
         head.faults.never_drains = True
         fleet.store.remove('servers', head.endpoint_id)
-        # It serves on for two seconds at least.
+        # The head continues to serve for at least two seconds.
         await anyio.sleep(2.1)
-        # It listens no more, as it does before its last stream ends.
+        # It stops listening before its last stream ends.
         head.stop_listening()
         await anyio.sleep(4)
-        assert len(member.orders) == before
+        assert len(member.orders) == orders_before
 
     fleet_harness.run(test)
 
 
-def test_a_head_that_left_while_the_store_was_away_is_not_taken_for_dead():
-    """No VM is in two replicas after an outage of the store.
+def test_head_that_left_during_a_store_outage_is_not_considered_dead():
+    """No VM may be in two replicas after an outage of the store.
 
-    The head began to leave unseen; when the store is back it listens no more,
-    its last stream goes on, and its entry goes.
+    The head began to leave during the outage, unseen. When the store is back,
+    it no longer listens, its last stream goes on, and its entry is removed.
     """
 
     async def test(fleet):
@@ -134,20 +138,20 @@
         fleet.store.faults.error_status = 0
         head.stop_listening()
         fleet.nodes[0].table.suspect(head.endpoint_id, 'refused')
-        before = len(member.orders)
+        orders_before = len(member.orders)
         await anyio.sleep(0.7)
         fleet.store.remove('servers', head.endpoint_id)
         await anyio.sleep(3)
-        assert len(member.orders) == before
+        assert len(member.orders) == orders_before
 
     fleet_harness.run(test)
 
 
-def test_a_node_that_ends_gives_its_addresses_back():
-    """The next process at these addresses listens at once.
+def test_stopped_node_releases_its_addresses():
+    """The next process must be able to listen at these addresses immediately.
 
-    A node runs and ends; its port for the words of other nodes, which carries
-    both streams and datagrams, is bound again in the same process.
+    After a node has stopped, its peer port, which serves both TCP and UDP, is
+    bound again in the same process.
     """
 
     async def run():
@@ -157,5 +161,5 @@
 
     address = anyio.run(run)
     for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
-        with contextlib.closing(socket.socket(type=kind)) as again:
-            again.bind(address)
+        with contextlib.closing(socket.socket(type=kind)) as rebound:
+            rebound.bind(address)
--- a/redwingvalve/platform/tests/test_orders.py
+++ b/redwingvalve/platform/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""How nodes form and mend replicas, and which head keeps its members."""
+"""Tests of how replicas are formed and repaired, and of member ownership."""
 
 import asyncio
 import time
@@ -23,11 +23,11 @@
     fleet_harness.run(test, nodes=3)
 
 
-def test_a_dead_member_is_replaced_by_the_spare():
-    """Requests go on, and the survivor serves with the spare in seconds.
+def test_dead_member_is_replaced_by_the_spare():
+    """Requests succeed, and the survivor serves with the spare in seconds.
 
-    The second member of a replica crashes; its head stands still. The head is
-    closed before its replica's survivor joins another one.
+    The second member of a replica crashes, which stalls its head. The head
+    must be closed before it joins another replica.
     """
 
     async def test(fleet):
@@ -40,54 +40,55 @@
         head.faults.is_stalled = True
         dead.crash()
         for _ in range(3):
-            got = await fleet.caller().stream()
-            assert got.events == [1, 2, 3, 4, 5, 6]
+            response = await fleet.caller().stream()
+            assert response.events == [1, 2, 3, 4, 5, 6]
 
-        def is_mended():
+        def is_repaired():
             head.faults.is_stalled = head.members[1] == dead.endpoint_id
             return len(fleet.targets()) == 2
 
-        await fleet.wait_until(is_mended)
+        await fleet.wait_until(is_repaired)
         for name, members in fleet_harness.open_replica_members(fleet).items():
             assert name == members[0] and dead.endpoint_id not in members
         operations = [order['operation'] for order in head.orders]
-        closed = operations.index('close')
-        assert operations[closed + 1 :].count('join') == 1
+        close_index = operations.index('close')
+        assert operations[close_index + 1 :].count('join') == 1
 
     fleet_harness.run(test)
 
 
-def test_a_dark_head_is_not_replaced_before_its_entry_is_gone():
-    """No VM is in two replicas: the head may be open beyond a cut.
+def test_unresponsive_head_is_not_replaced_before_its_entry_expires():
+    """No VM may be in two replicas: the head may be open behind a partition.
 
-    The head answers nobody, but its entry stands: its member stays where it
-    is until the entry has lapsed.
+    The head responds to nobody, but its entry exists: its member must stay in
+    the replica until the entry has expired.
     """
 
     async def test(fleet):
         head = fleet.head()
         member = fleet.endpoints[head.members[1]]
-        before = len(member.orders)
+        orders_before = len(member.orders)
         head.faults.is_unresponsive = True
-        got = await fleet.caller().stream()
-        assert got.ending == 'whole' or got.status == 502
+        response = await fleet.caller().stream()
+        assert response.ending == 'whole' or response.status == 502
         await anyio.sleep(1.5)
-        assert len(member.orders) == before
+        assert len(member.orders) == orders_before
         fleet.store.remove('servers', head.endpoint_id)
         spare = await fleet.add_endpoint(
             'spare', fleet_harness.ENGINE_SERVICE, 'domain-1'
         )
-        await fleet.wait_until(lambda: bool(member.orders[before:]))
+        await fleet.wait_until(lambda: bool(member.orders[orders_before:]))
         await fleet.wait_until(lambda: bool(spare.orders))
 
     fleet_harness.run(test)
 
 
-def test_a_spare_that_still_loads_is_not_dealt_another_model():
-    """A spare keeps the model of its domain.
+def test_spare_that_is_still_loading_is_not_assigned_another_model():
+    """A spare must keep the model of its domain.
 
-    It was told to join alone, which loads the weights for a while; nothing in
-    its entry shows that yet, so that it looked empty and was dealt anew.
+    The spare was ordered to join alone, which takes a while to load the
+    weights. Its entry does not show that yet, so that it looked empty and was
+    assigned a model again.
     """
 
     async def test(fleet):
@@ -103,30 +104,30 @@
     fleet_harness.run(test, engines=5)
 
 
-def test_an_endpoint_that_did_not_answer_is_not_asked_to_join():
-    """The survivors of a replica are not held up by its dead member.
+def test_unresponsive_endpoint_is_not_ordered_to_join():
+    """A dead member must not delay the survivors of its replica.
 
-    The member is dark and its entry stands for some seconds more.
+    The member is unresponsive, but its entry exists for some more seconds.
     """
 
     async def test(fleet):
         head = fleet.head()
         dead = fleet.endpoints[head.members[1]]
-        before = len(dead.orders)
+        orders_before = len(dead.orders)
         dead.faults.is_unresponsive = True
         head.faults.is_stalled = True
         await fleet.caller().stream()
         await anyio.sleep(4)
-        assert len(dead.orders) == before
+        assert len(dead.orders) == orders_before
 
     fleet_harness.run(test)
 
 
-def test_a_suspicion_after_an_all_clear_stands():
-    """An endpoint that falls silent again is out of use again.
+def test_suspicion_is_not_cleared_by_an_older_healthy_status():
+    """An endpoint that stops responding again must be taken out of use again.
 
-    The holder said that it is sound; datagrams that repeat this arrive after
-    the new suspicion.
+    The holder announced that the endpoint is healthy; datagrams that repeat
+    this arrive after the new suspicion.
     """
 
     async def test(fleet):
@@ -142,11 +143,11 @@
     fleet_harness.run(test, nodes=2)
 
 
-def test_a_head_that_may_still_be_opened_keeps_its_members():
-    """No VM is in two replicas when an order to open is carried out late.
+def test_head_that_may_still_open_keeps_its_members():
+    """No VM may be in two replicas if an order to open is executed late.
 
-    The head doesn't answer the order to open, then its member is ordered
-    elsewhere; seconds later the order is carried out after all.
+    The head does not acknowledge the order to open, its member is ordered into
+    another replica, and seconds later the head executes the order.
     """
 
     async def test(fleet):
@@ -157,12 +158,12 @@
         )
         await fleet.wait_until(lambda: bool(spare.group))
         await fleet.caller().stream()
-        # The replica is formed anew, and the head keeps the next order back.
+        # The replica is formed again, and the head delays the order to open.
         head.faults.delayed_operations = ('open',)
         head.crash_and_restart()
-        joined = []
+        violations = []
 
-        def is_in_two():
+        def record_members_in_two_replicas():
             for endpoint in fleet.endpoints.values():
                 group = endpoint.group
                 if not group or group['state'] != 'open':
@@ -170,23 +171,23 @@
                 for name in endpoint.members:
                     other = fleet.endpoints[name].group
                     if other and other['name'] != group['name']:
-                        joined.append((name, other['name'], group['name']))
+                        violations.append((name, other['name'], group['name']))
 
-        limit_s = fleet_harness.time.monotonic() + 8
-        while fleet_harness.time.monotonic() < limit_s:
-            is_in_two()
-            assert not joined
+        deadline_s = fleet_harness.time.monotonic() + 8
+        while fleet_harness.time.monotonic() < deadline_s:
+            record_members_in_two_replicas()
+            assert not violations
             await anyio.sleep(0.02)
         assert member.group
 
     fleet_harness.run(test)
 
 
-def test_a_head_that_opened_beyond_a_cut_keeps_its_member():
-    """No VM is in two replicas while a head is cut off from the store.
+def test_head_that_opened_behind_a_partition_keeps_its_member():
+    """No VM may be in two replicas while a head is cut off from the store.
 
-    The head takes the order to open, but its entry still says ready and then
-    lapses: only the head itself can tell that it serves.
+    The head executes the order to open, but its entry still says ready and
+    then expires: only the head itself can report that it serves.
     """
 
     async def test(fleet):
@@ -203,14 +204,14 @@
 
         write_entry = head.write_entry
 
-        def write_and_be_cut_off():
-            """Be cut off by the write that says ready, for both members."""
+        def write_entry_and_cut_off():
+            """Cut the head off once it is ready with two members."""
             write_entry()
             state = (head.group or {}).get('state')
             if state == 'ready' and len(head.members) == 2:
                 head.faults.is_cut_off_from_store = True
 
-        head.write_entry = write_and_be_cut_off
+        head.write_entry = write_entry_and_cut_off
         await fleet.wait_until(
             lambda: (head.group or {}).get('state') == 'open'
         )
@@ -221,8 +222,8 @@
         )
         other.staged = [fleet_harness.SMALL_MODEL]
         other.write_entry()
-        limit_s = fleet_harness.time.monotonic() + 4
-        while fleet_harness.time.monotonic() < limit_s:
+        deadline_s = fleet_harness.time.monotonic() + 4
+        while fleet_harness.time.monotonic() < deadline_s:
             if head.group and head.group['state'] == 'open':
                 assert member.group['name'] == head.group['name']
             await anyio.sleep(0.02)
@@ -231,11 +232,11 @@
     fleet_harness.run(test)
 
 
-def test_a_fleet_starts_at_once_though_the_lease_passes_on():
-    """Callers are served from the start, whoever forms the replicas.
+def test_fleet_starts_immediately_after_the_lease_changed_hands():
+    """Callers are served from the start, whichever node forms the replicas.
 
-    The lease is in its second term when the first endpoint is listed; loads
-    take their full time, one by one, only once requests come.
+    The lease is in its second term when the first endpoint is listed. Loads
+    take their full time, one after another, only once requests arrive.
     """
 
     async def test(fleet):
@@ -249,18 +250,19 @@
     fleet_harness.run(test, engines=8, lease_term=1)
 
 
-def test_a_replica_is_not_opened_while_a_later_join_may_reach_a_member():
-    """No VM leaves a replica that serves when an order comes late.
+def test_replica_is_not_opened_while_a_later_join_may_reach_a_member():
+    """No VM may leave a serving replica because an order is executed late.
 
-    The head was told to join another replica and didn't answer; its old one
-    is ready, so that it looked fit to be opened. Seconds later it joins.
+    The head was ordered to join another replica and did not respond. Its old
+    replica is ready, so that it looked fit to be opened. Seconds later the
+    head executes the order to join.
     """
 
     async def test(fleet):
         await fleet.caller().stream()
         head = fleet.head()
         member = fleet.endpoints[head.members[1]]
-        # The next joins stay unanswered and are carried out late.
+        # The next orders to join get no response and are executed late.
         for endpoint in (head, member):
             endpoint.faults.delayed_operations = ('join',)
             endpoint.faults.order_delay_s = 4.5
@@ -271,20 +273,20 @@
             head.group['epoch'],
             False,
         )
-        old = head.group['name']
-        past = control._history.get((old, head.group['epoch']))
-        past.is_head_stopped = True
+        old_name = head.group['name']
+        record = control._history.get((old_name, head.group['epoch']))
+        record.is_head_stopped = True
         await fleet.wait_until(
             lambda: any(
-                order['operation'] == 'join' and order['group'] != old
+                order['operation'] == 'join' and order['group'] != old_name
                 for order in head.orders
             )
         )
-        past.is_head_stopped = False
-        limit_s = fleet_harness.time.monotonic() + 5
-        while fleet_harness.time.monotonic() < limit_s:
+        record.is_head_stopped = False
+        deadline_s = fleet_harness.time.monotonic() + 5
+        while fleet_harness.time.monotonic() < deadline_s:
             group = head.group
-            is_old = group and group['name'] == old
+            is_old = group and group['name'] == old_name
             assert not (is_old and group['state'] == 'open')
             await anyio.sleep(0.02)
         assert member.group
@@ -292,12 +294,12 @@
     fleet_harness.run(test)
 
 
-def test_a_pause_while_members_join_leaves_no_endpoint_out(monkeypatch):
-    """A fleet is formed a moment later, not five seconds later.
+def test_pause_while_members_join_excludes_no_endpoint(monkeypatch):
+    """The fleet must be formed a moment later, not five seconds later.
 
-    The holder of the lease stands still for 0.4 s just after it has told the
-    members to join. Its timeouts have passed when it goes on, before it reads
-    the answers; no endpoint is lost.
+    The lease holder is paused for 0.4 s just after it ordered the members to
+    join. Its timeouts expire before it reads the responses; no endpoint may be
+    excluded because of that.
     """
     join = endpoint_orders.EndpointClient.join
     joined = []
--- a/redwingvalve/platform/tests/test_starting.py
+++ b/redwingvalve/platform/tests/test_starting.py
@@ -1,4 +1,4 @@
-"""Callers that come while a node starts."""
+"""Tests of callers that connect while a node starts."""
 
 import subprocess
 import sys
@@ -12,12 +12,12 @@
 IMPORTED_LATE = ('asyncio', 'anyio', 'thriftpy2', 'redwingvalve.node.daemon')
 
 
-def test_a_caller_that_comes_before_the_node_runs_is_served():
-    """The caller gets its answer, some tenths of a second later.
+def test_caller_that_connects_before_the_node_runs_is_served():
+    """The caller must get its response, some tenths of a second later.
 
     All nodes were killed. The caller connects as soon as the address listens,
-    before the node is made and long before it knows the configuration. Turned
-    away then, with a reset or with 503, it has one try left.
+    before the node is created and long before it knows the configuration. If
+    it were rejected with a reset or 503, it would have only one retry left.
     """
 
     async def test(fleet):
@@ -43,8 +43,8 @@
     fleet_harness.run(test, nodes=0, engines=0)
 
 
-def test_callers_are_told_to_come_back_when_the_store_is_away():
-    """Without a configuration, a node that has started says so at once."""
+def test_callers_are_told_to_retry_when_the_store_is_unavailable():
+    """A started node without a configuration must respond immediately."""
 
     async def test(fleet):
         fleet.store.faults.error_status = 503
@@ -66,19 +66,19 @@
 
 
 @pytest.mark.parametrize('module', IMPORTED_LATE)
-def test_a_node_listens_before_its_large_imports(module):
-    """Importing them takes three quarters of a start's processor time."""
+def test_node_listens_before_its_large_imports(module):
+    """These imports take three quarters of the CPU time of a start."""
     code = (
         'import sys, redwingvalve.node.__main__;'
         f'sys.exit({module!r} in sys.modules)'
     )
-    ended = subprocess.run([sys.executable, '-c', code], check=False)
-    assert ended.returncode == 0
+    completed = subprocess.run([sys.executable, '-c', code], check=False)
+    assert completed.returncode == 0
 
 
-def test_an_address_in_use_is_named():
+def test_error_names_the_address_in_use():
     settings = fleet_harness.node_settings('node-0', '127.0.0.1:1')
-    held = early_sockets.listen_at(settings.front)
+    bound = early_sockets.listen_at(settings.front)
     with pytest.raises(OSError, match=str(settings.front)):
         early_sockets.listen_early(settings)
-    held.close()
+    bound.close()
