--- a/redwingvalve/platform/settings.py
+++ b/redwingvalve/platform/settings.py
@@ -24,7 +24,7 @@
     def __init__(self, found: findings.Findings) -> None:
         """Store all findings."""
         super().__init__(str(found))
-        self.found = found
+        self.findings = found
 
 
 @attrs.frozen
@@ -106,8 +106,8 @@
     """Decode the parsed file; raises SettingsError."""
     reader = _FieldReader(document, file_name)
     node_settings = _decode(reader)
-    if reader.found:
-        raise SettingsError(findings.Findings(tuple(reader.found)))
+    if reader.findings:
+        raise SettingsError(findings.Findings(tuple(reader.findings)))
     return node_settings
 
 
@@ -115,7 +115,7 @@
     """Reads fields by their path and collects errors."""
 
     def __init__(self, document: typing.Any, file_name: str) -> None:
-        self.found: list[findings.Finding] = []
+        self.findings: list[findings.Finding] = []
         self._document = document
         self._file_name = file_name
 
@@ -154,7 +154,7 @@
 
     def _add_finding(self, path: str, message: str) -> None:
         place = findings.Place(self._file_name, path=path)
-        self.found.append(findings.Finding(place, message))
+        self.findings.append(findings.Finding(place, message))
 
 
 def _decode(fields: _FieldReader) -> NodeSettings:
