--- a/redwingvalve/platform/caller_requests.py
+++ b/redwingvalve/platform/caller_requests.py
@@ -43,8 +43,8 @@
 def read_data_centre(request: messages.Request) -> str:
     """Return the data centre in a directory request, '' if not stated."""
     query = urllib.parse.urlsplit(request.target.decode('latin-1')).query
-    found = urllib.parse.parse_qs(query).get(names.DATA_CENTRE_PARAMETER)
-    return found[0] if found else ''
+    data_centres = urllib.parse.parse_qs(query).get(names.DATA_CENTRE_PARAMETER)
+    return data_centres[0] if data_centres else ''
 
 
 def read_request(request: messages.Request) -> CallerRequest:
--- a/redwingvalve/platform/tests/test_decoding.py
+++ b/redwingvalve/platform/tests/test_decoding.py
@@ -36,11 +36,11 @@
 
 
 def test_entry_is_decoded_to_an_endpoint():
-    found = entries.decode_endpoint(stored(ENTRY))
-    assert (found.host, found.port, found.slots) == ('10.0.0.1', 80, 9)
-    assert found.staged == found.models == ('m',)
-    assert found.membership.state is endpoints.MemberState.OPEN
-    assert not found.draining
+    endpoint = entries.decode_endpoint(stored(ENTRY))
+    assert (endpoint.host, endpoint.port, endpoint.slots) == ('10.0.0.1', 80, 9)
+    assert endpoint.staged == endpoint.models == ('m',)
+    assert endpoint.membership.state is endpoints.MemberState.OPEN
+    assert not endpoint.draining
 
 
 @pytest.mark.parametrize(
@@ -127,10 +127,10 @@
         ],
         'services': [],
     }
-    found = configuration.decode_configuration(stored(spec))
-    assert [one.may_repeat for one in found.routes] == [True, False]
-    assert not found.needs_keys
-    assert found.limits == routes.DEFAULT_LIMITS
+    decoded = configuration.decode_configuration(stored(spec))
+    assert [route.may_repeat for route in decoded.routes] == [True, False]
+    assert not decoded.needs_keys
+    assert decoded.limits == routes.DEFAULT_LIMITS
 
 
 def test_callers_cannot_set_headers_of_this_system():
@@ -174,12 +174,12 @@
     request = messages.Request(
         b'GET', b'/', [(b'x-deadline-ms', text.encode())], b'', True
     )
-    found = caller_requests.read_request(request).deadline_ms
-    assert found is None or found == int(text)
+    deadline_ms = caller_requests.read_request(request).deadline_ms
+    assert deadline_ms is None or deadline_ms == int(text)
 
 
 def test_all_settings_errors_are_reported_at_once(tmp_path):
-    """The operator can fix the file in one go, while no node listens."""
+    """The operator can fix the file in finding go, while no node listens."""
     path = tmp_path / 'settings.json'
     document = {
         'node': 7,
@@ -195,8 +195,9 @@
     path.write_text(json.dumps(document))
     with pytest.raises(settings.SettingsError) as caught:
         settings.read_settings(path)
-    found = {
-        one.place.path: one.message for one in caught.value.findings.entries
+    messages_by_path = {
+        finding.place.path: finding.message
+        for finding in caught.value.findings.entries
     }
     assert {
         'node',
@@ -210,6 +211,6 @@
         'bounds.drain_ms',
         'bounds.grace_s',
         'bounds.budget_extra',
-    } <= set(found)
-    assert 'zone' not in found
+    } <= set(messages_by_path)
+    assert 'zone' not in messages_by_path
     assert all(str(path) in line for line in str(caught.value).splitlines())
