--- a/redwingvalve/ingress/admission_control.py
+++ b/redwingvalve/ingress/admission_control.py
@@ -25,7 +25,7 @@
     urgency: int
     # Moments of this process's monotonic clock.
     timeout_at_s: float
-    caller_until_s: float
+    caller_deadline_s: float
     # Seconds to read the prompt, and between two events, at an endpoint.
     prompt_s: float
     pause_s: float
@@ -36,7 +36,7 @@
 def admit(
     configuration: routes.Configuration | None,
     caller: caller_requests.CallerRequest,
-    chance: random.Random,
+    rng: random.Random,
     now_s: float,
 ) -> Admission | refusals.Refusal:
     """Find route and account of a request, or why it is refused."""
@@ -46,12 +46,12 @@
     if route is None:
         return refusals.NO_ROUTE
     account = configuration.accounts_by_key.get(caller.key)
-    must_have_key = configuration.needs_keys and not route.anonymous
-    if must_have_key and account is None:
+    requires_key = configuration.needs_keys and not route.anonymous
+    if requires_key and account is None:
         return refusals.UNKNOWN_KEY
-    service = routes.pick_service(route, chance)
+    service = routes.pick_service(route, rng)
     engine = configuration.find_engine(service)
-    timeout_ms, caller_ms = _waits_ms(route, caller)
+    timeout_ms, caller_ms = _timeouts_ms(route, caller)
     return Admission(
         route=route,
         service=service,
@@ -59,28 +59,28 @@
         account=account.name if account else None,
         urgency=min(_priority(route, account), MAX_URGENCY),
         timeout_at_s=now_s + timeout_ms / _MS_IN_S,
-        caller_until_s=now_s + caller_ms / _MS_IN_S,
-        prompt_s=_prompt_s(engine, caller),
-        pause_s=_pause_s(engine, caller.model),
+        caller_deadline_s=now_s + caller_ms / _MS_IN_S,
+        prompt_s=_prompt_read_s(engine, caller),
+        pause_s=_event_interval_s(engine, caller.model),
     )
 
 
-def with_return(
+def mark_caller_retry(
     admission: Admission,
     caller: caller_requests.CallerRequest,
-    deadlines: caller_retries.FirstDeadlines,
+    deadlines: caller_retries.DeadlineHistory,
     now_s: float,
 ) -> Admission:
     """Return what was decided, with whether the caller has come back."""
     if caller.deadline_ms is None:
         return admission
     key = (admission.route.name, admission.account)
-    if not deadlines.is_return(key, caller.deadline_ms, now_s):
+    if not deadlines.is_caller_retry(key, caller.deadline_ms, now_s):
         return admission
     return attrs.evolve(admission, has_returned=True)
 
 
-def _waits_ms(
+def _timeouts_ms(
     route: routes.Route, caller: caller_requests.CallerRequest
 ) -> tuple[int, int]:
     """Return how long we may take, and how long the caller waits."""
@@ -96,7 +96,7 @@
     return account.priority
 
 
-def _prompt_s(
+def _prompt_read_s(
     engine: routes.Engine | None, caller: caller_requests.CallerRequest
 ) -> float:
     model = engine.find_model(caller.model) if engine else None
@@ -105,7 +105,7 @@
     return caller.prompt_tokens / engine.prompt_tokens_per_s * model.pace
 
 
-def _pause_s(engine: routes.Engine | None, name: str) -> float:
+def _event_interval_s(engine: routes.Engine | None, name: str) -> float:
     model = engine.find_model(name) if engine else None
     if engine is None or model is None:
         return 0
--- a/redwingvalve/ingress/duration_estimates.py
+++ b/redwingvalve/ingress/duration_estimates.py
@@ -9,15 +9,15 @@
 import attrs
 
 # Half of a change is known after fourteen observations.
-STEP = 0.05
+SMOOTHING_FACTOR = 0.05
 # One observation counts for no more than so many times the estimate.
 OUTLIER_FACTOR = 4.0
 # Before anything was seen; a goal of the callers bounds what follows from it.
-BEGIN_START_S = 0.15
-HOLD_START_S = 0.5
-LEAST_S = 0.01
-BEGIN_MOST_S = 10.0
-HOLD_MOST_S = 60.0
+INITIAL_FIRST_EVENT_S = 0.15
+INITIAL_HOLD_S = 0.5
+MIN_S = 0.01
+MAX_FIRST_EVENT_S = 10.0
+MAX_HOLD_S = 60.0
 
 
 @attrs.define
@@ -25,14 +25,14 @@
     """An estimate of a duration, in seconds."""
 
     seconds: float
-    lowest_s: float
-    highest_s: float
+    min_s: float
+    max_s: float
 
-    def observe(self, seen_s: float) -> None:
+    def observe(self, observed_s: float) -> None:
         """Take one more observation."""
-        highest_s = min(self.highest_s, OUTLIER_FACTOR * self.seconds)
-        bounded_s = min(max(seen_s, self.lowest_s), highest_s)
-        self.seconds += STEP * (bounded_s - self.seconds)
+        max_s = min(self.max_s, OUTLIER_FACTOR * self.seconds)
+        bounded_s = min(max(observed_s, self.min_s), max_s)
+        self.seconds += SMOOTHING_FACTOR * (bounded_s - self.seconds)
 
 
 def make_first_event_estimate() -> DurationEstimate:
@@ -40,9 +40,9 @@
 
     From a send to the first byte for the caller, without reading the prompt.
     """
-    return DurationEstimate(BEGIN_START_S, LEAST_S, BEGIN_MOST_S)
+    return DurationEstimate(INITIAL_FIRST_EVENT_S, MIN_S, MAX_FIRST_EVENT_S)
 
 
 def make_hold_time_estimate() -> DurationEstimate:
     """Return for how long a request holds its place, before any was seen."""
-    return DurationEstimate(HOLD_START_S, LEAST_S, HOLD_MOST_S)
+    return DurationEstimate(INITIAL_HOLD_S, MIN_S, MAX_HOLD_S)
--- a/redwingvalve/ingress/load_balancing.py
+++ b/redwingvalve/ingress/load_balancing.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-DRAWN_TARGETS = 2
+CANDIDATE_COUNT = 2
 
 
 @attrs.frozen
@@ -62,18 +62,18 @@
 
 
 def sample_candidates(
-    targets: collections_abc.Sequence[Target], chance: random.Random
+    targets: collections_abc.Sequence[Target], rng: random.Random
 ) -> collections_abc.Sequence[Target]:
     """Return the targets among which a request chooses."""
-    if len(targets) <= DRAWN_TARGETS:
+    if len(targets) <= CANDIDATE_COUNT:
         return targets
-    return chance.sample(targets, DRAWN_TARGETS)
+    return rng.sample(targets, CANDIDATE_COUNT)
 
 
 def choose_least_loaded(
     targets: collections_abc.Iterable[Target],
     loads: EndpointLoads,
-    chance: random.Random,
+    rng: random.Random,
     avoid: collections_abc.Container[str] = (),
     slow: collections_abc.Container[str] = (),
 ) -> Target | None:
@@ -86,12 +86,12 @@
     for target in targets:
         if target.endpoint_id in avoid:
             continue
-        filled = loads.by_endpoint.get(target.endpoint_id, 0) / max(
+        utilization = loads.by_endpoint.get(target.endpoint_id, 0) / max(
             target.slots, 1
         )
-        if filled >= 1:
+        if utilization >= 1:
             continue
-        rank = (target.endpoint_id in slow, filled, chance.random())
+        rank = (target.endpoint_id in slow, utilization, rng.random())
         if rank < best_rank:
             best = target
             best_rank = rank
--- a/redwingvalve/ingress/poison.py
+++ b/redwingvalve/ingress/poison.py
@@ -18,22 +18,22 @@
 
 # A life that ends is seen at the next heartbeat that fails to come, or at
 # once where the endpoint starts again.
-CRASH_SEEN_S = 6.0
-CRASHES_TO_REFUSE = 3
+CRASH_DETECTION_S = 6.0
+MIN_CRASHES_TO_REFUSE = 3
 # A request that crashed something this long ago is tried once more.
-FORGET_S = 120.0
-MAX_KEPT = 10_000
+CRASH_RETENTION_S = 120.0
+MAX_RECORDS = 10_000
 _DIGEST_BYTES = 7
 
 
 @attrs.define(eq=False)
 class _Record:
     crashes: int = 0
-    last_s: float = 0.0
+    last_crash_s: float = 0.0
 
 
 @attrs.frozen
-class _Break:
+class _Disconnect:
     fingerprint: int
     incarnation: tuple[str, int]
     at_s: float
@@ -48,44 +48,48 @@
         """Start without crashes."""
         self._clock = clock
         self._records: dict[int, _Record] = {}
-        self._breaks: list[_Break] = []
+        self._disconnects: list[_Disconnect] = []
 
     def is_poison(self, fingerprint: int) -> bool:
         """Return whether a request is to be refused."""
         record = self._records.get(fingerprint)
-        if record is None or record.crashes < CRASHES_TO_REFUSE:
+        if record is None or record.crashes < MIN_CRASHES_TO_REFUSE:
             return False
-        return self._clock() - record.last_s < FORGET_S
+        return self._clock() - record.last_crash_s < CRASH_RETENTION_S
 
-    def broke(self, fingerprint: int, incarnation: tuple[str, int]) -> None:
+    def record_disconnect(
+        self, fingerprint: int, incarnation: tuple[str, int]
+    ) -> None:
         """Note that a request's connection broke at an endpoint."""
-        if len(self._breaks) < MAX_KEPT:
-            self._breaks.append(_Break(fingerprint, incarnation, self._clock()))
+        if len(self._disconnects) < MAX_RECORDS:
+            self._disconnects.append(
+                _Disconnect(fingerprint, incarnation, self._clock())
+            )
 
-    def answered(self, fingerprint: int) -> None:
+    def record_answer(self, fingerprint: int) -> None:
         """Clear a request that an endpoint has answered."""
         self._records.pop(fingerprint, None)
-        self._breaks = [
-            one for one in self._breaks if one.fingerprint != fingerprint
+        self._disconnects = [
+            one for one in self._disconnects if one.fingerprint != fingerprint
         ]
 
     @property
     def has_unresolved_disconnects(self) -> bool:
         """Return whether broken connections are still to be judged."""
-        return bool(self._breaks)
+        return bool(self._disconnects)
 
     def resolve_disconnects(
-        self, living: typing.Container[tuple[str, int]]
+        self, live_incarnations: typing.Container[tuple[str, int]]
     ) -> None:
         """Count the breaks whose endpoints have died since."""
         now_s = self._clock()
-        left = []
-        for one in self._breaks:
-            if one.incarnation not in living:
+        unresolved = []
+        for one in self._disconnects:
+            if one.incarnation not in live_incarnations:
                 self._count(one.fingerprint, 1)
-            elif now_s - one.at_s < CRASH_SEEN_S:
-                left.append(one)
-        self._breaks = left
+            elif now_s - one.at_s < CRASH_DETECTION_S:
+                unresolved.append(one)
+        self._disconnects = unresolved
 
     def recent_crashes(self) -> dict[int, int]:
         """Return crashes that other nodes should know of."""
@@ -93,7 +97,7 @@
         return {
             fingerprint: record.crashes
             for fingerprint, record in self._records.items()
-            if now_s - record.last_s < CRASH_SEEN_S
+            if now_s - record.last_crash_s < CRASH_DETECTION_S
         }
 
     def merge_crashes(self, counts: dict[int, int]) -> None:
@@ -106,11 +110,11 @@
     def _count(
         self, fingerprint: int, crashes: int, *, is_total: bool = False
     ) -> None:
-        if len(self._records) >= MAX_KEPT:
+        if len(self._records) >= MAX_RECORDS:
             self._records.pop(next(iter(self._records)))
         record = self._records.setdefault(fingerprint, _Record())
         record.crashes = crashes if is_total else record.crashes + crashes
-        record.last_s = self._clock()
+        record.last_crash_s = self._clock()
 
 
 def fingerprint(target: bytes, account: str | None, body: bytes) -> int:
--- a/redwingvalve/ingress/refusals.py
+++ b/redwingvalve/ingress/refusals.py
@@ -21,17 +21,17 @@
 POISON_RETRY_AFTER_S = 30.0
 # Callers leave a stream on which nothing comes for the longest of these; a
 # request may wait for most of it and still reach its caller.
-PATIENCE_S = 2.0
-PATIENCE_GOALS = 4.0
-PATIENCE_PAUSES = 8.0
-WAIT_SHARE = 0.75
+MIN_CALLER_PATIENCE_S = 2.0
+CALLER_PATIENCE_GOALS = 4.0
+CALLER_PATIENCE_GAPS = 8.0
+PATIENCE_WAIT_SHARE = 0.75
 # Of the time that a request still has.
-LEFT_SHARE = 0.5
+TIME_LEFT_WAIT_SHARE = 0.5
 # What a request may wait and be on time is at least and at most this share of
 # its goal, however long answers seem to take to begin.
-ON_TIME_LEAST_SHARE = 0.1
-ON_TIME_MOST_SHARE = 0.8
-RETRY_SPREAD = 0.25
+MIN_ON_TIME_SHARE = 0.1
+MAX_ON_TIME_SHARE = 0.8
+RETRY_AFTER_JITTER = 0.25
 _MS_IN_S = 1000.0
 
 
@@ -61,19 +61,19 @@
 )
 NO_ROUTE: typing.Final = Refusal(NOT_FOUND, 'no route')
 UNKNOWN_KEY: typing.Final = Refusal(UNAUTHORIZED, 'unknown key')
-NO_PLACE: typing.Final = Refusal(
+NO_FREE_SLOT: typing.Final = Refusal(
     UNAVAILABLE, 'no endpoint has a free place', RETRY_AFTER_S
 )
 POISON: typing.Final = Refusal(
     UNAVAILABLE, 'this request has crashed endpoints', POISON_RETRY_AFTER_S
 )
-UNKNOWN_FATE: typing.Final = Refusal(
+INCOMPLETE_ANSWER: typing.Final = Refusal(
     BAD_GATEWAY, 'the endpoint gave no whole answer; it may have run'
 )
-TOO_LATE: typing.Final = Refusal(GATEWAY_TIMEOUT, 'no answer in time')
+TIMED_OUT: typing.Final = Refusal(GATEWAY_TIMEOUT, 'no answer in time')
 
 
-def of(
+def for_failed_request(
     may_have_run: bool,
     is_timeout: bool,
     retry_after_s: float = RETRY_AFTER_S,
@@ -84,28 +84,28 @@
     only used if no endpoint may have begun it; it says when to come back.
     """
     if not may_have_run:
-        return attrs.evolve(NO_PLACE, retry_after_s=retry_after_s)
-    return TOO_LATE if is_timeout else UNKNOWN_FATE
+        return attrs.evolve(NO_FREE_SLOT, retry_after_s=retry_after_s)
+    return TIMED_OUT if is_timeout else INCOMPLETE_ANSWER
 
 
-def spread_s(retry_after_s: float, chance: random.Random) -> float:
+def with_jitter_s(retry_after_s: float, rng: random.Random) -> float:
     """Return a time about retry_after_s, in seconds.
 
     Callers that are refused together don't come back together.
     """
-    factor = chance.uniform(1 - RETRY_SPREAD, 1 + RETRY_SPREAD)
+    factor = rng.uniform(1 - RETRY_AFTER_JITTER, 1 + RETRY_AFTER_JITTER)
     return round(retry_after_s * factor, 2)
 
 
-def on_time_wait_s(route: routes.Route, begin_s: float) -> float:
+def on_time_wait_s(route: routes.Route, first_event_s: float) -> float:
     """Return after what wait an answer begins late, in seconds.
 
     begin_s is how long an answer takes to begin once its request has a place.
     """
     goal_s = route.goal_ms / _MS_IN_S
-    least_s = ON_TIME_LEAST_SHARE * goal_s
-    most_s = ON_TIME_MOST_SHARE * goal_s
-    return min(max(goal_s - begin_s, least_s), most_s)
+    min_s = MIN_ON_TIME_SHARE * goal_s
+    max_s = MAX_ON_TIME_SHARE * goal_s
+    return min(max(goal_s - first_event_s, min_s), max_s)
 
 
 def wait_s(route: routes.Route, left_s: float) -> float:
@@ -115,8 +115,10 @@
     some of it to come back, and who gets a place needs some to be served.
     """
     patience_s = max(
-        PATIENCE_S,
-        PATIENCE_GOALS * route.goal_ms / _MS_IN_S,
-        PATIENCE_PAUSES * route.gap_goal_ms / _MS_IN_S,
+        MIN_CALLER_PATIENCE_S,
+        CALLER_PATIENCE_GOALS * route.goal_ms / _MS_IN_S,
+        CALLER_PATIENCE_GAPS * route.gap_goal_ms / _MS_IN_S,
+    )
+    return max(
+        0, min(PATIENCE_WAIT_SHARE * patience_s, TIME_LEFT_WAIT_SHARE * left_s)
     )
-    return max(0, min(WAIT_SHARE * patience_s, LEFT_SHARE * left_s))
--- a/redwingvalve/ingress/request_handler.py
+++ b/redwingvalve/ingress/request_handler.py
@@ -29,8 +29,8 @@
 # A kept connection may be closed by its peer at any moment. A request that
 # must not run twice can't be sent again then, so it goes on a connection that
 # was in use just now, or on a new one.
-FRESH_IDLE_S = 0.5
-KEPT_IDLE_S = 4.0
+NON_REPEATABLE_MAX_IDLE_S = 0.5
+REPEATABLE_MAX_IDLE_S = 4.0
 # Sends beyond the attempts that a route allows, for refusals that say that
 # nothing ran: one more look elsewhere.
 MAX_CONNECT_FAILURES = 3
@@ -51,28 +51,28 @@
         self._responder = responder
         self._caller = caller_requests.read_request(request)
         self._times = timing.RequestTiming()
-        self._send: upstream.Send | None = None
+        self._upstream_request: upstream.UpstreamRequest | None = None
         self._connection: client.Connection | None = None
-        self._passing = stream_forwarding.EventPassing(
+        self._forwarder = stream_forwarding.StreamForwarder(
             state.stall_detector,
             responder,
             self._caller.last_event,
             self._times,
         )
-        self._tried: set[str] = set()
-        self._sent = 0
+        self._tried_endpoints: set[str] = set()
+        self._sent_count = 0
         self._may_have_run = False
-        self._failure: upstream.Send | None = None
+        self._failure_response: upstream.UpstreamRequest | None = None
         self._connect_failures = 0
         self._admission: admission_control.Admission | None = None
         self._fingerprint = 0
         # A repeated send was taken from the budget already.
-        self._is_paid = False
+        self._is_retry_paid = False
         self._retry_after_s = refusals.RETRY_AFTER_S
 
     async def run(self) -> None:
         """Answer the request."""
-        self._responder.on_gone = self._caller_left
+        self._responder.on_gone = self._on_caller_gone
         admission = self._admit()
         if admission is None:
             return
@@ -81,165 +81,184 @@
             self._request.target, admission.account, self._request.body
         )
         if self._state.poison.is_poison(self._fingerprint):
-            responses.refuse(self._responder, self._caller, refusals.POISON)
+            responses.send_refusal(
+                self._responder, self._caller, refusals.POISON
+            )
             return
-        self._state.prompts(admission.model).observe(admission.prompt_s)
-        self._state.retry_budget(admission.service).count_request(
-            self._times.began_s
+        self._state.prompt_read_times(admission.model).observe(
+            admission.prompt_s
+        )
+        self._state.retry_budget(admission.service).record_request(
+            self._times.started_s
         )
         while not self._responder.is_gone:
-            asked_s = time.monotonic()
-            place = await slot_requests.reserve_slot(
-                self._state, self._caller, admission, self._tried
+            wait_started_s = time.monotonic()
+            reservation = await slot_requests.reserve_slot(
+                self._state, self._caller, admission, self._tried_endpoints
             )
-            self._times.waited_since(asked_s)
-            if isinstance(place, reservations.NoSlot):
-                self._retry_after_s = place.retry_after_s
-                self._give_up('no free place')
+            self._times.add_wait_since(wait_started_s)
+            if isinstance(reservation, reservations.NoSlot):
+                self._retry_after_s = reservation.retry_after_s
+                self._fail('no free place')
                 return
-            ending = await self._offer(admission, place)
-            if self._is_settled(admission, place.target, ending):
+            outcome = await self._try_target(admission, reservation)
+            if self._is_finished(admission, reservation.target, outcome):
                 return
 
     def _admit(self) -> admission_control.Admission | None:
         decided = admission_control.admit(
             self._state.configuration,
             self._caller,
-            self._state.chance,
-            self._times.began_s,
+            self._state.rng,
+            self._times.started_s,
         )
         if isinstance(decided, refusals.Refusal):
-            responses.refuse(self._responder, self._caller, decided)
+            responses.send_refusal(self._responder, self._caller, decided)
             return None
-        return admission_control.with_return(
+        return admission_control.mark_caller_retry(
             decided,
             self._caller,
-            self._state.first_deadlines,
-            self._times.began_s,
+            self._state.deadline_history,
+            self._times.started_s,
         )
 
-    async def _offer(
+    async def _try_target(
         self,
         admission: admission_control.Admission,
-        place: reservations.Reservation,
-    ) -> upstream.Ending:
-        target = place.target
-        self._tried.add(target.endpoint_id)
-        began_s = time.monotonic()
-        ending = upstream.Ending.BROKEN
+        reservation: reservations.Reservation,
+    ) -> upstream.Outcome:
+        target = reservation.target
+        self._tried_endpoints.add(target.endpoint_id)
+        sent_s = time.monotonic()
+        outcome = upstream.Outcome.BROKEN
         try:
-            ending = await self._send_to(admission, target)
+            outcome = await self._send_upstream(admission, target)
         finally:
-            place.release(
-                _LEAVING.get(ending, reservations.ReleaseState.UNCERTAIN)
+            reservation.release(
+                _RELEASE_STATES.get(
+                    outcome, reservations.ReleaseState.UNCERTAIN
+                )
             )
-        if ending is upstream.Ending.WHOLE and self._sent == 1:
-            self._times.teach(
-                self._state.begin(admission.service, admission.model),
-                began_s,
+        if outcome is upstream.Outcome.COMPLETE and self._sent_count == 1:
+            self._times.update_estimate(
+                self._state.first_event_estimate(
+                    admission.service, admission.model
+                ),
+                sent_s,
                 admission.prompt_s,
             )
-        return ending
+        return outcome
 
-    async def _send_to(
+    async def _send_upstream(
         self,
         admission: admission_control.Admission,
         target: load_balancing.Target,
-    ) -> upstream.Ending:
+    ) -> upstream.Outcome:
         connections = self._state.connections
-        max_idle_s = KEPT_IDLE_S if admission.route.may_repeat else FRESH_IDLE_S
+        max_idle_s = (
+            REPEATABLE_MAX_IDLE_S
+            if admission.route.may_repeat
+            else NON_REPEATABLE_MAX_IDLE_S
+        )
         try:
             connection = await connections.take(target.address, max_idle_s)
         except pool.ConnectError as error:
             self._connect_failures += 1
             self._state.targets.suspect(target.endpoint_id, str(error))
-            return upstream.Ending.NOT_RUN
+            return upstream.Outcome.NOT_RUN
         if self._responder.is_gone:
             connections.keep(target.address, connection)
-            return upstream.Ending.GONE
-        self._sent += 1
-        send = self._make_send(admission)
-        self._send = send
+            return upstream.Outcome.CALLER_GONE
+        self._sent_count += 1
+        upstream_request = self._make_upstream_request(admission)
+        self._upstream_request = upstream_request
         self._connection = connection
         connection.send(
-            self._render(admission, target),
-            send,
+            self._render_request(admission, target),
+            upstream_request,
             connections.keeper(target.address),
         )
-        return await self._watch(admission, target, send)
+        return await self._await_outcome(admission, target, upstream_request)
 
-    def _make_send(
+    def _make_upstream_request(
         self, admission: admission_control.Admission
-    ) -> upstream.Send:
+    ) -> upstream.UpstreamRequest:
         attempt_id = self._caller.attempt_id
         if admission.route.kind is routes.RouteKind.STREAM:
-            return upstream.StreamSend(attempt_id, self._passing)
-        return upstream.Send(attempt_id)
+            return upstream.UpstreamStream(attempt_id, self._forwarder)
+        return upstream.UpstreamRequest(attempt_id)
 
-    def _render(
+    def _render_request(
         self,
         admission: admission_control.Admission,
         target: load_balancing.Target,
     ) -> bytes:
-        left_s = admission.caller_until_s - time.monotonic()
+        left_s = admission.caller_deadline_s - time.monotonic()
         sending = caller_requests.ForwardingHeaders(
             endpoint_id=target.endpoint_id,
             deadline_ms=max(1, int(left_s * _MS_IN_S)),
             client_account=admission.account,
             urgency=admission.urgency,
-            last_event=self._passing.last_event,
+            last_event=self._forwarder.last_event,
         )
         return caller_requests.render_request(
             self._request, self._caller, sending
         )
 
-    async def _watch(
+    async def _await_outcome(
         self,
         admission: admission_control.Admission,
         target: load_balancing.Target,
-        send: upstream.Send,
-    ) -> upstream.Ending:
-        self._passing.begin(
-            self._connection, self._make_pulse(admission, target)
+        upstream_request: upstream.UpstreamRequest,
+    ) -> upstream.Outcome:
+        self._forwarder.attach(
+            self._connection, self._make_monitored_stream(admission, target)
         )
         in_flight_requests = self._state.in_flight_requests.setdefault(
             target.endpoint_id, set()
         )
         in_flight_requests.add(self)
         try:
-            ending = await self._wait_for(admission, send)
+            outcome = await self._wait_for_outcome(admission, upstream_request)
         finally:
             in_flight_requests.discard(self)
-            self._passing.end()
-        if ending in _CUT_SHORT:
+            self._forwarder.detach()
+        if outcome in _ABANDONED:
             self._connection.abandon()
         self._connection = None
-        return ending
+        return outcome
 
-    async def _wait_for(
-        self, admission: admission_control.Admission, send: upstream.Send
-    ) -> upstream.Ending:
+    async def _wait_for_outcome(
+        self,
+        admission: admission_control.Admission,
+        upstream_request: upstream.UpstreamRequest,
+    ) -> upstream.Outcome:
         if self._may_hedge(admission):
             goal_s = time.monotonic() + admission.route.goal_ms / _MS_IN_S
             until_s = min(goal_s, admission.timeout_at_s)
-            ending = await self._wait_until(send, until_s)
-            if ending is not None:
-                return ending
-            if time.monotonic() < admission.timeout_at_s and self._pay():
-                return upstream.Ending.SILENT
-        ending = await self._wait_until(send, admission.timeout_at_s)
-        return ending or upstream.Ending.TIMEOUT
+            outcome = await self._wait_until(upstream_request, until_s)
+            if outcome is not None:
+                return outcome
+            if (
+                time.monotonic() < admission.timeout_at_s
+                and self._spend_retry()
+            ):
+                return upstream.Outcome.STALLED
+        outcome = await self._wait_until(
+            upstream_request, admission.timeout_at_s
+        )
+        return outcome or upstream.Outcome.TIMEOUT
 
     async def _wait_until(
-        self, send: upstream.Send, until_s: float
-    ) -> upstream.Ending | None:
+        self, upstream_request: upstream.UpstreamRequest, until_s: float
+    ) -> upstream.Outcome | None:
         try:
             async with asyncio.timeout(until_s - time.monotonic()):
-                return await asyncio.shield(send.ended)
+                return await asyncio.shield(upstream_request.ended)
         except TimeoutError:
             return None
 
-    def _pay(self) -> bool:
+    def _spend_retry(self) -> bool:
         """Take one repeated send from the budget, for later.
 
         A send that can't be repeated is better waited for than given up.
@@ -248,10 +267,10 @@
         if admission is None:
             return False
         window = self._state.retry_budget(admission.service)
-        self._is_paid = window.try_spend(
+        self._is_retry_paid = window.try_spend(
             time.monotonic(), self._state.node_count
         )
-        return self._is_paid
+        return self._is_retry_paid
 
     def head_stalled(self) -> None:
         """End the send that is under way if it may go on elsewhere.
@@ -260,21 +279,24 @@
         still finishes it.
         """
         admission = self._admission
-        if admission is None or self._send is None:
+        if admission is None or self._upstream_request is None:
             return
-        if self._send.ended.done():
+        if self._upstream_request.ended.done():
             return
-        if self._sent < admission.route.max_attempts and self._pay():
-            self._send.end(upstream.Ending.SILENT)
+        if (
+            self._sent_count < admission.route.max_attempts
+            and self._spend_retry()
+        ):
+            self._upstream_request.finish(upstream.Outcome.STALLED)
 
     def _may_hedge(self, admission: admission_control.Admission) -> bool:
         route = admission.route
         return (
             route.kind is routes.RouteKind.IDEMPOTENT
-            and self._sent < route.max_attempts
+            and self._sent_count < route.max_attempts
         )
 
-    def _make_pulse(
+    def _make_monitored_stream(
         self,
         admission: admission_control.Admission,
         target: load_balancing.Target,
@@ -288,51 +310,55 @@
             sent_s=time.monotonic(),
             prompt_s=admission.prompt_s,
             pause_s=admission.pause_s,
-            others_s=self._state.prompts(admission.model).others_s(),
+            other_prompts_s=self._state.prompt_read_times(
+                admission.model
+            ).other_prompts_s(),
         )
 
-    def _is_settled(
+    def _is_finished(
         self,
         admission: admission_control.Admission,
         target: load_balancing.Target,
-        ending: upstream.Ending,
+        outcome: upstream.Outcome,
     ) -> bool:
         """Answer if nothing more can be done; return whether it was."""
-        if ending is upstream.Ending.GONE:
-            self._log(admission, target, 'caller left')
+        if outcome is upstream.Outcome.CALLER_GONE:
+            self._log_outcome(admission, target, 'caller left')
             return True
-        if ending is upstream.Ending.WHOLE:
-            self._log(admission, target, responses.ANSWERED)
-            assert self._send is not None
-            self._state.poison.answered(self._fingerprint)
-            responses.answer(self._responder, self._send)
+        if outcome is upstream.Outcome.COMPLETE:
+            self._log_outcome(admission, target, responses.ANSWERED)
+            assert self._upstream_request is not None
+            self._state.poison.record_answer(self._fingerprint)
+            responses.send_response(self._responder, self._upstream_request)
             return True
-        if ending is upstream.Ending.TIMEOUT:
+        if outcome is upstream.Outcome.TIMEOUT:
             self._may_have_run = True
             # A stream that has begun ends without a status: nothing else
             # tells which endpoint it waited for.
-            self._log(admission, target, f'given up: {_TIMEOUT}')
-            self._give_up(_TIMEOUT)
+            self._log_outcome(admission, target, f'given up: {_TIMEOUT}')
+            self._fail(_TIMEOUT)
             return True
-        self._note_failure(ending, target)
-        if self._may_try_again(admission, ending):
-            self._log(admission, target, f'sent again: {ending.value}')
+        self._record_failure(outcome, target)
+        if self._may_retry(admission, outcome):
+            self._log_outcome(admission, target, f'sent again: {outcome.value}')
             return False
-        self._log(admission, target, f'given up: {ending.value}')
-        self._give_up(ending.value)
+        self._log_outcome(admission, target, f'given up: {outcome.value}')
+        self._fail(outcome.value)
         return True
 
-    def _note_failure(
-        self, ending: upstream.Ending, target: load_balancing.Target
+    def _record_failure(
+        self, outcome: upstream.Outcome, target: load_balancing.Target
     ) -> None:
-        if ending is upstream.Ending.NOT_RUN:
+        if outcome is upstream.Outcome.NOT_RUN:
             return
         self._may_have_run = True
-        if ending is upstream.Ending.BROKEN:
-            self._state.poison.broke(self._fingerprint, target.incarnation)
-        if ending is upstream.Ending.FAILURE:
-            self._failure = self._send
-        elif ending is upstream.Ending.BROKEN and target.replica:
+        if outcome is upstream.Outcome.BROKEN:
+            self._state.poison.record_disconnect(
+                self._fingerprint, target.incarnation
+            )
+        if outcome is upstream.Outcome.FAILURE:
+            self._failure_response = self._upstream_request
+        elif outcome is upstream.Outcome.BROKEN and target.replica:
             # Answers are also lost on the way, at times many at once: taken out
             # of use for each, all heads would be gone in a second. One that
             # crashed refuses the next connection and goes out of use by that.
@@ -340,74 +366,76 @@
                 target.endpoint_id, 'broken stream'
             )
 
-    def _may_try_again(
-        self, admission: admission_control.Admission, ending: upstream.Ending
+    def _may_retry(
+        self, admission: admission_control.Admission, outcome: upstream.Outcome
     ) -> bool:
         route = admission.route
-        if ending is not upstream.Ending.NOT_RUN and not route.may_repeat:
+        if outcome is not upstream.Outcome.NOT_RUN and not route.may_repeat:
             return False
         if self._connect_failures > MAX_CONNECT_FAILURES:
             return False
-        if self._sent >= route.max_attempts:
+        if self._sent_count >= route.max_attempts:
             return False
         if time.monotonic() >= admission.timeout_at_s:
             return False
-        if not self._sent:
+        if not self._sent_count:
             return True
-        is_paid = self._is_paid or self._pay()
-        self._is_paid = False
-        return is_paid
+        is_retry_paid = self._is_retry_paid or self._spend_retry()
+        self._is_retry_paid = False
+        return is_retry_paid
 
-    def _give_up(self, reason: str) -> None:
+    def _fail(self, reason: str) -> None:
         if self._responder.is_started:
             self._responder.abort()
             return
-        if self._failure is not None:
-            responses.answer(self._responder, self._failure)
+        if self._failure_response is not None:
+            responses.send_response(self._responder, self._failure_response)
             return
-        refusal = refusals.of(
+        refusal = refusals.for_failed_request(
             self._may_have_run,
             reason == _TIMEOUT,
-            refusals.spread_s(self._retry_after_s, self._state.chance),
+            refusals.with_jitter_s(self._retry_after_s, self._state.rng),
         )
-        responses.refuse(self._responder, self._caller, refusal)
+        responses.send_refusal(self._responder, self._caller, refusal)
 
-    def _log(
+    def _log_outcome(
         self,
         admission: admission_control.Admission,
         target: load_balancing.Target,
         outcome: str,
     ) -> None:
-        responses.log_decision(
+        responses.log_upstream_outcome(
             outcome,
             self._caller,
             admission,
             target,
-            sends=self._sent,
-            last_event=self._passing.last_event,
-            reason=self._send.reason if self._send else '',
+            sends=self._sent_count,
+            last_event=self._forwarder.last_event,
+            reason=self._upstream_request.reason
+            if self._upstream_request
+            else '',
             times=self._times,
         )
 
-    def _caller_left(self) -> None:
-        if self._send is not None:
-            self._send.end(upstream.Ending.GONE)
+    def _on_caller_gone(self) -> None:
+        if self._upstream_request is not None:
+            self._upstream_request.finish(upstream.Outcome.CALLER_GONE)
 
 
-_CUT_SHORT = frozenset(
+_ABANDONED = frozenset(
     (
-        upstream.Ending.GONE,
-        upstream.Ending.SILENT,
-        upstream.Ending.TIMEOUT,
-        upstream.Ending.BROKEN,
+        upstream.Outcome.CALLER_GONE,
+        upstream.Outcome.STALLED,
+        upstream.Outcome.TIMEOUT,
+        upstream.Outcome.BROKEN,
     )
 )
 # After any other ending the endpoint may be dead.
-_LEAVING = types.MappingProxyType(
+_RELEASE_STATES = types.MappingProxyType(
     {
-        upstream.Ending.WHOLE: reservations.ReleaseState.FREE,
-        upstream.Ending.FAILURE: reservations.ReleaseState.FREE,
-        upstream.Ending.GONE: reservations.ReleaseState.FREE,
-        upstream.Ending.NOT_RUN: reservations.ReleaseState.REFUSED,
+        upstream.Outcome.COMPLETE: reservations.ReleaseState.FREE,
+        upstream.Outcome.FAILURE: reservations.ReleaseState.FREE,
+        upstream.Outcome.CALLER_GONE: reservations.ReleaseState.FREE,
+        upstream.Outcome.NOT_RUN: reservations.ReleaseState.REFUSED,
     }
 )
--- a/redwingvalve/ingress/responses.py
+++ b/redwingvalve/ingress/responses.py
@@ -16,22 +16,27 @@
 ANSWERED = 'answered'
 
 
-def answer(responder: server.Responder, send: upstream.Send) -> None:
+def send_response(
+    responder: server.Responder, upstream_request: upstream.UpstreamRequest
+) -> None:
     """Pass a whole answer on, or end a stream whose events were passed."""
     if responder.is_started:
         responder.finish()
         return
-    head = send.head
+    head = upstream_request.head
     assert head is not None
     headers = messages.end_to_end(head.headers)
-    if isinstance(send, upstream.StreamSend) and send.is_stream:
+    if (
+        isinstance(upstream_request, upstream.UpstreamStream)
+        and upstream_request.is_stream
+    ):
         responder.start(head.status, headers)
         responder.finish()
         return
-    responder.answer(head.status, headers, send.body)
+    responder.answer(head.status, headers, upstream_request.body)
 
 
-def refuse(
+def send_refusal(
     responder: server.Responder,
     caller: caller_requests.CallerRequest,
     refusal: refusals.Refusal,
@@ -53,7 +58,7 @@
     )
 
 
-def log_no_place(
+def log_no_slot(
     caller: caller_requests.CallerRequest,
     admission: admission_control.Admission,
     *,
@@ -79,7 +84,7 @@
     )
 
 
-def log_decision(
+def log_upstream_outcome(
     outcome: str,
     caller: caller_requests.CallerRequest,
     admission: admission_control.Admission,
@@ -99,11 +104,11 @@
     if outcome == ANSWERED:
         node_metrics.METRICS.observe(
             'redwingvalve_answer_seconds',
-            times.took_s,
+            times.elapsed_s,
             route_kind=admission.route.kind.value,
         )
-    is_late_first = times.is_late_first(admission)
-    on_time = not (is_late_first or times.is_late_between(admission))
+    is_first_event_late = times.is_first_event_late(admission)
+    on_time = not (is_first_event_late or times.is_gap_late(admission))
     LOG.info(
         outcome,
         extra={
@@ -116,12 +121,12 @@
             'epoch': target.epoch,
             'sends': sends,
             'last_event': last_event,
-            'took_ms': int(times.took_s * _MS_IN_S),
+            'took_ms': int(times.elapsed_s * _MS_IN_S),
             'waited_ms': int(times.waited_s * _MS_IN_S),
-            'first_ms': int(times.until_first_s * _MS_IN_S),
-            'pause_ms': int(times.longest_pause_s * _MS_IN_S),
+            'first_ms': int(times.first_event_delay_s * _MS_IN_S),
+            'pause_ms': int(times.longest_gap_s * _MS_IN_S),
             'has_returned': admission.has_returned,
-            'is_late_first': is_late_first,
+            'is_late_first': is_first_event_late,
             'on_time': on_time,
             'reason': reason,
         },
--- a/redwingvalve/ingress/retry_budget.py
+++ b/redwingvalve/ingress/retry_budget.py
@@ -12,7 +12,7 @@
 
 # Other nodes may see a part of the same window and a new process starts its
 # count anew, so that a part of the allowance stays unused.
-USED_SHARE = 0.8
+USABLE_SHARE = 0.8
 
 
 @attrs.frozen
@@ -27,26 +27,26 @@
 class RetryBudget:
     """Sends and first sends of one service within the window."""
 
-    def __init__(self, allowance: RetryBudgetConfig) -> None:
+    def __init__(self, config: RetryBudgetConfig) -> None:
         """Start without sends."""
-        self._allowance = allowance
-        self._requests = sliding_window.Moments(allowance.window_s)
-        self._retries = sliding_window.Moments(allowance.window_s)
+        self._config = config
+        self._requests = sliding_window.SlidingWindowCounter(config.window_s)
+        self._retries = sliding_window.SlidingWindowCounter(config.window_s)
 
-    def count_request(self, now_s: float) -> None:
+    def record_request(self, now_s: float) -> None:
         """Count a caller's request."""
-        self._requests.note(now_s)
+        self._requests.record(now_s)
 
     def try_spend(self, now_s: float, nodes: int) -> bool:
         """Count one more repeated send if this node's share allows it."""
         if self.remaining(now_s, nodes) < 1:
             return False
-        self._retries.note(now_s)
+        self._retries.record(now_s)
         return True
 
     def remaining(self, now_s: float, nodes: int) -> float:
         """Return the repeated sends that this node's share still allows."""
-        allowance = self._allowance
-        allowed = allowance.ratio * self._requests.count(now_s)
-        allowed += allowance.extra / max(nodes, 1)
-        return max(0.0, allowed * USED_SHARE - self._retries.count(now_s))
+        config = self._config
+        allowed = config.ratio * self._requests.count(now_s)
+        allowed += config.extra / max(nodes, 1)
+        return max(0.0, allowed * USABLE_SHARE - self._retries.count(now_s))
--- a/redwingvalve/ingress/routes.py
+++ b/redwingvalve/ingress/routes.py
@@ -167,12 +167,12 @@
         return found.engine if found else None
 
 
-def pick_service(route: Route, chance: random.Random) -> str:
+def pick_service(route: Route, rng: random.Random) -> str:
     """Return one of the route's services by weight."""
     if len(route.splits) == 1:
         return route.splits[0].service
     weights = [split.weight for split in route.splits]
-    return chance.choices(route.splits, weights)[0].service
+    return rng.choices(route.splits, weights)[0].service
 
 
 def _prefix_length(route: Route) -> int:
--- a/redwingvalve/ingress/slot_requests.py
+++ b/redwingvalve/ingress/slot_requests.py
@@ -26,53 +26,53 @@
     avoid names the endpoints that were tried.
     """
     assert state.reserver is not None
-    began_s = time.monotonic()
+    started_s = time.monotonic()
     found = await state.reserver.reserve(
         admission.service,
         admission.model,
-        _ask(state, admission, is_resumed=bool(avoid)),
+        _make_slot_request(state, admission, is_resumed=bool(avoid)),
         avoid,
-        state.stall_detector.slow_heads(began_s),
+        state.stall_detector.slow_heads(started_s),
     )
-    has_place = isinstance(found, reservations.Reservation)
-    held_s = time.monotonic() - began_s
+    has_slot = isinstance(found, reservations.Reservation)
+    held_s = time.monotonic() - started_s
     node_metrics.METRICS.observe(
         'redwingvalve_wait_seconds',
         held_s,
-        outcome='place' if has_place else 'no place',
+        outcome='place' if has_slot else 'no place',
         model=admission.model,
     )
-    if not has_place:
-        _log_no_place(state, caller, admission, held_s)
+    if not has_slot:
+        _log_no_slot(state, caller, admission, held_s)
     return found
 
 
-def _ask(
+def _make_slot_request(
     state: state_module.IngressState,
     admission: admission_control.Admission,
     *,
     is_resumed: bool,
 ) -> wait_queue.SlotRequest:
-    begin = state.begin(admission.service, admission.model)
+    estimate = state.first_event_estimate(admission.service, admission.model)
     left_s = admission.timeout_at_s - time.monotonic()
-    begin_s = begin.seconds + admission.prompt_s
+    first_event_s = estimate.seconds + admission.prompt_s
     return wait_queue.SlotRequest(
         urgency=admission.urgency,
-        on_time_s=refusals.on_time_wait_s(admission.route, begin_s),
+        on_time_s=refusals.on_time_wait_s(admission.route, first_event_s),
         wait_s=refusals.wait_s(admission.route, left_s),
         has_returned=admission.has_returned,
         is_resumed=is_resumed,
     )
 
 
-def _log_no_place(
+def _log_no_slot(
     state: state_module.IngressState,
     caller: caller_requests.CallerRequest,
     admission: admission_control.Admission,
     held_s: float,
 ) -> None:
     service, model = admission.service, admission.model
-    responses.log_no_place(
+    responses.log_no_slot(
         caller,
         admission,
         targets=len(state.targets.find_targets(service, model)),
--- a/redwingvalve/ingress/state.py
+++ b/redwingvalve/ingress/state.py
@@ -49,7 +49,7 @@
         """Return whether an endpoint is out of use."""
 
 
-def _nothing_in_use(service: str, model: str) -> int:
+def _no_requests(service: str, model: str) -> int:
     """Return 0: nothing is granted yet."""
     return 0
 
@@ -59,7 +59,7 @@
     """Everything that one request needs of the node."""
 
     targets: TargetProvider
-    allowance: retry_budget.RetryBudgetConfig
+    retry_budget_config: retry_budget.RetryBudgetConfig
     configuration: routes.Configuration | None = None
     is_leaving: bool = False
     # Nodes that serve callers, this one included.
@@ -71,49 +71,53 @@
     stall_detector: stall_detection.StallDetector = attrs.field(
         factory=stall_detection.StallDetector
     )
-    chance: random.Random = attrs.field(factory=random.Random)
+    rng: random.Random = attrs.field(factory=random.Random)
     poison: poison_module.PoisonRequestTracker = attrs.field(
         factory=poison_module.PoisonRequestTracker
     )
-    first_deadlines: caller_retries.FirstDeadlines = attrs.field(
-        factory=caller_retries.FirstDeadlines
+    deadline_history: caller_retries.DeadlineHistory = attrs.field(
+        factory=caller_retries.DeadlineHistory
     )
     reserver: reservations.Reserver | None = None
     # Places of a service and model in use and wanted, in the whole fleet.
-    slot_demand: collections_abc.Callable[[str, str], int] = _nothing_in_use
+    slot_demand: collections_abc.Callable[[str, str], int] = _no_requests
     # Requests that wait for places which this node grants.
-    waiting_requests: collections_abc.Callable[[str, str], int] = (
-        _nothing_in_use
-    )
+    waiting_requests: collections_abc.Callable[[str, str], int] = _no_requests
     # Sends that end when their head falls silent, by endpoint.
     in_flight_requests: dict[str, set['InFlightRequest']] = attrs.field(
         factory=dict
     )
-    _begin: dict[tuple[str, str], duration_estimates.DurationEstimate] = (
+    _first_event_estimates: dict[
+        tuple[str, str], duration_estimates.DurationEstimate
+    ] = attrs.field(factory=dict)
+    _prompt_read_times: dict[str, stall_detection.PromptReadTimes] = (
         attrs.field(factory=dict)
     )
-    _prompts: dict[str, stall_detection.PromptReadTimes] = attrs.field(
+    _retry_budgets: dict[str, retry_budget.RetryBudget] = attrs.field(
         factory=dict
     )
-    _windows: dict[str, retry_budget.RetryBudget] = attrs.field(factory=dict)
 
-    def begin(
+    def first_event_estimate(
         self, service: str, model: str
     ) -> duration_estimates.DurationEstimate:
         """Return how long answers of a model take to begin."""
         key = (service, model)
-        if key not in self._begin:
-            self._begin[key] = duration_estimates.make_first_event_estimate()
-        return self._begin[key]
+        if key not in self._first_event_estimates:
+            self._first_event_estimates[key] = (
+                duration_estimates.make_first_event_estimate()
+            )
+        return self._first_event_estimates[key]
 
     def retry_budget(self, service: str) -> retry_budget.RetryBudget:
         """Return the retries of a service."""
-        if service not in self._windows:
-            self._windows[service] = retry_budget.RetryBudget(self.allowance)
-        return self._windows[service]
+        if service not in self._retry_budgets:
+            self._retry_budgets[service] = retry_budget.RetryBudget(
+                self.retry_budget_config
+            )
+        return self._retry_budgets[service]
 
-    def prompts(self, model: str) -> stall_detection.PromptReadTimes:
+    def prompt_read_times(self, model: str) -> stall_detection.PromptReadTimes:
         """Return how long prompts of a model were lately."""
-        if model not in self._prompts:
-            self._prompts[model] = stall_detection.PromptReadTimes()
-        return self._prompts[model]
+        if model not in self._prompt_read_times:
+            self._prompt_read_times[model] = stall_detection.PromptReadTimes()
+        return self._prompt_read_times[model]
--- a/redwingvalve/ingress/stream_forwarding.py
+++ b/redwingvalve/ingress/stream_forwarding.py
@@ -6,12 +6,12 @@
 from redwingvalve.ingress import events, stall_detection, timing, upstream
 
 
-class EventPassing:
+class StreamForwarder:
     """One caller's stream, over all sends that it takes."""
 
     def __init__(
         self,
-        watch: stall_detection.StallDetector,
+        stall_detector: stall_detection.StallDetector,
         responder: server.Responder,
         last_event: int | None,
         times: timing.RequestTiming,
@@ -19,48 +19,51 @@
         """Go on after last_event, which the caller has already."""
         self.last_event = last_event
         self._times = times
-        self._watch = watch
+        self._stall_detector = stall_detector
         self._responder = responder
         self._connection: client.Connection | None = None
-        self._pulse: stall_detection.MonitoredStream | None = None
-        responder.on_drained = self._read_on
+        self._monitored_stream: stall_detection.MonitoredStream | None = None
+        responder.on_drained = self._resume
 
-    def begin(
+    def attach(
         self,
         connection: client.Connection | None,
-        pulse: stall_detection.MonitoredStream | None,
+        monitored_stream: stall_detection.MonitoredStream | None,
     ) -> None:
         """Take the events of a connection."""
         self._connection = connection
-        self._pulse = pulse
-        if pulse is not None:
-            self._watch.add(pulse)
+        self._monitored_stream = monitored_stream
+        if monitored_stream is not None:
+            self._stall_detector.add(monitored_stream)
 
-    def end(self) -> None:
+    def detach(self) -> None:
         """Take no more events until the next begin."""
         self._connection = None
-        if self._pulse is not None:
-            self._watch.remove(self._pulse)
-            self._pulse = None
+        if self._monitored_stream is not None:
+            self._stall_detector.remove(self._monitored_stream)
+            self._monitored_stream = None
 
-    def take(self, event: events.Event, send: upstream.StreamSend) -> None:
+    def forward(
+        self, event: events.Event, upstream_request: upstream.UpstreamStream
+    ) -> None:
         """Hand an event on unless the caller has it already."""
         now_s = time.monotonic()
-        self._times.note_event(now_s)
-        if self._pulse is not None:
-            self._watch.record_event(self._pulse, now_s)
-        if self._is_repeated(event):
+        self._times.record_event(now_s)
+        if self._monitored_stream is not None:
+            self._stall_detector.record_event(self._monitored_stream, now_s)
+        if self._is_duplicate(event):
             return
         if not self._responder.is_started:
-            assert send.head is not None
+            assert upstream_request.head is not None
             self._responder.start(
-                send.head.status, messages.end_to_end(send.head.headers)
+                upstream_request.head.status,
+                messages.end_to_end(upstream_request.head.headers),
             )
         self._responder.write(event.raw)
         if self._responder.is_full:
-            self._hold()
+            self._pause()
 
-    def _is_repeated(self, event: events.Event) -> bool:
+    def _is_duplicate(self, event: events.Event) -> bool:
         number = event.number
         if number is None:
             return False
@@ -69,15 +72,17 @@
         self.last_event = number
         return False
 
-    def _hold(self) -> None:
+    def _pause(self) -> None:
         if self._connection is not None:
             self._connection.pause()
-        if self._pulse is not None:
-            self._pulse.is_held = True
+        if self._monitored_stream is not None:
+            self._monitored_stream.is_paused = True
 
-    def _read_on(self) -> None:
+    def _resume(self) -> None:
         if self._connection is not None:
             self._connection.resume()
-        if self._pulse is not None:
-            self._pulse.is_held = False
-            self._watch.record_event(self._pulse, time.monotonic())
+        if self._monitored_stream is not None:
+            self._monitored_stream.is_paused = False
+            self._stall_detector.record_event(
+                self._monitored_stream, time.monotonic()
+            )
--- a/redwingvalve/ingress/tests/load_simulation.py
+++ b/redwingvalve/ingress/tests/load_simulation.py
@@ -33,11 +33,11 @@
 
 # One way between nodes.
 DATAGRAM_DELAY_S = 0.001
-LOOK_S = 0.1
-PATIENCE_S = 2.0
+TICK_INTERVAL_S = 0.1
+CALLER_PATIENCE_S = 2.0
 DEADLINE_S = 6.0
 # Callers heed a third of the time that they have left.
-HEEDED_SHARE = 1 / 3
+MAX_RETRY_AFTER_SHARE = 1 / 3
 
 
 @attrs.frozen
@@ -49,7 +49,7 @@
     slots: int = 13
     # Mean time in service, and from the start of it to the first event.
     service_s: float = 0.8
-    begin_s: float = 0.15
+    first_event_s: float = 0.15
     goal_s: float = 0.3
     data_centres: int = 1
 
@@ -109,14 +109,14 @@
         # Requests that came when all places were taken.
         self.queued = 0
 
-    async def serve(self, begin_s, service_s, begun):
+    async def serve(self, first_event_s, service_s, on_first_event):
         """Run one request; begun is called at its first event."""
         if self._places.value == 0:
             self.queued += 1
         async with self._places:
-            await anyio.sleep(begin_s)
-            begun()
-            await anyio.sleep(service_s - begin_s)
+            await anyio.sleep(first_event_s)
+            on_first_event()
+            await anyio.sleep(service_s - first_event_s)
 
 
 class Node:
@@ -125,9 +125,11 @@
     def __init__(self, name, play):
         """Join the play's network."""
         self.name = name
-        self._play = play
+        self._simulation = play
         self.loads = load_balancing.EndpointLoads()
-        self.begin = duration_estimates.make_first_event_estimate()
+        self.first_event_estimate = (
+            duration_estimates.make_first_event_estimate()
+        )
         number = int(name.rpartition('-')[2])
         self.data_centre = f'dc-{number % play.deployment.data_centres}'
         self.is_up = True
@@ -141,25 +143,27 @@
         self.is_up = True
         self.loads.by_endpoint.clear()
         self.allocator = allocator.Allocator(
-            self._targets_of, anyio.current_time, self._play.rng
+            self._targets_of, anyio.current_time, self._simulation.rng
         )
         self.reserver = reserver.NodeReserver(
             data_centre=self.data_centre,
             targets=self,
-            owners=owners.PoolOwners(self._play.candidates, anyio.current_time),
+            owners=owners.PoolOwners(
+                self._simulation.candidates, anyio.current_time
+            ),
             transport=self,
             loads=self.loads,
             clock=anyio.current_time,
-            rng=self._play.rng,
+            rng=self._simulation.rng,
         )
 
     def find_targets(self, service, model):
         """Return the targets, which all nodes know."""
-        return self._play.targets
+        return self._simulation.targets
 
     def send(self, vm, message):
         """Send by a network that delays and loses datagrams."""
-        self._play.carry(self, vm, message)
+        self._simulation.send_datagram(self, vm, message)
 
     def receive(self, envelope):
         """Take a datagram."""
@@ -171,11 +175,11 @@
             functools.partial(self.send, sender),
         )
 
-    async def speak(self):
+    async def run_reports(self):
         """Report holdings, and look at what has lapsed."""
         reported_s = anyio.current_time()
         while True:
-            await anyio.sleep(LOOK_S)
+            await anyio.sleep(TICK_INTERVAL_S)
             if not self.is_up:
                 continue
             self.allocator.tick()
@@ -185,33 +189,41 @@
 
     async def ask(self, first_s, *, has_returned):
         """Serve one attempt; return when to come back if it is refused."""
-        play = self._play
+        play = self._simulation
         route = play.route
         began_s = anyio.current_time()
         ask = wait_queue.SlotRequest(
             urgency=1,
-            on_time_s=refusals.on_time_wait_s(route, self.begin.seconds),
+            on_time_s=refusals.on_time_wait_s(
+                route, self.first_event_estimate.seconds
+            ),
             wait_s=refusals.wait_s(
                 route, first_s + DEADLINE_S - anyio.current_time()
             ),
             has_returned=has_returned and play.detects_caller_retries,
         )
-        target, again_s = await self.place(ask)
+        target, retry_after_s = await self.reserve_slot(ask)
         if target is None:
             play.got.held_s.append(anyio.current_time() - began_s)
-            return refusals.spread_s(again_s, play.rng)
+            return refusals.with_jitter_s(retry_after_s, play.rng)
         sent_s = anyio.current_time()
-        with anyio.move_on_after(PATIENCE_S - (sent_s - began_s)) as patience:
-            begun = functools.partial(self._begun, first_s, sent_s, patience)
+        with anyio.move_on_after(
+            CALLER_PATIENCE_S - (sent_s - began_s)
+        ) as timeout_scope:
+            on_first_event = functools.partial(
+                self._on_first_event, first_s, sent_s, timeout_scope
+            )
             await play.heads[target.endpoint_id].serve(
-                play.deployment.begin_s, play.draw_service_s(), begun
+                play.deployment.first_event_s,
+                play.sample_service_s(),
+                on_first_event,
             )
-        self.give_back(target)
-        if patience.cancelled_caught:
+        self.release_slot(target)
+        if timeout_scope.cancelled_caught:
             play.got.lost.append(first_s)
         return None
 
-    async def place(self, ask):
+    async def reserve_slot(self, ask):
         """Reserve a place."""
         found = await self.reserver.reserve('s', 'model', ask, (), ())
         if isinstance(found, reservations.NoSlot):
@@ -221,7 +233,7 @@
         )
         return found.target, 0
 
-    def give_back(self, target):
+    def release_slot(self, target):
         """Release a place."""
         held = self._reservations[target.endpoint_id].pop()
         held.release(reservations.ReleaseState.FREE)
@@ -229,15 +241,15 @@
     def _targets_of(self, pool):
         return tuple(
             target
-            for target in self._play.targets
+            for target in self._simulation.targets
             if pool.data_centre in {'', target.data_centre}
         )
 
-    def _begun(self, first_s, sent_s, patience):
+    def _on_first_event(self, first_s, sent_s, timeout_scope):
         now_s = anyio.current_time()
-        patience.deadline = math.inf
-        self.begin.observe(now_s - sent_s)
-        play = self._play
+        timeout_scope.deadline = math.inf
+        self.first_event_estimate.observe(now_s - sent_s)
+        play = self._simulation
         is_on_time = now_s - first_s <= play.deployment.goal_s
         (play.got.on_time if is_on_time else play.got.late).append(first_s)
 
@@ -248,10 +260,10 @@
     # A share of the datagrams that is lost.
     datagram_loss = 0.0
 
-    def __init__(self, deployment, waves, seed, detects_caller_retries=True):
+    def __init__(self, deployment, phases, seed, detects_caller_retries=True):
         """Prepare."""
         self.deployment = deployment
-        self.waves = waves
+        self.phases = phases
         self.detects_caller_retries = detects_caller_retries
         self.rng = random.Random(seed)
         self.got = Results()
@@ -276,13 +288,13 @@
             Node(f'vm-{number}', self)
             for number in range(self.deployment.nodes)
         ]
-        async with anyio.create_task_group() as speaking:
+        async with anyio.create_task_group() as background:
             for node in self.nodes:
-                speaking.start_soon(node.speak)
+                background.start_soon(node.run_reports)
             async with anyio.create_task_group() as callers:
-                speaking.start_soon(self.inject_faults)
-                await self._call(callers)
-            speaking.cancel_scope.cancel()
+                background.start_soon(self.inject_faults)
+                await self._start_callers(callers)
+            background.cancel_scope.cancel()
         return self.got
 
     async def inject_faults(self):
@@ -294,7 +306,7 @@
             owners.Candidate(node.name, node.data_centre) for node in self.nodes
         ]
 
-    def carry(self, origin, vm, message):
+    def send_datagram(self, origin, vm, message):
         """Carry a datagram between nodes that are up."""
         node = next(one for one in self.nodes if one.name == vm)
         packed = messages.pack(
@@ -309,29 +321,31 @@
         if not origin.is_up or self.rng.random() < self.datagram_loss:
             return
         loop = asyncio.get_running_loop()
-        loop.call_later(self.datagram_delay_s(), self._arrive, node, packed)
+        loop.call_later(self.datagram_delay_s(), self._deliver, node, packed)
 
     def datagram_delay_s(self):
         """Return how long a datagram is on its way."""
         return DATAGRAM_DELAY_S
 
-    def _arrive(self, node, packed):
+    def _deliver(self, node, packed):
         if node.is_up:
             node.receive(messages.unpack(packed))
 
-    def draw_service_s(self):
+    def sample_service_s(self):
         """Return how long one request takes, longer than to its beginning."""
-        mean_s = self.deployment.service_s - self.deployment.begin_s
-        return self.deployment.begin_s + self.rng.gammavariate(2, mean_s / 2)
+        mean_s = self.deployment.service_s - self.deployment.first_event_s
+        return self.deployment.first_event_s + self.rng.gammavariate(
+            2, mean_s / 2
+        )
 
-    async def _call(self, callers):
-        until_s = max(wave.to_s for wave in self.waves)
+    async def _start_callers(self, callers):
+        until_s = max(phase.to_s for phase in self.phases)
         while anyio.current_time() < until_s:
             now_s = anyio.current_time()
             load = sum(
-                wave.load
-                for wave in self.waves
-                if wave.from_s <= now_s < wave.to_s
+                phase.load
+                for phase in self.phases
+                if phase.from_s <= now_s < phase.to_s
             )
             callers.start_soon(self._caller)
             rate_per_s = load * self.deployment.capacity_per_s
@@ -341,12 +355,12 @@
         first_s = anyio.current_time()
         self.got.asked.append(first_s)
         node = self.rng.choice(self.nodes)
-        again_s = await node.ask(first_s, has_returned=False)
-        if again_s is None:
+        retry_after_s = await node.ask(first_s, has_returned=False)
+        if retry_after_s is None:
             return
         self.got.refusals += 1
         left_s = DEADLINE_S - (anyio.current_time() - first_s)
-        await anyio.sleep(min(again_s, left_s * HEEDED_SHARE))
+        await anyio.sleep(min(retry_after_s, left_s * MAX_RETRY_AFTER_SHARE))
         node = self.rng.choice(self.nodes)
         if await node.ask(first_s, has_returned=True) is not None:
             self.got.refusals += 1
@@ -371,9 +385,9 @@
     )
 
 
-def simulate(deployment, waves, seed=1, make_play=Simulation, **more):
+def simulate(deployment, phases, seed=1, make_play=Simulation, **more):
     """Return what callers got."""
     return anyio.run(
-        make_play(deployment, waves, seed, **more).run,
+        make_play(deployment, phases, seed, **more).run,
         backend_options={'loop_factory': looptime.new_event_loop},
     )
--- a/redwingvalve/ingress/tests/test_poison.py
+++ b/redwingvalve/ingress/tests/test_poison.py
@@ -16,13 +16,13 @@
 
 
 def crash(found, fingerprint, number):
-    found.broke(fingerprint, (f'e{number}', 1))
-    found.resolve_disconnects(living=set())
+    found.record_disconnect(fingerprint, (f'e{number}', 1))
+    found.resolve_disconnects(live_incarnations=set())
 
 
 def test_the_fourth_try_is_refused():
     found, _ = book()
-    for number in range(poison.CRASHES_TO_REFUSE):
+    for number in range(poison.MIN_CRASHES_TO_REFUSE):
         assert not found.is_poison(7)
         crash(found, 7, number)
     assert found.is_poison(7) and not found.is_poison(8)
@@ -32,10 +32,10 @@
     """The connection breaks but the endpoint lives on."""
     found, clock = book()
     for number in range(5):
-        found.broke(7, (f'e{number}', 1))
-        found.resolve_disconnects(living={(f'e{number}', 1)})
-        clock.now_s += poison.CRASH_SEEN_S + 1
-        found.resolve_disconnects(living={(f'e{number}', 1)})
+        found.record_disconnect(7, (f'e{number}', 1))
+        found.resolve_disconnects(live_incarnations={(f'e{number}', 1)})
+        clock.now_s += poison.CRASH_DETECTION_S + 1
+        found.resolve_disconnects(live_incarnations={(f'e{number}', 1)})
     assert not found.is_poison(7)
 
 
@@ -43,7 +43,7 @@
     found, _ = book()
     for number in range(2):
         crash(found, 7, number)
-    found.answered(7)
+    found.record_answer(7)
     crash(found, 7, 9)
     assert not found.is_poison(7)
 
@@ -63,7 +63,7 @@
     found, clock = book()
     for number in range(3):
         crash(found, 7, number)
-    clock.now_s += poison.FORGET_S
+    clock.now_s += poison.CRASH_RETENTION_S
     assert not found.is_poison(7)
 
 
--- a/redwingvalve/ingress/tests/test_routing_and_stalls.py
+++ b/redwingvalve/ingress/tests/test_routing_and_stalls.py
@@ -56,8 +56,8 @@
 
 def test_a_split_follows_the_weights():
     split = route('/', splits=(('s', 90.0), ('t', 10.0)))
-    chance = random.Random(1)
-    picked = [routes.pick_service(split, chance) for _ in range(2000)]
+    rng = random.Random(1)
+    picked = [routes.pick_service(split, rng) for _ in range(2000)]
     assert 130 < picked.count('t') < 270
 
 
@@ -68,22 +68,22 @@
 def test_the_least_filled_target_is_chosen():
     loads = load_balancing.EndpointLoads()
     loads.add_request('a')
-    chance = random.Random(1)
+    rng = random.Random(1)
     targets = [target('a'), target('b')]
     assert (
-        load_balancing.choose_least_loaded(targets, loads, chance).endpoint_id
+        load_balancing.choose_least_loaded(targets, loads, rng).endpoint_id
         == 'b'
     )
     assert (
         load_balancing.choose_least_loaded(
-            targets, loads, chance, {'b'}
+            targets, loads, rng, {'b'}
         ).endpoint_id
         == 'a'
     )
     loads.add_request('b')
     loads.add_request('b')
     assert (
-        load_balancing.choose_least_loaded(targets, loads, chance).endpoint_id
+        load_balancing.choose_least_loaded(targets, loads, rng).endpoint_id
         == 'a'
     )
 
@@ -92,23 +92,21 @@
     loads = load_balancing.EndpointLoads()
     for _ in range(4):
         loads.add_request('a')
-    chance = random.Random(1)
-    assert (
-        load_balancing.choose_least_loaded([target('a')], loads, chance) is None
-    )
+    rng = random.Random(1)
+    assert load_balancing.choose_least_loaded([target('a')], loads, rng) is None
     loads.remove_request('a')
     assert (
-        load_balancing.choose_least_loaded([target('a')], loads, chance)
+        load_balancing.choose_least_loaded([target('a')], loads, rng)
         is not None
     )
 
 
 def test_equal_targets_are_shared_by_chance():
     loads = load_balancing.EndpointLoads()
-    chance = random.Random(1)
+    rng = random.Random(1)
     targets = [target('a'), target('b')]
     picked = {
-        load_balancing.choose_least_loaded(targets, loads, chance).endpoint_id
+        load_balancing.choose_least_loaded(targets, loads, rng).endpoint_id
         for _ in range(50)
     }
     assert picked == {'a', 'b'}
@@ -118,9 +116,9 @@
     allowance = retry_budget.RetryBudgetConfig(0.2, 60, 10.0)
     window = retry_budget.RetryBudget(allowance)
     for _ in range(100):
-        window.count_request(0.0)
+        window.record_request(0.0)
     spent = sum(window.try_spend(1.0, nodes=6) for _ in range(200))
-    assert spent == int((0.2 * 100 + 60 / 6) * retry_budget.USED_SHARE)
+    assert spent == int((0.2 * 100 + 60 / 6) * retry_budget.USABLE_SHARE)
     assert window.try_spend(11.5, nodes=6)
 
 
@@ -143,9 +141,11 @@
     assert splitter.is_between_events
 
 
-def pulse(head='h', sent_s=0.0, prompt_s=0.02, pause_s=0.04, others_s=0.0):
+def pulse(
+    head='h', sent_s=0.0, prompt_s=0.02, pause_s=0.04, other_prompts_s=0.0
+):
     return stall_detection.MonitoredStream(
-        head, sent_s, prompt_s, pause_s, others_s
+        head, sent_s, prompt_s, pause_s, other_prompts_s
     )
 
 
@@ -183,7 +183,7 @@
 
 def test_prompts_of_others_are_allowed_for():
     watch = stall_detection.StallDetector()
-    one = pulse(others_s=0.2)
+    one = pulse(other_prompts_s=0.2)
     watch.add(one)
     watch.record_event(one, 0.0)
     assert look_until(watch, 0.0, 0.3) is None
@@ -220,15 +220,11 @@
     for _ in range(3):
         loads.add_request('b')
     targets = [target('a'), target('b')]
-    chance = random.Random(1)
-    found = load_balancing.choose_least_loaded(
-        targets, loads, chance, slow={'a'}
-    )
+    rng = random.Random(1)
+    found = load_balancing.choose_least_loaded(targets, loads, rng, slow={'a'})
     assert found.endpoint_id == 'b'
     loads.add_request('b')
-    found = load_balancing.choose_least_loaded(
-        targets, loads, chance, slow={'a'}
-    )
+    found = load_balancing.choose_least_loaded(targets, loads, rng, slow={'a'})
     assert found.endpoint_id == 'a'
 
 
@@ -248,7 +244,7 @@
     one = pulse()
     watch.add(one)
     watch.record_event(one, 0.0)
-    one.is_held = True
+    one.is_paused = True
     assert look_until(watch, 0.0, 2.0) is None
 
 
@@ -260,9 +256,18 @@
 
 
 def test_what_may_have_run_is_never_called_not_run():
-    assert refusals.of(may_have_run=False, is_timeout=True).status == 503
-    assert refusals.of(may_have_run=True, is_timeout=True).status == 504
-    assert refusals.of(may_have_run=True, is_timeout=False).status == 502
+    assert (
+        refusals.for_failed_request(may_have_run=False, is_timeout=True).status
+        == 503
+    )
+    assert (
+        refusals.for_failed_request(may_have_run=True, is_timeout=True).status
+        == 504
+    )
+    assert (
+        refusals.for_failed_request(may_have_run=True, is_timeout=False).status
+        == 502
+    )
 
 
 def test_nodes_that_choose_alone_do_not_herd_to_one_head():
@@ -270,7 +275,7 @@
 
     54 heads of 8 slots, 60 nodes that know their own four requests only.
     """
-    chance = random.Random(7)
+    rng = random.Random(7)
     targets = [target(f'e{number}', 8) for number in range(54)]
     over = 0
     for _ in range(20):
@@ -278,8 +283,8 @@
         for _ in range(60):
             loads = load_balancing.EndpointLoads()
             for _ in range(4):
-                among = load_balancing.sample_candidates(targets, chance)
-                found = load_balancing.choose_least_loaded(among, loads, chance)
+                among = load_balancing.sample_candidates(targets, rng)
+                found = load_balancing.choose_least_loaded(among, loads, rng)
                 loads.add_request(found.endpoint_id)
                 begun[found.endpoint_id] += 1
         over += sum(max(0, count - 8) for count in begun.values())
--- a/redwingvalve/ingress/tests/test_wait_queue.py
+++ b/redwingvalve/ingress/tests/test_wait_queue.py
@@ -170,7 +170,7 @@
         async with anyio.create_task_group() as group:
             for number in range(3):
                 group.start_soon(taker.ask, number, 1, 0.3)
-            late = wait_queue.LEAST_LATE_WAITERS
+            late = wait_queue.MIN_LATE_LIMIT
             for number in range(late):
                 group.start_soon(taker.ask, f'late {number}', 1, 0.3)
             await settle()
@@ -190,14 +190,14 @@
     async def main():
         taker = Taker(places=FewPlaces(freed_per_s=0.1))
         async with anyio.create_task_group() as group:
-            for number in range(1 + wait_queue.LEAST_LATE_WAITERS):
+            for number in range(1 + wait_queue.MIN_LATE_LIMIT):
                 group.start_soon(taker.ask, number, 1, 0.3)
             await settle()
             group.start_soon(
                 functools.partial(taker.ask, 'back', has_returned=True)
             )
             await settle()
-            assert taker.refused == [wait_queue.LEAST_LATE_WAITERS]
+            assert taker.refused == [wait_queue.MIN_LATE_LIMIT]
             group.cancel_scope.cancel()
 
     anyio.run(main)
@@ -205,25 +205,25 @@
 
 def test_who_comes_back_is_told_from_first_attempts():
     """First attempts differ by a tenth; one that waited two seconds shows."""
-    deadlines = caller_retries.FirstDeadlines()
-    chance = random.Random(1)
+    deadlines = caller_retries.DeadlineHistory()
+    rng = random.Random(1)
     key = ('route', 'account')
     for now_s in range(100):
-        first_ms = int(6000 * chance.uniform(0.9, 1.0))
-        assert not deadlines.is_return(key, first_ms, now_s)
-        assert deadlines.is_return(key, first_ms - 2000, now_s)
+        first_ms = int(6000 * rng.uniform(0.9, 1.0))
+        assert not deadlines.is_caller_retry(key, first_ms, now_s)
+        assert deadlines.is_caller_retry(key, first_ms - 2000, now_s)
     # An account that never waits for long is no returner for it.
-    assert not deadlines.is_return(('route', 'hasty'), 1000, 100)
+    assert not deadlines.is_caller_retry(('route', 'hasty'), 1000, 100)
 
 
 def test_habits_that_have_changed_are_forgotten():
-    deadlines = caller_retries.FirstDeadlines()
+    deadlines = caller_retries.DeadlineHistory()
     key = ('route', None)
-    deadlines.is_return(key, 9000, 0)
-    assert deadlines.is_return(key, 3000, 1)
+    deadlines.is_caller_retry(key, 9000, 0)
+    assert deadlines.is_caller_retry(key, 3000, 1)
     for now_s in range(2, 60):
-        is_return = deadlines.is_return(key, 3000, now_s)
-    assert not is_return
+        is_caller_retry = deadlines.is_caller_retry(key, 3000, now_s)
+    assert not is_caller_retry
 
 
 def test_nobody_waits_for_most_of_the_time_that_it_has():
--- a/redwingvalve/ingress/timing.py
+++ b/redwingvalve/ingress/timing.py
@@ -13,54 +13,56 @@
 class RequestTiming:
     """Moments of this process's monotonic clock, and durations in seconds."""
 
-    began_s: float = attrs.field(factory=time.monotonic)
+    started_s: float = attrs.field(factory=time.monotonic)
     # For places, over all sends.
     waited_s: float = 0.0
     # The first event for the caller.
-    first_s: float | None = None
+    first_event_s: float | None = None
     # Between two events.
-    longest_pause_s: float = 0.0
-    _last_s: float | None = None
+    longest_gap_s: float = 0.0
+    _last_event_s: float | None = None
 
     @property
-    def took_s(self) -> float:
+    def elapsed_s(self) -> float:
         """Return how long the request has taken until now."""
-        return time.monotonic() - self.began_s
+        return time.monotonic() - self.started_s
 
     @property
-    def until_first_s(self) -> float:
+    def first_event_delay_s(self) -> float:
         """Return how long the first event took, 0 if none came."""
-        return (self.first_s or self.began_s) - self.began_s
+        return (self.first_event_s or self.started_s) - self.started_s
 
-    def is_late_first(self, admission: admission_control.Admission) -> bool:
+    def is_first_event_late(
+        self, admission: admission_control.Admission
+    ) -> bool:
         """Return whether the answer began late for its caller."""
-        first_s = self.until_first_s or self.took_s
+        first_event_s = self.first_event_delay_s or self.elapsed_s
         goal_s = admission.route.goal_ms / _MS_IN_S
-        return admission.has_returned or first_s > goal_s
+        return admission.has_returned or first_event_s > goal_s
 
-    def is_late_between(self, admission: admission_control.Admission) -> bool:
+    def is_gap_late(self, admission: admission_control.Admission) -> bool:
         """Return whether a pause between events was too long."""
         goal_s = admission.route.gap_goal_ms / _MS_IN_S
-        return goal_s > 0 and self.longest_pause_s > goal_s
+        return goal_s > 0 and self.longest_gap_s > goal_s
 
-    def waited_since(self, moment_s: float) -> None:
+    def add_wait_since(self, moment_s: float) -> None:
         """Count a wait for a place that has just ended."""
         self.waited_s += time.monotonic() - moment_s
 
-    def note_event(self, now_s: float) -> None:
+    def record_event(self, now_s: float) -> None:
         """Note an event of the stream."""
-        self.first_s = self.first_s or now_s
-        if self._last_s is not None:
-            pause_s = now_s - self._last_s
-            self.longest_pause_s = max(self.longest_pause_s, pause_s)
-        self._last_s = now_s
+        self.first_event_s = self.first_event_s or now_s
+        if self._last_event_s is not None:
+            gap_s = now_s - self._last_event_s
+            self.longest_gap_s = max(self.longest_gap_s, gap_s)
+        self._last_event_s = now_s
 
-    def teach(
+    def update_estimate(
         self,
-        begin: duration_estimates.DurationEstimate,
+        estimate: duration_estimates.DurationEstimate,
         sent_s: float,
         prompt_s: float,
     ) -> None:
         """Learn from the whole answer to an only send at sent_s."""
-        first_s = self.first_s or time.monotonic()
-        begin.observe(first_s - sent_s - prompt_s)
+        first_event_s = self.first_event_s or time.monotonic()
+        estimate.observe(first_event_s - sent_s - prompt_s)
--- a/redwingvalve/ingress/upstream.py
+++ b/redwingvalve/ingress/upstream.py
@@ -12,11 +12,11 @@
 _REDIRECT = 300
 
 
-class Ending(enum.Enum):
+class Outcome(enum.Enum):
     """How a send ended."""
 
     # A whole answer; for streams one that was handed on event by event.
-    WHOLE = 'whole'
+    COMPLETE = 'whole'
     # The endpoint says that it did not run the request.
     NOT_RUN = 'not-run'
     # A whole failure of the endpoint's own.
@@ -24,20 +24,20 @@
     # The connection ended first, or the answer can't be this request's.
     BROKEN = 'broken'
     # The head fell silent, or took longer than this send may.
-    SILENT = 'silent'
+    STALLED = 'silent'
     # The caller has left.
-    GONE = 'gone'
+    CALLER_GONE = 'gone'
     # The time that the request had is over.
     TIMEOUT = 'timeout'
 
 
-class Send(client.Exchange):
+class UpstreamRequest(client.Exchange):
     """Collects one answer; ended holds how it went."""
 
     def __init__(self, attempt_id: bytes) -> None:
         """Expect an answer that echoes attempt_id."""
         loop = asyncio.get_running_loop()
-        self.ended: asyncio.Future[Ending] = loop.create_future()
+        self.ended: asyncio.Future[Outcome] = loop.create_future()
         self.head: messages.AnswerHead | None = None
         self.reason = ''
         self._attempt_id = attempt_id
@@ -69,57 +69,57 @@
 
     def completed(self) -> None:
         """Judge the whole answer."""
-        self.end(self.judge())
+        self.finish(self.classify())
 
     def broken(self, reason: str) -> None:
         """End without an answer."""
         self.reason = reason
-        self.end(Ending.BROKEN)
+        self.finish(Outcome.BROKEN)
 
-    def end(self, ending: Ending) -> None:
+    def finish(self, outcome: Outcome) -> None:
         """Set how the send ended, once."""
         if not self.ended.done():
-            self.ended.set_result(ending)
+            self.ended.set_result(outcome)
 
-    def judge(self) -> Ending:
+    def classify(self) -> Outcome:
         """Return what a whole answer says."""
         head = self.head
         if head is None:
-            return Ending.BROKEN
+            return Outcome.BROKEN
         if head.header(names.NOT_RUN_HEADER) is not None or head.status == 421:
-            return Ending.NOT_RUN
+            return Outcome.NOT_RUN
         if not is_success(head):
-            return Ending.FAILURE
+            return Outcome.FAILURE
         if head.header(names.SEAL_HEADER) is None:
             self.reason = 'success without a seal'
-            return Ending.BROKEN
+            return Outcome.BROKEN
         if head.header(b'content-encoding') is not None:
             self.reason = 'encoded body'
-            return Ending.BROKEN
-        return Ending.WHOLE
+            return Outcome.BROKEN
+        return Outcome.COMPLETE
 
 
-class EventTaker(typing.Protocol):
+class EventSink(typing.Protocol):
     """What takes the events of a stream in order."""
 
-    def take(self, event: events.Event, send: 'StreamSend') -> None:
+    def forward(self, event: events.Event, send: 'UpstreamStream') -> None:
         """Take one whole event."""
 
 
-class StreamSend(Send):
+class UpstreamStream(UpstreamRequest):
     """Hands the events of a successful answer on as they come."""
 
-    def __init__(self, attempt_id: bytes, taker: EventTaker) -> None:
+    def __init__(self, attempt_id: bytes, sink: EventSink) -> None:
         """Hand events to taker."""
         super().__init__(attempt_id)
-        self._taker = taker
+        self._sink = sink
         self._splitter = events.EventSplitter()
         self.is_stream = False
 
     def head_received(self, head: messages.AnswerHead) -> None:
         """Tell a stream from a failure."""
         super().head_received(head)
-        self.is_stream = self.judge() is Ending.WHOLE
+        self.is_stream = self.classify() is Outcome.COMPLETE
 
     def body_received(self, chunk: bytes) -> None:
         """Hand whole events on."""
@@ -129,13 +129,13 @@
         for event in self._splitter.feed(chunk):
             if self.ended.done():
                 return
-            self._taker.take(event, self)
+            self._sink.forward(event, self)
 
     def completed(self) -> None:
         """End; half an event at the end is no whole stream."""
         if self.is_stream and not self._splitter.is_between_events:
             self.reason = 'ended inside an event'
-            self.end(Ending.BROKEN)
+            self.finish(Outcome.BROKEN)
             return
         super().completed()
 
--- a/redwingvalve/ingress/wait_queue.py
+++ b/redwingvalve/ingress/wait_queue.py
@@ -38,20 +38,20 @@
 RATE_WINDOW_S = 2.0
 # Late requests that may wait at once, by the places of all endpoints. Each that
 # waits in vain halves the number, each that is served adds one.
-LATE_WAITERS_SHARE = 0.5
-LEAST_LATE_WAITERS = 6
+LATE_LIMIT_SHARE = 0.5
+MIN_LATE_LIMIT = 6
 # Late requests get so many places for each that others got, also when none is
 # to spare: enough that nobody is turned away for good while few are refused,
 # and little once many are. So many places at once at most.
-LATE_SHARE_OF_FEW = 0.33
-LATE_SHARE_OF_MANY = 0.05
-MOST_LATE_AT_ONCE = 2.0
+LATE_SHARE_FEW_REFUSALS = 0.33
+LATE_SHARE_MANY_REFUSALS = 0.05
+MAX_LATE_CREDIT = 2.0
 # Refusals for each place given, from which on many are refused.
-MANY_REFUSED = 0.3
+MANY_REFUSALS_RATIO = 0.3
 # A request waits if it is expected to get its place within this share of the
 # time in which it can be on time. Places come free unevenly: of those that are
 # expected to get one at the last moment, half would be late.
-EXPECTED_SHARE = 0.6
+EXPECTED_WAIT_SHARE = 0.6
 # When those that are refused may come back: most of a short wave has passed
 # after the first. Callers with six seconds heed the second: they heed a third
 # of what they have left.
@@ -99,7 +99,7 @@
     number: int
     # From then on its answer can't begin in time.
     late_at_s: float
-    select: load_balancing.AcquireSlot
+    acquire_slot: load_balancing.AcquireSlot
     granted: asyncio.Future[load_balancing.Target | None]
 
     def is_late(self, now_s: float) -> bool:
@@ -123,18 +123,18 @@
     """Requests of one service and model that wait for a place."""
 
     def __init__(
-        self, clock: collections_abc.Callable[[], float], places: SlotCapacity
+        self, clock: collections_abc.Callable[[], float], capacity: SlotCapacity
     ) -> None:
         """Judge by clock, in seconds."""
         self._clock = clock
-        self._places = places
+        self._capacity = capacity
         self._numbers = itertools.count()
         self._waiters: list[_Waiter] = []
-        self._served = sliding_window.Moments(RATE_WINDOW_S)
-        self._refused = sliding_window.Moments(RATE_WINDOW_S)
+        self._grants = sliding_window.SlidingWindowCounter(RATE_WINDOW_S)
+        self._refusals = sliding_window.SlidingWindowCounter(RATE_WINDOW_S)
         self._late_limit = math.inf
         # Places that late requests may take though none is to spare.
-        self._late_share = 0.0
+        self._late_credit = 0.0
 
     def __len__(self) -> int:
         """Return how many wait."""
@@ -146,79 +146,81 @@
         The more are refused for each that is served, the later: those that
         come back too soon are refused once more, and most try only once more.
         """
-        retry_after_s = RETRY_AFTER_MIN_S * (1 + self._refused_for_each())
+        retry_after_s = RETRY_AFTER_MIN_S * (1 + self._refusals_per_grant())
         return min(retry_after_s, RETRY_AFTER_MAX_S)
 
     def expected_wait_s(self, ask: SlotRequest) -> float:
         """Return how long a request that comes now will wait."""
-        return self._expected_s(self._make_waiter(ask, _select_nothing))
+        return self._expected_wait_s(self._make_waiter(ask, _acquire_nothing))
 
     def try_acquire(
-        self, ask: SlotRequest, select: load_balancing.AcquireSlot
+        self, ask: SlotRequest, acquire_slot: load_balancing.AcquireSlot
     ) -> load_balancing.Target | None:
         """Return a place if one is free for this request now."""
-        waiter = self._make_waiter(ask, select)
+        waiter = self._make_waiter(ask, acquire_slot)
         self._waiters.append(waiter)
         self.dispatch()
-        self._forget(waiter)
-        return _granted(waiter)
+        self._remove(waiter)
+        return _granted_target(waiter)
 
     async def acquire(
-        self, ask: SlotRequest, select: load_balancing.AcquireSlot
+        self, ask: SlotRequest, acquire_slot: load_balancing.AcquireSlot
     ) -> load_balancing.Target | None:
         """Return a place, or None if the request won't get one in time."""
-        waiter = self._make_waiter(ask, select)
+        waiter = self._make_waiter(ask, acquire_slot)
         self._waiters.append(waiter)
         try:
-            target = await self._place(waiter)
+            target = await self._wait_for_slot(waiter)
         finally:
-            self._forget(waiter)
+            self._remove(waiter)
         if target is None:
-            self._refused.note(self._clock())
+            self._refusals.record(self._clock())
         return target
 
     def dispatch(self) -> None:
         """Give places that became free to those who wait."""
         if not self._waiters:
             return
-        has_spare_slots = self._places.has_spare_slots()
-        for waiter in self._in_order():
+        has_spare_slots = self._capacity.has_spare_slots()
+        for waiter in self._sorted_waiters():
             is_late = waiter.is_late(self._clock())
-            if is_late and not (has_spare_slots or self._late_share >= 1):
+            if is_late and not (has_spare_slots or self._late_credit >= 1):
                 continue
-            target = waiter.select()
+            target = waiter.acquire_slot()
             if target is not None:
                 self._grant(waiter, target, is_late=is_late)
 
     def _make_waiter(
-        self, ask: SlotRequest, select: load_balancing.AcquireSlot
+        self, ask: SlotRequest, acquire_slot: load_balancing.AcquireSlot
     ) -> _Waiter:
         return _Waiter(
             ask,
             next(self._numbers),
             self._clock() + ask.on_time_s,
-            select,
+            acquire_slot,
             asyncio.get_running_loop().create_future(),
         )
 
-    async def _place(self, waiter: _Waiter) -> load_balancing.Target | None:
+    async def _wait_for_slot(
+        self, waiter: _Waiter
+    ) -> load_balancing.Target | None:
         self.dispatch()
         if waiter.granted.done():
             return waiter.granted.result()
         if not self._may_wait(waiter):
             return None
         now_s = self._clock()
-        give_up_s = now_s + waiter.ask.wait_s
+        give_up_at_s = now_s + waiter.ask.wait_s
         if not waiter.is_late(now_s):
-            await self._until(waiter, min(waiter.late_at_s, give_up_s))
-            if waiter.granted.done() or not self._has_late_room(waiter):
-                return _granted(waiter)
-        await self._until(waiter, give_up_s)
+            await self._wait_until(waiter, min(waiter.late_at_s, give_up_at_s))
+            if waiter.granted.done() or not self._admit_late(waiter):
+                return _granted_target(waiter)
+        await self._wait_until(waiter, give_up_at_s)
         if not waiter.granted.done():
-            self._late_limit = self._late_limit_now() / 2
-        return _granted(waiter)
+            self._late_limit = self._current_late_limit() / 2
+        return _granted_target(waiter)
 
-    async def _until(self, waiter: _Waiter, moment_s: float) -> None:
+    async def _wait_until(self, waiter: _Waiter, moment_s: float) -> None:
         """Wait for a place until a moment of the room's clock."""
         left_s = max(moment_s - self._clock(), 0)
         await asyncio.wait((waiter.granted,), timeout=left_s)
@@ -228,23 +230,23 @@
             return True
         now_s = self._clock()
         if not waiter.is_late(now_s):
-            on_time_s = waiter.ask.on_time_s * EXPECTED_SHARE
-            if self._expected_s(waiter) <= on_time_s:
+            on_time_s = waiter.ask.on_time_s * EXPECTED_WAIT_SHARE
+            if self._expected_wait_s(waiter) <= on_time_s:
                 return True
             waiter.late_at_s = now_s
-        return self._has_late_room(waiter)
+        return self._admit_late(waiter)
 
-    def _expected_s(self, waiter: _Waiter) -> float:
+    def _expected_wait_s(self, waiter: _Waiter) -> float:
         """Return how long it will wait behind those that go before it."""
         now_s = self._clock()
         rank = waiter.rank(now_s)
-        before = sum(1 for one in self._waiters if one.rank(now_s) < rank)
-        if not before:
+        ahead = sum(1 for one in self._waiters if one.rank(now_s) < rank)
+        if not ahead:
             return 0
-        freed_per_s = max(self._places.freed_per_s(), MIN_FREED_PER_S)
-        return (before + 1) / freed_per_s
+        freed_per_s = max(self._capacity.freed_per_s(), MIN_FREED_PER_S)
+        return (ahead + 1) / freed_per_s
 
-    def _has_late_room(self, waiter: _Waiter) -> bool:
+    def _admit_late(self, waiter: _Waiter) -> bool:
         """Return whether a late request may wait for a place to spare.
 
         Who was told to come back has no other chance: it takes the room of
@@ -253,52 +255,56 @@
         now_s = self._clock()
         late = [
             one
-            for one in self._in_order()
+            for one in self._sorted_waiters()
             if one is not waiter and one.is_late(now_s)
         ]
-        if len(late) < max(self._late_limit_now(), 1):
+        if len(late) < max(self._current_late_limit(), 1):
             return True
         last = late[-1]
         if last.ask.has_returned or not waiter.ask.has_returned:
             return False
         last.granted.set_result(None)
-        self._forget(last)
+        self._remove(last)
         return True
 
     def _grant(
         self, waiter: _Waiter, target: load_balancing.Target, *, is_late: bool
     ) -> None:
-        self._served.note(self._clock())
-        self._forget(waiter)
+        self._grants.record(self._clock())
+        self._remove(waiter)
         waiter.granted.set_result(target)
         if is_late:
             self._late_limit += 1
-            self._late_share = max(self._late_share - 1, 0)
+            self._late_credit = max(self._late_credit - 1, 0)
         else:
-            share = self._late_share + self._late_per_fresh()
-            self._late_share = min(share, MOST_LATE_AT_ONCE)
+            credit = self._late_credit + self._late_credit_per_grant()
+            self._late_credit = min(credit, MAX_LATE_CREDIT)
 
-    def _late_limit_now(self) -> float:
-        most = LATE_WAITERS_SHARE * self._places.slots()
-        return min(self._late_limit, max(most, LEAST_LATE_WAITERS))
+    def _current_late_limit(self) -> float:
+        max_late = LATE_LIMIT_SHARE * self._capacity.slots()
+        return min(self._late_limit, max(max_late, MIN_LATE_LIMIT))
 
-    def _late_per_fresh(self) -> float:
+    def _late_credit_per_grant(self) -> float:
         """Return the places for late requests, for each that others get."""
-        is_many = self._refused_for_each() > MANY_REFUSED
-        return LATE_SHARE_OF_MANY if is_many else LATE_SHARE_OF_FEW
+        has_many_refusals = self._refusals_per_grant() > MANY_REFUSALS_RATIO
+        return (
+            LATE_SHARE_MANY_REFUSALS
+            if has_many_refusals
+            else LATE_SHARE_FEW_REFUSALS
+        )
 
-    def _refused_for_each(self) -> float:
+    def _refusals_per_grant(self) -> float:
         """Return the refusals for each place that was given lately."""
         now_s = self._clock()
-        return self._refused.count(now_s) / max(self._served.count(now_s), 1)
+        return self._refusals.count(now_s) / max(self._grants.count(now_s), 1)
 
-    def _forget(self, waiter: _Waiter) -> None:
+    def _remove(self, waiter: _Waiter) -> None:
         if waiter in self._waiters:
             self._waiters.remove(waiter)
 
-    def _in_order(self) -> list[_Waiter]:
+    def _sorted_waiters(self) -> list[_Waiter]:
         now_s = self._clock()
-        late_first = self._late_share >= 1
+        late_first = self._late_credit >= 1
 
         def rank(waiter: _Waiter) -> _Rank:
             return waiter.rank(now_s, late_first=late_first)
@@ -306,9 +312,9 @@
         return sorted(self._waiters, key=rank)
 
 
-def _select_nothing() -> None:
+def _acquire_nothing() -> None:
     """Select no place."""
 
 
-def _granted(waiter: _Waiter) -> load_balancing.Target | None:
+def _granted_target(waiter: _Waiter) -> load_balancing.Target | None:
     return waiter.granted.result() if waiter.granted.done() else None
