--- a/redwingvalve/ingress/stall_detection.py
+++ b/redwingvalve/ingress/stall_detection.py
@@ -1,14 +1,14 @@
-"""Which heads have fallen silent, from the streams that they write.
+"""Detects stalled heads from the streams that they write.
 
-Load pattern: a member of a replica dies and its head stands still for
-seconds, with all its connections open, and takes new requests meanwhile.
-Streams get an event every few dozen milliseconds, so that silence of all of a
-head's streams shows the loss for nothing, and long before a heartbeat lapses.
+Load pattern: a member of a replica dies; the replica's head stalls for
+seconds with all its connections open and still accepts requests. Streams get
+an event every few dozen milliseconds, so that a stall of all streams of a head
+shows the loss without extra traffic, and long before a heartbeat expires.
 
-A long prompt holds all streams of a head up for as long as it takes to read;
-so the bound grows by the reading time of the prompts sent there lately. A
-pause of this process looks like silence of all heads: looks that come late
-don't count the time in between.
+A long prompt delays all streams of a head while it is read, so the time limit
+grows by the read time of the prompts sent there recently. A pause of this
+process looks like a stall of all heads, so the time before a late check
+doesn't count.
 """
 
 import collections
@@ -16,48 +16,48 @@
 import attrs
 
 MIN_CHECK_INTERVAL_S = 0.025
-# No stream that begins after a look is silent for too long before this.
+# A stream that starts after a check can't reach its time limit earlier.
 MAX_CHECK_INTERVAL_S = 0.1
-# A look that is this late was held up with the whole process.
+# A check that is later than this means that the whole process was paused.
 LATE_CHECK_S = 0.05
-# Silence for this many usual pauses between events; below three, the
-# variation of step times raises false alarms.
+# Time limit in usual intervals between events; below three, the variation of
+# step times raises false alarms.
 STALL_INTERVALS = 3.0
-# Below this, delays of the network and of timers raise false alarms.
+# Below this limit, network and timer delays raise false alarms.
 MIN_STALL_S = 0.1
-# Prompts that other nodes may have sent to the same head at the same moment,
-# each as long as nine in ten are at most.
+# Prompts that other nodes may have sent to the same head at the same moment;
+# each is assumed to take the 90th percentile of the recent read times.
 OTHER_PROMPT_COUNT = 2
 PROMPT_SAMPLES = 40
-# Network both ways, waiting for the pass that is under way, and for a place
-# at a head that other nodes have filled meanwhile.
+# Allows for the network round trip, the forward pass in progress, and the wait
+# for a slot at a head that other nodes have filled in the meantime.
 FIRST_EVENT_ALLOWANCE_S = 0.3
-# A head that was found sound is slow, not lost: for some seconds its bound is
-# wider, and wider still if it falls silent by that bound too. Else it is taken
-# out of use again and again, and its requests fill the others until those are
-# slow too.
+# A stalled head that turns out to be healthy is slow, not lost: for
+# SLOW_DURATION_S its time limit is multiplied by SLOW_FACTOR, and again if it
+# exceeds that limit too. Otherwise it would be taken out of use repeatedly,
+# and its requests would overload the other heads until those are slow too.
 SLOW_FACTOR = 3.0
 MAX_SLOW_FACTOR = 27.0
 SLOW_DURATION_S = 6.0
-# All nodes find out about the same silence within this.
+# Reports from several nodes within this time are about the same stall.
 SAME_STALL_S = 0.4
 
 
 class PromptReadTimes:
-    """How long endpoints read the prompts of one model, lately."""
+    """Recent prompt read times of one model."""
 
     def __init__(self) -> None:
-        """Start without prompts."""
+        """Start without samples."""
         self._samples_s: collections.deque[float] = collections.deque(
             maxlen=PROMPT_SAMPLES
         )
 
     def observe(self, prompt_s: float) -> None:
-        """Take one more prompt, in seconds of reading."""
+        """Add the read time of one prompt, in seconds."""
         self._samples_s.append(prompt_s)
 
     def other_prompts_s(self) -> float:
-        """Return what the prompts of other nodes may hold a head up."""
+        """Return how long prompts of other nodes may delay a head."""
         if not self._samples_s:
             return 0
         largest = sorted(self._samples_s)[len(self._samples_s) * 9 // 10]
@@ -66,27 +66,27 @@
 
 @attrs.define(eq=False)
 class MonitoredStream:
-    """One stream at a head; its owner notes each event."""
+    """One stream at a head; its owner records each event."""
 
     head: str
     sent_s: float
-    # Seconds that reading its prompt takes.
+    # Time to read the prompt of the stream.
     prompt_s: float
-    # Seconds between two events.
+    # Usual interval between two events.
     pause_s: float
-    # Seconds that reading other nodes' prompts may take.
+    # Time in which the head may read prompts of other nodes.
     other_prompts_s: float = 0.0
     has_started: bool = False
-    # While the caller doesn't read, nothing can be said about the head.
+    # A stream that is paused by flow control tells nothing about its head.
     is_paused: bool = False
 
 
 @attrs.frozen
 class StalledHead:
-    """A head from which nothing came for too long."""
+    """A head that exceeded its time limit without an event."""
 
     head: str
-    # Streams that had begun have stopped; else the head may be full or slow.
+    # Whether started streams stopped; otherwise the head may be full or slow.
     has_started: bool
 
 
@@ -96,30 +96,30 @@
     streams: dict[int, MonitoredStream] = attrs.field(factory=dict)
 
     def active(self) -> list[MonitoredStream]:
-        """Return the streams whose callers read."""
+        """Return the streams that aren't paused by flow control."""
         return [one for one in self.streams.values() if not one.is_paused]
 
 
 @attrs.define
 class _SlowHead:
     factor: float
-    # When its bound was widened last, and until when it is wider.
+    # When the factor was last raised, and until when it applies.
     since_s: float
     until_s: float
 
 
 class StallDetector:
-    """Looks at all streams of this node."""
+    """Monitors all streams of this node."""
 
     def __init__(self) -> None:
         """Start without streams."""
         self._heads: dict[str, _HeadState] = {}
-        # When the next look is due; None while there is nothing to look at.
+        # None while no stream is monitored.
         self._next_check_s: float | None = None
         self._slow_heads: dict[str, _SlowHead] = {}
 
     def add(self, stream: MonitoredStream) -> None:
-        """Look at a stream from now on."""
+        """Start to monitor a stream."""
         head = self._heads.get(stream.head)
         if head is None:
             head = _HeadState(stream.sent_s)
@@ -127,7 +127,7 @@
         head.streams[id(stream)] = stream
 
     def remove(self, stream: MonitoredStream) -> None:
-        """Look at a stream no more."""
+        """Stop monitoring a stream."""
         head = self._heads.get(stream.head)
         if head is None:
             return
@@ -136,15 +136,15 @@
             self._heads.pop(stream.head)
 
     def record_event(self, stream: MonitoredStream, now_s: float) -> None:
-        """Note that a head has written an event."""
+        """Restart the time limit of a stream's head."""
         stream.has_started = True
         head = self._heads.get(stream.head)
         if head is not None:
             head.last_event_s = now_s
 
     def mark_slow(self, head: str, now_s: float) -> None:
-        """Allow a head more time: it was silent, but nothing is lost."""
-        # Forgotten here: requests look at all slow heads.
+        """Raise the time limit of a head that stalled but is healthy."""
+        # Expired entries are dropped here because each request reads them all.
         self._slow_heads = {
             name: one
             for name, one in self._slow_heads.items()
@@ -162,23 +162,23 @@
             slow.factor = min(slow.factor * SLOW_FACTOR, MAX_SLOW_FACTOR)
 
     def is_slow(self, head: str, now_s: float) -> bool:
-        """Return whether a head was silent lately and is not lost."""
+        """Return whether a head stalled recently and is not lost."""
         slow = self._slow_heads.get(head)
         return slow is not None and slow.until_s > now_s
 
     def slow_heads(self, now_s: float) -> frozenset[str]:
-        """Return the heads that were silent lately and are not lost."""
+        """Return the heads that stalled recently and are not lost."""
         return frozenset(
             head for head in self._slow_heads if self.is_slow(head, now_s)
         )
 
     @property
     def is_idle(self) -> bool:
-        """Return whether no stream is looked at."""
+        """Return whether no stream is monitored."""
         return not self._heads
 
     def find_stalled(self, now_s: float) -> list[StalledHead]:
-        """Return the heads that are silent for too long."""
+        """Return the heads that exceeded their time limit."""
         expected_check_s = self._next_check_s
         self._next_check_s = None
         if self.is_idle:
@@ -201,7 +201,7 @@
         ]
 
     def time_to_next_check_s(self, now_s: float) -> float:
-        """Return the time until the next look is due."""
+        """Return the time until the next check is due."""
         if self._next_check_s is None:
             return MAX_CHECK_INTERVAL_S
         return max(self._next_check_s - now_s, 0)
@@ -221,7 +221,7 @@
 
 
 def _time_left_s(head: _HeadState, now_s: float, factor: float) -> float:
-    """Return for how long a head may still be silent; negative if too long."""
+    """Return the time until a head counts as stalled; negative if it does."""
     active = head.active()
     if not active:
         return MAX_CHECK_INTERVAL_S
--- a/redwingvalve/ingress/wait_queue.py
+++ b/redwingvalve/ingress/wait_queue.py
@@ -1,24 +1,27 @@
-"""Requests that wait for a free place, and whom to refuse.
-
-Load pattern: callers come in waves that exceed the free places for a second
-or two, and now and then at several times what the endpoints can do for many
-seconds. Requests wait here rather than at an endpoint, because from here they
-can go to whichever head is free first.
-
-Streams that lost their endpoint go first, then requests that can still be on
-time, the most urgent and then the oldest of them before the others, then those
-that are late. Served by age alone, each request of a long wave waits as long
-as the queue is, and all answers are late though the places are as busy as ever.
-
-A late request takes a place while some are to spare, and else one for every
-few places that others got. A place that a late request takes is missing for one
-that could be on time: with no bound, a long overload would be answered late as
-a whole. With no share at all, a slight one would turn those away for good who
-come back after a refusal, as callers do only once.
-
-A request is refused at once if those before it need longer than it has, judged
-by the places that become free, and if as many late ones wait as lately got a
-place. A caller that is told so at once can come back, one that waits can't.
+"""Queue of requests that wait for a free slot, with admission control.
+
+Load pattern: bursts exceed the free slots for a second or two, and
+occasionally offer several times the capacity for many seconds. Requests wait
+here rather than at an endpoint, because from here they can go to whichever
+head is free first.
+
+Order of service: resumed streams that lost their endpoint; then requests that
+can still be on time, the most urgent first and the oldest first among equals;
+then late requests. In plain FIFO order every request of a long burst would
+wait for the whole queue, and all answers would be late although the slots are
+fully used.
+
+A late request takes a slot while there are spare ones, and otherwise one for
+every few slots granted to others. A slot given to a late request is lost to
+one that could be on time: without a bound, all answers of a long overload
+would be late. Without any share, a slight overload would reject for good the
+callers that retry after a refusal, because callers retry only once.
+
+A request is refused immediately if its expected wait, from the requests ahead
+of it and the rate at which slots become free, exceeds its time, and if the
+limit of waiting late requests is reached; the limit follows how many of them
+got a slot lately. A caller that is refused immediately can retry; one that
+waits can't.
 """
 
 import abc
@@ -32,62 +35,64 @@
 
 from redwingvalve.ingress import load_balancing, sliding_window
 
-# While no endpoint is known; whoever isn't first then waits too long.
+# Lower bound for the rate while no endpoint is known: all requests but the
+# first in the queue then expect too long a wait.
 MIN_FREED_PER_S = 1e-3
-# Refusals and grants are compared over this time.
+# Window over which refusals and grants are compared.
 RATE_WINDOW_S = 2.0
-# Late requests that may wait at once, by the places of all endpoints. Each that
-# waits in vain halves the number, each that is served adds one.
+# Limit of late requests in the queue, as a share of all slots. Each late
+# request that times out halves the limit, each that is served adds one.
 LATE_LIMIT_SHARE = 0.5
 MIN_LATE_LIMIT = 6
-# Late requests get so many places for each that others got, also when none is
-# to spare: enough that nobody is turned away for good while few are refused,
-# and little once many are. So many places at once at most.
+# Slots that late requests earn for each slot granted to another request, also
+# when there are no spare ones: enough that no caller is rejected for good
+# while few are refused, and little once many are. MAX_LATE_CREDIT bounds how
+# many slots they can save up.
 LATE_SHARE_FEW_REFUSALS = 0.33
 LATE_SHARE_MANY_REFUSALS = 0.05
 MAX_LATE_CREDIT = 2.0
-# Refusals for each place given, from which on many are refused.
+# Refusals per granted slot above which LATE_SHARE_MANY_REFUSALS applies.
 MANY_REFUSALS_RATIO = 0.3
-# A request waits if it is expected to get its place within this share of the
-# time in which it can be on time. Places come free unevenly: of those that are
-# expected to get one at the last moment, half would be late.
+# A request may wait if its expected wait is within this share of the time in
+# which it can be on time. Slots become free irregularly: half of the requests
+# expected to get one at the last moment would be late.
 EXPECTED_WAIT_SHARE = 0.6
-# When those that are refused may come back: most of a short wave has passed
-# after the first. Callers with six seconds heed the second: they heed a third
-# of what they have left.
+# Bounds of Retry-After. Most of a short burst has passed after the lower one.
+# Callers honour at most a third of their remaining time, so that callers with
+# a deadline of 6 s honour the upper one.
 RETRY_AFTER_MIN_S = 0.8
 RETRY_AFTER_MAX_S = 2.0
 
 
 @attrs.frozen
 class SlotRequest:
-    """What a request needs of a place."""
+    """A request for a slot, with its priority and time limits."""
 
     urgency: int
-    # After this wait its answer will be late.
+    # Longest wait after which the answer can still be on time.
     on_time_s: float
-    # After this wait it is given up.
+    # Longest wait before the request is given up.
     wait_s: float
-    # It was refused before and has come back.
+    # The caller retries after a refusal.
     has_returned: bool = False
-    # It ran elsewhere already and lost its endpoint.
+    # The request was running elsewhere and lost its endpoint.
     is_resumed: bool = False
 
 
 class SlotCapacity(abc.ABC):
-    """What a room knows of the places that it waits for."""
+    """Capacity of the endpoints whose slots a queue hands out."""
 
     @abc.abstractmethod
     def freed_per_s(self) -> float:
-        """Return the places that come free in a second while all are taken."""
+        """Return the rate at which slots become free while all are taken."""
 
     @abc.abstractmethod
     def slots(self) -> int:
-        """Return all places, taken or free."""
+        """Return the number of slots, taken or free."""
 
     @abc.abstractmethod
     def has_spare_slots(self) -> bool:
-        """Return whether late requests may take a place now."""
+        """Return whether late requests may take a slot now."""
 
 
 _Rank: typing.TypeAlias = tuple[bool, bool, int, bool, int]
@@ -97,7 +102,7 @@
 class _Waiter:
     ask: SlotRequest
     number: int
-    # From then on its answer can't begin in time.
+    # From this moment on its answer can't start in time.
     late_at_s: float
     acquire_slot: load_balancing.AcquireSlot
     granted: asyncio.Future[load_balancing.Target | None]
@@ -108,7 +113,7 @@
         return self.ask.has_returned or now_s >= self.late_at_s
 
     def rank(self, now_s: float, *, late_first: bool = False) -> _Rank:
-        """Return its place in the order of service, the first one lowest."""
+        """Return the sort key of the order of service; lowest is first."""
         ask = self.ask
         return (
             not ask.is_resumed,
@@ -120,12 +125,12 @@
 
 
 class WaitQueue:
-    """Requests of one service and model that wait for a place."""
+    """Queue of one service and model."""
 
     def __init__(
         self, clock: collections_abc.Callable[[], float], capacity: SlotCapacity
     ) -> None:
-        """Judge by clock, in seconds."""
+        """Create an empty queue; clock returns seconds."""
         self._clock = clock
         self._capacity = capacity
         self._numbers = itertools.count()
@@ -133,30 +138,30 @@
         self._grants = sliding_window.SlidingWindowCounter(RATE_WINDOW_S)
         self._refusals = sliding_window.SlidingWindowCounter(RATE_WINDOW_S)
         self._late_limit = math.inf
-        # Places that late requests may take though none is to spare.
+        # Slots that late requests may take although none is spare.
         self._late_credit = 0.0
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of waiting requests."""
         return len(self._waiters)
 
     def retry_after_s(self) -> float:
-        """Return when a refused caller may come back, in seconds.
+        """Return after how many seconds a refused caller should retry.
 
-        The more are refused for each that is served, the later: those that
-        come back too soon are refused once more, and most try only once more.
+        Grows with the ratio of refusals to grants: a caller that retries too
+        soon is refused again, and most callers retry only once.
         """
         retry_after_s = RETRY_AFTER_MIN_S * (1 + self._refusals_per_grant())
         return min(retry_after_s, RETRY_AFTER_MAX_S)
 
     def expected_wait_s(self, ask: SlotRequest) -> float:
-        """Return how long a request that comes now will wait."""
+        """Return the expected wait of a request that arrives now."""
         return self._expected_wait_s(self._make_waiter(ask, _acquire_nothing))
 
     def try_acquire(
         self, ask: SlotRequest, acquire_slot: load_balancing.AcquireSlot
     ) -> load_balancing.Target | None:
-        """Return a place if one is free for this request now."""
+        """Return the target of a slot if one is free for the request now."""
         waiter = self._make_waiter(ask, acquire_slot)
         self._waiters.append(waiter)
         self.dispatch()
@@ -166,7 +171,7 @@
     async def acquire(
         self, ask: SlotRequest, acquire_slot: load_balancing.AcquireSlot
     ) -> load_balancing.Target | None:
-        """Return a place, or None if the request won't get one in time."""
+        """Wait for a slot; return None if the request gets none in time."""
         waiter = self._make_waiter(ask, acquire_slot)
         self._waiters.append(waiter)
         try:
@@ -178,7 +183,7 @@
         return target
 
     def dispatch(self) -> None:
-        """Give places that became free to those who wait."""
+        """Grant free slots to waiting requests, in order of service."""
         if not self._waiters:
             return
         has_spare_slots = self._capacity.has_spare_slots()
@@ -221,7 +226,7 @@
         return _granted_target(waiter)
 
     async def _wait_until(self, waiter: _Waiter, moment_s: float) -> None:
-        """Wait for a place until a moment of the room's clock."""
+        """Wait for a grant until a moment of the queue's clock."""
         left_s = max(moment_s - self._clock(), 0)
         await asyncio.wait((waiter.granted,), timeout=left_s)
 
@@ -237,7 +242,7 @@
         return self._admit_late(waiter)
 
     def _expected_wait_s(self, waiter: _Waiter) -> float:
-        """Return how long it will wait behind those that go before it."""
+        """Return the expected wait behind the requests ahead of it."""
         now_s = self._clock()
         rank = waiter.rank(now_s)
         ahead = sum(1 for one in self._waiters if one.rank(now_s) < rank)
@@ -247,10 +252,10 @@
         return (ahead + 1) / freed_per_s
 
     def _admit_late(self, waiter: _Waiter) -> bool:
-        """Return whether a late request may wait for a place to spare.
+        """Return whether a late request may wait for a spare slot.
 
-        Who was told to come back has no other chance: it takes the room of
-        another, which can still come back.
+        A caller that already retried has no other chance: at the limit, its
+        request evicts one whose caller can still retry.
         """
         now_s = self._clock()
         late = [
@@ -285,7 +290,7 @@
         return min(self._late_limit, max(max_late, MIN_LATE_LIMIT))
 
     def _late_credit_per_grant(self) -> float:
-        """Return the places for late requests, for each that others get."""
+        """Return the credit of late requests for each slot of the others."""
         has_many_refusals = self._refusals_per_grant() > MANY_REFUSALS_RATIO
         return (
             LATE_SHARE_MANY_REFUSALS
@@ -294,7 +299,7 @@
         )
 
     def _refusals_per_grant(self) -> float:
-        """Return the refusals for each place that was given lately."""
+        """Return the refusals per granted slot within the window."""
         now_s = self._clock()
         return self._refusals.count(now_s) / max(self._grants.count(now_s), 1)
 
@@ -313,7 +318,7 @@
 
 
 def _acquire_nothing() -> None:
-    """Select no place."""
+    """Acquire no slot."""
 
 
 def _granted_target(waiter: _Waiter) -> load_balancing.Target | None:
