--- a/redwingvalve/ingress/__init__.py
+++ b/redwingvalve/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""The request path of a node: routes, accounts, waiting, sending, relaying."""
+"""Request path of a node: routing, admission, queueing and forwarding."""
--- a/redwingvalve/ingress/admission_control.py
+++ b/redwingvalve/ingress/admission_control.py
@@ -1,4 +1,4 @@
-"""What is decided about a request before it is sent anywhere."""
+"""Decides on route, account, priority and time limits of a request."""
 
 import random
 
@@ -8,28 +8,28 @@
 from redwingvalve.platform import caller_requests
 
 _MS_IN_S = 1000.0
-# Callers that state no deadline and routes without a timeout.
+# For routes without a timeout.
 DEFAULT_TIMEOUT_MS = 30_000
-# The least urgent value that endpoints know.
+# The least urgent value that endpoints accept.
 MAX_URGENCY = 9
 
 
 @attrs.frozen
 class Admission:
-    """What was decided about a request before any send."""
+    """The admission decision for a request that is not refused."""
 
     route: routes.Route
     service: str
     model: str
     account: str | None
     urgency: int
-    # Moments of this process's monotonic clock.
+    # Timestamps of this process's monotonic clock.
     timeout_at_s: float
     caller_deadline_s: float
-    # Seconds to read the prompt, and between two events, at an endpoint.
+    # Time to read the prompt, and the usual interval between two events.
     prompt_s: float
     pause_s: float
-    # It was refused before and has come back.
+    # The caller retries after a refusal.
     has_returned: bool = False
 
 
@@ -39,7 +39,7 @@
     rng: random.Random,
     now_s: float,
 ) -> Admission | refusals.Refusal:
-    """Find route and account of a request, or why it is refused."""
+    """Return the admission of a request, or the reason to refuse it."""
     if configuration is None:
         return refusals.NO_CONFIGURATION
     route = configuration.find_route(caller.host, caller.path)
@@ -71,7 +71,7 @@
     deadlines: caller_retries.DeadlineHistory,
     now_s: float,
 ) -> Admission:
-    """Return what was decided, with whether the caller has come back."""
+    """Return the admission, marked if the caller retries after a refusal."""
     if caller.deadline_ms is None:
         return admission
     key = (admission.route.name, admission.account)
@@ -83,7 +83,7 @@
 def _timeouts_ms(
     route: routes.Route, caller: caller_requests.CallerRequest
 ) -> tuple[int, int]:
-    """Return how long we may take, and how long the caller waits."""
+    """Return the time limit of this node, and the caller's deadline."""
     timeout_ms = route.timeout_ms or DEFAULT_TIMEOUT_MS
     if caller.deadline_ms is None:
         return timeout_ms, timeout_ms
--- a/redwingvalve/ingress/caller_retries.py
+++ b/redwingvalve/ingress/caller_retries.py
@@ -1,18 +1,18 @@
-"""Which requests have been refused before and come back.
+"""Detects requests that callers retry after a refusal.
 
-A caller counts its time from its first attempt, a node from the arrival. Who
-comes back can't be on time any more, but it has no further try: taken for a
-new request it is served late in place of one that could be on time, or is
-refused for good. What it still waits for tells it apart: less than the first
-attempts of the same account on the same route state.
+A caller measures its time from its first attempt, a node from the arrival. A
+retry can no longer be on time, and its caller makes no further attempt:
+treated as a new request, it would be served late in place of one that could be
+on time, or be refused for good. It is recognized by its deadline, which is
+shorter than those of first attempts of the same account on the same route.
 """
 
 import attrs
 
-# First attempts differ by a tenth either way.
+# Deadlines of first attempts vary by 10 % either way.
 RETRY_DEADLINE_SHARE = 0.8
-# Deadlines of callers that have changed their habits are forgotten after this
-# to twice this.
+# Deadlines are forgotten after one to two intervals, so that callers may change
+# theirs.
 ROTATION_INTERVAL_S = 20.0
 
 Key = tuple[str, str | None]
@@ -20,14 +20,14 @@
 
 @attrs.define
 class DeadlineHistory:
-    """The longest deadlines that were stated lately, by route and account."""
+    """Longest recent deadlines by route and account."""
 
     _rotated_s: float = 0.0
     _longest_current_ms: dict[Key, int] = attrs.field(factory=dict)
     _longest_previous_ms: dict[Key, int] = attrs.field(factory=dict)
 
     def is_caller_retry(self, key: Key, deadline_ms: int, now_s: float) -> bool:
-        """Return whether a caller seems to come back, and learn from it."""
+        """Return whether a request looks like a retry; record its deadline."""
         if now_s - self._rotated_s > ROTATION_INTERVAL_S:
             self._longest_previous_ms = self._longest_current_ms
             self._longest_current_ms = {}
--- a/redwingvalve/ingress/duration_estimates.py
+++ b/redwingvalve/ingress/duration_estimates.py
@@ -1,18 +1,19 @@
-"""Durations as they are seen, for decisions about the next request.
+"""Moving averages of observed durations, for decisions about later requests.
 
-Decisions never use a single observation: one odd answer would open or close a
-queue. An estimate starts at a cautious value, moves by a small step with each
-observation and stays between two bounds, so that some twenty observations
-make up for a change and an outlier counts for little.
+Decisions never use a single observation, because one odd answer would open or
+close a queue. An estimate starts at a conservative value, is smoothed
+exponentially and stays between two bounds, so that it follows a change within
+some twenty observations and an outlier has little effect.
 """
 
 import attrs
 
-# Half of a change is known after fourteen observations.
+# The estimate covers half of a change after 14 observations.
 SMOOTHING_FACTOR = 0.05
-# One observation counts for no more than so many times the estimate.
+# An observation is capped at this multiple of the estimate.
 OUTLIER_FACTOR = 4.0
-# Before anything was seen; a goal of the callers bounds what follows from it.
+# Estimates before the first observation. Wait times that are derived from them
+# are also bounded by the goal of the route.
 INITIAL_FIRST_EVENT_S = 0.15
 INITIAL_HOLD_S = 0.5
 MIN_S = 0.01
@@ -29,20 +30,21 @@
     max_s: float
 
     def observe(self, observed_s: float) -> None:
-        """Take one more observation."""
+        """Add one observation."""
         max_s = min(self.max_s, OUTLIER_FACTOR * self.seconds)
         bounded_s = min(max(observed_s, self.min_s), max_s)
         self.seconds += SMOOTHING_FACTOR * (bounded_s - self.seconds)
 
 
 def make_first_event_estimate() -> DurationEstimate:
-    """Return how long an answer takes to begin, before any was seen.
+    """Return the initial estimate of the time to the first event.
 
-    From a send to the first byte for the caller, without reading the prompt.
+    It covers the time from sending a request to the first byte for the caller,
+    without the time to read the prompt.
     """
     return DurationEstimate(INITIAL_FIRST_EVENT_S, MIN_S, MAX_FIRST_EVENT_S)
 
 
 def make_hold_time_estimate() -> DurationEstimate:
-    """Return for how long a request holds its place, before any was seen."""
+    """Return the initial estimate of how long a request holds its slot."""
     return DurationEstimate(INITIAL_HOLD_S, MIN_S, MAX_HOLD_S)
--- a/redwingvalve/ingress/events.py
+++ b/redwingvalve/ingress/events.py
@@ -1,31 +1,31 @@
-"""Splits a stream of server-sent events into whole events with their ids."""
+"""Splits a stream of server-sent events into events with their ids."""
 
 import attrs
 
 
 @attrs.frozen
 class Event:
-    """One whole event, byte for byte."""
+    """One complete event, byte for byte."""
 
     raw: bytes
-    # None where the event states no id, or one that is no whole number.
+    # None if the event has no id, or one that is not a decimal number.
     number: int | None
 
 
 class EventSplitter:
-    """Collects bytes until events are whole."""
+    """Buffers bytes until events are complete."""
 
     def __init__(self) -> None:
-        """Start between two events."""
+        """Start with an empty buffer."""
         self._rest = b''
 
     @property
     def is_between_events(self) -> bool:
-        """Return whether no event is half received."""
+        """Return whether no event is partly received."""
         return not self._rest
 
     def feed(self, chunk: bytes) -> list[Event]:
-        """Return the events that are whole with this chunk."""
+        """Return the events that this chunk completes."""
         text = self._rest + chunk if self._rest else chunk
         separator = b'\r\n\r\n' if b'\r\n\r\n' in text else b'\n\n'
         pieces = text.split(separator)
--- a/redwingvalve/ingress/load_balancing.py
+++ b/redwingvalve/ingress/load_balancing.py
@@ -1,10 +1,10 @@
-"""Where a request goes if nobody grants places: a choice of this node alone.
+"""Chooses targets locally while no other node grants slots.
 
-Load pattern: the nodes that count the places don't answer. Each node then sees
-its own requests only, and all would send to the one head that is first in their
-lists. Each request looks at two heads drawn by chance and takes the less filled
-one, which stays close to even however little a node knows. Ties are broken by
-chance.
+Load pattern: the nodes that count the slots don't answer. Each node then knows
+its own requests only, and all nodes would send to the same head, the first in
+their lists. With the power of two random choices (each request takes the less
+utilized of two randomly sampled heads) the load stays nearly even, however
+little a node knows. Ties are broken randomly.
 """
 
 import random
@@ -32,7 +32,7 @@
 
     @property
     def incarnation(self) -> tuple[str, int]:
-        """Return what tells this life from others of the same id."""
+        """Return what distinguishes this run from others of the same id."""
         return self.endpoint_id, self.born_ms
 
     @property
@@ -42,7 +42,7 @@
 
 
 class EndpointLoads:
-    """Requests of this node under way at each endpoint."""
+    """In-flight requests of this node at each endpoint."""
 
     def __init__(self) -> None:
         """Start without requests."""
@@ -64,7 +64,7 @@
 def sample_candidates(
     targets: collections_abc.Sequence[Target], rng: random.Random
 ) -> collections_abc.Sequence[Target]:
-    """Return the targets among which a request chooses."""
+    """Return a random sample of the targets for one request."""
     if len(targets) <= CANDIDATE_COUNT:
         return targets
     return rng.sample(targets, CANDIDATE_COUNT)
@@ -77,9 +77,9 @@
     avoid: collections_abc.Container[str] = (),
     slow: collections_abc.Container[str] = (),
 ) -> Target | None:
-    """Return the least filled target with a free place, if there is one.
+    """Return the least utilized target with a free slot, if there is one.
 
-    Of the slow ones, which answer late, none is taken while another is free.
+    A slow target is chosen only if no other has a free slot.
     """
     best: Target | None = None
     best_rank = (True, 1.0, 0.0)
@@ -98,5 +98,5 @@
     return best
 
 
-# Takes a place, if there is one. What it returns is counted already.
+# Takes a slot if one is free; the slot of the returned target is then counted.
 AcquireSlot: typing.TypeAlias = collections_abc.Callable[[], Target | None]
--- a/redwingvalve/ingress/poison.py
+++ b/redwingvalve/ingress/poison.py
@@ -1,13 +1,15 @@
-"""Requests that crash each endpoint that runs them, refused after the third.
-
-Load pattern: a single request crashes whatever runs it, and its caller sends
-it again with the same path, account and body, at any node. Without this each
-of its tries takes an endpoint, and a replica of several VMs, out of service.
-
-A broken connection alone is no crash: answers get lost and connections reset.
-Only if the endpoint's life is seen to end within CRASH_SEEN_S does it count,
-for all requests that it broke; one that is ever answered is cleared, so that
-the innocent among them are not refused.
+"""Refuses poison requests, which crash each endpoint that runs them.
+
+Load pattern: a single request crashes whatever runs it, and its caller retries
+it with the same path, account and body at any node. Unchecked, each attempt
+takes an endpoint, and with it a replica of several VMs, out of service. Such a
+request is refused after three crashes.
+
+A broken connection alone is not a crash: answers get lost and connections are
+reset. It counts only if the endpoint's incarnation ends within
+CRASH_DETECTION_S, and then for all requests whose connections broke there. A
+request that any endpoint answers is cleared, so that harmless ones among them
+aren't refused.
 """
 
 import hashlib
@@ -16,11 +18,11 @@
 
 import attrs
 
-# A life that ends is seen at the next heartbeat that fails to come, or at
-# once where the endpoint starts again.
+# The end of an incarnation shows at the next missed heartbeat, or immediately
+# if the endpoint restarts.
 CRASH_DETECTION_S = 6.0
 MIN_CRASHES_TO_REFUSE = 3
-# A request that crashed something this long ago is tried once more.
+# A request is tried once more when its last crash is this long ago.
 CRASH_RETENTION_S = 120.0
 MAX_RECORDS = 10_000
 _DIGEST_BYTES = 7
@@ -40,7 +42,7 @@
 
 
 class PoisonRequestTracker:
-    """Crashes by request, here and at other nodes."""
+    """Crash counts by request fingerprint, from this node and others."""
 
     def __init__(
         self, clock: typing.Callable[[], float] = time.monotonic
@@ -51,7 +53,7 @@
         self._disconnects: list[_Disconnect] = []
 
     def is_poison(self, fingerprint: int) -> bool:
-        """Return whether a request is to be refused."""
+        """Return whether to refuse a request."""
         record = self._records.get(fingerprint)
         if record is None or record.crashes < MIN_CRASHES_TO_REFUSE:
             return False
@@ -60,7 +62,7 @@
     def record_disconnect(
         self, fingerprint: int, incarnation: tuple[str, int]
     ) -> None:
-        """Note that a request's connection broke at an endpoint."""
+        """Record that the connection of a request broke at an endpoint."""
         if len(self._disconnects) < MAX_RECORDS:
             self._disconnects.append(
                 _Disconnect(fingerprint, incarnation, self._clock())
@@ -75,13 +77,13 @@
 
     @property
     def has_unresolved_disconnects(self) -> bool:
-        """Return whether broken connections are still to be judged."""
+        """Return whether some disconnects are not yet classified."""
         return bool(self._disconnects)
 
     def resolve_disconnects(
         self, live_incarnations: typing.Container[tuple[str, int]]
     ) -> None:
-        """Count the breaks whose endpoints have died since."""
+        """Count the disconnects whose endpoints have crashed since."""
         now_s = self._clock()
         unresolved = []
         for one in self._disconnects:
@@ -92,7 +94,7 @@
         self._disconnects = unresolved
 
     def recent_crashes(self) -> dict[int, int]:
-        """Return crashes that other nodes should know of."""
+        """Return recent crash counts, to be sent to other nodes."""
         now_s = self._clock()
         return {
             fingerprint: record.crashes
@@ -101,7 +103,10 @@
         }
 
     def merge_crashes(self, counts: dict[int, int]) -> None:
-        """Take another node's crashes; it has heard of ours."""
+        """Merge another node's counts, taking the higher one of each request.
+
+        The counts of a node include those that it received from this one.
+        """
         for fingerprint, crashes in counts.items():
             known = self._records.get(fingerprint)
             if known is None or known.crashes < crashes:
@@ -118,7 +123,7 @@
 
 
 def fingerprint(target: bytes, account: str | None, body: bytes) -> int:
-    """Return what is the same in all tries of one request."""
+    """Return a hash that is the same for all attempts of one request."""
     digest = hashlib.blake2b(target, digest_size=_DIGEST_BYTES)
     digest.update((account or '').encode())
     digest.update(body)
--- a/redwingvalve/ingress/refusals.py
+++ b/redwingvalve/ingress/refusals.py
@@ -1,4 +1,4 @@
-"""Answers of this system's own, and how long a request may wait for a place."""
+"""Refusals that this node generates, and limits of the wait for a slot."""
 
 import json
 import random
@@ -14,21 +14,23 @@
 UNAVAILABLE = 503
 BAD_GATEWAY = 502
 GATEWAY_TIMEOUT = 504
-# A wave lasts some seconds; most of those that come back after this find a
-# place, and callers honour it up to a third of the time that they have left.
+# A burst lasts some seconds; most callers that retry after this time get a
+# slot. Callers honour it up to a third of their remaining time.
 RETRY_AFTER_S = 0.4
-# A request that crashes endpoints is not wanted back soon.
+# Long, because a retry of a request that crashes endpoints does more damage.
 POISON_RETRY_AFTER_S = 30.0
-# Callers leave a stream on which nothing comes for the longest of these; a
-# request may wait for most of it and still reach its caller.
+# Callers abandon a silent stream after the longest of these: a fixed time,
+# multiples of the first-event goal, multiples of the gap goal. A request may
+# wait for most of that time and still reach its caller.
 MIN_CALLER_PATIENCE_S = 2.0
 CALLER_PATIENCE_GOALS = 4.0
 CALLER_PATIENCE_GAPS = 8.0
 PATIENCE_WAIT_SHARE = 0.75
-# Of the time that a request still has.
+# Limit of the wait as a share of the time left until the answer must be
+# complete.
 TIME_LEFT_WAIT_SHARE = 0.5
-# What a request may wait and be on time is at least and at most this share of
-# its goal, however long answers seem to take to begin.
+# Bounds of the wait that counts as on time, as shares of the goal, whatever
+# the estimated time to the first event is.
 MIN_ON_TIME_SHARE = 0.1
 MAX_ON_TIME_SHARE = 0.8
 RETRY_AFTER_JITTER = 0.25
@@ -37,14 +39,14 @@
 
 @attrs.frozen
 class Refusal:
-    """A status of our own and why."""
+    """A status that this node generates, and its reason."""
 
     status: int
     reason: str
     retry_after_s: float | None = None
 
     def headers(self) -> messages.Headers:
-        """Return the headers that go with the status."""
+        """Return the response headers."""
         headers: messages.Headers = [(b'content-type', b'application/json')]
         if self.retry_after_s is not None:
             text = f'{self.retry_after_s:g}'
@@ -52,7 +54,7 @@
         return headers
 
     def body(self) -> bytes:
-        """Return the reason as JSON."""
+        """Return the response body, the reason as JSON."""
         return json.dumps({'error': self.reason}).encode()
 
 
@@ -78,10 +80,10 @@
     is_timeout: bool,
     retry_after_s: float = RETRY_AFTER_S,
 ) -> Refusal:
-    """Return the answer to a request that is given up.
+    """Return the refusal for a request that is given up.
 
-    503 promises that the request did not run and never will, so that it is
-    only used if no endpoint may have begun it; it says when to come back.
+    503 guarantees that the request did not run and never will, so it is used
+    only if no endpoint can have started it; it includes Retry-After.
     """
     if not may_have_run:
         return attrs.evolve(NO_FREE_SLOT, retry_after_s=retry_after_s)
@@ -89,18 +91,18 @@
 
 
 def with_jitter_s(retry_after_s: float, rng: random.Random) -> float:
-    """Return a time about retry_after_s, in seconds.
+    """Return retry_after_s with random jitter.
 
-    Callers that are refused together don't come back together.
+    It spreads the retries of callers that are refused at the same time.
     """
     factor = rng.uniform(1 - RETRY_AFTER_JITTER, 1 + RETRY_AFTER_JITTER)
     return round(retry_after_s * factor, 2)
 
 
 def on_time_wait_s(route: routes.Route, first_event_s: float) -> float:
-    """Return after what wait an answer begins late, in seconds.
+    """Return the longest wait after which an answer still starts in time.
 
-    begin_s is how long an answer takes to begin once its request has a place.
+    first_event_s is the time from getting a slot to the first event.
     """
     goal_s = route.goal_ms / _MS_IN_S
     min_s = MIN_ON_TIME_SHARE * goal_s
@@ -109,10 +111,11 @@
 
 
 def wait_s(route: routes.Route, left_s: float) -> float:
-    """Return how long a request may wait for a place, in seconds.
+    """Return how long a request may wait for a slot, in seconds.
 
-    left_s is the time until its answer must be whole: who is refused needs
-    some of it to come back, and who gets a place needs some to be served.
+    left_s is the time until its answer must be complete: a refused caller
+    needs part of it to retry, and a request that gets a slot needs part of it
+    to be served.
     """
     patience_s = max(
         MIN_CALLER_PATIENCE_S,
--- a/redwingvalve/ingress/reservations.py
+++ b/redwingvalve/ingress/reservations.py
@@ -1,4 +1,4 @@
-"""A place at an endpoint for one request, from whoever grants it."""
+"""Interface for reserving a slot at an endpoint for one request."""
 
 import abc
 import enum
@@ -10,35 +10,35 @@
 
 
 class ReleaseState(enum.Enum):
-    """In what state a request leaves its place."""
+    """State of a slot when its request releases it."""
 
     FREE = 1
-    # The endpoint broke off, fell silent or gave no answer in time: it may
-    # still be at work on the request, or dead.
+    # The connection broke, or the endpoint stalled or didn't answer in time: it
+    # may still be processing the request, or have crashed.
     UNCERTAIN = 2
-    # The endpoint has said that it has no place.
+    # The endpoint replied that it has no free slot.
     REFUSED = 3
 
 
 class Reservation(abc.ABC):
-    """A place that is held for a request until it is released."""
+    """A slot that is held for a request until it is released."""
 
     target: load_balancing.Target
 
     @abc.abstractmethod
     def release(self, leaving: ReleaseState) -> None:
-        """Give the place back."""
+        """Release the slot."""
 
 
 @attrs.frozen
 class NoSlot:
-    """Nothing is free in time; the caller may come back."""
+    """No slot becomes free in time; the caller may retry."""
 
     retry_after_s: float
 
 
 class Reserver(abc.ABC):
-    """Finds places."""
+    """Reserves slots."""
 
     @abc.abstractmethod
     async def reserve(
@@ -49,8 +49,8 @@
         avoid: collections_abc.Collection[str],
         slow: collections_abc.Collection[str],
     ) -> Reservation | NoSlot:
-        """Return a place for a request, or when its caller may come back.
+        """Reserve a slot for a request, or return when its caller may retry.
 
-        avoid names the endpoints that were tried, slow those that are chosen
-        last.
+        avoid lists the endpoints that were tried already, slow those to be
+        chosen last.
         """
--- a/redwingvalve/ingress/routes.py
+++ b/redwingvalve/ingress/routes.py
@@ -1,4 +1,4 @@
-"""Routes, services and client accounts as one version configures them."""
+"""Routes, services and client accounts of one configuration version."""
 
 import enum
 import random
@@ -7,7 +7,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated of a route's requests."""
+    """Whether and how requests of a route may be repeated."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non-idempotent'
@@ -16,14 +16,14 @@
 
 @attrs.frozen
 class Model:
-    """A model that replicas of several VMs serve."""
+    """A model whose replicas span several VMs."""
 
     name: str
-    # Endpoints, each on a VM of its own, that make one replica.
+    # Number of endpoints in one replica, each on its own VM.
     size: int
-    # Share of the service's work at the start, between 0 and 1.
+    # Initial share of the service's load, between 0 and 1.
     share: float
-    # Factor on all times of the model's replicas.
+    # Multiplies all processing times of the model's replicas.
     pace: float
     load_s: float
     load_from_host_s: float
@@ -35,19 +35,18 @@
 
     slots: int
     models: tuple[Model, ...]
-    # A token step, and what each running request adds to it.
+    # Duration of a token step, and what each running request adds to it.
     step_ms: float
     step_ms_per_request: float
-    # Prompt tokens that are read in a second.
     prompt_tokens_per_s: float
-    # Steps between two events of a stream.
+    # Token steps between two events of a stream.
     steps_per_event: int
     loads_per_s: float
     max_concurrent_loads: int
     formation_ms: float
 
     def find_model(self, name: str) -> Model | None:
-        """Return a model by its name."""
+        """Return the model of a name, if it is configured."""
         for model in self.models:
             if model.name == name:
                 return model
@@ -56,18 +55,18 @@
 
 @attrs.frozen
 class Service:
-    """Endpoints that serve the same routes."""
+    """A service whose endpoints serve the same routes."""
 
     name: str
     health_path: str
-    # Connections that an endpoint takes from all nodes together.
+    # Connections that an endpoint accepts from all nodes together.
     max_connections: int
     engine: Engine | None = None
 
 
 @attrs.frozen
 class Split:
-    """A share of a route's requests for one service."""
+    """Weight of one service in a route's traffic split."""
 
     service: str
     weight: float
@@ -75,7 +74,7 @@
 
 @attrs.frozen
 class Route:
-    """How requests of one host and path prefix are treated."""
+    """Handling of the requests of one host and path prefix."""
 
     name: str
     host: str
@@ -89,7 +88,7 @@
     priority: int
     anonymous: bool
     resumable: bool
-    # Longest pause between two events of a stream that is still on time.
+    # Longest gap between two events of a stream that is on time; 0: no goal.
     gap_goal_ms: int
 
     @property
@@ -102,7 +101,7 @@
 
 @attrs.frozen
 class ClientAccount:
-    """Who holds a key."""
+    """The account that an API key belongs to."""
 
     name: str
     priority: int | None
@@ -110,7 +109,7 @@
 
 @attrs.frozen
 class RequestLimits:
-    """What a caller may send, and how slowly."""
+    """Size and time limits for what callers send."""
 
     head_bytes: int
     body_bytes: int
@@ -119,7 +118,7 @@
 
 
 DEFAULT_LIMITS = RequestLimits(
-    # The figures of the platform's example; they hold until one is known.
+    # The values of the platform's example, used until a configuration is known.
     head_bytes=16_384,
     body_bytes=4_194_304,
     head_timeout_ms=3000,
@@ -129,15 +128,15 @@
 
 @attrs.frozen(eq=False)
 class Configuration:
-    """One version of everything that the operator declares."""
+    """One version of the operator's configuration."""
 
     version: int
-    # Revision of the store at which this version was read.
+    # Store revision at which this version was read.
     revision: int
     routes: tuple[Route, ...]
     services: dict[str, Service]
     accounts_by_key: dict[str, ClientAccount]
-    # Without accounts no request needs a key.
+    # Whether requests need an API key; not if no accounts are configured.
     needs_keys: bool
     limits: RequestLimits
     _by_host: dict[str, tuple[Route, ...]] = attrs.field(init=False)
@@ -154,7 +153,7 @@
         object.__setattr__(self, '_by_host', sorted_hosts)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path."""
+        """Return the route of the host with the longest matching prefix."""
         name = host.rsplit(':', 1)[0].lower()
         for route in self._by_host.get(name, ()):
             if path.startswith(route.path_prefix):
@@ -162,13 +161,13 @@
         return None
 
     def find_engine(self, service: str) -> Engine | None:
-        """Return how a service's endpoints run models, if they do."""
+        """Return the engine of a service, None for a plain service."""
         found = self.services.get(service)
         return found.engine if found else None
 
 
 def pick_service(route: Route, rng: random.Random) -> str:
-    """Return one of the route's services by weight."""
+    """Return one of the route's services, chosen randomly by weight."""
     if len(route.splits) == 1:
         return route.splits[0].service
     weights = [split.weight for split in route.splits]
--- a/redwingvalve/ingress/sliding_window.py
+++ b/redwingvalve/ingress/sliding_window.py
@@ -1,4 +1,4 @@
-"""How often something happened lately."""
+"""Counts events within a sliding time window."""
 
 import collections
 
@@ -7,7 +7,7 @@
 
 @attrs.define
 class SlidingWindowCounter:
-    """Moments of one clock within a window, both in seconds."""
+    """Timestamps of the events within the window, in seconds of one clock."""
 
     window_s: float
     _timestamps_s: collections.deque[float] = attrs.field(
@@ -15,12 +15,12 @@
     )
 
     def record(self, now_s: float) -> None:
-        """Count what happens now."""
+        """Record an event."""
         self._timestamps_s.append(now_s)
         self._drop_expired(now_s)
 
     def count(self, now_s: float) -> int:
-        """Return how often it happened within the window."""
+        """Return the number of events within the window."""
         self._drop_expired(now_s)
         return len(self._timestamps_s)
 
--- a/redwingvalve/ingress/slot_requests.py
+++ b/redwingvalve/ingress/slot_requests.py
@@ -1,4 +1,4 @@
-"""Takes a place at an endpoint for one request, or says why there is none."""
+"""Reserves a slot for one request, and records waits and refusals."""
 
 import time
 from collections import abc as collections_abc
@@ -21,9 +21,9 @@
     admission: admission_control.Admission,
     avoid: collections_abc.Collection[str],
 ) -> reservations.Reservation | reservations.NoSlot:
-    """Return a place, or when the caller may come back.
+    """Reserve a slot, or return when the caller may retry.
 
-    avoid names the endpoints that were tried.
+    avoid lists the endpoints that were tried already.
     """
     assert state.reserver is not None
     started_s = time.monotonic()
--- a/redwingvalve/ingress/state.py
+++ b/redwingvalve/ingress/state.py
@@ -1,4 +1,4 @@
-"""What the request path of a node shares between its requests."""
+"""State of the request path that all requests of a node share."""
 
 import abc
 import random
@@ -20,29 +20,29 @@
 
 
 class InFlightRequest(abc.ABC):
-    """A send under way."""
+    """A request that an endpoint is processing."""
 
     @abc.abstractmethod
     def head_stalled(self) -> None:
-        """End the send, to go on elsewhere."""
+        """End the upstream request, to continue at another endpoint."""
 
 
 class TargetProvider(abc.ABC):
-    """Knows which endpoints take requests now."""
+    """Provides the endpoints that currently take requests."""
 
     @abc.abstractmethod
     def find_targets(
         self, service: str, model: str
     ) -> tuple[load_balancing.Target, ...]:
-        """Return the targets for a model, or of a plain service."""
+        """Return the targets of a model, or of a plain service."""
 
     @abc.abstractmethod
     def suspect(self, endpoint_id: str, reason: str) -> None:
-        """Take an endpoint out of use until it is known to be sound."""
+        """Take an endpoint out of use until it is known to be healthy."""
 
     @abc.abstractmethod
     def check_endpoint(self, endpoint_id: str, reason: str) -> None:
-        """Find out whether an endpoint is sound; use it meanwhile."""
+        """Check whether an endpoint is healthy; it stays in use meanwhile."""
 
     @abc.abstractmethod
     def is_suspect(self, endpoint_id: str) -> bool:
@@ -50,19 +50,19 @@
 
 
 def _no_requests(service: str, model: str) -> int:
-    """Return 0: nothing is granted yet."""
+    """Return 0, the count until the slot reserver is connected."""
     return 0
 
 
 @attrs.define(eq=False)
 class IngressState:
-    """Everything that one request needs of the node."""
+    """Shared state and services for handling requests."""
 
     targets: TargetProvider
     retry_budget_config: retry_budget.RetryBudgetConfig
     configuration: routes.Configuration | None = None
     is_leaving: bool = False
-    # Nodes that serve callers, this one included.
+    # Nodes that serve callers, including this one.
     node_count: int = 1
     loads: load_balancing.EndpointLoads = attrs.field(
         factory=load_balancing.EndpointLoads
@@ -79,11 +79,11 @@
         factory=caller_retries.DeadlineHistory
     )
     reserver: reservations.Reserver | None = None
-    # Places of a service and model in use and wanted, in the whole fleet.
+    # Slots of a service and model in use or waited for in the whole fleet.
     slot_demand: collections_abc.Callable[[str, str], int] = _no_requests
-    # Requests that wait for places which this node grants.
+    # Requests that wait for slots which this node grants.
     waiting_requests: collections_abc.Callable[[str, str], int] = _no_requests
-    # Sends that end when their head falls silent, by endpoint.
+    # Requests to be moved if their head stalls, by endpoint id.
     in_flight_requests: dict[str, set['InFlightRequest']] = attrs.field(
         factory=dict
     )
@@ -100,7 +100,7 @@
     def first_event_estimate(
         self, service: str, model: str
     ) -> duration_estimates.DurationEstimate:
-        """Return how long answers of a model take to begin."""
+        """Return the estimated time to the first event of a model."""
         key = (service, model)
         if key not in self._first_event_estimates:
             self._first_event_estimates[key] = (
@@ -109,7 +109,7 @@
         return self._first_event_estimates[key]
 
     def retry_budget(self, service: str) -> retry_budget.RetryBudget:
-        """Return the retries of a service."""
+        """Return the retry budget of a service."""
         if service not in self._retry_budgets:
             self._retry_budgets[service] = retry_budget.RetryBudget(
                 self.retry_budget_config
@@ -117,7 +117,7 @@
         return self._retry_budgets[service]
 
     def prompt_read_times(self, model: str) -> stall_detection.PromptReadTimes:
-        """Return how long prompts of a model were lately."""
+        """Return the recent prompt read times of a model."""
         if model not in self._prompt_read_times:
             self._prompt_read_times[model] = stall_detection.PromptReadTimes()
         return self._prompt_read_times[model]
--- a/redwingvalve/ingress/timing.py
+++ b/redwingvalve/ingress/timing.py
@@ -1,4 +1,4 @@
-"""Where the time of one request goes."""
+"""Measures the phases of one request."""
 
 import time
 
@@ -11,46 +11,45 @@
 
 @attrs.define(eq=False)
 class RequestTiming:
-    """Moments of this process's monotonic clock, and durations in seconds."""
+    """Timestamps of the monotonic clock, and durations in seconds."""
 
     started_s: float = attrs.field(factory=time.monotonic)
-    # For places, over all sends.
+    # Total wait for slots, over all upstream requests.
     waited_s: float = 0.0
-    # The first event for the caller.
     first_event_s: float | None = None
-    # Between two events.
+    # Longest interval between two events.
     longest_gap_s: float = 0.0
     _last_event_s: float | None = None
 
     @property
     def elapsed_s(self) -> float:
-        """Return how long the request has taken until now."""
+        """Return how long the request has taken so far."""
         return time.monotonic() - self.started_s
 
     @property
     def first_event_delay_s(self) -> float:
-        """Return how long the first event took, 0 if none came."""
+        """Return the time to the first event, 0 if there was none."""
         return (self.first_event_s or self.started_s) - self.started_s
 
     def is_first_event_late(
         self, admission: admission_control.Admission
     ) -> bool:
-        """Return whether the answer began late for its caller."""
+        """Return whether the answer started late for its caller."""
         first_event_s = self.first_event_delay_s or self.elapsed_s
         goal_s = admission.route.goal_ms / _MS_IN_S
         return admission.has_returned or first_event_s > goal_s
 
     def is_gap_late(self, admission: admission_control.Admission) -> bool:
-        """Return whether a pause between events was too long."""
+        """Return whether a gap between two events exceeded the goal."""
         goal_s = admission.route.gap_goal_ms / _MS_IN_S
         return goal_s > 0 and self.longest_gap_s > goal_s
 
     def add_wait_since(self, moment_s: float) -> None:
-        """Count a wait for a place that has just ended."""
+        """Add a wait for a slot that started at moment_s and ends now."""
         self.waited_s += time.monotonic() - moment_s
 
     def record_event(self, now_s: float) -> None:
-        """Note an event of the stream."""
+        """Record an event of the stream."""
         self.first_event_s = self.first_event_s or now_s
         if self._last_event_s is not None:
             gap_s = now_s - self._last_event_s
@@ -63,6 +62,6 @@
         sent_s: float,
         prompt_s: float,
     ) -> None:
-        """Learn from the whole answer to an only send at sent_s."""
+        """Update the estimate from a complete answer to the only send."""
         first_event_s = self.first_event_s or time.monotonic()
         estimate.observe(first_event_s - sent_s - prompt_s)
