--- a/redwingvalve/ingress/request_handler.py
+++ b/redwingvalve/ingress/request_handler.py
@@ -1,4 +1,4 @@
-"""One caller's request, from its arrival to its last byte."""
+"""Handles one caller's request, from its arrival to its last byte."""
 
 import asyncio
 import time
@@ -26,18 +26,18 @@
 
 _MS_IN_S = 1000.0
 _TIMEOUT = 'timeout'
-# A kept connection may be closed by its peer at any moment. A request that
-# must not run twice can't be sent again then, so it goes on a connection that
-# was in use just now, or on a new one.
+# The peer may close an idle connection at any moment. A request that must not
+# run twice can't be retried then, so it uses a connection that was in use
+# moments ago, or a new one.
 NON_REPEATABLE_MAX_IDLE_S = 0.5
 REPEATABLE_MAX_IDLE_S = 4.0
-# Sends beyond the attempts that a route allows, for refusals that say that
-# nothing ran: one more look elsewhere.
+# Failed connections don't count against the route's attempts, because nothing
+# ran: the request tries other endpoints until this number is exceeded.
 MAX_CONNECT_FAILURES = 3
 
 
 class RequestHandler(state_module.InFlightRequest):
-    """Sends one request until it has its answer."""
+    """Sends one request to endpoints until it is answered or given up."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         request: messages.Request,
         responder: server.Responder,
     ) -> None:
-        """Prepare; run starts."""
+        """Read the request's headers; run() handles it."""
         self._state = state
         self._request = request
         self._responder = responder
@@ -66,12 +66,12 @@
         self._connect_failures = 0
         self._admission: admission_control.Admission | None = None
         self._fingerprint = 0
-        # A repeated send was taken from the budget already.
+        # The next retry is already taken from the budget.
         self._is_retry_paid = False
         self._retry_after_s = refusals.RETRY_AFTER_S
 
     async def run(self) -> None:
-        """Answer the request."""
+        """Handle the request until the response is complete."""
         self._responder.on_gone = self._on_caller_gone
         admission = self._admit()
         if admission is None:
@@ -99,7 +99,7 @@
             self._times.add_wait_since(wait_started_s)
             if isinstance(reservation, reservations.NoSlot):
                 self._retry_after_s = reservation.retry_after_s
-                self._fail('no free place')
+                self._fail('no free slot')
                 return
             outcome = await self._try_target(admission, reservation)
             if self._is_finished(admission, reservation.target, outcome):
@@ -194,7 +194,7 @@
         target: load_balancing.Target,
     ) -> bytes:
         left_s = admission.caller_deadline_s - time.monotonic()
-        sending = caller_requests.ForwardingHeaders(
+        forwarding_headers = caller_requests.ForwardingHeaders(
             endpoint_id=target.endpoint_id,
             deadline_ms=max(1, int(left_s * _MS_IN_S)),
             client_account=admission.account,
@@ -202,7 +202,7 @@
             last_event=self._forwarder.last_event,
         )
         return caller_requests.render_request(
-            self._request, self._caller, sending
+            self._request, self._caller, forwarding_headers
         )
 
     async def _await_outcome(
@@ -259,24 +259,24 @@
             return None
 
     def _spend_retry(self) -> bool:
-        """Take one repeated send from the budget, for later.
+        """Take the next retry from the budget, before this send is ended.
 
-        A send that can't be repeated is better waited for than given up.
+        Without a retry it is better to wait for a send than to end it.
         """
         admission = self._admission
         if admission is None:
             return False
-        window = self._state.retry_budget(admission.service)
-        self._is_retry_paid = window.try_spend(
+        retry_budget = self._state.retry_budget(admission.service)
+        self._is_retry_paid = retry_budget.try_spend(
             time.monotonic(), self._state.node_count
         )
         return self._is_retry_paid
 
     def head_stalled(self) -> None:
-        """End the send that is under way if it may go on elsewhere.
+        """End the current upstream request if another attempt is allowed.
 
-        The last send that the route allows stays: a head that is only slow
-        still finishes it.
+        The last attempt of the route is kept: a head that is only slow still
+        completes it.
         """
         admission = self._admission
         if admission is None or self._upstream_request is None:
@@ -321,7 +321,7 @@
         target: load_balancing.Target,
         outcome: upstream.Outcome,
     ) -> bool:
-        """Answer if nothing more can be done; return whether it was."""
+        """Respond unless another attempt follows; return whether it did."""
         if outcome is upstream.Outcome.CALLER_GONE:
             self._log_outcome(admission, target, 'caller left')
             return True
@@ -333,8 +333,8 @@
             return True
         if outcome is upstream.Outcome.TIMEOUT:
             self._may_have_run = True
-            # A stream that has begun ends without a status: nothing else
-            # tells which endpoint it waited for.
+            # A started stream ends without a status: only this line tells
+            # which endpoint it waited for.
             self._log_outcome(admission, target, f'given up: {_TIMEOUT}')
             self._fail(_TIMEOUT)
             return True
@@ -359,9 +359,10 @@
         if outcome is upstream.Outcome.FAILURE:
             self._failure_response = self._upstream_request
         elif outcome is upstream.Outcome.BROKEN and target.replica:
-            # Answers are also lost on the way, at times many at once: taken out
-            # of use for each, all heads would be gone in a second. One that
-            # crashed refuses the next connection and goes out of use by that.
+            # Answers also get lost in the network, sometimes many at once. If
+            # each took its head out of use, no head would be left within a
+            # second. A crashed head refuses the next connection and is taken
+            # out of use then.
             self._state.targets.check_endpoint(
                 target.endpoint_id, 'broken stream'
             )
@@ -430,7 +431,7 @@
         upstream.Outcome.BROKEN,
     )
 )
-# After any other ending the endpoint may be dead.
+# After any other outcome the endpoint may have crashed.
 _RELEASE_STATES = types.MappingProxyType(
     {
         upstream.Outcome.COMPLETE: reservations.ReleaseState.FREE,
--- a/redwingvalve/ingress/responses.py
+++ b/redwingvalve/ingress/responses.py
@@ -1,4 +1,4 @@
-"""Gives callers their answers and writes down why."""
+"""Sends responses to callers and logs the decisions behind them."""
 
 from redwingvalve.http1 import messages, server
 from redwingvalve.ingress import (
@@ -19,7 +19,7 @@
 def send_response(
     responder: server.Responder, upstream_request: upstream.UpstreamRequest
 ) -> None:
-    """Pass a whole answer on, or end a stream whose events were passed."""
+    """Send a complete answer, or end a stream that was already forwarded."""
     if responder.is_started:
         responder.finish()
         return
@@ -41,7 +41,7 @@
     caller: caller_requests.CallerRequest,
     refusal: refusals.Refusal,
 ) -> None:
-    """Answer with a status of our own."""
+    """Send a refusal that this node generates."""
     node_metrics.METRICS.count('redwingvalve_refusals', reason=refusal.reason)
     LOG.info(
         'refused',
@@ -67,7 +67,7 @@
     waiting: int,
     held_s: float,
 ) -> None:
-    """Write down why no endpoint was offered a request."""
+    """Log why a request got no slot."""
     LOG.info(
         'no place',
         extra={
@@ -95,7 +95,7 @@
     reason: str,
     times: timing.RequestTiming,
 ) -> None:
-    """Write one line on what became of a send."""
+    """Log the outcome of one upstream request."""
     node_metrics.METRICS.count(
         'redwingvalve_sends',
         outcome=outcome,
@@ -112,7 +112,7 @@
     LOG.info(
         outcome,
         extra={
-            # Each late answer has its line, whatever the load.
+            # Late answers are logged one by one, whatever the load.
             bounded_logs.ROUTINE_ATTRIBUTE: outcome == ANSWERED and on_time,
             'request': _text(caller.attempt_id),
             'route': admission.route.name,
--- a/redwingvalve/ingress/stream_forwarding.py
+++ b/redwingvalve/ingress/stream_forwarding.py
@@ -1,4 +1,4 @@
-"""Passes the events of a stream on to its caller, each once and in order."""
+"""Forwards the events of a stream to its caller, each once and in order."""
 
 import time
 
@@ -7,7 +7,7 @@
 
 
 class StreamForwarder:
-    """One caller's stream, over all sends that it takes."""
+    """One caller's stream, across all upstream requests that serve it."""
 
     def __init__(
         self,
@@ -16,7 +16,7 @@
         last_event: int | None,
         times: timing.RequestTiming,
     ) -> None:
-        """Go on after last_event, which the caller has already."""
+        """Continue after last_event, which the caller already has."""
         self.last_event = last_event
         self._times = times
         self._stall_detector = stall_detector
@@ -30,14 +30,14 @@
         connection: client.Connection | None,
         monitored_stream: stall_detection.MonitoredStream | None,
     ) -> None:
-        """Take the events of a connection."""
+        """Start to receive events from a connection."""
         self._connection = connection
         self._monitored_stream = monitored_stream
         if monitored_stream is not None:
             self._stall_detector.add(monitored_stream)
 
     def detach(self) -> None:
-        """Take no more events until the next begin."""
+        """Stop receiving events until the next attach()."""
         self._connection = None
         if self._monitored_stream is not None:
             self._stall_detector.remove(self._monitored_stream)
@@ -46,7 +46,7 @@
     def forward(
         self, event: events.Event, upstream_request: upstream.UpstreamStream
     ) -> None:
-        """Hand an event on unless the caller has it already."""
+        """Forward an event unless the caller already has it."""
         now_s = time.monotonic()
         self._times.record_event(now_s)
         if self._monitored_stream is not None:
--- a/redwingvalve/ingress/upstream.py
+++ b/redwingvalve/ingress/upstream.py
@@ -1,4 +1,4 @@
-"""One send of a request to one endpoint, and how it ended."""
+"""One attempt to send a request to an endpoint, and its outcome."""
 
 import asyncio
 import enum
@@ -13,29 +13,29 @@
 
 
 class Outcome(enum.Enum):
-    """How a send ended."""
+    """Outcome of an upstream request."""
 
-    # A whole answer; for streams one that was handed on event by event.
+    # A complete answer; a stream was forwarded event by event.
     COMPLETE = 'whole'
-    # The endpoint says that it did not run the request.
+    # The endpoint stated that it did not run the request.
     NOT_RUN = 'not-run'
-    # A whole failure of the endpoint's own.
+    # A complete error response of the endpoint.
     FAILURE = 'failure'
-    # The connection ended first, or the answer can't be this request's.
+    # The connection ended early, or the answer isn't valid for this request.
     BROKEN = 'broken'
-    # The head fell silent, or took longer than this send may.
+    # The head stalled, or exceeded the time limit of this attempt.
     STALLED = 'silent'
-    # The caller has left.
+    # The caller closed its connection.
     CALLER_GONE = 'gone'
-    # The time that the request had is over.
+    # The time limit of the whole request passed.
     TIMEOUT = 'timeout'
 
 
 class UpstreamRequest(client.Exchange):
-    """Collects one answer; ended holds how it went."""
+    """Collects one answer; the future ended holds the outcome."""
 
     def __init__(self, attempt_id: bytes) -> None:
-        """Expect an answer that echoes attempt_id."""
+        """Expect an answer that echoes the caller's attempt_id."""
         loop = asyncio.get_running_loop()
         self.ended: asyncio.Future[Outcome] = loop.create_future()
         self.head: messages.AnswerHead | None = None
@@ -45,14 +45,14 @@
 
     @property
     def body(self) -> bytes:
-        """Return what was collected."""
+        """Return the body received so far."""
         return b''.join(self._body)
 
     def accepts(self, head: messages.AnswerHead) -> bool:
-        """Take only the answer that names this attempt."""
+        """Return whether an answer belongs to this attempt."""
         echoed = head.header(names.ATTEMPT_ID_HEADER)
         if echoed is None:
-            # Only refusals may lack the id: nothing of them is passed on.
+            # Only refusals may lack the id: they are never forwarded.
             return (
                 head.header(names.NOT_RUN_HEADER) is not None
                 or head.status == 421
@@ -60,29 +60,29 @@
         return echoed == self._attempt_id
 
     def head_received(self, head: messages.AnswerHead) -> None:
-        """Keep the head."""
+        """Store the response head."""
         self.head = head
 
     def body_received(self, chunk: bytes) -> None:
-        """Collect the body."""
+        """Append to the body."""
         self._body.append(chunk)
 
     def completed(self) -> None:
-        """Judge the whole answer."""
+        """Set the outcome of a complete answer."""
         self.finish(self.classify())
 
     def broken(self, reason: str) -> None:
-        """End without an answer."""
+        """Set the outcome after the connection broke."""
         self.reason = reason
         self.finish(Outcome.BROKEN)
 
     def finish(self, outcome: Outcome) -> None:
-        """Set how the send ended, once."""
+        """Set the outcome unless it is already set."""
         if not self.ended.done():
             self.ended.set_result(outcome)
 
     def classify(self) -> Outcome:
-        """Return what a whole answer says."""
+        """Return the outcome that the answer's head implies."""
         head = self.head
         if head is None:
             return Outcome.BROKEN
@@ -100,29 +100,31 @@
 
 
 class EventSink(typing.Protocol):
-    """What takes the events of a stream in order."""
+    """Receives the events of a stream in order."""
 
-    def forward(self, event: events.Event, send: 'UpstreamStream') -> None:
-        """Take one whole event."""
+    def forward(
+        self, event: events.Event, upstream_request: 'UpstreamStream'
+    ) -> None:
+        """Receive one complete event."""
 
 
 class UpstreamStream(UpstreamRequest):
-    """Hands the events of a successful answer on as they come."""
+    """Forwards the events of a successful answer as they arrive."""
 
     def __init__(self, attempt_id: bytes, sink: EventSink) -> None:
-        """Hand events to taker."""
+        """Forward events to sink."""
         super().__init__(attempt_id)
         self._sink = sink
         self._splitter = events.EventSplitter()
         self.is_stream = False
 
     def head_received(self, head: messages.AnswerHead) -> None:
-        """Tell a stream from a failure."""
+        """Distinguish a stream from an error response."""
         super().head_received(head)
         self.is_stream = self.classify() is Outcome.COMPLETE
 
     def body_received(self, chunk: bytes) -> None:
-        """Hand whole events on."""
+        """Forward the complete events."""
         if not self.is_stream:
             super().body_received(chunk)
             return
@@ -132,7 +134,7 @@
             self._sink.forward(event, self)
 
     def completed(self) -> None:
-        """End; half an event at the end is no whole stream."""
+        """Set the outcome; a stream that ends inside an event is broken."""
         if self.is_stream and not self._splitter.is_between_events:
             self.reason = 'ended inside an event'
             self.finish(Outcome.BROKEN)
