--- a/redwingvalve/ingress/tests/load_simulation.py
+++ b/redwingvalve/ingress/tests/load_simulation.py
@@ -1,9 +1,9 @@
-"""Plays seconds of load over several nodes in virtual time.
+"""Simulates seconds of load on several nodes in virtual time.
 
-The nodes decide with the product's own modules: those that count and grant
-places, and those that ask for them. Endpoints serve some requests at once and
-queue the rest; datagrams between nodes take a millisecond and may get lost;
-callers leave when nothing comes, and come back once when they are refused.
+The nodes run the production modules that count, grant and request slots.
+Endpoints serve a limited number of requests concurrently and queue the rest;
+datagrams between nodes take a millisecond and may get lost; callers give up
+when nothing arrives, and retry once when they are refused.
 """
 
 import asyncio
@@ -31,23 +31,23 @@
     wait_queue,
 )
 
-# One way between nodes.
+# One-way delay between nodes.
 DATAGRAM_DELAY_S = 0.001
 TICK_INTERVAL_S = 0.1
 CALLER_PATIENCE_S = 2.0
 DEADLINE_S = 6.0
-# Callers heed a third of the time that they have left.
+# Callers honour Retry-After up to a third of their remaining time.
 MAX_RETRY_AFTER_SHARE = 1 / 3
 
 
 @attrs.frozen
 class Deployment:
-    """What serves, and what callers expect."""
+    """The simulated fleet and the goal of its callers."""
 
     nodes: int = 8
     heads: int = 8
     slots: int = 13
-    # Mean time in service, and from the start of it to the first event.
+    # Mean service time, and the time from its start to the first event.
     service_s: float = 0.8
     first_event_s: float = 0.15
     goal_s: float = 0.3
@@ -55,13 +55,13 @@
 
     @property
     def capacity_per_s(self):
-        """Return the requests that the places serve."""
+        """Return the rate of requests that the slots can serve."""
         return self.heads * self.slots / self.service_s
 
 
 @attrs.frozen
 class LoadPhase:
-    """A load, as a share of the capacity, between two moments."""
+    """A load, as a share of the capacity, during a period."""
 
     load: float
     from_s: float
@@ -70,7 +70,7 @@
 
 @attrs.define
 class Results:
-    """What became of the callers, by the moment at which they came."""
+    """Outcomes of the callers, by the time of their first attempt."""
 
     asked: list = attrs.field(factory=list)
     on_time: list = attrs.field(factory=list)
@@ -81,69 +81,69 @@
     messages: int = 0
     held_s: list = attrs.field(factory=list)
 
-    def share(self, moments, from_s, to_s):
-        """Return the share of callers of a time that are among moments."""
+    def share(self, timestamps, from_s, to_s):
+        """Return the share of the period's callers among timestamps."""
         asked = _between(self.asked, from_s, to_s)
-        return _between(moments, from_s, to_s) / max(asked, 1)
+        return _between(timestamps, from_s, to_s) / max(asked, 1)
 
-    def rate(self, moments, from_s, to_s):
-        """Return how many of a time are among moments, a second."""
-        return _between(moments, from_s, to_s) / (to_s - from_s)
+    def rate(self, timestamps, from_s, to_s):
+        """Return the number of timestamps per second of the period."""
+        return _between(timestamps, from_s, to_s) / (to_s - from_s)
 
     def held_p99_s(self):
-        """Return how long refused callers were held."""
+        """Return the 99th percentile of how long refused callers waited."""
         ordered = sorted(self.held_s)
         return ordered[len(ordered) * 99 // 100] if ordered else 0.0
 
 
-def _between(moments, from_s, to_s):
-    return sum(from_s <= moment < to_s for moment in moments)
+def _between(timestamps, from_s, to_s):
+    return sum(from_s <= timestamp < to_s for timestamp in timestamps)
 
 
 class Head:
-    """An endpoint that serves so many at once and queues the others."""
+    """An endpoint that serves a limited number of requests concurrently."""
 
     def __init__(self, slots):
         """Start idle."""
-        self._places = anyio.Semaphore(slots)
-        # Requests that came when all places were taken.
+        self._slots = anyio.Semaphore(slots)
+        # Requests that arrived when all slots were taken.
         self.queued = 0
 
     async def serve(self, first_event_s, service_s, on_first_event):
-        """Run one request; begun is called at its first event."""
-        if self._places.value == 0:
+        """Run one request; on_first_event is called at its first event."""
+        if self._slots.value == 0:
             self.queued += 1
-        async with self._places:
+        async with self._slots:
             await anyio.sleep(first_event_s)
             on_first_event()
             await anyio.sleep(service_s - first_event_s)
 
 
 class Node:
-    """A node whose places are granted by the node that counts them."""
+    """A node that requests slots from the node that owns their pool."""
 
-    def __init__(self, name, play):
-        """Join the play's network."""
+    def __init__(self, name, simulation):
+        """Join the simulated network."""
         self.name = name
-        self._simulation = play
+        self._simulation = simulation
         self.loads = load_balancing.EndpointLoads()
         self.first_event_estimate = (
             duration_estimates.make_first_event_estimate()
         )
         number = int(name.rpartition('-')[2])
-        self.data_centre = f'dc-{number % play.deployment.data_centres}'
+        self.data_centre = f'dc-{number % simulation.deployment.data_centres}'
         self.is_up = True
         self.born_ms = 0
         self._reservations = {}
         self.start()
 
     def start(self):
-        """Begin, or begin anew after a kill, knowing nothing."""
+        """Start, or restart after a kill, without any state."""
         self.born_ms += 1
         self.is_up = True
         self.loads.by_endpoint.clear()
         self.allocator = allocator.Allocator(
-            self._targets_of, anyio.current_time, self._simulation.rng
+            self._pool_targets, anyio.current_time, self._simulation.rng
         )
         self.reserver = reserver.NodeReserver(
             data_centre=self.data_centre,
@@ -158,15 +158,15 @@
         )
 
     def find_targets(self, service, model):
-        """Return the targets, which all nodes know."""
+        """Return the targets, which are the same on all nodes."""
         return self._simulation.targets
 
     def send(self, vm, message):
-        """Send by a network that delays and loses datagrams."""
+        """Send a message over a network that delays and loses datagrams."""
         self._simulation.send_datagram(self, vm, message)
 
     def receive(self, envelope):
-        """Take a datagram."""
+        """Receive a datagram."""
         sender = envelope.sender.vm
         dispatch.dispatch_message(
             envelope,
@@ -176,7 +176,7 @@
         )
 
     async def run_reports(self):
-        """Report holdings, and look at what has lapsed."""
+        """Report held slots, and release expired ones, until cancelled."""
         reported_s = anyio.current_time()
         while True:
             await anyio.sleep(TICK_INTERVAL_S)
@@ -187,44 +187,44 @@
                 reported_s = anyio.current_time()
                 self.reserver.report()
 
-    async def ask(self, first_s, *, has_returned):
-        """Serve one attempt; return when to come back if it is refused."""
-        play = self._simulation
-        route = play.route
-        began_s = anyio.current_time()
+    async def ask(self, first_attempt_s, *, has_returned):
+        """Handle one attempt; return the time to the retry if refused."""
+        simulation = self._simulation
+        route = simulation.route
+        started_s = anyio.current_time()
         ask = wait_queue.SlotRequest(
             urgency=1,
             on_time_s=refusals.on_time_wait_s(
                 route, self.first_event_estimate.seconds
             ),
             wait_s=refusals.wait_s(
-                route, first_s + DEADLINE_S - anyio.current_time()
+                route, first_attempt_s + DEADLINE_S - anyio.current_time()
             ),
-            has_returned=has_returned and play.detects_caller_retries,
+            has_returned=has_returned and simulation.detects_caller_retries,
         )
         target, retry_after_s = await self.reserve_slot(ask)
         if target is None:
-            play.got.held_s.append(anyio.current_time() - began_s)
-            return refusals.with_jitter_s(retry_after_s, play.rng)
+            simulation.results.held_s.append(anyio.current_time() - started_s)
+            return refusals.with_jitter_s(retry_after_s, simulation.rng)
         sent_s = anyio.current_time()
         with anyio.move_on_after(
-            CALLER_PATIENCE_S - (sent_s - began_s)
+            CALLER_PATIENCE_S - (sent_s - started_s)
         ) as timeout_scope:
             on_first_event = functools.partial(
-                self._on_first_event, first_s, sent_s, timeout_scope
+                self._on_first_event, first_attempt_s, sent_s, timeout_scope
             )
-            await play.heads[target.endpoint_id].serve(
-                play.deployment.first_event_s,
-                play.sample_service_s(),
+            await simulation.heads[target.endpoint_id].serve(
+                simulation.deployment.first_event_s,
+                simulation.sample_service_s(),
                 on_first_event,
             )
         self.release_slot(target)
         if timeout_scope.cancelled_caught:
-            play.got.lost.append(first_s)
+            simulation.results.lost.append(first_attempt_s)
         return None
 
     async def reserve_slot(self, ask):
-        """Reserve a place."""
+        """Return the target of a slot, and otherwise the time to the retry."""
         found = await self.reserver.reserve('s', 'model', ask, (), ())
         if isinstance(found, reservations.NoSlot):
             return None, found.retry_after_s
@@ -234,39 +234,43 @@
         return found.target, 0
 
     def release_slot(self, target):
-        """Release a place."""
+        """Release a slot."""
         held = self._reservations[target.endpoint_id].pop()
         held.release(reservations.ReleaseState.FREE)
 
-    def _targets_of(self, pool):
+    def _pool_targets(self, pool):
         return tuple(
             target
             for target in self._simulation.targets
             if pool.data_centre in {'', target.data_centre}
         )
 
-    def _on_first_event(self, first_s, sent_s, timeout_scope):
+    def _on_first_event(self, first_attempt_s, sent_s, timeout_scope):
         now_s = anyio.current_time()
         timeout_scope.deadline = math.inf
         self.first_event_estimate.observe(now_s - sent_s)
-        play = self._simulation
-        is_on_time = now_s - first_s <= play.deployment.goal_s
-        (play.got.on_time if is_on_time else play.got.late).append(first_s)
+        simulation = self._simulation
+        is_on_time = now_s - first_attempt_s <= simulation.deployment.goal_s
+        (
+            simulation.results.on_time
+            if is_on_time
+            else simulation.results.late
+        ).append(first_attempt_s)
 
 
 class Simulation:
-    """One load over one deployment."""
+    """A load on a deployment."""
 
-    # A share of the datagrams that is lost.
+    # Share of the datagrams that is lost.
     datagram_loss = 0.0
 
     def __init__(self, deployment, phases, seed, detects_caller_retries=True):
-        """Prepare."""
+        """Set up the heads; run() starts the nodes."""
         self.deployment = deployment
         self.phases = phases
         self.detects_caller_retries = detects_caller_retries
         self.rng = random.Random(seed)
-        self.got = Results()
+        self.results = Results()
         names = [f'head-{number}' for number in range(deployment.heads)]
         self.targets = tuple(
             load_balancing.Target(
@@ -283,7 +287,7 @@
         self.route = make_route(deployment.goal_s)
 
     async def run(self):
-        """Play all waves and let what they left behind end."""
+        """Run all load phases and wait for the callers to finish."""
         self.nodes = [
             Node(f'vm-{number}', self)
             for number in range(self.deployment.nodes)
@@ -295,19 +299,19 @@
                 background.start_soon(self.inject_faults)
                 await self._start_callers(callers)
             background.cancel_scope.cancel()
-        return self.got
+        return self.results
 
     async def inject_faults(self):
-        """Do nothing to the nodes."""
+        """Inject no faults; subclasses override this."""
 
     def candidates(self):
-        """Return all nodes, those too that are down."""
+        """Return all nodes, including those that are down."""
         return [
             owners.Candidate(node.name, node.data_centre) for node in self.nodes
         ]
 
     def send_datagram(self, origin, vm, message):
-        """Carry a datagram between nodes that are up."""
+        """Deliver a datagram if both nodes are up and it isn't lost."""
         node = next(one for one in self.nodes if one.name == vm)
         packed = messages.pack(
             messages.Envelope(
@@ -317,14 +321,14 @@
         if origin is node:
             node.receive(messages.unpack(packed))
             return
-        self.got.messages += 1
+        self.results.messages += 1
         if not origin.is_up or self.rng.random() < self.datagram_loss:
             return
         loop = asyncio.get_running_loop()
         loop.call_later(self.datagram_delay_s(), self._deliver, node, packed)
 
     def datagram_delay_s(self):
-        """Return how long a datagram is on its way."""
+        """Return the one-way delay of a datagram."""
         return DATAGRAM_DELAY_S
 
     def _deliver(self, node, packed):
@@ -332,7 +336,7 @@
             node.receive(messages.unpack(packed))
 
     def sample_service_s(self):
-        """Return how long one request takes, longer than to its beginning."""
+        """Return a random service time, longer than to the first event."""
         mean_s = self.deployment.service_s - self.deployment.first_event_s
         return self.deployment.first_event_s + self.rng.gammavariate(
             2, mean_s / 2
@@ -352,23 +356,23 @@
             await anyio.sleep(self.rng.expovariate(rate_per_s))
 
     async def _caller(self):
-        first_s = anyio.current_time()
-        self.got.asked.append(first_s)
+        first_attempt_s = anyio.current_time()
+        self.results.asked.append(first_attempt_s)
         node = self.rng.choice(self.nodes)
-        retry_after_s = await node.ask(first_s, has_returned=False)
+        retry_after_s = await node.ask(first_attempt_s, has_returned=False)
         if retry_after_s is None:
             return
-        self.got.refusals += 1
-        left_s = DEADLINE_S - (anyio.current_time() - first_s)
+        self.results.refusals += 1
+        left_s = DEADLINE_S - (anyio.current_time() - first_attempt_s)
         await anyio.sleep(min(retry_after_s, left_s * MAX_RETRY_AFTER_SHARE))
         node = self.rng.choice(self.nodes)
-        if await node.ask(first_s, has_returned=True) is not None:
-            self.got.refusals += 1
-            self.got.lost.append(first_s)
+        if await node.ask(first_attempt_s, has_returned=True) is not None:
+            self.results.refusals += 1
+            self.results.lost.append(first_attempt_s)
 
 
 def make_route(goal_s):
-    """Return a route with a goal."""
+    """Return a stream route with a first-event goal."""
     return routes.Route(
         name='r',
         host='h',
@@ -385,9 +389,9 @@
     )
 
 
-def simulate(deployment, phases, seed=1, make_play=Simulation, **more):
-    """Return what callers got."""
+def simulate(deployment, phases, seed=1, make_simulation=Simulation, **more):
+    """Run a simulation and return its results."""
     return anyio.run(
-        make_play(deployment, phases, seed, **more).run,
+        make_simulation(deployment, phases, seed, **more).run,
         backend_options={'loop_factory': looptime.new_event_loop},
     )
--- a/redwingvalve/ingress/tests/test_poison.py
+++ b/redwingvalve/ingress/tests/test_poison.py
@@ -1,4 +1,4 @@
-"""A request that crashes what runs it is refused; others are not."""
+"""Tests that requests that crash endpoints are refused, and no others."""
 
 from redwingvalve.ingress import poison
 
@@ -10,47 +10,47 @@
         return self.now_s
 
 
-def book():
+def make_tracker():
     clock = Clock()
     return poison.PoisonRequestTracker(clock), clock
 
 
-def crash(found, fingerprint, number):
-    found.record_disconnect(fingerprint, (f'e{number}', 1))
-    found.resolve_disconnects(live_incarnations=set())
+def crash(tracker, fingerprint, number):
+    tracker.record_disconnect(fingerprint, (f'e{number}', 1))
+    tracker.resolve_disconnects(live_incarnations=set())
 
 
-def test_the_fourth_try_is_refused():
-    found, _ = book()
+def test_request_is_refused_after_three_crashes():
+    tracker, _ = make_tracker()
     for number in range(poison.MIN_CRASHES_TO_REFUSE):
-        assert not found.is_poison(7)
-        crash(found, 7, number)
-    assert found.is_poison(7) and not found.is_poison(8)
+        assert not tracker.is_poison(7)
+        crash(tracker, 7, number)
+    assert tracker.is_poison(7) and not tracker.is_poison(8)
 
 
-def test_a_lost_answer_is_no_crash():
-    """The connection breaks but the endpoint lives on."""
-    found, clock = book()
+def test_a_lost_answer_does_not_count_as_a_crash():
+    """The connection breaks but the endpoint stays alive."""
+    tracker, clock = make_tracker()
     for number in range(5):
-        found.record_disconnect(7, (f'e{number}', 1))
-        found.resolve_disconnects(live_incarnations={(f'e{number}', 1)})
+        tracker.record_disconnect(7, (f'e{number}', 1))
+        tracker.resolve_disconnects(live_incarnations={(f'e{number}', 1)})
         clock.now_s += poison.CRASH_DETECTION_S + 1
-        found.resolve_disconnects(live_incarnations={(f'e{number}', 1)})
-    assert not found.is_poison(7)
+        tracker.resolve_disconnects(live_incarnations={(f'e{number}', 1)})
+    assert not tracker.is_poison(7)
 
 
-def test_an_answer_clears_the_innocent():
-    found, _ = book()
+def test_an_answer_clears_the_crash_count():
+    tracker, _ = make_tracker()
     for number in range(2):
-        crash(found, 7, number)
-    found.record_answer(7)
-    crash(found, 7, 9)
-    assert not found.is_poison(7)
+        crash(tracker, 7, number)
+    tracker.record_answer(7)
+    crash(tracker, 7, 9)
+    assert not tracker.is_poison(7)
 
 
-def test_crashes_at_other_nodes_count():
-    here, _ = book()
-    there, _ = book()
+def test_crashes_reported_by_other_nodes_count():
+    here, _ = make_tracker()
+    there, _ = make_tracker()
     crash(here, 7, 1)
     there.merge_crashes(here.recent_crashes())
     crash(there, 7, 2)
@@ -59,15 +59,15 @@
     assert here.is_poison(7)
 
 
-def test_a_refused_request_is_tried_again_some_day():
-    found, clock = book()
+def test_refusal_ends_after_the_retention_time():
+    tracker, clock = make_tracker()
     for number in range(3):
-        crash(found, 7, number)
+        crash(tracker, 7, number)
     clock.now_s += poison.CRASH_RETENTION_S
-    assert not found.is_poison(7)
+    assert not tracker.is_poison(7)
 
 
-def test_the_same_request_of_another_account_is_another():
+def test_fingerprint_depends_on_target_account_and_body():
     prints = {
         poison.fingerprint(b'/a', 'x', b'1'),
         poison.fingerprint(b'/a', 'y', b'1'),
--- a/redwingvalve/ingress/tests/test_routing_and_stalls.py
+++ b/redwingvalve/ingress/tests/test_routing_and_stalls.py
@@ -1,4 +1,4 @@
-"""Routes, placing, retries and silence, without a network."""
+"""Tests of routing, load balancing, retries and stall detection."""
 
 import random
 
@@ -15,7 +15,7 @@
 )
 
 
-def route(prefix, host='h.example', splits=(('s', 1.0),)):
+def make_route(prefix, host='h.example', splits=(('s', 1.0),)):
     return routes.Route(
         name=prefix,
         host=host,
@@ -32,7 +32,7 @@
     )
 
 
-def configuration(*found):
+def make_configuration(*found):
     return routes.Configuration(
         version=1,
         revision=1,
@@ -44,9 +44,9 @@
     )
 
 
-def test_the_longest_prefix_of_the_host_is_taken():
-    known = configuration(
-        route('/a/'), route('/a/b/'), route('/', 'other.example')
+def test_route_with_the_longest_prefix_is_found():
+    known = make_configuration(
+        make_route('/a/'), make_route('/a/b/'), make_route('/', 'other.example')
     )
     assert known.find_route('h.example', '/a/b/c').name == '/a/b/'
     assert known.find_route('H.Example:80', '/a/x').name == '/a/'
@@ -55,7 +55,7 @@
 
 
 def test_a_split_follows_the_weights():
-    split = route('/', splits=(('s', 90.0), ('t', 10.0)))
+    split = make_route('/', splits=(('s', 90.0), ('t', 10.0)))
     rng = random.Random(1)
     picked = [routes.pick_service(split, rng) for _ in range(2000)]
     assert 130 < picked.count('t') < 270
@@ -65,7 +65,7 @@
     return load_balancing.Target(name, 'h', 1, slots, 'dc')
 
 
-def test_the_least_filled_target_is_chosen():
+def test_the_least_utilized_target_is_chosen():
     loads = load_balancing.EndpointLoads()
     loads.add_request('a')
     rng = random.Random(1)
@@ -101,7 +101,7 @@
     )
 
 
-def test_equal_targets_are_shared_by_chance():
+def test_ties_between_targets_are_broken_randomly():
     loads = load_balancing.EndpointLoads()
     rng = random.Random(1)
     targets = [target('a'), target('b')]
@@ -112,14 +112,14 @@
     assert picked == {'a', 'b'}
 
 
-def test_retries_are_a_share_of_requests_and_of_the_allowance():
-    allowance = retry_budget.RetryBudgetConfig(0.2, 60, 10.0)
-    window = retry_budget.RetryBudget(allowance)
+def test_retry_budget_grows_with_requests_and_has_a_fixed_share():
+    config = retry_budget.RetryBudgetConfig(0.2, 60, 10.0)
+    budget = retry_budget.RetryBudget(config)
     for _ in range(100):
-        window.record_request(0.0)
-    spent = sum(window.try_spend(1.0, nodes=6) for _ in range(200))
+        budget.record_request(0.0)
+    spent = sum(budget.try_spend(1.0, nodes=6) for _ in range(200))
     assert spent == int((0.2 * 100 + 60 / 6) * retry_budget.USABLE_SHARE)
-    assert window.try_spend(11.5, nodes=6)
+    assert budget.try_spend(11.5, nodes=6)
 
 
 @hypothesis.given(
@@ -127,7 +127,7 @@
     strategies.integers(1, 17),
     strategies.sampled_from([b'\n\n', b'\r\n\r\n']),
 )
-def test_events_are_the_same_however_they_are_cut(numbers, size, separator):
+def test_events_do_not_depend_on_chunk_boundaries(numbers, size, separator):
     line = separator[: len(separator) // 2]
     text = b''.join(
         b'id: %d%bdata: x%b' % (number, line, separator) for number in numbers
@@ -141,7 +141,7 @@
     assert splitter.is_between_events
 
 
-def pulse(
+def make_stream(
     head='h', sent_s=0.0, prompt_s=0.02, pause_s=0.04, other_prompts_s=0.0
 ):
     return stall_detection.MonitoredStream(
@@ -149,69 +149,69 @@
     )
 
 
-def look_until(watch, from_s, to_s):
-    """Look as the node does; return when a head was first found silent."""
+def check_until(detector, from_s, to_s):
+    """Check as the node does; return when a head is first found stalled."""
     now_s = from_s
     while now_s < to_s:
-        if watch.find_stalled(now_s):
+        if detector.find_stalled(now_s):
             return now_s
         now_s += stall_detection.MIN_CHECK_INTERVAL_S
     return None
 
 
-def test_a_head_that_stops_writing_is_found_within_three_pauses():
-    watch = stall_detection.StallDetector()
-    one = pulse()
-    watch.add(one)
-    watch.record_event(one, 1.0)
-    found_s = look_until(watch, 1.0, 3.0)
+def test_a_stalled_head_is_found_within_three_event_intervals():
+    detector = stall_detection.StallDetector()
+    one = make_stream()
+    detector.add(one)
+    detector.record_event(one, 1.0)
+    found_s = check_until(detector, 1.0, 3.0)
     assert found_s is not None and found_s - 1.0 < 0.12 + 0.03
 
 
-def test_a_head_that_writes_to_one_stream_is_not_silent():
-    watch = stall_detection.StallDetector()
-    one, two = pulse(), pulse()
+def test_a_head_that_writes_to_one_stream_is_not_stalled():
+    detector = stall_detection.StallDetector()
+    one, two = make_stream(), make_stream()
     for each in (one, two):
-        watch.add(each)
-        watch.record_event(each, 0.0)
+        detector.add(each)
+        detector.record_event(each, 0.0)
     now_s = 0.0
     while now_s < 1.0:
-        watch.record_event(one, now_s)
-        assert not watch.find_stalled(now_s)
+        detector.record_event(one, now_s)
+        assert not detector.find_stalled(now_s)
         now_s += stall_detection.MIN_CHECK_INTERVAL_S
 
 
-def test_prompts_of_others_are_allowed_for():
-    watch = stall_detection.StallDetector()
-    one = pulse(other_prompts_s=0.2)
-    watch.add(one)
-    watch.record_event(one, 0.0)
-    assert look_until(watch, 0.0, 0.3) is None
+def test_time_limit_allows_for_prompts_of_other_nodes():
+    detector = stall_detection.StallDetector()
+    one = make_stream(other_prompts_s=0.2)
+    detector.add(one)
+    detector.record_event(one, 0.0)
+    assert check_until(detector, 0.0, 0.3) is None
 
 
-def test_a_head_that_is_found_sound_again_and_again_is_slow():
-    """Streams at a slow endpoint go on there, late, and are not sent again.
+def test_a_head_that_stalls_repeatedly_and_is_healthy_is_slow():
+    """Streams at a slow endpoint continue there instead of being moved.
 
-    It works at a fifth of its pace: each time it seems silent, its members are
-    found well, and its streams are sent anew elsewhere, where they take places
-    in which others could be in time.
+    The endpoint runs at a fifth of its speed. Each time it seems stalled, its
+    members are found healthy; streams that are moved take slots elsewhere in
+    which other requests could be on time.
     """
-    watch = stall_detection.StallDetector()
+    detector = stall_detection.StallDetector()
     found = 0
     now_s = 0.0
     for _ in range(7):
-        one = pulse('a', now_s)
-        watch.add(one)
-        watch.record_event(one, now_s)
-        is_silent = False
+        one = make_stream('a', now_s)
+        detector.add(one)
+        detector.record_event(one, now_s)
+        is_stalled = False
         for _ in range(40):
             now_s += stall_detection.MIN_CHECK_INTERVAL_S
-            is_silent = is_silent or bool(watch.find_stalled(now_s))
-        found += is_silent
-        if is_silent:
-            watch.mark_slow('a', now_s)
-        watch.remove(one)
-    assert watch.slow_heads(now_s) == {'a'}
+            is_stalled = is_stalled or bool(detector.find_stalled(now_s))
+        found += is_stalled
+        if is_stalled:
+            detector.mark_slow('a', now_s)
+        detector.remove(one)
+    assert detector.slow_heads(now_s) == {'a'}
     assert found <= 2
 
 
@@ -228,34 +228,34 @@
     assert found.endpoint_id == 'a'
 
 
-def test_a_pause_of_this_process_is_no_silence():
-    """No stream moves because its own node stood still for a second."""
-    watch = stall_detection.StallDetector()
-    one = pulse()
-    watch.add(one)
-    watch.record_event(one, 0.0)
-    assert not watch.find_stalled(0.01)
-    assert not watch.find_stalled(1.0)
-    assert not watch.find_stalled(1.05)
+def test_a_pause_of_this_process_is_not_a_stall():
+    """No stream is moved because its own node was paused for a second."""
+    detector = stall_detection.StallDetector()
+    one = make_stream()
+    detector.add(one)
+    detector.record_event(one, 0.0)
+    assert not detector.find_stalled(0.01)
+    assert not detector.find_stalled(1.0)
+    assert not detector.find_stalled(1.05)
 
 
-def test_a_caller_that_reads_slowly_says_nothing_about_the_head():
-    watch = stall_detection.StallDetector()
-    one = pulse()
-    watch.add(one)
-    watch.record_event(one, 0.0)
+def test_a_slow_reader_does_not_make_the_head_stalled():
+    detector = stall_detection.StallDetector()
+    one = make_stream()
+    detector.add(one)
+    detector.record_event(one, 0.0)
     one.is_paused = True
-    assert look_until(watch, 0.0, 2.0) is None
+    assert check_until(detector, 0.0, 2.0) is None
 
 
-def test_a_stream_that_never_begins_is_found():
-    watch = stall_detection.StallDetector()
-    watch.add(pulse(sent_s=0.0))
-    found_s = look_until(watch, 0.0, 2.0)
+def test_a_stream_that_never_starts_is_found():
+    detector = stall_detection.StallDetector()
+    detector.add(make_stream(sent_s=0.0))
+    found_s = check_until(detector, 0.0, 2.0)
     assert found_s is not None and found_s < 0.5
 
 
-def test_what_may_have_run_is_never_called_not_run():
+def test_a_request_that_may_have_run_is_never_reported_as_not_run():
     assert (
         refusals.for_failed_request(may_have_run=False, is_timeout=True).status
         == 503
@@ -270,35 +270,37 @@
     )
 
 
-def test_nodes_that_choose_alone_do_not_herd_to_one_head():
-    """Few of 240 requests find no slot where nobody grants places.
+def test_local_choices_spread_over_the_heads():
+    """Few of 240 requests exceed the slots when no node grants them.
 
-    54 heads of 8 slots, 60 nodes that know their own four requests only.
+    54 heads have 8 slots each; 60 nodes know only their own four requests.
     """
     rng = random.Random(7)
     targets = [target(f'e{number}', 8) for number in range(54)]
-    over = 0
+    excess = 0
     for _ in range(20):
-        begun = dict.fromkeys((one.endpoint_id for one in targets), 0)
+        started = dict.fromkeys((one.endpoint_id for one in targets), 0)
         for _ in range(60):
             loads = load_balancing.EndpointLoads()
             for _ in range(4):
-                among = load_balancing.sample_candidates(targets, rng)
-                found = load_balancing.choose_least_loaded(among, loads, rng)
+                candidates = load_balancing.sample_candidates(targets, rng)
+                found = load_balancing.choose_least_loaded(
+                    candidates, loads, rng
+                )
                 loads.add_request(found.endpoint_id)
-                begun[found.endpoint_id] += 1
-        over += sum(max(0, count - 8) for count in begun.values())
-    assert over < 510
-
-
-def test_a_head_that_was_found_sound_is_given_more_time():
-    """A slow head under a burst isn't taken out of use again and again."""
-    watch = stall_detection.StallDetector()
-    one = pulse()
-    watch.add(one)
-    watch.record_event(one, 0.0)
-    first_s = look_until(watch, 0.0, 3.0)
-    watch.mark_slow('h', first_s)
-    watch.record_event(one, first_s)
-    second_s = look_until(watch, first_s, first_s + 3.0)
+                started[found.endpoint_id] += 1
+        excess += sum(max(0, count - 8) for count in started.values())
+    assert excess < 510
+
+
+def test_a_stalled_head_that_is_healthy_gets_a_longer_time_limit():
+    """A slow head isn't repeatedly taken out of use during a burst."""
+    detector = stall_detection.StallDetector()
+    one = make_stream()
+    detector.add(one)
+    detector.record_event(one, 0.0)
+    first_s = check_until(detector, 0.0, 3.0)
+    detector.mark_slow('h', first_s)
+    detector.record_event(one, first_s)
+    second_s = check_until(detector, first_s, first_s + 3.0)
     assert second_s - first_s > 2.5 * first_s
--- a/redwingvalve/ingress/tests/test_wait_queue.py
+++ b/redwingvalve/ingress/tests/test_wait_queue.py
@@ -1,4 +1,4 @@
-"""Who gets a place, who waits and who is refused, without a network."""
+"""Tests of the wait queue, caller retries and wait limits."""
 
 import asyncio
 import functools
@@ -20,11 +20,11 @@
     return load_balancing.Target(name, 'h', 1, 4, 'dc')
 
 
-class FewPlaces(wait_queue.SlotCapacity):
-    """Places that are all taken; as many come free a second as told."""
+class FullCapacity(wait_queue.SlotCapacity):
+    """Slots that are all taken and become free at a given rate."""
 
-    def __init__(self, freed_per_s=100.0, *, is_spare=False):
-        self.is_spare = is_spare
+    def __init__(self, freed_per_s=100.0, *, has_spare=False):
+        self.has_spare = has_spare
         self._freed_per_s = freed_per_s
 
     def freed_per_s(self):
@@ -34,30 +34,30 @@
         return 0
 
     def has_spare_slots(self):
-        return self.is_spare
+        return self.has_spare
 
 
-class Taker:
-    """Takes places for requests, and notes in which order they got one."""
+class Requester:
+    """Requests slots and records the order of grants and refusals."""
 
-    def __init__(self, clock=None, places=None):
-        self.places = places or FewPlaces()
-        self.room = wait_queue.WaitQueue(clock or (lambda: 0.0), self.places)
-        self.free = []
-        self.served = []
+    def __init__(self, clock=None, capacity=None):
+        self.capacity = capacity or FullCapacity()
+        self.queue = wait_queue.WaitQueue(clock or (lambda: 0.0), self.capacity)
+        self.free_targets = []
+        self.granted = []
         self.refused = []
 
-    def select(self):
-        return self.free.pop() if self.free else None
+    def acquire_slot(self):
+        return self.free_targets.pop() if self.free_targets else None
 
     async def ask(self, name, urgency=1, on_time_s=1.0, **more):
         ask = wait_queue.SlotRequest(urgency, on_time_s, 1.0, **more)
-        got = await self.room.acquire(ask, self.select)
-        (self.refused if got is None else self.served).append(name)
+        target_or_none = await self.queue.acquire(ask, self.acquire_slot)
+        (self.refused if target_or_none is None else self.granted).append(name)
 
-    async def free_one(self):
-        self.free.append(target('a'))
-        self.room.dispatch()
+    async def free_slot(self):
+        self.free_targets.append(target('a'))
+        self.queue.dispatch()
         await settle()
 
 
@@ -66,171 +66,174 @@
         await anyio.lowlevel.checkpoint()
 
 
-def test_the_most_urgent_waits_least():
+def test_the_most_urgent_request_is_granted_first():
     async def main():
-        taker = Taker()
+        requester = Requester()
         async with anyio.create_task_group() as group:
             for urgency in (5, 1, 3):
-                group.start_soon(taker.ask, urgency, urgency)
+                group.start_soon(requester.ask, urgency, urgency)
                 await settle()
             for _ in range(3):
-                await taker.free_one()
-        assert taker.served == [1, 3, 5]
+                await requester.free_slot()
+        assert requester.granted == [1, 3, 5]
 
     anyio.run(main)
 
 
-def test_a_stream_that_lost_its_endpoint_goes_first():
-    """A caller that reads already waits for the next event, a new one can wait.
+def test_a_resumed_stream_is_granted_first():
+    """A resumed stream goes first, because its caller expects the next event.
 
-    The stream's head dies while all places are taken and a new request waits.
+    Its head crashes while all slots are taken and a new request waits.
     """
 
     async def main():
-        taker = Taker()
+        requester = Requester()
         async with anyio.create_task_group() as group:
-            group.start_soon(taker.ask, 'new')
+            group.start_soon(requester.ask, 'new')
             await settle()
             group.start_soon(
-                functools.partial(taker.ask, 'resumed', is_resumed=True)
+                functools.partial(requester.ask, 'resumed', is_resumed=True)
             )
             await settle()
-            await taker.free_one()
-            await taker.free_one()
-        assert taker.served == ['resumed', 'new']
+            await requester.free_slot()
+            await requester.free_slot()
+        assert requester.granted == ['resumed', 'new']
 
     anyio.run(main)
 
 
-def test_late_requests_take_spare_places_and_a_share_of_the_others():
-    """New callers are served in time while late ones wait, and yet these go on.
+def test_late_requests_get_spare_slots_and_a_share_of_the_others():
+    """New requests are served in time and late ones aren't starved.
 
-    A late request takes no place that another could use in time, but one after
-    every ten that others got, so that a caller that was told to come back
-    isn't turned away for good.
+    A late request takes no slot that another request could use in time, except
+    one within ten or so granted to others, so that a caller that retries after
+    a refusal isn't rejected for good.
     """
 
     async def main():
         now_s = [10.0]
-        taker = Taker(lambda: now_s[0])
+        requester = Requester(lambda: now_s[0])
         async with anyio.create_task_group() as group:
             group.start_soon(
-                functools.partial(taker.ask, 'late', has_returned=True)
+                functools.partial(requester.ask, 'late', has_returned=True)
             )
             await settle()
-            await taker.free_one()
-            assert not taker.served
-            taker.free.clear()
+            await requester.free_slot()
+            assert not requester.granted
+            requester.free_targets.clear()
             for number in range(11):
-                group.start_soon(taker.ask, number)
+                group.start_soon(requester.ask, number)
                 await settle()
-                await taker.free_one()
-            assert 'late' in taker.served
-            taker.places.is_spare = True
+                await requester.free_slot()
+            assert 'late' in requester.granted
+            requester.capacity.has_spare = True
             group.start_soon(
-                functools.partial(taker.ask, 'spare', has_returned=True)
+                functools.partial(requester.ask, 'spare', has_returned=True)
             )
             await settle()
-            await taker.free_one()
-            assert taker.served[-1] == 'spare'
+            await requester.free_slot()
+            assert requester.granted[-1] == 'spare'
             group.cancel_scope.cancel()
 
     anyio.run(main)
 
 
-def test_a_place_that_is_granted_as_the_wait_ends_is_not_lost():
-    """Places that leak stay counted and are never used again.
+def test_a_slot_granted_as_the_wait_ends_is_not_leaked():
+    """A leaked slot stays counted and is never used again.
 
-    The wait's time is over in the same turn of the loop in which a place is
-    granted; the request must get it.
+    The wait times out in the same iteration of the event loop in which a slot
+    is granted; the request must get the slot.
     """
 
     async def main():
-        taker = Taker()
+        requester = Requester()
 
         async def grant():
             await anyio.sleep(0.02)
-            await taker.free_one()
+            await requester.free_slot()
 
         task = asyncio.create_task(grant())
         ask = wait_queue.SlotRequest(1, 0.02, 0.02)
-        got = await taker.room.acquire(ask, taker.select)
+        target_or_none = await requester.queue.acquire(
+            ask, requester.acquire_slot
+        )
         await task
-        assert got is not None or taker.free
+        assert target_or_none is not None or requester.free_targets
 
     for _ in range(20):
         anyio.run(main)
 
 
-def test_who_would_wait_too_long_is_refused_at_once():
-    """Twenty places come free a second; the fourth in line would be late."""
+def test_a_request_with_too_long_a_wait_is_refused_immediately():
+    """With 20 slots freed per second the fourth in the queue would be late."""
 
     async def main():
-        taker = Taker(places=FewPlaces(freed_per_s=20.0))
+        requester = Requester(capacity=FullCapacity(freed_per_s=20.0))
         async with anyio.create_task_group() as group:
             for number in range(3):
-                group.start_soon(taker.ask, number, 1, 0.3)
+                group.start_soon(requester.ask, number, 1, 0.3)
             late = wait_queue.MIN_LATE_LIMIT
             for number in range(late):
-                group.start_soon(taker.ask, f'late {number}', 1, 0.3)
+                group.start_soon(requester.ask, f'late {number}', 1, 0.3)
             await settle()
-            assert not taker.refused
+            assert not requester.refused
             started_s = anyio.current_time()
-            await taker.ask('refused', 1, 0.3)
+            await requester.ask('refused', 1, 0.3)
             assert anyio.current_time() - started_s < 0.05
-            assert taker.refused == ['refused']
+            assert requester.refused == ['refused']
             group.cancel_scope.cancel()
 
     anyio.run(main)
 
 
-def test_who_comes_back_takes_the_room_of_one_that_still_can():
-    """A caller comes back once; refused again, it is lost."""
+def test_a_caller_retry_evicts_a_late_first_attempt():
+    """A caller retries only once; if refused again, its request is lost."""
 
     async def main():
-        taker = Taker(places=FewPlaces(freed_per_s=0.1))
+        requester = Requester(capacity=FullCapacity(freed_per_s=0.1))
         async with anyio.create_task_group() as group:
             for number in range(1 + wait_queue.MIN_LATE_LIMIT):
-                group.start_soon(taker.ask, number, 1, 0.3)
+                group.start_soon(requester.ask, number, 1, 0.3)
             await settle()
             group.start_soon(
-                functools.partial(taker.ask, 'back', has_returned=True)
+                functools.partial(requester.ask, 'back', has_returned=True)
             )
             await settle()
-            assert taker.refused == [wait_queue.MIN_LATE_LIMIT]
+            assert requester.refused == [wait_queue.MIN_LATE_LIMIT]
             group.cancel_scope.cancel()
 
     anyio.run(main)
 
 
-def test_who_comes_back_is_told_from_first_attempts():
-    """First attempts differ by a tenth; one that waited two seconds shows."""
-    deadlines = caller_retries.DeadlineHistory()
+def test_caller_retries_are_distinguished_from_first_attempts():
+    """Deadlines of first attempts vary by 10 %; a retry's is 2 s shorter."""
+    history = caller_retries.DeadlineHistory()
     rng = random.Random(1)
     key = ('route', 'account')
     for now_s in range(100):
-        first_ms = int(6000 * rng.uniform(0.9, 1.0))
-        assert not deadlines.is_caller_retry(key, first_ms, now_s)
-        assert deadlines.is_caller_retry(key, first_ms - 2000, now_s)
-    # An account that never waits for long is no returner for it.
-    assert not deadlines.is_caller_retry(('route', 'hasty'), 1000, 100)
+        deadline_ms = int(6000 * rng.uniform(0.9, 1.0))
+        assert not history.is_caller_retry(key, deadline_ms, now_s)
+        assert history.is_caller_retry(key, deadline_ms - 2000, now_s)
+    # Short deadlines alone don't make the requests of an account retries.
+    assert not history.is_caller_retry(('route', 'hasty'), 1000, 100)
 
 
-def test_habits_that_have_changed_are_forgotten():
-    deadlines = caller_retries.DeadlineHistory()
+def test_old_deadlines_are_forgotten():
+    history = caller_retries.DeadlineHistory()
     key = ('route', None)
-    deadlines.is_caller_retry(key, 9000, 0)
-    assert deadlines.is_caller_retry(key, 3000, 1)
+    history.is_caller_retry(key, 9000, 0)
+    assert history.is_caller_retry(key, 3000, 1)
     for now_s in range(2, 60):
-        is_caller_retry = deadlines.is_caller_retry(key, 3000, now_s)
+        is_caller_retry = history.is_caller_retry(key, 3000, now_s)
     assert not is_caller_retry
 
 
-def test_nobody_waits_for_most_of_the_time_that_it_has():
-    """Who is refused at last can still come back, and who is served is whole.
+def test_wait_is_bounded_by_patience_and_time_left():
+    """After the wait there is time to retry, or to complete the answer.
 
-    Callers leave a silent stream after two seconds, four goals or eight
-    pauses; one that has little time left is told sooner.
+    Callers abandon a silent stream after the longest of two seconds, four
+    first-event goals and eight gap goals; a caller with little time left is
+    refused sooner.
     """
     route = load_simulation.make_route(0.3)
     assert refusals.wait_s(route, 6.0) == 1.5
