--- a/redwingvalve/ingress/request_handler.py
+++ b/redwingvalve/ingress/request_handler.py
@@ -86,7 +86,7 @@
             )
             return
         self._state.prompt_read_times(admission.model).observe(
-            admission.prompt_s
+            admission.prompt_read_s
         )
         self._state.retry_budget(admission.service).record_request(
             self._times.started_s
@@ -145,7 +145,7 @@
                     admission.service, admission.model
                 ),
                 sent_s,
-                admission.prompt_s,
+                admission.prompt_read_s,
             )
         return outcome
 
@@ -308,8 +308,8 @@
         return stall_detection.MonitoredStream(
             head=target.endpoint_id,
             sent_s=time.monotonic(),
-            prompt_s=admission.prompt_s,
-            pause_s=admission.pause_s,
+            prompt_read_s=admission.prompt_read_s,
+            event_interval_s=admission.event_interval_s,
             other_prompts_s=self._state.prompt_read_times(
                 admission.model
             ).other_prompts_s(),
--- a/redwingvalve/ingress/routes.py
+++ b/redwingvalve/ingress/routes.py
@@ -24,7 +24,7 @@
     # Initial share of the service's load, between 0 and 1.
     share: float
     # Multiplies all processing times of the model's replicas.
-    pace: float
+    time_factor: float
     load_s: float
     load_from_host_s: float
 
--- a/redwingvalve/ingress/slot_requests.py
+++ b/redwingvalve/ingress/slot_requests.py
@@ -55,7 +55,7 @@
 ) -> wait_queue.SlotRequest:
     estimate = state.first_event_estimate(admission.service, admission.model)
     left_s = admission.timeout_at_s - time.monotonic()
-    first_event_s = estimate.seconds + admission.prompt_s
+    first_event_s = estimate.seconds + admission.prompt_read_s
     return wait_queue.SlotRequest(
         urgency=admission.urgency,
         on_time_s=refusals.on_time_wait_s(admission.route, first_event_s),
--- a/redwingvalve/ingress/stall_detection.py
+++ b/redwingvalve/ingress/stall_detection.py
@@ -52,9 +52,9 @@
             maxlen=PROMPT_SAMPLES
         )
 
-    def observe(self, prompt_s: float) -> None:
+    def observe(self, prompt_read_s: float) -> None:
         """Add the read time of one prompt, in seconds."""
-        self._samples_s.append(prompt_s)
+        self._samples_s.append(prompt_read_s)
 
     def other_prompts_s(self) -> float:
         """Return how long prompts of other nodes may delay a head."""
@@ -71,9 +71,9 @@
     head: str
     sent_s: float
     # Time to read the prompt of the stream.
-    prompt_s: float
+    prompt_read_s: float
     # Usual interval between two events.
-    pause_s: float
+    event_interval_s: float
     # Time in which the head may read prompts of other nodes.
     other_prompts_s: float = 0.0
     has_started: bool = False
@@ -192,8 +192,8 @@
             name: _time_left_s(head, now_s, self._slow_factor(name, now_s))
             for name, head in self._heads.items()
         }
-        pause_s = max(min(left_s.values()), MIN_CHECK_INTERVAL_S)
-        self._next_check_s = now_s + min(pause_s, MAX_CHECK_INTERVAL_S)
+        delay_s = max(min(left_s.values()), MIN_CHECK_INTERVAL_S)
+        self._next_check_s = now_s + min(delay_s, MAX_CHECK_INTERVAL_S)
         return [
             StalledHead(name, any(one.has_started for one in head.active()))
             for name, head in self._heads.items()
@@ -230,19 +230,23 @@
         return min(
             _first_event_time_left_s(one, head, now_s, factor) for one in active
         )
-    prompt_read_s = sum(
-        stream.prompt_s for stream in active if not stream.has_started
+    pending_prompts_s = sum(
+        stream.prompt_read_s for stream in active if not stream.has_started
     )
     started_stream = started[0]
-    bound_s = max(MIN_STALL_S, STALL_INTERVALS * started_stream.pause_s)
-    bound_s += prompt_read_s + started_stream.other_prompts_s
+    bound_s = max(
+        MIN_STALL_S, STALL_INTERVALS * started_stream.event_interval_s
+    )
+    bound_s += pending_prompts_s + started_stream.other_prompts_s
     return head.last_event_s + bound_s * factor - now_s
 
 
 def _first_event_time_left_s(
     stream: MonitoredStream, head: _HeadState, now_s: float, factor: float
 ) -> float:
-    bound_s = FIRST_EVENT_ALLOWANCE_S + STALL_INTERVALS * stream.pause_s
-    bound_s += stream.prompt_s + stream.other_prompts_s
+    bound_s = (
+        FIRST_EVENT_ALLOWANCE_S + STALL_INTERVALS * stream.event_interval_s
+    )
+    bound_s += stream.prompt_read_s + stream.other_prompts_s
     since_s = max(stream.sent_s, head.last_event_s)
     return since_s + bound_s * factor - now_s
--- a/redwingvalve/ingress/tests/load_simulation.py
+++ b/redwingvalve/ingress/tests/load_simulation.py
@@ -72,7 +72,7 @@
 class Results:
     """Outcomes of the callers, by the time of their first attempt."""
 
-    asked: list = attrs.field(factory=list)
+    arrivals: list = attrs.field(factory=list)
     on_time: list = attrs.field(factory=list)
     late: list = attrs.field(factory=list)
     lost: list = attrs.field(factory=list)
@@ -83,8 +83,8 @@
 
     def share(self, timestamps, from_s, to_s):
         """Return the share of the period's callers among timestamps."""
-        asked = _between(self.asked, from_s, to_s)
-        return _between(timestamps, from_s, to_s) / max(asked, 1)
+        arrivals = _between(self.arrivals, from_s, to_s)
+        return _between(timestamps, from_s, to_s) / max(arrivals, 1)
 
     def rate(self, timestamps, from_s, to_s):
         """Return the number of timestamps per second of the period."""
@@ -357,7 +357,7 @@
 
     async def _caller(self):
         first_attempt_s = anyio.current_time()
-        self.results.asked.append(first_attempt_s)
+        self.results.arrivals.append(first_attempt_s)
         node = self.rng.choice(self.nodes)
         retry_after_s = await node.ask(first_attempt_s, has_returned=False)
         if retry_after_s is None:
--- a/redwingvalve/ingress/tests/test_routing_and_stalls.py
+++ b/redwingvalve/ingress/tests/test_routing_and_stalls.py
@@ -142,10 +142,14 @@
 
 
 def make_stream(
-    head='h', sent_s=0.0, prompt_s=0.02, pause_s=0.04, other_prompts_s=0.0
+    head='h',
+    sent_s=0.0,
+    prompt_read_s=0.02,
+    event_interval_s=0.04,
+    other_prompts_s=0.0,
 ):
     return stall_detection.MonitoredStream(
-        head, sent_s, prompt_s, pause_s, other_prompts_s
+        head, sent_s, prompt_read_s, event_interval_s, other_prompts_s
     )
 
 
--- a/redwingvalve/ingress/timing.py
+++ b/redwingvalve/ingress/timing.py
@@ -60,8 +60,8 @@
         self,
         estimate: duration_estimates.DurationEstimate,
         sent_s: float,
-        prompt_s: float,
+        prompt_read_s: float,
     ) -> None:
         """Update the estimate from a complete answer to the only send."""
         first_event_s = self.first_event_s or time.monotonic()
-        estimate.observe(first_event_s - sent_s - prompt_s)
+        estimate.observe(first_event_s - sent_s - prompt_read_s)
