--- a/redwingvalve/ingress/request_handler.py
+++ b/redwingvalve/ingress/request_handler.py
@@ -102,21 +102,23 @@
                 self._fail('no free slot')
                 return
             outcome = await self._try_target(admission, reservation)
-            if self._is_finished(admission, reservation.target, outcome):
+            if self._finish_unless_retry(
+                admission, reservation.target, outcome
+            ):
                 return
 
     def _admit(self) -> admission_control.Admission | None:
-        decided = admission_control.admit(
+        decision = admission_control.admit(
             self._state.configuration,
             self._caller,
             self._state.rng,
             self._times.started_s,
         )
-        if isinstance(decided, refusals.Refusal):
-            responses.send_refusal(self._responder, self._caller, decided)
+        if isinstance(decision, refusals.Refusal):
+            responses.send_refusal(self._responder, self._caller, decision)
             return None
         return admission_control.mark_caller_retry(
-            decided,
+            decision,
             self._caller,
             self._state.deadline_history,
             self._times.started_s,
@@ -315,13 +317,13 @@
             ).other_prompts_s(),
         )
 
-    def _is_finished(
+    def _finish_unless_retry(
         self,
         admission: admission_control.Admission,
         target: load_balancing.Target,
         outcome: upstream.Outcome,
     ) -> bool:
-        """Respond unless another attempt follows; return whether it did."""
+        """Respond unless another attempt follows; return whether finished."""
         if outcome is upstream.Outcome.CALLER_GONE:
             self._log_outcome(admission, target, 'caller left')
             return True
--- a/redwingvalve/ingress/responses.py
+++ b/redwingvalve/ingress/responses.py
@@ -46,7 +46,7 @@
     LOG.info(
         'refused',
         extra={
-            'request': _text(caller.attempt_id),
+            'request': _decode(caller.attempt_id),
             'status': refusal.status,
             'reason': refusal.reason,
             'retry_after_s': refusal.retry_after_s,
@@ -71,7 +71,7 @@
     LOG.info(
         'no place',
         extra={
-            'request': _text(caller.attempt_id),
+            'request': _decode(caller.attempt_id),
             'route': admission.route.name,
             'model': admission.model,
             'targets': targets,
@@ -114,7 +114,7 @@
         extra={
             # Late answers are logged one by one, whatever the load.
             bounded_logs.ROUTINE_ATTRIBUTE: outcome == ANSWERED and on_time,
-            'request': _text(caller.attempt_id),
+            'request': _decode(caller.attempt_id),
             'route': admission.route.name,
             'endpoint': target.endpoint_id,
             'replica': target.replica,
@@ -133,5 +133,5 @@
     )
 
 
-def _text(raw: bytes) -> str:
+def _decode(raw: bytes) -> str:
     return raw.decode('latin-1')
--- a/redwingvalve/ingress/slot_requests.py
+++ b/redwingvalve/ingress/slot_requests.py
@@ -27,14 +27,14 @@
     """
     assert state.reserver is not None
     started_s = time.monotonic()
-    found = await state.reserver.reserve(
+    reservation = await state.reserver.reserve(
         admission.service,
         admission.model,
         _make_slot_request(state, admission, is_resumed=bool(avoid)),
         avoid,
         state.stall_detector.slow_heads(started_s),
     )
-    has_slot = isinstance(found, reservations.Reservation)
+    has_slot = isinstance(reservation, reservations.Reservation)
     held_s = time.monotonic() - started_s
     node_metrics.METRICS.observe(
         'redwingvalve_wait_seconds',
@@ -44,7 +44,7 @@
     )
     if not has_slot:
         _log_no_slot(state, caller, admission, held_s)
-    return found
+    return reservation
 
 
 def _make_slot_request(
