--- a/redwingvalve/ingress/responses.py
+++ b/redwingvalve/ingress/responses.py
@@ -1,4 +1,4 @@
-"""Gives callers their answers and writes down why."""
+"""Sends responses to callers and logs the decisions behind them."""
 
 from redwingvalve.http1 import messages, server
 from redwingvalve.ingress import (
@@ -16,32 +16,37 @@
 ANSWERED = 'answered'
 
 
-def answer(responder: server.Responder, send: upstream.Send) -> None:
-    """Pass a whole answer on, or end a stream whose events were passed."""
+def send_response(
+    responder: server.Responder, upstream_request: upstream.UpstreamRequest
+) -> None:
+    """Send a complete answer, or end a stream that was already forwarded."""
     if responder.is_started:
         responder.finish()
         return
-    head = send.head
+    head = upstream_request.head
     assert head is not None
     headers = messages.end_to_end(head.headers)
-    if isinstance(send, upstream.StreamSend) and send.is_stream:
+    if (
+        isinstance(upstream_request, upstream.UpstreamStream)
+        and upstream_request.is_stream
+    ):
         responder.start(head.status, headers)
         responder.finish()
         return
-    responder.answer(head.status, headers, send.body)
+    responder.answer(head.status, headers, upstream_request.body)
 
 
-def refuse(
+def send_refusal(
     responder: server.Responder,
     caller: caller_requests.CallerRequest,
     refusal: refusals.Refusal,
 ) -> None:
-    """Answer with a status of our own."""
+    """Send a refusal that this node generates."""
     node_metrics.METRICS.count('redwingvalve_refusals', reason=refusal.reason)
     LOG.info(
         'refused',
         extra={
-            'request': _text(caller.attempt_id),
+            'request': _decode(caller.attempt_id),
             'status': refusal.status,
             'reason': refusal.reason,
             'retry_after_s': refusal.retry_after_s,
@@ -53,7 +58,7 @@
     )
 
 
-def log_no_place(
+def log_no_slot(
     caller: caller_requests.CallerRequest,
     admission: admission_control.Admission,
     *,
@@ -62,11 +67,11 @@
     waiting: int,
     held_s: float,
 ) -> None:
-    """Write down why no endpoint was offered a request."""
+    """Log why a request got no slot."""
     LOG.info(
         'no place',
         extra={
-            'request': _text(caller.attempt_id),
+            'request': _decode(caller.attempt_id),
             'route': admission.route.name,
             'model': admission.model,
             'targets': targets,
@@ -79,7 +84,7 @@
     )
 
 
-def log_decision(
+def log_upstream_outcome(
     outcome: str,
     caller: caller_requests.CallerRequest,
     admission: admission_control.Admission,
@@ -90,7 +95,7 @@
     reason: str,
     times: timing.RequestTiming,
 ) -> None:
-    """Write one line on what became of a send."""
+    """Log the outcome of one upstream request."""
     node_metrics.METRICS.count(
         'redwingvalve_sends',
         outcome=outcome,
@@ -99,34 +104,34 @@
     if outcome == ANSWERED:
         node_metrics.METRICS.observe(
             'redwingvalve_answer_seconds',
-            times.took_s,
+            times.elapsed_s,
             route_kind=admission.route.kind.value,
         )
-    is_late_first = times.is_late_first(admission)
-    on_time = not (is_late_first or times.is_late_between(admission))
+    is_first_event_late = times.is_first_event_late(admission)
+    on_time = not (is_first_event_late or times.is_gap_late(admission))
     LOG.info(
         outcome,
         extra={
-            # Each late answer has its line, whatever the load.
+            # Late answers are logged one by one, whatever the load.
             bounded_logs.ROUTINE_ATTRIBUTE: outcome == ANSWERED and on_time,
-            'request': _text(caller.attempt_id),
+            'request': _decode(caller.attempt_id),
             'route': admission.route.name,
             'endpoint': target.endpoint_id,
             'replica': target.replica,
             'epoch': target.epoch,
             'sends': sends,
             'last_event': last_event,
-            'took_ms': int(times.took_s * _MS_IN_S),
+            'took_ms': int(times.elapsed_s * _MS_IN_S),
             'waited_ms': int(times.waited_s * _MS_IN_S),
-            'first_ms': int(times.until_first_s * _MS_IN_S),
-            'pause_ms': int(times.longest_pause_s * _MS_IN_S),
+            'first_ms': int(times.first_event_delay_s * _MS_IN_S),
+            'pause_ms': int(times.longest_gap_s * _MS_IN_S),
             'has_returned': admission.has_returned,
-            'is_late_first': is_late_first,
+            'is_late_first': is_first_event_late,
             'on_time': on_time,
             'reason': reason,
         },
     )
 
 
-def _text(raw: bytes) -> str:
+def _decode(raw: bytes) -> str:
     return raw.decode('latin-1')
--- a/redwingvalve/ingress/slot_requests.py
+++ b/redwingvalve/ingress/slot_requests.py
@@ -1,4 +1,4 @@
-"""Takes a place at an endpoint for one request, or says why there is none."""
+"""Reserves a slot for one request, and records waits and refusals."""
 
 import time
 from collections import abc as collections_abc
@@ -21,58 +21,58 @@
     admission: admission_control.Admission,
     avoid: collections_abc.Collection[str],
 ) -> reservations.Reservation | reservations.NoSlot:
-    """Return a place, or when the caller may come back.
+    """Reserve a slot, or return when the caller may retry.
 
-    avoid names the endpoints that were tried.
+    avoid lists the endpoints that were tried already.
     """
     assert state.reserver is not None
-    began_s = time.monotonic()
-    found = await state.reserver.reserve(
+    started_s = time.monotonic()
+    reservation = await state.reserver.reserve(
         admission.service,
         admission.model,
-        _ask(state, admission, is_resumed=bool(avoid)),
+        _make_slot_request(state, admission, is_resumed=bool(avoid)),
         avoid,
-        state.stall_detector.slow_heads(began_s),
+        state.stall_detector.slow_heads(started_s),
     )
-    has_place = isinstance(found, reservations.Reservation)
-    held_s = time.monotonic() - began_s
+    has_slot = isinstance(reservation, reservations.Reservation)
+    held_s = time.monotonic() - started_s
     node_metrics.METRICS.observe(
         'redwingvalve_wait_seconds',
         held_s,
-        outcome='place' if has_place else 'no place',
+        outcome='place' if has_slot else 'no place',
         model=admission.model,
     )
-    if not has_place:
-        _log_no_place(state, caller, admission, held_s)
-    return found
+    if not has_slot:
+        _log_no_slot(state, caller, admission, held_s)
+    return reservation
 
 
-def _ask(
+def _make_slot_request(
     state: state_module.IngressState,
     admission: admission_control.Admission,
     *,
     is_resumed: bool,
 ) -> wait_queue.SlotRequest:
-    begin = state.begin(admission.service, admission.model)
+    estimate = state.first_event_estimate(admission.service, admission.model)
     left_s = admission.timeout_at_s - time.monotonic()
-    begin_s = begin.seconds + admission.prompt_read_s
+    first_event_s = estimate.seconds + admission.prompt_read_s
     return wait_queue.SlotRequest(
         urgency=admission.urgency,
-        on_time_s=refusals.on_time_wait_s(admission.route, begin_s),
+        on_time_s=refusals.on_time_wait_s(admission.route, first_event_s),
         wait_s=refusals.wait_s(admission.route, left_s),
         has_returned=admission.has_returned,
         is_resumed=is_resumed,
     )
 
 
-def _log_no_place(
+def _log_no_slot(
     state: state_module.IngressState,
     caller: caller_requests.CallerRequest,
     admission: admission_control.Admission,
     held_s: float,
 ) -> None:
     service, model = admission.service, admission.model
-    responses.log_no_place(
+    responses.log_no_slot(
         caller,
         admission,
         targets=len(state.targets.find_targets(service, model)),
