--- a/redwingvalve/fleet/serving.py
+++ b/redwingvalve/fleet/serving.py
@@ -7,7 +7,7 @@
 
 from redwingvalve.fleet import endpoints
 from redwingvalve.fleet import registry as registry_module
-from redwingvalve.ingress import placing, routes, state
+from redwingvalve.ingress import load_balancing, routes, state
 from redwingvalve.observability import logs, node_metrics
 
 LOG = logs.make_logger('serving')
@@ -31,15 +31,17 @@
     since_s: float
 
 
-class ServingTable(state.Targets):
+class ServingTable(state.TargetProvider):
     """Targets by service and model, made anew at each change."""
 
     def __init__(self, registry: registry_module.Registry) -> None:
         """Follow the registry."""
         self.on_suspect: collections_abc.Callable[[Suspicion], None] | None
         self.on_suspect = None
-        self.on_doubt: collections_abc.Callable[[str, str], None] | None
-        self.on_doubt = None
+        self.on_check_requested: (
+            collections_abc.Callable[[str, str], None] | None
+        )
+        self.on_check_requested = None
         self.on_cleared: collections_abc.Callable[[str, int], None] | None
         self.on_cleared = None
         self.on_announce_healthy: (
@@ -55,14 +57,18 @@
         self.on_rebuilt: collections_abc.Callable[[], None] | None = None
         self._registry = registry
         self._configuration: routes.Configuration | None = None
-        self._targets: dict[tuple[str, str], tuple[placing.Target, ...]] = {}
+        self._targets: dict[
+            tuple[str, str], tuple[load_balancing.Target, ...]
+        ] = {}
         self._suspicions: dict[str, Suspicion] = {}
         self._own: set[str] = set()
         # Members of replicas that were seen whole, by name and epoch.
         self._whole: dict[tuple[str, int], endpoints.Replica] = {}
         registry.on_change.append(self.rebuild)
 
-    def of(self, service: str, model: str) -> tuple[placing.Target, ...]:
+    def find_targets(
+        self, service: str, model: str
+    ) -> tuple[load_balancing.Target, ...]:
         """Return the targets for a model, or of a plain service."""
         return self._targets.get((service, model), ())
 
@@ -95,12 +101,12 @@
             if self.on_suspect is not None:
                 self.on_suspect(suspicion)
 
-    def doubt(self, endpoint_id: str, reason: str) -> None:
+    def check_endpoint(self, endpoint_id: str, reason: str) -> None:
         """Let whoever can ask find out about an endpoint."""
-        if self.on_doubt is None:
+        if self.on_check_requested is None:
             self.suspect(endpoint_id, reason)
         elif not self.is_suspect(endpoint_id):
-            self.on_doubt(endpoint_id, reason)
+            self.on_check_requested(endpoint_id, reason)
 
     def add_suspicion(self, suspicion: Suspicion) -> bool:
         """Take an endpoint out of use; return whether that is new."""
@@ -184,7 +190,7 @@
         usable = self._registry.usable()
         by_id = {endpoint.endpoint_id: endpoint for endpoint in usable}
         replicas = endpoints.group_replicas(usable)
-        targets: dict[tuple[str, str], tuple[placing.Target, ...]] = {}
+        targets: dict[tuple[str, str], tuple[load_balancing.Target, ...]] = {}
         for service in configuration.services.values():
             if service.engine is None:
                 targets[service.name, ''] = self._plain(service.name, usable)
@@ -199,7 +205,7 @@
 
     def _plain(
         self, service: str, usable: list[endpoints.Endpoint]
-    ) -> tuple[placing.Target, ...]:
+    ) -> tuple[load_balancing.Target, ...]:
         ready = [
             endpoint
             for endpoint in usable
@@ -219,7 +225,7 @@
         model: routes.Model,
         engine: routes.Engine,
         by_id: dict[str, endpoints.Endpoint],
-    ) -> tuple[placing.Target, ...]:
+    ) -> tuple[load_balancing.Target, ...]:
         found = []
         for seen in replicas:
             if seen.model != model.name:
@@ -273,8 +279,8 @@
         )
 
 
-def _plain_target(endpoint: endpoints.Endpoint) -> placing.Target:
-    return placing.Target(
+def _plain_target(endpoint: endpoints.Endpoint) -> load_balancing.Target:
+    return load_balancing.Target(
         endpoint_id=endpoint.endpoint_id,
         host=endpoint.host,
         port=endpoint.port,
@@ -284,9 +290,11 @@
     )
 
 
-def _head_target(replica: endpoints.Replica, slots: int) -> placing.Target:
+def _head_target(
+    replica: endpoints.Replica, slots: int
+) -> load_balancing.Target:
     head = replica.members[0]
-    return placing.Target(
+    return load_balancing.Target(
         endpoint_id=head.endpoint_id,
         host=head.host,
         port=head.port,
--- a/redwingvalve/ingress/admitting.py
+++ b/redwingvalve/ingress/admission_control.py
@@ -1,57 +1,57 @@
-"""What is decided about a request before it is sent anywhere."""
+"""Decides on route, account, priority and time limits of a request."""
 
 import random
 
 import attrs
 
-from redwingvalve.ingress import refusals, returners, routes
+from redwingvalve.ingress import caller_retries, refusals, routes
 from redwingvalve.platform import caller_requests
 
 _MS_IN_S = 1000.0
-# Callers that state no deadline and routes without a timeout.
+# For routes without a timeout.
 DEFAULT_TIMEOUT_MS = 30_000
-# The least urgent value that endpoints know.
+# The least urgent value that endpoints accept.
 MAX_URGENCY = 9
 
 
 @attrs.frozen
 class Admission:
-    """What was decided about a request before any send."""
+    """The admission decision for a request that is not refused."""
 
     route: routes.Route
     service: str
     model: str
     account: str | None
     urgency: int
-    # Moments of this process's monotonic clock.
+    # Timestamps of this process's monotonic clock.
     timeout_at_s: float
-    caller_until_s: float
-    # Seconds to read the prompt, and between two events, at an endpoint.
-    prompt_s: float
-    pause_s: float
-    # It was refused before and has come back.
+    caller_deadline_s: float
+    # Time to read the prompt, and the usual interval between two events.
+    prompt_read_s: float
+    event_interval_s: float
+    # The caller retries after a refusal.
     has_returned: bool = False
 
 
 def admit(
     configuration: routes.Configuration | None,
     caller: caller_requests.CallerRequest,
-    chance: random.Random,
+    rng: random.Random,
     now_s: float,
 ) -> Admission | refusals.Refusal:
-    """Find route and account of a request, or why it is refused."""
+    """Return the admission of a request, or the reason to refuse it."""
     if configuration is None:
         return refusals.NO_CONFIGURATION
     route = configuration.find_route(caller.host, caller.path)
     if route is None:
         return refusals.NO_ROUTE
     account = configuration.accounts_by_key.get(caller.key)
-    must_have_key = configuration.needs_keys and not route.anonymous
-    if must_have_key and account is None:
+    requires_key = configuration.needs_keys and not route.anonymous
+    if requires_key and account is None:
         return refusals.UNKNOWN_KEY
-    service = routes.pick_service(route, chance)
-    engine = configuration.engine_of(service)
-    timeout_ms, caller_ms = _waits_ms(route, caller)
+    service = routes.pick_service(route, rng)
+    engine = configuration.find_engine(service)
+    timeout_ms, caller_ms = _timeouts_ms(route, caller)
     return Admission(
         route=route,
         service=service,
@@ -59,31 +59,31 @@
         account=account.name if account else None,
         urgency=min(_priority(route, account), MAX_URGENCY),
         timeout_at_s=now_s + timeout_ms / _MS_IN_S,
-        caller_until_s=now_s + caller_ms / _MS_IN_S,
-        prompt_s=_prompt_s(engine, caller),
-        pause_s=_pause_s(engine, caller.model),
+        caller_deadline_s=now_s + caller_ms / _MS_IN_S,
+        prompt_read_s=_prompt_read_s(engine, caller),
+        event_interval_s=_event_interval_s(engine, caller.model),
     )
 
 
-def with_return(
+def mark_caller_retry(
     admission: Admission,
     caller: caller_requests.CallerRequest,
-    deadlines: returners.FirstDeadlines,
+    deadlines: caller_retries.DeadlineHistory,
     now_s: float,
 ) -> Admission:
-    """Return what was decided, with whether the caller has come back."""
+    """Return the admission, marked if the caller retries after a refusal."""
     if caller.deadline_ms is None:
         return admission
     key = (admission.route.name, admission.account)
-    if not deadlines.is_return(key, caller.deadline_ms, now_s):
+    if not deadlines.is_caller_retry(key, caller.deadline_ms, now_s):
         return admission
     return attrs.evolve(admission, has_returned=True)
 
 
-def _waits_ms(
+def _timeouts_ms(
     route: routes.Route, caller: caller_requests.CallerRequest
 ) -> tuple[int, int]:
-    """Return how long we may take, and how long the caller waits."""
+    """Return the time limit of this node, and the caller's deadline."""
     timeout_ms = route.timeout_ms or DEFAULT_TIMEOUT_MS
     if caller.deadline_ms is None:
         return timeout_ms, timeout_ms
@@ -96,18 +96,18 @@
     return account.priority
 
 
-def _prompt_s(
+def _prompt_read_s(
     engine: routes.Engine | None, caller: caller_requests.CallerRequest
 ) -> float:
     model = engine.find_model(caller.model) if engine else None
     if engine is None or model is None:
         return 0
-    return caller.prompt_tokens / engine.read_per_s * model.pace
+    return caller.prompt_tokens / engine.prompt_tokens_per_s * model.time_factor
 
 
-def _pause_s(engine: routes.Engine | None, name: str) -> float:
+def _event_interval_s(engine: routes.Engine | None, name: str) -> float:
     model = engine.find_model(name) if engine else None
     if engine is None or model is None:
         return 0
-    step_ms = engine.step_ms + engine.slots * engine.request_step_ms
-    return step_ms * engine.stride * model.pace / _MS_IN_S
+    step_ms = engine.step_ms + engine.slots * engine.step_ms_per_request
+    return step_ms * engine.steps_per_event * model.time_factor / _MS_IN_S
--- a/redwingvalve/ingress/poison.py
+++ b/redwingvalve/ingress/poison.py
@@ -1,13 +1,15 @@
-"""Requests that crash each endpoint that runs them, refused after the third.
-
-Load pattern: a single request crashes whatever runs it, and its caller sends
-it again with the same path, account and body, at any node. Without this each
-of its tries takes an endpoint, and a replica of several VMs, out of service.
-
-A broken connection alone is no crash: answers get lost and connections reset.
-Only if the endpoint's life is seen to end within CRASH_SEEN_S does it count,
-for all requests that it broke; one that is ever answered is cleared, so that
-the innocent among them are not refused.
+"""Refuses poison requests, which crash each endpoint that runs them.
+
+Load pattern: a single request crashes whatever runs it, and its caller retries
+it with the same path, account and body at any node. Unchecked, each attempt
+takes an endpoint, and with it a replica of several VMs, out of service. Such a
+request is refused after three crashes.
+
+A broken connection alone is not a crash: answers get lost and connections are
+reset. It counts only if the endpoint's incarnation ends within
+CRASH_DETECTION_S, and then for all requests whose connections broke there. A
+request that any endpoint answers is cleared, so that harmless ones among them
+aren't refused.
 """
 
 import hashlib
@@ -16,31 +18,31 @@
 
 import attrs
 
-# A life that ends is seen at the next heartbeat that fails to come, or at
-# once where the endpoint starts again.
-CRASH_SEEN_S = 6.0
-CRASHES_TO_REFUSE = 3
-# A request that crashed something this long ago is tried once more.
-FORGET_S = 120.0
-MAX_KEPT = 10_000
+# The end of an incarnation shows at the next missed heartbeat, or immediately
+# if the endpoint restarts.
+CRASH_DETECTION_S = 6.0
+MIN_CRASHES_TO_REFUSE = 3
+# A request is tried once more when its last crash is this long ago.
+CRASH_RETENTION_S = 120.0
+MAX_RECORDS = 10_000
 _DIGEST_BYTES = 7
 
 
 @attrs.define(eq=False)
 class _Record:
     crashes: int = 0
-    last_s: float = 0.0
+    last_crash_s: float = 0.0
 
 
 @attrs.frozen
-class _Break:
+class _Disconnect:
     fingerprint: int
     incarnation: tuple[str, int]
     at_s: float
 
 
-class PoisonBook:
-    """Crashes by request, here and at other nodes."""
+class PoisonRequestTracker:
+    """Crash counts by request fingerprint, from this node and others."""
 
     def __init__(
         self, clock: typing.Callable[[], float] = time.monotonic
@@ -48,54 +50,63 @@
         """Start without crashes."""
         self._clock = clock
         self._records: dict[int, _Record] = {}
-        self._breaks: list[_Break] = []
+        self._disconnects: list[_Disconnect] = []
 
     def is_poison(self, fingerprint: int) -> bool:
-        """Return whether a request is to be refused."""
+        """Return whether to refuse a request."""
         record = self._records.get(fingerprint)
-        if record is None or record.crashes < CRASHES_TO_REFUSE:
+        if record is None or record.crashes < MIN_CRASHES_TO_REFUSE:
             return False
-        return self._clock() - record.last_s < FORGET_S
+        return self._clock() - record.last_crash_s < CRASH_RETENTION_S
 
-    def broke(self, fingerprint: int, incarnation: tuple[str, int]) -> None:
-        """Note that a request's connection broke at an endpoint."""
-        if len(self._breaks) < MAX_KEPT:
-            self._breaks.append(_Break(fingerprint, incarnation, self._clock()))
+    def record_disconnect(
+        self, fingerprint: int, incarnation: tuple[str, int]
+    ) -> None:
+        """Record that the connection of a request broke at an endpoint."""
+        if len(self._disconnects) < MAX_RECORDS:
+            self._disconnects.append(
+                _Disconnect(fingerprint, incarnation, self._clock())
+            )
 
-    def answered(self, fingerprint: int) -> None:
+    def record_answer(self, fingerprint: int) -> None:
         """Clear a request that an endpoint has answered."""
         self._records.pop(fingerprint, None)
-        self._breaks = [
-            one for one in self._breaks if one.fingerprint != fingerprint
+        self._disconnects = [
+            one for one in self._disconnects if one.fingerprint != fingerprint
         ]
 
     @property
-    def has_breaks(self) -> bool:
-        """Return whether broken connections are still to be judged."""
-        return bool(self._breaks)
+    def has_unresolved_disconnects(self) -> bool:
+        """Return whether some disconnects are not yet classified."""
+        return bool(self._disconnects)
 
-    def look(self, living: typing.Container[tuple[str, int]]) -> None:
-        """Count the breaks whose endpoints have died since."""
+    def resolve_disconnects(
+        self, live_incarnations: typing.Container[tuple[str, int]]
+    ) -> None:
+        """Count the disconnects whose endpoints have crashed since."""
         now_s = self._clock()
-        left = []
-        for one in self._breaks:
-            if one.incarnation not in living:
+        unresolved = []
+        for one in self._disconnects:
+            if one.incarnation not in live_incarnations:
                 self._count(one.fingerprint, 1)
-            elif now_s - one.at_s < CRASH_SEEN_S:
-                left.append(one)
-        self._breaks = left
+            elif now_s - one.at_s < CRASH_DETECTION_S:
+                unresolved.append(one)
+        self._disconnects = unresolved
 
-    def counts(self) -> dict[int, int]:
-        """Return crashes that other nodes should know of."""
+    def recent_crashes(self) -> dict[int, int]:
+        """Return recent crash counts, to be sent to other nodes."""
         now_s = self._clock()
         return {
             fingerprint: record.crashes
             for fingerprint, record in self._records.items()
-            if now_s - record.last_s < CRASH_SEEN_S
+            if now_s - record.last_crash_s < CRASH_DETECTION_S
         }
 
-    def heard(self, counts: dict[int, int]) -> None:
-        """Take another node's crashes; it has heard of ours."""
+    def merge_crashes(self, counts: dict[int, int]) -> None:
+        """Merge another node's counts, taking the higher one of each request.
+
+        The counts of a node include those that it received from this one.
+        """
         for fingerprint, crashes in counts.items():
             known = self._records.get(fingerprint)
             if known is None or known.crashes < crashes:
@@ -104,15 +115,15 @@
     def _count(
         self, fingerprint: int, crashes: int, *, is_total: bool = False
     ) -> None:
-        if len(self._records) >= MAX_KEPT:
+        if len(self._records) >= MAX_RECORDS:
             self._records.pop(next(iter(self._records)))
         record = self._records.setdefault(fingerprint, _Record())
         record.crashes = crashes if is_total else record.crashes + crashes
-        record.last_s = self._clock()
+        record.last_crash_s = self._clock()
 
 
 def fingerprint(target: bytes, account: str | None, body: bytes) -> int:
-    """Return what is the same in all tries of one request."""
+    """Return a hash that is the same for all attempts of one request."""
     digest = hashlib.blake2b(target, digest_size=_DIGEST_BYTES)
     digest.update((account or '').encode())
     digest.update(body)
--- /dev/null
+++ b/redwingvalve/ingress/reservations.py
@@ -0,0 +1,56 @@
+"""Interface for reserving a slot at an endpoint for one request."""
+
+import abc
+import enum
+from collections import abc as collections_abc
+
+import attrs
+
+from redwingvalve.ingress import load_balancing, wait_queue
+
+
+class ReleaseState(enum.Enum):
+    """State of a slot when its request releases it."""
+
+    FREE = 1
+    # The connection broke, or the endpoint stalled or didn't answer in time: it
+    # may still be processing the request, or have crashed.
+    UNCERTAIN = 2
+    # The endpoint replied that it has no free slot.
+    REFUSED = 3
+
+
+class Reservation(abc.ABC):
+    """A slot that is held for a request until it is released."""
+
+    target: load_balancing.Target
+
+    @abc.abstractmethod
+    def release(self, leaving: ReleaseState) -> None:
+        """Release the slot."""
+
+
+@attrs.frozen
+class NoSlot:
+    """No slot becomes free in time; the caller may retry."""
+
+    retry_after_s: float
+
+
+class Reserver(abc.ABC):
+    """Reserves slots."""
+
+    @abc.abstractmethod
+    async def reserve(
+        self,
+        service: str,
+        model: str,
+        need: wait_queue.SlotRequest,
+        avoid: collections_abc.Collection[str],
+        slow: collections_abc.Collection[str],
+    ) -> Reservation | NoSlot:
+        """Reserve a slot for a request, or return when its caller may retry.
+
+        avoid lists the endpoints that were tried already, slow those to be
+        chosen last.
+        """
--- /dev/null
+++ b/redwingvalve/ingress/stream_forwarding.py
@@ -0,0 +1,88 @@
+"""Forwards the events of a stream to its caller, each once and in order."""
+
+import time
+
+from redwingvalve.http1 import client, messages, server
+from redwingvalve.ingress import events, stall_detection, timing, upstream
+
+
+class StreamForwarder:
+    """One caller's stream, across all upstream requests that serve it."""
+
+    def __init__(
+        self,
+        stall_detector: stall_detection.StallDetector,
+        responder: server.Responder,
+        last_event: int | None,
+        times: timing.RequestTiming,
+    ) -> None:
+        """Continue after last_event, which the caller already has."""
+        self.last_event = last_event
+        self._times = times
+        self._stall_detector = stall_detector
+        self._responder = responder
+        self._connection: client.Connection | None = None
+        self._monitored_stream: stall_detection.MonitoredStream | None = None
+        responder.on_drained = self._resume
+
+    def attach(
+        self,
+        connection: client.Connection | None,
+        monitored_stream: stall_detection.MonitoredStream | None,
+    ) -> None:
+        """Start to receive events from a connection."""
+        self._connection = connection
+        self._monitored_stream = monitored_stream
+        if monitored_stream is not None:
+            self._stall_detector.add(monitored_stream)
+
+    def detach(self) -> None:
+        """Stop receiving events until the next attach()."""
+        self._connection = None
+        if self._monitored_stream is not None:
+            self._stall_detector.remove(self._monitored_stream)
+            self._monitored_stream = None
+
+    def forward(
+        self, event: events.Event, upstream_request: upstream.UpstreamStream
+    ) -> None:
+        """Forward an event unless the caller already has it."""
+        now_s = time.monotonic()
+        self._times.record_event(now_s)
+        if self._monitored_stream is not None:
+            self._stall_detector.record_event(self._monitored_stream, now_s)
+        if self._is_duplicate(event):
+            return
+        if not self._responder.is_started:
+            assert upstream_request.head is not None
+            self._responder.start(
+                upstream_request.head.status,
+                messages.end_to_end(upstream_request.head.headers),
+            )
+        self._responder.write(event.raw)
+        if self._responder.is_full:
+            self._pause()
+
+    def _is_duplicate(self, event: events.Event) -> bool:
+        number = event.number
+        if number is None:
+            return False
+        if self.last_event is not None and number <= self.last_event:
+            return True
+        self.last_event = number
+        return False
+
+    def _pause(self) -> None:
+        if self._connection is not None:
+            self._connection.pause()
+        if self._monitored_stream is not None:
+            self._monitored_stream.is_paused = True
+
+    def _resume(self) -> None:
+        if self._connection is not None:
+            self._connection.resume()
+        if self._monitored_stream is not None:
+            self._monitored_stream.is_paused = False
+            self._stall_detector.record_event(
+                self._monitored_stream, time.monotonic()
+            )
--- /dev/null
+++ b/redwingvalve/ingress/tests/load_simulation.py
@@ -0,0 +1,397 @@
+"""Simulates seconds of load on several nodes in virtual time.
+
+The nodes run the production modules that count, grant and request slots.
+Endpoints serve a limited number of requests concurrently and queue the rest;
+datagrams between nodes take a millisecond and may get lost; callers give up
+when nothing arrives, and retry once when they are refused.
+"""
+
+import asyncio
+import functools
+import math
+import random
+
+import anyio
+import attrs
+import looptime
+
+from redwingvalve.allocation import (
+    allocator,
+    dispatch,
+    messages,
+    owners,
+    reserver,
+)
+from redwingvalve.ingress import (
+    duration_estimates,
+    load_balancing,
+    refusals,
+    reservations,
+    routes,
+    wait_queue,
+)
+
+# One-way delay between nodes.
+DATAGRAM_DELAY_S = 0.001
+TICK_INTERVAL_S = 0.1
+CALLER_PATIENCE_S = 2.0
+DEADLINE_S = 6.0
+# Callers honour Retry-After up to a third of their remaining time.
+MAX_RETRY_AFTER_SHARE = 1 / 3
+
+
+@attrs.frozen
+class Deployment:
+    """The simulated fleet and the goal of its callers."""
+
+    nodes: int = 8
+    heads: int = 8
+    slots: int = 13
+    # Mean service time, and the time from its start to the first event.
+    service_s: float = 0.8
+    first_event_s: float = 0.15
+    goal_s: float = 0.3
+    data_centres: int = 1
+
+    @property
+    def capacity_per_s(self):
+        """Return the rate of requests that the slots can serve."""
+        return self.heads * self.slots / self.service_s
+
+
+@attrs.frozen
+class LoadPhase:
+    """A load, as a share of the capacity, during a period."""
+
+    load: float
+    from_s: float
+    to_s: float
+
+
+@attrs.define
+class Results:
+    """Outcomes of the callers, by the time of their first attempt."""
+
+    arrivals: list = attrs.field(factory=list)
+    on_time: list = attrs.field(factory=list)
+    late: list = attrs.field(factory=list)
+    lost: list = attrs.field(factory=list)
+    refusals: int = 0
+    # Datagrams between nodes.
+    messages: int = 0
+    held_s: list = attrs.field(factory=list)
+
+    def share(self, timestamps, from_s, to_s):
+        """Return the share of the period's callers among timestamps."""
+        arrivals = _between(self.arrivals, from_s, to_s)
+        return _between(timestamps, from_s, to_s) / max(arrivals, 1)
+
+    def rate(self, timestamps, from_s, to_s):
+        """Return the number of timestamps per second of the period."""
+        return _between(timestamps, from_s, to_s) / (to_s - from_s)
+
+    def held_p99_s(self):
+        """Return the 99th percentile of how long refused callers waited."""
+        ordered = sorted(self.held_s)
+        return ordered[len(ordered) * 99 // 100] if ordered else 0.0
+
+
+def _between(timestamps, from_s, to_s):
+    return sum(from_s <= timestamp < to_s for timestamp in timestamps)
+
+
+class Head:
+    """An endpoint that serves a limited number of requests concurrently."""
+
+    def __init__(self, slots):
+        """Start idle."""
+        self._slots = anyio.Semaphore(slots)
+        # Requests that arrived when all slots were taken.
+        self.queued = 0
+
+    async def serve(self, first_event_s, service_s, on_first_event):
+        """Run one request; on_first_event is called at its first event."""
+        if self._slots.value == 0:
+            self.queued += 1
+        async with self._slots:
+            await anyio.sleep(first_event_s)
+            on_first_event()
+            await anyio.sleep(service_s - first_event_s)
+
+
+class Node:
+    """A node that requests slots from the node that owns their pool."""
+
+    def __init__(self, name, simulation):
+        """Join the simulated network."""
+        self.name = name
+        self._simulation = simulation
+        self.loads = load_balancing.EndpointLoads()
+        self.first_event_estimate = (
+            duration_estimates.make_first_event_estimate()
+        )
+        number = int(name.rpartition('-')[2])
+        self.data_centre = f'dc-{number % simulation.deployment.data_centres}'
+        self.is_up = True
+        self.born_ms = 0
+        self._reservations = {}
+        self.start()
+
+    def start(self):
+        """Start, or restart after a kill, without any state."""
+        self.born_ms += 1
+        self.is_up = True
+        self.loads.by_endpoint.clear()
+        self.allocator = allocator.Allocator(
+            self._pool_targets, anyio.current_time, self._simulation.rng
+        )
+        self.reserver = reserver.NodeReserver(
+            data_centre=self.data_centre,
+            targets=self,
+            owners=owners.PoolOwners(
+                self._simulation.candidates, anyio.current_time
+            ),
+            transport=self,
+            loads=self.loads,
+            clock=anyio.current_time,
+            rng=self._simulation.rng,
+        )
+
+    def find_targets(self, service, model):
+        """Return the targets, which are the same on all nodes."""
+        return self._simulation.targets
+
+    def send(self, vm, message):
+        """Send a message over a network that delays and loses datagrams."""
+        self._simulation.send_datagram(self, vm, message)
+
+    def receive(self, envelope):
+        """Receive a datagram."""
+        sender = envelope.sender.vm
+        dispatch.dispatch_message(
+            envelope,
+            self.allocator,
+            self.reserver,
+            functools.partial(self.send, sender),
+        )
+
+    async def run_reports(self):
+        """Report held slots, and release expired ones, until cancelled."""
+        reported_s = anyio.current_time()
+        while True:
+            await anyio.sleep(TICK_INTERVAL_S)
+            if not self.is_up:
+                continue
+            self.allocator.tick()
+            if anyio.current_time() - reported_s >= reserver.REPORT_INTERVAL_S:
+                reported_s = anyio.current_time()
+                self.reserver.report()
+
+    async def ask(self, first_attempt_s, *, has_returned):
+        """Handle one attempt; return the time to the retry if refused."""
+        simulation = self._simulation
+        route = simulation.route
+        started_s = anyio.current_time()
+        ask = wait_queue.SlotRequest(
+            urgency=1,
+            on_time_s=refusals.on_time_wait_s(
+                route, self.first_event_estimate.seconds
+            ),
+            wait_s=refusals.wait_s(
+                route, first_attempt_s + DEADLINE_S - anyio.current_time()
+            ),
+            has_returned=has_returned and simulation.detects_caller_retries,
+        )
+        target, retry_after_s = await self.reserve_slot(ask)
+        if target is None:
+            simulation.results.held_s.append(anyio.current_time() - started_s)
+            return refusals.with_jitter_s(retry_after_s, simulation.rng)
+        sent_s = anyio.current_time()
+        with anyio.move_on_after(
+            CALLER_PATIENCE_S - (sent_s - started_s)
+        ) as timeout_scope:
+            on_first_event = functools.partial(
+                self._on_first_event, first_attempt_s, sent_s, timeout_scope
+            )
+            await simulation.heads[target.endpoint_id].serve(
+                simulation.deployment.first_event_s,
+                simulation.sample_service_s(),
+                on_first_event,
+            )
+        self.release_slot(target)
+        if timeout_scope.cancelled_caught:
+            simulation.results.lost.append(first_attempt_s)
+        return None
+
+    async def reserve_slot(self, ask):
+        """Return the target of a slot, and otherwise the time to the retry."""
+        found = await self.reserver.reserve('s', 'model', ask, (), ())
+        if isinstance(found, reservations.NoSlot):
+            return None, found.retry_after_s
+        self._reservations.setdefault(found.target.endpoint_id, []).append(
+            found
+        )
+        return found.target, 0
+
+    def release_slot(self, target):
+        """Release a slot."""
+        held = self._reservations[target.endpoint_id].pop()
+        held.release(reservations.ReleaseState.FREE)
+
+    def _pool_targets(self, pool):
+        return tuple(
+            target
+            for target in self._simulation.targets
+            if pool.data_centre in {'', target.data_centre}
+        )
+
+    def _on_first_event(self, first_attempt_s, sent_s, timeout_scope):
+        now_s = anyio.current_time()
+        timeout_scope.deadline = math.inf
+        self.first_event_estimate.observe(now_s - sent_s)
+        simulation = self._simulation
+        is_on_time = now_s - first_attempt_s <= simulation.deployment.goal_s
+        (
+            simulation.results.on_time
+            if is_on_time
+            else simulation.results.late
+        ).append(first_attempt_s)
+
+
+class Simulation:
+    """A load on a deployment."""
+
+    # Share of the datagrams that is lost.
+    datagram_loss = 0.0
+
+    def __init__(self, deployment, phases, seed, detects_caller_retries=True):
+        """Set up the heads; run() starts the nodes."""
+        self.deployment = deployment
+        self.phases = phases
+        self.detects_caller_retries = detects_caller_retries
+        self.rng = random.Random(seed)
+        self.results = Results()
+        names = [f'head-{number}' for number in range(deployment.heads)]
+        self.targets = tuple(
+            load_balancing.Target(
+                name,
+                'h',
+                1,
+                deployment.slots,
+                f'dc-{number % deployment.data_centres}',
+            )
+            for number, name in enumerate(names)
+        )
+        self.heads = {name: Head(deployment.slots) for name in names}
+        self.nodes = []
+        self.route = make_route(deployment.goal_s)
+
+    async def run(self):
+        """Run all load phases and wait for the callers to finish."""
+        self.nodes = [
+            Node(f'vm-{number}', self)
+            for number in range(self.deployment.nodes)
+        ]
+        async with anyio.create_task_group() as background:
+            for node in self.nodes:
+                background.start_soon(node.run_reports)
+            async with anyio.create_task_group() as callers:
+                background.start_soon(self.inject_faults)
+                await self._start_callers(callers)
+            background.cancel_scope.cancel()
+        return self.results
+
+    async def inject_faults(self):
+        """Inject no faults; subclasses override this."""
+
+    def candidates(self):
+        """Return all nodes, including those that are down."""
+        return [
+            owners.Candidate(node.name, node.data_centre) for node in self.nodes
+        ]
+
+    def send_datagram(self, origin, vm, message):
+        """Deliver a datagram if both nodes are up and it isn't lost."""
+        node = next(one for one in self.nodes if one.name == vm)
+        packed = messages.pack(
+            messages.Envelope(
+                messages.Sender(origin.name, origin.born_ms), message
+            )
+        )
+        if origin is node:
+            node.receive(messages.unpack(packed))
+            return
+        self.results.messages += 1
+        if not origin.is_up or self.rng.random() < self.datagram_loss:
+            return
+        loop = asyncio.get_running_loop()
+        loop.call_later(self.datagram_delay_s(), self._deliver, node, packed)
+
+    def datagram_delay_s(self):
+        """Return the one-way delay of a datagram."""
+        return DATAGRAM_DELAY_S
+
+    def _deliver(self, node, packed):
+        if node.is_up:
+            node.receive(messages.unpack(packed))
+
+    def sample_service_s(self):
+        """Return a random service time, longer than to the first event."""
+        mean_s = self.deployment.service_s - self.deployment.first_event_s
+        return self.deployment.first_event_s + self.rng.gammavariate(
+            2, mean_s / 2
+        )
+
+    async def _start_callers(self, callers):
+        until_s = max(phase.to_s for phase in self.phases)
+        while anyio.current_time() < until_s:
+            now_s = anyio.current_time()
+            load = sum(
+                phase.load
+                for phase in self.phases
+                if phase.from_s <= now_s < phase.to_s
+            )
+            callers.start_soon(self._caller)
+            rate_per_s = load * self.deployment.capacity_per_s
+            await anyio.sleep(self.rng.expovariate(rate_per_s))
+
+    async def _caller(self):
+        first_attempt_s = anyio.current_time()
+        self.results.arrivals.append(first_attempt_s)
+        node = self.rng.choice(self.nodes)
+        retry_after_s = await node.ask(first_attempt_s, has_returned=False)
+        if retry_after_s is None:
+            return
+        self.results.refusals += 1
+        left_s = DEADLINE_S - (anyio.current_time() - first_attempt_s)
+        await anyio.sleep(min(retry_after_s, left_s * MAX_RETRY_AFTER_SHARE))
+        node = self.rng.choice(self.nodes)
+        if await node.ask(first_attempt_s, has_returned=True) is not None:
+            self.results.refusals += 1
+            self.results.lost.append(first_attempt_s)
+
+
+def make_route(goal_s):
+    """Return a stream route with a first-event goal."""
+    return routes.Route(
+        name='r',
+        host='h',
+        path_prefix='/',
+        kind=routes.RouteKind.STREAM,
+        splits=(),
+        timeout_ms=6000,
+        goal_ms=int(goal_s * 1000),
+        max_attempts=2,
+        priority=1,
+        anonymous=True,
+        resumable=True,
+        gap_goal_ms=200,
+    )
+
+
+def simulate(deployment, phases, seed=1, make_simulation=Simulation, **more):
+    """Run a simulation and return its results."""
+    return anyio.run(
+        make_simulation(deployment, phases, seed, **more).run,
+        backend_options={'loop_factory': looptime.new_event_loop},
+    )
--- /dev/null
+++ b/redwingvalve/ingress/upstream.py
@@ -0,0 +1,147 @@
+"""One attempt to send a request to an endpoint, and its outcome."""
+
+import asyncio
+import enum
+import typing
+
+from redwingvalve.http1 import client, messages
+from redwingvalve.ingress import events
+from redwingvalve.platform import names
+
+_OK = 200
+_REDIRECT = 300
+
+
+class Outcome(enum.Enum):
+    """Outcome of an upstream request."""
+
+    # A complete answer; a stream was forwarded event by event.
+    COMPLETE = 'whole'
+    # The endpoint stated that it did not run the request.
+    NOT_RUN = 'not-run'
+    # A complete error response of the endpoint.
+    FAILURE = 'failure'
+    # The connection ended early, or the answer isn't valid for this request.
+    BROKEN = 'broken'
+    # The head stalled, or exceeded the time limit of this attempt.
+    STALLED = 'silent'
+    # The caller closed its connection.
+    CALLER_GONE = 'gone'
+    # The time limit of the whole request passed.
+    TIMEOUT = 'timeout'
+
+
+class UpstreamRequest(client.Exchange):
+    """Collects one answer; the future ended holds the outcome."""
+
+    def __init__(self, attempt_id: bytes) -> None:
+        """Expect an answer that echoes the caller's attempt_id."""
+        loop = asyncio.get_running_loop()
+        self.ended: asyncio.Future[Outcome] = loop.create_future()
+        self.head: messages.AnswerHead | None = None
+        self.reason = ''
+        self._attempt_id = attempt_id
+        self._body: list[bytes] = []
+
+    @property
+    def body(self) -> bytes:
+        """Return the body received so far."""
+        return b''.join(self._body)
+
+    def accepts(self, head: messages.AnswerHead) -> bool:
+        """Return whether an answer belongs to this attempt."""
+        echoed = head.header(names.ATTEMPT_ID_HEADER)
+        if echoed is None:
+            # Only refusals may lack the id: they are never forwarded.
+            return (
+                head.header(names.NOT_RUN_HEADER) is not None
+                or head.status == 421
+            )
+        return echoed == self._attempt_id
+
+    def head_received(self, head: messages.AnswerHead) -> None:
+        """Store the response head."""
+        self.head = head
+
+    def body_received(self, chunk: bytes) -> None:
+        """Append to the body."""
+        self._body.append(chunk)
+
+    def completed(self) -> None:
+        """Set the outcome of a complete answer."""
+        self.finish(self.classify())
+
+    def broken(self, reason: str) -> None:
+        """Set the outcome after the connection broke."""
+        self.reason = reason
+        self.finish(Outcome.BROKEN)
+
+    def finish(self, outcome: Outcome) -> None:
+        """Set the outcome unless it is already set."""
+        if not self.ended.done():
+            self.ended.set_result(outcome)
+
+    def classify(self) -> Outcome:
+        """Return the outcome that the answer's head implies."""
+        head = self.head
+        if head is None:
+            return Outcome.BROKEN
+        if head.header(names.NOT_RUN_HEADER) is not None or head.status == 421:
+            return Outcome.NOT_RUN
+        if not is_success(head):
+            return Outcome.FAILURE
+        if head.header(names.SEAL_HEADER) is None:
+            self.reason = 'success without a seal'
+            return Outcome.BROKEN
+        if head.header(b'content-encoding') is not None:
+            self.reason = 'encoded body'
+            return Outcome.BROKEN
+        return Outcome.COMPLETE
+
+
+class EventSink(typing.Protocol):
+    """Receives the events of a stream in order."""
+
+    def forward(
+        self, event: events.Event, upstream_request: 'UpstreamStream'
+    ) -> None:
+        """Receive one complete event."""
+
+
+class UpstreamStream(UpstreamRequest):
+    """Forwards the events of a successful answer as they arrive."""
+
+    def __init__(self, attempt_id: bytes, sink: EventSink) -> None:
+        """Forward events to sink."""
+        super().__init__(attempt_id)
+        self._sink = sink
+        self._splitter = events.EventSplitter()
+        self.is_stream = False
+
+    def head_received(self, head: messages.AnswerHead) -> None:
+        """Distinguish a stream from an error response."""
+        super().head_received(head)
+        self.is_stream = self.classify() is Outcome.COMPLETE
+
+    def body_received(self, chunk: bytes) -> None:
+        """Forward the complete events."""
+        if not self.is_stream:
+            super().body_received(chunk)
+            return
+        for event in self._splitter.feed(chunk):
+            if self.ended.done():
+                return
+            self._sink.forward(event, self)
+
+    def completed(self) -> None:
+        """Set the outcome; a stream that ends inside an event is broken."""
+        if self.is_stream and not self._splitter.is_between_events:
+            self.reason = 'ended inside an event'
+            self.finish(Outcome.BROKEN)
+            return
+        super().completed()
+
+
+def is_success(head: messages.AnswerHead) -> bool:
+    """Return whether the status is a 2xx."""
+    return _OK <= head.status < _REDIRECT
--- a/redwingvalve/node/allocation_transport.py
+++ b/redwingvalve/node/allocation_transport.py
@@ -10,7 +10,7 @@
 from redwingvalve.allocation import allocator as allocator_module
 from redwingvalve.allocation import dispatch, messages, owners
 from redwingvalve.allocation import reserver as reserver_module
-from redwingvalve.ingress import placing
+from redwingvalve.ingress import load_balancing
 from redwingvalve.ingress import state as state_module
 from redwingvalve.node import front_selection
 from redwingvalve.node import peers as peers_module
@@ -23,7 +23,7 @@
 CHECK_INTERVAL_S = 0.1
 # Interval while this node allocates no slots.
 IDLE_CHECK_INTERVAL_S = 0.5
-_Targets: typing.TypeAlias = tuple[placing.Target, ...]
+_Targets: typing.TypeAlias = tuple[load_balancing.Target, ...]
 
 
 @attrs.define(eq=False)
@@ -89,14 +89,14 @@
 class _PoolTargets:
     """The targets of each pool, cached for each version of the target table."""
 
-    targets: state_module.Targets
+    targets: state_module.TargetProvider
     _by_pool: dict[messages.Pool, tuple[_Targets, _Targets]] = attrs.field(
         factory=dict
     )
 
     def of(self, pool: messages.Pool) -> _Targets:
         """Return the pool's targets that accept requests now."""
-        table = self.targets.of(pool.service, pool.model)
+        table = self.targets.find_targets(pool.service, pool.model)
         known_table, picked = self._by_pool.get(pool, ((), ()))
         if known_table is table:
             return picked
@@ -131,8 +131,8 @@
     )
     peers.on_tagged = transport.datagram_received
     state.reserver = transport.reserver
-    state.in_use = status_exchange.usage.slots_in_use
-    state.waiting = allocator.queue_length
+    state.slot_demand = status_exchange.usage.slots_in_use
+    state.waiting_requests = allocator.queue_length
     status_exchange.local_usage = allocator.usage
     status_exchange.on_node_lost = allocator.drop_node
     return transport
--- a/redwingvalve/node/daemon.py
+++ b/redwingvalve/node/daemon.py
@@ -12,7 +12,7 @@
 from redwingvalve.fleet import serving
 from redwingvalve.http1 import pool
 from redwingvalve.ingress import (
-    retry_window,
+    retry_budget,
     routes,
 )
 from redwingvalve.ingress import (
@@ -107,9 +107,9 @@
 
     async def run(self, stop: anyio.Event) -> None:
         """Run until stop is set, and then until all requests have ended."""
-        self.table.on_reinstated = self.state.silence.found_sound
+        self.table.on_reinstated = self.state.stall_detector.mark_slow
         self.table.on_rebuilt = self.allocation.allocator.tick
-        self.table.on_doubt = self.detector.doubt
+        self.table.on_check_requested = self.detector.doubt
         self.table.on_reported_healthy = self.detector.told_sound
         self.watches = self._make_watches()
         self.control = self._make_control()
@@ -324,8 +324,8 @@
     return peers_module.local_address(node_settings, int(time.time() * 1000))
 
 
-def _allowance(bounds: settings.Bounds) -> retry_window.RetryAllowance:
-    return retry_window.RetryAllowance(
+def _allowance(bounds: settings.Bounds) -> retry_budget.RetryBudgetConfig:
+    return retry_budget.RetryBudgetConfig(
         bounds.retry_ratio, bounds.retry_extra, bounds.retry_window_s
     )
 
--- a/redwingvalve/node/status_exchange.py
+++ b/redwingvalve/node/status_exchange.py
@@ -75,7 +75,7 @@
         while True:
             idle_s = time.monotonic() - self._sent_s
             # Peers take the silence of a node for the end of its requests.
-            is_busy = bool(self.state.loads.own)
+            is_busy = bool(self.state.loads.by_endpoint)
             is_due = self.peers.is_large_fleet or is_busy
             if is_due or idle_s >= peers_module.IDLE_STATUS_INTERVAL_S:
                 self.broadcast_now()
@@ -128,7 +128,7 @@
             is_leaving=self.state.is_leaving,
             is_ready=self.state.configuration is not None,
             suspects=status_fields.local_suspicion_messages(self.table),
-            crashes=self.state.poison.counts(),
+            crashes=self.state.poison.recent_crashes(),
             has_served=self._reports_served(),
             cleared=status_fields.recent_clearance_messages(self._cleared),
             usage=usage,
@@ -157,7 +157,7 @@
         if message.lease_revision:
             self.lease.observe(message.lease_revision, message.lease_left_ms)
         self.has_peer_served = self.has_peer_served or bool(message.has_served)
-        self.state.poison.heard(message.crashes or {})
+        self.state.poison.merge_crashes(message.crashes or {})
         for suspicion in status_fields.parse_suspicions(message):
             self.table.add_suspicion(suspicion)
         for clearance in status_fields.parse_clearances(message):
@@ -192,8 +192,8 @@
         else:
             self.peers.report_silent()
         self.registry.drop_expired()
-        if self.state.poison.has_breaks:
-            self.state.poison.look(self.registry.incarnations())
+        if self.state.poison.has_unresolved_disconnects:
+            self.state.poison.resolve_disconnects(self.registry.incarnations())
         self.state.node_count = 1 + len(self.peers.alive())
 
     def _broadcast_cleared(self, endpoint_id: str, epoch: int) -> None:
--- a/redwingvalve/node/tests/test_hubs.py
+++ b/redwingvalve/node/tests/test_hubs.py
@@ -80,7 +80,7 @@
     async def test(fleet):
         await wait_until_connected(fleet)
         plain = split_by_role(fleet)[1][0]
-        head = plain.table.of(
+        head = plain.table.find_targets(
             fleet_harness.ENGINE_SERVICE, fleet_harness.SMALL_MODEL
         )[0].endpoint_id
         plain.table.suspect(head, 'silent')
--- a/redwingvalve/node/tests/test_status_exchange.py
+++ b/redwingvalve/node/tests/test_status_exchange.py
@@ -5,7 +5,7 @@
 import anyio
 
 from redwingvalve.allocation import messages
-from redwingvalve.ingress import reserving, waiting
+from redwingvalve.ingress import reservations, wait_queue
 from redwingvalve.node import peers
 from redwingvalve.platform.tests import fleet_harness
 
@@ -79,20 +79,22 @@
         await fleet.wait_until(lambda: holder_and_owner(fleet))
         holder, waiter = holder_and_owner(fleet)
         slots = (
-            fleet.nodes[0].table.of(fleet_harness.PLAIN_SERVICE, '')[0].slots
+            fleet.nodes[0]
+            .table.find_targets(fleet_harness.PLAIN_SERVICE, '')[0]
+            .slots
         )
         held = [await reserve_slot(holder) for _ in range(slots)]
-        reservations = []
+        reserved = []
 
         async def wait():
-            reservations.append(await reserve_slot(waiter))
+            reserved.append(await reserve_slot(waiter))
 
         async with anyio.create_task_group() as group:
             group.start_soon(wait)
             await anyio.sleep(0.1)
-            assert not reservations
-            held[0].release(reserving.Leaving.FREE)
-            await fleet.wait_until(lambda: reservations, 0.1)
+            assert not reserved
+            held[0].release(reservations.ReleaseState.FREE)
+            await fleet.wait_until(lambda: reserved, 0.1)
 
     fleet_harness.run(test, nodes=2, engines=0, plain=1)
 
@@ -114,7 +116,7 @@
 
 async def reserve_slot(node):
     """Reserve a slot at an endpoint of the plain service."""
-    request = waiting.Ask(urgency=1, on_time_s=0.3, wait_s=1.0)
+    request = wait_queue.SlotRequest(urgency=1, on_time_s=0.3, wait_s=1.0)
     return await node.state.reserver.reserve(
         fleet_harness.PLAIN_SERVICE, '', request, (), ()
     )
@@ -129,7 +131,7 @@
         other.table.on_reported_healthy = lambda head, found_s: reported.append(
             head
         )
-        head = reporter.table.of(
+        head = reporter.table.find_targets(
             fleet_harness.ENGINE_SERVICE, fleet_harness.SMALL_MODEL
         )[0].endpoint_id
         reporter.table.announce_healthy(head)
--- a/redwingvalve/platform/configuration.py
+++ b/redwingvalve/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decodes the operator's configuration object."""
+"""Decodes the operator's configuration object from the store."""
 
 import types
 import typing
@@ -15,19 +15,19 @@
 Document = dict[str, typing.Any]
 
 
-# What reading a document of another shape raises.
-_UNREADABLE = (KeyError, TypeError, ValueError, AttributeError)
+# Raised when a document has an unexpected structure.
+_MALFORMED_DOCUMENT = (KeyError, TypeError, ValueError, AttributeError)
 
 
 class ConfigurationError(ValueError):
-    """A configuration that can't be used; the text says why."""
+    """The configuration is invalid; the message says why."""
 
 
 def decode_configuration(stored: Document) -> routes.Configuration:
-    """Turn the stored object into a version; raises ConfigurationError."""
+    """Decode the stored configuration; raises ConfigurationError."""
     try:
         return _decode(stored['metadata']['revision'], stored['spec'])
-    except _UNREADABLE as error:
+    except _MALFORMED_DOCUMENT as error:
         raise ConfigurationError(f'{type(error).__name__}: {error}') from error
 
 
@@ -91,12 +91,12 @@
         slots=int(entry['slots']),
         models=tuple(map(_decode_model, entry.get('models') or ())),
         step_ms=float(entry['step_ms']),
-        request_step_ms=float(entry.get('per_seq_ms') or 0),
-        read_per_s=float(entry['read_per_s']),
-        stride=int(entry.get('stride') or 1),
+        step_ms_per_request=float(entry.get('per_seq_ms') or 0),
+        prompt_tokens_per_s=float(entry['read_per_s']),
+        steps_per_event=int(entry.get('stride') or 1),
         loads_per_s=float(entry.get('loads_per_s') or 1),
-        loads_at_once=int(entry.get('loads_at_once') or 1),
-        open_ms=float(entry.get('form_ms') or 0),
+        max_concurrent_loads=int(entry.get('loads_at_once') or 1),
+        formation_ms=float(entry.get('form_ms') or 0),
     )
 
 
@@ -105,7 +105,7 @@
         name=entry['name'],
         size=int(entry['size']),
         share=float(entry.get('share') or 0),
-        pace=float(entry.get('pace') or 1),
+        time_factor=float(entry.get('pace') or 1),
         load_s=float(entry['load_s']),
         load_from_host_s=float(entry['warm_s']),
     )
