--- a/redwingvalve/allocation/tests/test_reserver.py
+++ b/redwingvalve/allocation/tests/test_reserver.py
@@ -72,7 +72,7 @@
         nodes=nodes, heads=9, data_centres=3
     )
     results = simulate(load_simulation.Simulation, deployment, MODERATE_LOAD)
-    assert results.messages / len(results.asked) <= 6
+    assert results.messages / len(results.arrivals) <= 6
 
 
 class ReorderingSimulation(load_simulation.Simulation):
--- a/redwingvalve/node/peers.py
+++ b/redwingvalve/node/peers.py
@@ -1,13 +1,15 @@
-"""The other nodes: where they are, which live, and what they last said.
-
-Each node says by datagram whom it suspects and what it knows of the lease. A
-lost datagram is made up for by the next. A node that the others don't know yet
-introduces itself in its first words.
-
-In a small fleet all nodes hear each other. In a large one a node speaks to the
-hubs of its data centre, two living nodes with the widest links, and hears from
-them what has happened to others; so what it spends doesn't grow with the fleet.
-A node that no hub has told of as down counts as living.
+"""Membership table of the other nodes: addresses, liveness, last status.
+
+Each node sends a status message as a UDP datagram at a fixed interval. It
+carries the endpoints that the node suspects and what it knows of the lease. A
+lost datagram needs no retransmission, since the next one repeats its content. A
+node that others may not know yet announces its address in its first messages.
+
+In a small fleet every node sends to every other node. In a large one a node
+sends only to the hubs of its data centre (two live nodes with the highest
+bandwidth) and receives updates about other nodes from them, so that its cost
+doesn't grow with the fleet. There a node counts as alive until it is marked
+down.
 """
 
 import asyncio
@@ -22,39 +24,41 @@
 from redwingvalve.platform import settings
 
 LOG = logs.make_logger('peers')
-# A node that the store lists no more is forgotten after this silence; a stale
-# listing may lack one that has just come.
-FORGET_S = 15.0
-# After the store was read, each word says where the node is for so long: some
-# ten words, of which the network loses a few.
-INTRODUCE_S = 3.0
-# A node is given to callers while it was heard within this; four words of a
-# node at rest.
+# A node that the store no longer lists is removed after this time without a
+# message. A stale listing may lack a node that has just started.
+FORGET_AFTER_S = 15.0
+# Status messages include the address for this long after each listing of the
+# store: about ten messages, of which the network loses a few.
+ANNOUNCE_S = 3.0
+# A node is given to callers while its last status message is younger than
+# this: four messages of an idle node.
 ALIVE_TIMEOUT_S = 1.2
-# Words between a hub and its nodes. Two in a row may be lost before a node
-# counts as down.
-HUB_WORD_S = 0.25
+# Status messages between a hub and its nodes. Two in a row may be lost before
+# a node counts as down.
+HUB_STATUS_INTERVAL_S = 0.25
 HUB_ALIVE_TIMEOUT_S = 0.9
-# The requests of a node count while it was heard within this many pauses: one
-# word that is lost on the way makes no difference.
-COUNTED_PAUSES = 3.5
-# Words while something changes, and at rest.
-BUSY_WORD_S = 0.1
-REST_WORD_S = 0.3
-# In a small fleet of more nodes than this words get rarer.
-PLAIN_NODES = 8
-# From this many nodes on some watch the store for the others.
-LARGE_FROM_NODES = 12
-# The first byte of datagrams that are no words: no struct begins with it.
+# Requests of a node count until it has been silent for this many intervals, so
+# that a single lost message has no effect.
+LOST_AFTER_INTERVALS = 3.5
+# Status messages while requests run, and while the node is idle.
+BUSY_STATUS_INTERVAL_S = 0.1
+IDLE_STATUS_INTERVAL_S = 0.3
+# With more peers than this, status messages of a small fleet become less
+# frequent.
+FULL_RATE_PEERS = 8
+# A fleet of at least this many nodes uses hubs, and relays for store watches.
+LARGE_FLEET_NODES = 12
+# First byte of datagrams that aren't status messages. No Thrift struct begins
+# with it.
 TAG = b'\xff'
 
 
-Address: typing.TypeAlias = tuple[str, int]
+SocketAddress: typing.TypeAlias = tuple[str, int]
 
 
 @attrs.frozen
 class PeerAddress:
-    """A node as it stands in the store."""
+    """Address and attributes of a node, as registered in the store."""
 
     vm: str
     ip: str
@@ -62,18 +66,18 @@
     front: str
     data_centre: str
     born_ms: int
-    # 0 where a node does not say.
+    # 0 if the node doesn't state its bandwidth.
     link_mbps: float = 0
 
     @property
-    def socket(self) -> tuple[str, int]:
-        """Return where the node's datagrams go."""
+    def socket_address(self) -> tuple[str, int]:
+        """Return the address for datagrams to this node."""
         return self.ip, self.peer_port
 
 
 @attrs.define(eq=False)
 class Peer:
-    """What is known of another node."""
+    """State of another node."""
 
     address: PeerAddress
     first_seen_s: float
@@ -82,12 +86,12 @@
     number: int = -1
     is_leaving: bool = False
     is_ready: bool = True
-    # A hub of a large fleet has said so.
+    # Marked down in a large fleet, here or by a hub.
     is_down: bool = False
 
     @property
     def last_seen_s(self) -> float:
-        """Return when the node was heard last, or came to be known."""
+        """Return when the node last sent a message, or was first listed."""
         return (
             self.first_seen_s
             if self.last_received_s is None
@@ -96,59 +100,63 @@
 
 
 class PeerObserver(typing.Protocol):
-    """What takes the words of other nodes."""
+    """Receives status messages and membership changes."""
 
-    def word(self, word: typing.Any) -> None:
-        """Take a word, newer than the last one of its node."""
+    def status_received(self, message: typing.Any) -> None:
+        """Handle a message that is newer than the node's previous one."""
 
     def node_lost(self, vm: str) -> None:
-        """Forget what a node that is gone has said."""
+        """Drop the state received from a node that is gone."""
 
     def node_changed(self, peer: 'Peer') -> None:
-        """Pass on that a node that speaks to this hub has changed."""
+        """Forward a state change of a node that sends to this hub."""
 
 
 class Peers(asyncio.DatagramProtocol):
-    """All other nodes."""
+    """The other nodes, and the datagram socket shared with them."""
 
-    def __init__(self, local: PeerAddress, taker: PeerObserver) -> None:
-        """Speak for the own node."""
+    def __init__(self, local: PeerAddress, observer: PeerObserver) -> None:
+        """Start without peers; local is the address of this node."""
         self.known: dict[str, Peer] = {}
         self.local = local
-        self._taker = taker
+        self._observer = observer
         self._transport: asyncio.DatagramTransport | None = None
-        self._introduce_until_s = 0.0
-        # When any other node was heard last.
+        self._announce_until_s = 0.0
+        # When a message of any other node was last received.
         self.last_received_s = 0.0
-        # After which silence of all others it was.
+        # Time without any message before that one.
         self.receive_gap_s = 0.0
-        # Takes datagrams that are no words, and where they came from.
-        self.on_tagged: typing.Callable[[bytes, Address], None] | None = None
+        # Called with tagged datagrams and their sender's address.
+        self.on_tagged: typing.Callable[[bytes, SocketAddress], None] | None = (
+            None
+        )
 
     @property
     def is_announcing(self) -> bool:
-        """Return whether others may not know this node yet."""
-        return time.monotonic() < self._introduce_until_s
+        """Return whether status messages should carry the address."""
+        return time.monotonic() < self._announce_until_s
 
     @property
-    def word_pause_s(self) -> float:
-        """Return the time between two words while something changes."""
+    def status_interval_s(self) -> float:
+        """Return the time between status messages of a busy node."""
         if self.is_large_fleet:
-            return HUB_WORD_S
-        return BUSY_WORD_S * max(1.0, len(self.known) / PLAIN_NODES)
+            return HUB_STATUS_INTERVAL_S
+        return BUSY_STATUS_INTERVAL_S * max(
+            1.0, len(self.known) / FULL_RATE_PEERS
+        )
 
     @property
     def is_large_fleet(self) -> bool:
-        """Return whether the fleet is too large for each to watch the store."""
-        return len(self.known) + 1 >= LARGE_FROM_NODES
+        """Return whether the fleet is large enough to use hubs."""
+        return len(self.known) + 1 >= LARGE_FLEET_NODES
 
     @property
     def alive_timeout_s(self) -> float:
-        """Return how long a node may be silent and count as living."""
+        """Return how long a silent node still counts as alive."""
         return HUB_ALIVE_TIMEOUT_S if self.is_large_fleet else ALIVE_TIMEOUT_S
 
     def alive(self) -> list[Peer]:
-        """Return the nodes that seem to live."""
+        """Return the nodes that count as alive."""
         if self.is_large_fleet:
             return [one for one in self.known.values() if not one.is_down]
         since_s = time.monotonic() - self.alive_timeout_s
@@ -160,45 +168,47 @@
         ]
 
     def send_status(
-        self, word: typing.Any, names: collections_abc.Iterable[str]
+        self, message: typing.Any, names: collections_abc.Iterable[str]
     ) -> None:
-        """Send a word to some nodes."""
+        """Send a status message to the named nodes."""
         if self._transport is None:
             return
-        packed = status_messages.pack(word)
+        packed = status_messages.pack(message)
         for name in names:
             peer = self.known.get(name)
             if peer is not None:
-                self._transport.sendto(packed, peer.address.socket)
+                self._transport.sendto(packed, peer.address.socket_address)
 
-    def send_tagged(self, packed: bytes, socket: Address) -> None:
-        """Send a datagram that is no word."""
+    def send_tagged(self, packed: bytes, socket_address: SocketAddress) -> None:
+        """Send a datagram that isn't a status message."""
         if self._transport is not None:
-            self._transport.sendto(TAG + packed, socket)
+            self._transport.sendto(TAG + packed, socket_address)
 
-    def listed(self, found: list[PeerAddress]) -> None:
-        """Take the nodes that the store lists, perhaps seconds late.
+    def apply_listing(self, found: list[PeerAddress]) -> None:
+        """Apply a listing of the store, which may be seconds old.
 
-        A node that isn't listed is gone once it is also silent.
+        A node that isn't listed is removed once it is also silent.
         """
         names = {address.vm for address in found}
-        since_s = time.monotonic() - FORGET_S
+        since_s = time.monotonic() - FORGET_AFTER_S
         gone = [
             name
             for name, peer in self.known.items()
             if name not in names and peer.last_seen_s < since_s
         ]
         for name in gone:
-            self._drop(name)
+            self._remove(name)
         before = len(self.known)
         for address in found:
             self.add(address)
         if len(self.known) > before:
-            LOG.info('nodes listed', extra={'known': len(self.known)})
-        self._introduce_until_s = time.monotonic() + INTRODUCE_S
+            LOG.info(
+                'new nodes listed by store', extra={'known': len(self.known)}
+            )
+        self._announce_until_s = time.monotonic() + ANNOUNCE_S
 
     def close(self) -> None:
-        """Give the address of datagrams back."""
+        """Close the datagram socket."""
         if self._transport is not None:
             self._transport.close()
             self._transport = None
@@ -210,96 +220,100 @@
     def datagram_received(
         self, data: bytes, addr: tuple[str | typing.Any, int]
     ) -> None:
-        """Take a word unless a newer one of the same node came first."""
+        """Handle a datagram; a status message that is outdated is ignored."""
         if data.startswith(TAG):
             if self.on_tagged is not None:
                 self.on_tagged(data[len(TAG) :], addr)
             return
         try:
-            word = status_messages.unpack(data)
-        except status_messages.WordError as error:
+            message = status_messages.unpack(data)
+        except status_messages.StatusMessageError as error:
             LOG.warning('unusable datagram', extra={'error': str(error)})
             return
-        self._meet(word)
-        peer = self.known.get(word.vm)
+        self._update_address(message)
+        peer = self.known.get(message.vm)
         if peer is None:
             return
-        if not self._is_news(word, peer):
+        if not self._is_newer(message, peer):
             return
-        self._note_heard(peer, word)
-        self._taker.word(word)
+        self._record_received(peer, message)
+        self._observer.status_received(message)
 
     def error_received(self, exc: Exception) -> None:
-        """Do without: a peer that isn't there is known by its silence."""
+        """Ignore send errors; unreachable peers are detected by timeout."""
 
-    def drop_silent(self) -> None:
-        """Let the requests of nodes that fell silent count no more.
+    def report_silent(self) -> None:
+        """Report silent nodes as lost, so that their requests don't count.
 
-        A node that is killed takes its connections with it, and endpoints drop
-        what ran there. Counted until the node itself is taken for gone, those
-        requests keep others out of places that are free.
+        When a node is killed its connections close, and endpoints drop the
+        requests that ran on them. If these requests counted until the node
+        itself is considered dead, they would block slots that are free.
         """
-        since_s = time.monotonic() - COUNTED_PAUSES * self.word_pause_s
+        since_s = (
+            time.monotonic() - LOST_AFTER_INTERVALS * self.status_interval_s
+        )
         for name, peer in self.known.items():
             if (
                 peer.last_received_s is not None
                 and peer.last_received_s < since_s
             ):
-                self._taker.node_lost(name)
+                self._observer.node_lost(name)
 
-    def _note_heard(self, peer: Peer, word: typing.Any) -> None:
+    def _record_received(self, peer: Peer, message: typing.Any) -> None:
         now_s = time.monotonic()
         self.receive_gap_s = now_s - self.last_received_s
         self.last_received_s = now_s
         before = (peer.born_ms, peer.is_leaving, peer.is_ready, peer.is_down)
-        peer.born_ms = word.born_ms
-        peer.number = word.number
+        peer.born_ms = message.born_ms
+        peer.number = message.number
         peer.last_received_s = now_s
-        peer.is_leaving = bool(word.is_leaving)
-        peer.is_ready = bool(word.is_ready)
+        peer.is_leaving = bool(message.is_leaving)
+        peer.is_ready = bool(message.is_ready)
         peer.is_down = False
         after = (peer.born_ms, peer.is_leaving, peer.is_ready, peer.is_down)
         if before != after:
-            self._taker.node_changed(peer)
+            self._observer.node_changed(peer)
 
     def set_down(self, peer: Peer, *, is_down: bool) -> None:
-        """Note whether a node is down."""
+        """Mark a node as down or up."""
         if is_down and not peer.is_down:
-            self._taker.node_lost(peer.address.vm)
+            self._observer.node_lost(peer.address.vm)
         peer.is_down = is_down
 
-    def _meet(self, word: typing.Any) -> None:
-        address = announced_address(word)
+    def _update_address(self, message: typing.Any) -> None:
+        address = announced_address(message)
         if address is None:
             return
-        known = self.known.get(word.vm)
+        known = self.known.get(message.vm)
         if known is None:
-            LOG.info('node known', extra={'vm': word.vm, 'ip': address.ip})
-        elif known.address != address and self._is_news(word, known):
-            # Its clock may have been set back since: its start then looks
-            # earlier than that of the process which it replaces.
-            self.known.pop(word.vm)
+            LOG.info(
+                'node discovered', extra={'vm': message.vm, 'ip': address.ip}
+            )
+        elif known.address != address and self._is_newer(message, known):
+            # If the VM's clock was set back, the start time of this process is
+            # earlier than that of its predecessor, and add() would ignore it.
+            self.known.pop(message.vm)
         self.add(address)
 
-    def _is_news(self, word: typing.Any, peer: Peer) -> bool:
-        """Return whether a word is newer than the last one of its node.
+    def _is_newer(self, message: typing.Any, peer: Peer) -> bool:
+        """Return whether a message is newer than the node's previous one.
 
-        Starts are told apart by the time of day, which may be set back by
-        seconds before a process starts again. Its words would be taken for old
-        ones, and no caller sent to it, until its clock has caught up. So
-        another start counts as the later one once the process that was heard
-        before has fallen silent; of one start, a word that is repeated or late
-        never counts.
+        Processes of a node are told apart by their start time, a wall clock
+        that may be set back by seconds between two starts. Messages of the new
+        process would then look outdated, and callers would not be sent to it,
+        until its clock has caught up. So a different start time also counts as
+        newer once the previous process is silent. Within one process,
+        duplicated or late messages are always ignored.
         """
-        # Before its first word only the store tells of a start.
+        # Until the first message the start time is known from the store only.
         born_ms = peer.born_ms or peer.address.born_ms
-        if word.born_ms == born_ms:
-            return bool(word.number > peer.number)
+        if message.born_ms == born_ms:
+            return bool(message.number > peer.number)
         is_silent = peer.last_seen_s < time.monotonic() - self.alive_timeout_s
-        return is_silent or word.born_ms > born_ms
+        return is_silent or message.born_ms > born_ms
 
     def add(self, address: PeerAddress) -> None:
-        """Take where a node is, unless a later start of it is known."""
+        """Add or update a node, unless a later process of it is known."""
         if address.vm == self.local.vm:
             return
         known = self.known.get(address.vm)
@@ -307,14 +321,14 @@
             return
         self.known[address.vm] = Peer(address, time.monotonic())
 
-    def _drop(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         if self.known.pop(name, None) is not None:
-            LOG.info('node gone', extra={'vm': name})
-            self._taker.node_lost(name)
+            LOG.info('node removed', extra={'vm': name})
+            self._observer.node_lost(name)
 
 
 def local_address(node: settings.NodeSettings, born_ms: int) -> PeerAddress:
-    """Return what this node writes into the store."""
+    """Return the address that this node registers in the store."""
     return PeerAddress(
         vm=node.vm,
         ip=node.ip,
@@ -327,24 +341,24 @@
 
 
 async def open_socket(peers: Peers) -> None:
-    """Listen for the words of other nodes; raises OSError."""
+    """Open the datagram socket; raises OSError."""
     loop = asyncio.get_running_loop()
     await loop.create_datagram_endpoint(
         lambda: peers, local_addr=(peers.local.ip, peers.local.peer_port)
     )
 
 
-def announced_address(word: typing.Any) -> PeerAddress | None:
-    """Return where a word says that its node is, if it does."""
-    address = word.address
+def announced_address(message: typing.Any) -> PeerAddress | None:
+    """Return the sender's address if the message carries one."""
+    address = message.address
     if address is None or not (address.ip and address.peer_port):
         return None
     return PeerAddress(
-        vm=word.vm,
+        vm=message.vm,
         ip=address.ip,
         peer_port=address.peer_port,
         front=address.front or '',
         data_centre=address.data_centre or '',
-        born_ms=word.born_ms or 0,
+        born_ms=message.born_ms or 0,
         link_mbps=address.link_mbps or 0,
     )
