--- a/redwingvalve/node/allocation_transport.py
+++ b/redwingvalve/node/allocation_transport.py
@@ -1,4 +1,4 @@
-"""Carries messages about places between nodes, and to this node itself."""
+"""Transport of slot allocation messages between nodes and within this one."""
 
 import functools
 import time
@@ -18,16 +18,17 @@
 from redwingvalve.observability import logs
 
 LOG = logs.make_logger('places')
-# Lapsed holds are looked for, and late requests may take spare places.
-LOOK_S = 0.1
-# While nothing is granted here.
-IDLE_S = 0.5
+# Interval at which expired holds are freed and late requests may take spare
+# slots.
+CHECK_INTERVAL_S = 0.1
+# Interval while this node allocates no slots.
+IDLE_CHECK_INTERVAL_S = 0.5
 _Targets: typing.TypeAlias = tuple[load_balancing.Target, ...]
 
 
 @attrs.define(eq=False)
 class AllocationTransport(reserver_module.Transport):
-    """This node's part in granting places."""
+    """Delivers messages to this node's allocator and reserver, and to peers."""
 
     peers: peers_module.Peers
     allocator: allocator_module.Allocator
@@ -39,32 +40,38 @@
         return messages.Sender(local.vm, local.born_ms)
 
     def send(self, vm: str, message: messages.Message) -> None:
-        """Send a message to a node; it may get lost."""
+        """Send a message to a node; it may be lost."""
         envelope = messages.Envelope(self._sender, message)
         if vm == self.peers.local.vm:
-            self._take(envelope, functools.partial(self.send, vm))
+            self._deliver(envelope, functools.partial(self.send, vm))
             return
         peer = self.peers.known.get(vm)
         if peer is not None:
             packed = messages.pack(envelope)
-            self.peers.send_tagged(packed, peer.address.socket)
+            self.peers.send_tagged(packed, peer.address.socket_address)
 
-    def received(self, packed: bytes, address: tuple[str, int]) -> None:
-        """Take a datagram about places."""
+    def datagram_received(
+        self, packed: bytes, address: tuple[str, int]
+    ) -> None:
+        """Handle a datagram that carries an allocation message."""
         try:
             envelope = messages.unpack(packed)
         except messages.MessageError as error:
             LOG.warning('unusable datagram', extra={'error': str(error)})
             return
-        self._take(envelope, functools.partial(self._reply, address))
+        self._deliver(envelope, functools.partial(self._reply, address))
 
     async def run(self) -> typing.NoReturn:
-        """Look after what is granted here until cancelled."""
+        """Run the allocator's periodic checks until cancelled."""
         while True:
-            await anyio.sleep(LOOK_S if self.allocator.is_busy else IDLE_S)
+            await anyio.sleep(
+                CHECK_INTERVAL_S
+                if self.allocator.is_busy
+                else IDLE_CHECK_INTERVAL_S
+            )
             self.allocator.tick()
 
-    def _take(
+    def _deliver(
         self,
         envelope: messages.Envelope,
         reply: allocator_module.ReplyCallback,
@@ -80,17 +87,17 @@
 
 @attrs.define(eq=False)
 class _PoolTargets:
-    """The targets of each pool, picked once for each table of targets."""
+    """The targets of each pool, cached for each version of the target table."""
 
     targets: state_module.TargetProvider
-    _picked: dict[messages.Pool, tuple[_Targets, _Targets]] = attrs.field(
+    _by_pool: dict[messages.Pool, tuple[_Targets, _Targets]] = attrs.field(
         factory=dict
     )
 
     def of(self, pool: messages.Pool) -> _Targets:
-        """Return the targets that take requests now."""
+        """Return the pool's targets that accept requests now."""
         table = self.targets.find_targets(pool.service, pool.model)
-        known_table, picked = self._picked.get(pool, ((), ()))
+        known_table, picked = self._by_pool.get(pool, ((), ()))
         if known_table is table:
             return picked
         picked = tuple(
@@ -98,7 +105,7 @@
             for target in table
             if pool.data_centre in {'', target.data_centre}
         )
-        self._picked[pool] = (table, picked)
+        self._by_pool[pool] = (table, picked)
         return picked
 
 
@@ -106,29 +113,29 @@
     state: state_module.IngressState,
     status_exchange: status_exchange_module.StatusExchange,
 ) -> AllocationTransport:
-    """Return a node's part in granting places, known to its other parts."""
+    """Create the allocator, reserver and transport, and wire them up."""
     peers = status_exchange.peers
 
     allocator = allocator_module.Allocator(
         _PoolTargets(state.targets).of, time.monotonic
     )
-    made = AllocationTransport(peers, allocator)
-    made.reserver = reserver_module.NodeReserver(
+    transport = AllocationTransport(peers, allocator)
+    transport.reserver = reserver_module.NodeReserver(
         data_centre=peers.local.data_centre,
         targets=state.targets,
         owners=owners.PoolOwners(lambda: _candidates(peers), time.monotonic),
-        transport=made,
+        transport=transport,
         loads=state.loads,
         clock=time.monotonic,
         is_split_by_data_centre=lambda: peers.is_large_fleet,
     )
-    peers.on_tagged = made.received
-    state.reserver = made.reserver
+    peers.on_tagged = transport.datagram_received
+    state.reserver = transport.reserver
     state.slot_demand = status_exchange.usage.slots_in_use
     state.waiting_requests = allocator.queue_length
     status_exchange.local_usage = allocator.usage
     status_exchange.on_node_lost = allocator.drop_node
-    return made
+    return transport
 
 
 def _candidates(peers: peers_module.Peers) -> list[owners.Candidate]:
--- a/redwingvalve/node/hubs.py
+++ b/redwingvalve/node/hubs.py
@@ -1,8 +1,9 @@
-"""Who speaks to whom in a large fleet, and whose silence means something.
+"""Hub topology of a large fleet, and failure detection along it.
 
-Each node speaks to the hubs of its data centre: its two living nodes with the
-widest links. Hubs speak to each other and to their nodes. So what a node spends
-doesn't grow with the fleet, and what a hub spends grows with its data centre.
+Each node exchanges status messages with the hubs of its data centre: the two
+live nodes with the highest bandwidth. Hubs exchange them with each other and
+with the nodes of their data centre. So the cost of a node doesn't grow with the
+fleet, and that of a hub grows with its data centre only.
 """
 
 import time
@@ -12,134 +13,135 @@
 
 from redwingvalve.node import peers as peers_module
 
-HUBS = 2
-# The choice is made anew this often.
-HUBS_KEPT_S = 0.1
-# A node that was heard within this is not down, whatever a hub says: it would
-# have been silent for longer. Two words.
-SURELY_HEARD_S = 0.5
-# Silence of all others for this long is this node's own.
-DEAF_S = 0.5
+HUBS_PER_DATA_CENTRE = 2
+# A selection of hubs is reused for this long.
+SELECTION_TTL_S = 0.1
+# A node whose own message arrived within this time isn't down, whatever a hub
+# reports, since a node that is down has been silent for longer. Two status
+# intervals of hubs.
+RECENTLY_RECEIVED_S = 0.5
+# If no message at all arrived for this long, this node itself was cut off.
+RECEIVE_GAP_S = 0.5
 
 
 @attrs.frozen
-class Audiences:
-    """To whom a node speaks."""
+class Recipients:
+    """The nodes that this node sends its status to."""
 
-    # Those that pass on what they hear, in a large fleet.
+    # Hubs, which forward updates; empty in a small fleet.
     hubs: tuple[str, ...]
     nodes: tuple[str, ...]
 
 
-_Choice: typing.TypeAlias = dict[str, peers_module.PeerAddress]
+_Selection: typing.TypeAlias = dict[str, peers_module.PeerAddress]
 
 
 class Hubs:
-    """The hubs of all data centres, as this node sees them."""
+    """The hubs of all data centres, as selected by this node."""
 
     def __init__(
         self,
         peers: peers_module.Peers,
         on_changed: typing.Callable[[peers_module.Peer], None],
     ) -> None:
-        """Tell on_changed of nodes that fell silent."""
+        """Call on_changed with nodes to be forwarded to others."""
         self._peers = peers
         self._on_changed = on_changed
-        self._chosen: dict[str, _Choice] = {}
-        self._chosen_s = 0.0
-        # Until when silence is excused: others were not heard here.
-        self._forgiven_s = 0.0
-        # Since when words of a node are to come here: who has just become a
-        # hub has heard nobody yet.
-        self._expected_s: dict[str, float] = {}
+        self._selected: dict[str, _Selection] = {}
+        self._selected_s = 0.0
+        # Silence before this moment is ignored, as this node was cut off.
+        self._excused_s = 0.0
+        # Since when each sender's messages are due here. A node that has just
+        # become a hub has received none yet.
+        self._expected_since_s: dict[str, float] = {}
 
     @property
     def is_hub(self) -> bool:
-        """Return whether nodes of this data centre speak to this one."""
+        """Return whether this node is a hub of its data centre."""
         local = self._peers.local
         return self._peers.is_large_fleet and local.vm in self.of(
             local.data_centre
         )
 
-    def of(self, data_centre: str) -> _Choice:
-        """Return the hubs of a data centre, the first one first."""
+    def of(self, data_centre: str) -> _Selection:
+        """Return the hubs of a data centre in order of preference."""
         now_s = time.monotonic()
-        if now_s - self._chosen_s > HUBS_KEPT_S:
-            self._chosen_s = now_s
-            self._chosen.clear()
-        known = self._chosen.get(data_centre)
+        if now_s - self._selected_s > SELECTION_TTL_S:
+            self._selected_s = now_s
+            self._selected.clear()
+        known = self._selected.get(data_centre)
         if known is None:
-            known = self._choose(data_centre)
-            self._chosen[data_centre] = known
+            known = self._select(data_centre)
+            self._selected[data_centre] = known
         return known
 
-    def audiences(self) -> Audiences:
-        """Return to whom this node speaks."""
+    def recipients(self) -> Recipients:
+        """Return the nodes to send this node's status to."""
         peers = self._peers
         if not peers.is_large_fleet:
-            return Audiences(hubs=(), nodes=tuple(peers.known))
-        near = self.of(peers.local.data_centre)
-        if peers.local.vm not in near:
-            return Audiences(hubs=tuple(near), nodes=())
+            return Recipients(hubs=(), nodes=tuple(peers.known))
+        local_hubs = self.of(peers.local.data_centre)
+        if peers.local.vm not in local_hubs:
+            return Recipients(hubs=tuple(local_hubs), nodes=())
         data_centres = {one.address.data_centre for one in peers.known.values()}
         hubs = {vm for name in data_centres for vm in self.of(name)}
         hubs.discard(peers.local.vm)
         nodes = [
             vm
             for vm, peer in peers.known.items()
-            if self._is_near(peer) and vm not in hubs
+            if self._is_in_local_data_centre(peer) and vm not in hubs
         ]
-        return Audiences(hubs=tuple(hubs), nodes=tuple(nodes))
+        return Recipients(hubs=tuple(hubs), nodes=tuple(nodes))
 
-    def hears(self, peer: peers_module.Peer) -> bool:
-        """Return whether a node's own words come here."""
-        return peer.address.vm in self._speakers()
+    def receives_from(self, peer: peers_module.Peer) -> bool:
+        """Return whether a node sends its own status to this node."""
+        return peer.address.vm in self._senders()
 
-    def drop_silent(self) -> None:
-        """Take nodes for down whose words should come here and don't."""
+    def mark_silent_down(self) -> None:
+        """Mark nodes as down whose status messages are overdue here."""
         now_s = time.monotonic()
-        if self._peers.receive_gap_s > DEAF_S:
-            # What others said meanwhile was lost here.
+        if self._peers.receive_gap_s > RECEIVE_GAP_S:
+            # Messages of all other nodes were lost here in the meantime.
             self._peers.receive_gap_s = 0
-            self._forgiven_s = now_s
-        if now_s - self._peers.last_received_s > DEAF_S:
+            self._excused_s = now_s
+        if now_s - self._peers.last_received_s > RECEIVE_GAP_S:
             return
         since_s = now_s - peers_module.HUB_ALIVE_TIMEOUT_S
-        self._expected_s = {
-            vm: self._expected_s.get(vm, now_s) for vm in self._speakers()
+        self._expected_since_s = {
+            vm: self._expected_since_s.get(vm, now_s) for vm in self._senders()
         }
-        for vm, expected_s in self._expected_s.items():
+        for vm, expected_since_s in self._expected_since_s.items():
             peer = self._peers.known.get(vm)
             if peer is None or peer.is_down:
                 continue
-            last_received_s = max(
-                peer.last_seen_s, expected_s, self._forgiven_s
+            silent_since_s = max(
+                peer.last_seen_s, expected_since_s, self._excused_s
             )
-            if last_received_s < since_s:
+            if silent_since_s < since_s:
                 self._peers.set_down(peer, is_down=True)
                 self._on_changed(peer)
 
-    def take_state(self, state: typing.Any) -> bool:
-        """Take what a hub says of a node; return whether it was news."""
-        peer = self._find(state)
+    def apply_state(self, state: typing.Any) -> bool:
+        """Apply a node's state from a hub; return whether it has changed."""
+        peer = self._find_or_add(state)
         if peer is None or (state.born_ms or 0) < peer.born_ms:
             return False
-        since_s = time.monotonic() - SURELY_HEARD_S
-        is_heard = (
+        since_s = time.monotonic() - RECENTLY_RECEIVED_S
+        was_received = (
             peer.last_received_s is not None and peer.last_received_s >= since_s
         )
-        if not state.is_up and is_heard and self.hears(peer):
-            # The hub that said so is cut off from it.
+        if not state.is_up and was_received and self.receives_from(peer):
+            # The reporting hub has lost contact with the node; correct it.
             self._on_changed(peer)
             return False
-        before = _belief(peer)
+        before = _view_of(peer)
         peer.born_ms = state.born_ms or 0
         peer.is_leaving = bool(state.is_leaving)
         peer.is_ready = bool(state.is_ready)
         self._peers.set_down(peer, is_down=not state.is_up)
-        return before != _belief(peer)
+        return before != _view_of(peer)
 
-    def _find(self, state: typing.Any) -> peers_module.Peer | None:
+    def _find_or_add(self, state: typing.Any) -> peers_module.Peer | None:
         known = self._peers.known
         if state.vm not in known:
             address = peers_module.announced_address(state)
@@ -147,15 +149,15 @@
                 self._peers.add(address)
         return known.get(state.vm)
 
-    def _speakers(self) -> tuple[str, ...]:
-        """Return the nodes that speak to this one: those it speaks to."""
-        audiences = self.audiences()
-        return (*audiences.hubs, *audiences.nodes)
+    def _senders(self) -> tuple[str, ...]:
+        """Return the nodes that send here: the recipients of this node."""
+        recipients = self.recipients()
+        return (*recipients.hubs, *recipients.nodes)
 
-    def _is_near(self, peer: peers_module.Peer) -> bool:
+    def _is_in_local_data_centre(self, peer: peers_module.Peer) -> bool:
         return peer.address.data_centre == self._peers.local.data_centre
 
-    def _choose(self, data_centre: str) -> _Choice:
+    def _select(self, data_centre: str) -> _Selection:
         local = self._peers.local
         found = [
             peer.address
@@ -164,24 +166,24 @@
         ]
         if data_centre == local.data_centre:
             found.append(local)
-        found.sort(key=width_rank)
-        return {address.vm: address for address in found[:HUBS]}
+        found.sort(key=bandwidth_rank)
+        return {address.vm: address for address in found[:HUBS_PER_DATA_CENTRE]}
 
 
-def _belief(peer: peers_module.Peer) -> tuple[int, bool, bool, bool]:
+def _view_of(peer: peers_module.Peer) -> tuple[int, bool, bool, bool]:
     born_ms = peer.born_ms or peer.address.born_ms
     return born_ms, peer.is_leaving, peer.is_ready, peer.is_down
 
 
-def width_rank(address: peers_module.PeerAddress) -> tuple[float, str]:
-    """Rank nodes with wide links first: a hub speaks to some forty nodes."""
+def bandwidth_rank(address: peers_module.PeerAddress) -> tuple[float, str]:
+    """Rank by bandwidth, highest first: a hub sends to about forty nodes."""
     return -address.link_mbps, address.vm
 
 
 def lease_rank(peers: peers_module.Peers) -> int:
-    """Return how many living nodes would rather hold the lease.
+    """Return how many live nodes are preferred as holder of the lease.
 
-    The holder has most to do: the widest VMs of a fleet come first.
+    The holder has the most work, so nodes with more bandwidth come first.
     """
-    local = width_rank(peers.local)
-    return sum(width_rank(peer.address) < local for peer in peers.alive())
+    local = bandwidth_rank(peers.local)
+    return sum(bandwidth_rank(peer.address) < local for peer in peers.alive())
--- a/redwingvalve/node/tests/test_failure_detector.py
+++ b/redwingvalve/node/tests/test_failure_detector.py
@@ -88,7 +88,7 @@
 def check_after_stall(detector, *, has_started):
     """Check a head from which no response has arrived for a long time."""
     stream = stall_detection.MonitoredStream(
-        'head', sent_s=0.0, prompt_s=0, pause_s=0.05
+        'head', sent_s=0.0, prompt_read_s=0, event_interval_s=0.05
     )
     detector.state.stall_detector.add(stream)
     if has_started:
--- a/redwingvalve/node/update_forwarding.py
+++ b/redwingvalve/node/update_forwarding.py
@@ -1,10 +1,11 @@
-"""What a hub passes on, and to whom.
-
-Load pattern: in a large fleet a node finds a lost head, and two hundred others
-send requests there. What a node says goes to the hubs of its data centre, from
-there to all other hubs and the nodes near by, and from each hub to its own
-nodes: three datagrams after one another, within some milliseconds. News are
-repeated for NEWS_S, so that a lost datagram delays them by one word.
+"""Updates that a hub forwards, and their recipients.
+
+Load pattern: in a large fleet a node detects a lost head to which two hundred
+other nodes send requests. Its update goes to the hubs of its data centre, from
+there to all other hubs and to the nodes of that data centre, and from each hub
+to its own nodes (spokes): three hops, a few milliseconds in total. Updates are
+repeated for FORWARD_FOR_S, so that a lost datagram delays them by one status
+interval.
 """
 
 import collections
@@ -19,142 +20,165 @@
 from redwingvalve.node import peers as peers_module
 from redwingvalve.node import status_fields, status_messages
 
-# Three regular words.
-NEWS_S = 1.0
-# A word stays within one packet.
-MOST_STATES = 12
-MOST_FINDINGS = 16
-MOST_USAGES = 12
-# Nodes that are down or leaving are told again in turn, so that one that has
-# just started hears of them.
+# Three regular status messages.
+FORWARD_FOR_S = 1.0
+# Limits that keep a message within one packet.
+MAX_STATES = 12
+MAX_FINDINGS = 16
+MAX_USAGES = 12
+# Nodes that are down or leaving, repeated in turn in each message, so that a
+# node that has just started learns of them.
 REPEATED_STATES = 4
 
 _Key = collections_abc.Hashable
 
 
 @attrs.frozen
-class _Item:
+class _Update:
     content: typing.Any
     at_s: float
 
 
-class News:
-    """The newest item for each key, for as long as it is news."""
+class RecentUpdates:
+    """The latest update for each key, kept for FORWARD_FOR_S."""
 
     def __init__(self) -> None:
-        """Start without news."""
-        self._items: dict[_Key, _Item] = {}
+        """Start empty."""
+        self._updates: dict[_Key, _Update] = {}
 
-    def note(self, key: _Key, content: typing.Any) -> bool:
-        """Take an item in place of an older one; return if it is the first."""
-        known = self._items.pop(key, None)
-        self._items[key] = _Item(content, time.monotonic())
+    def record(self, key: _Key, content: typing.Any) -> bool:
+        """Replace a key's update; return whether the key was not present."""
+        known = self._updates.pop(key, None)
+        self._updates[key] = _Update(content, time.monotonic())
         return known is None
 
-    def fresh(self, most: int) -> list[typing.Any]:
-        """Return the newest items, and forget the old ones."""
-        since_s = time.monotonic() - NEWS_S
-        self._items = {
-            key: one for key, one in self._items.items() if one.at_s >= since_s
+    def recent(self, limit: int) -> list[typing.Any]:
+        """Return the latest updates, and drop those that have expired."""
+        since_s = time.monotonic() - FORWARD_FOR_S
+        self._updates = {
+            key: one
+            for key, one in self._updates.items()
+            if one.at_s >= since_s
         }
-        return [one.content for one in list(self._items.values())[-most:]]
+        return [one.content for one in list(self._updates.values())[-limit:]]
 
 
 @attrs.define(eq=False)
-class _Heard:
-    suspicions: News = attrs.field(factory=News)
-    clearings: News = attrs.field(factory=News)
-    states: News = attrs.field(factory=News)
-    usages: News = attrs.field(factory=News)
+class _ReceivedUpdates:
+    suspicions: RecentUpdates = attrs.field(factory=RecentUpdates)
+    clearances: RecentUpdates = attrs.field(factory=RecentUpdates)
+    states: RecentUpdates = attrs.field(factory=RecentUpdates)
+    usages: RecentUpdates = attrs.field(factory=RecentUpdates)
 
 
 @attrs.define(eq=False)
 class ForwardedUpdates:
-    """What this hub has heard from its nodes, and from other hubs."""
+    """Updates received from the hub's spokes and from other hubs."""
 
     peers: peers_module.Peers
     hubs: hubs_module.Hubs
-    _near: _Heard = attrs.field(factory=_Heard)
-    _far: _Heard = attrs.field(factory=_Heard)
-    # Names that are still to be repeated, to hubs and to nodes near by.
-    _repeated: dict[bool, collections.deque[str]] = attrs.field(
+    _from_spokes: _ReceivedUpdates = attrs.field(factory=_ReceivedUpdates)
+    _from_hubs: _ReceivedUpdates = attrs.field(factory=_ReceivedUpdates)
+    # Nodes still to be repeated, to spokes (True) and to hubs (False).
+    _repeat_queues: dict[bool, collections.deque[str]] = attrs.field(
         factory=lambda: collections.defaultdict(collections.deque)
     )
 
-    def heard(self, word: typing.Any, news: list[typing.Any]) -> bool:
-        """Take a word of another node; return whether others can't wait.
+    def record_received(
+        self, message: typing.Any, news: list[typing.Any]
+    ) -> bool:
+        """Record a message; return whether to forward it without delay.
 
-        news are those of its states that were not known here. What hubs
-        repeat is no news: passed on at once, it would be repeated for ever.
+        news holds those of its states that have changed here. States that hubs
+        merely repeat aren't urgent: forwarded without delay, they would
+        circulate between hubs forever.
         """
-        heard = self._near if self._is_near(word.vm) else self._far
+        updates = (
+            self._from_spokes if self._is_spoke(message.vm) else self._from_hubs
+        )
         is_urgent = False
-        for suspicion in status_fields.read_suspicions(word):
+        for suspicion in status_fields.parse_suspicions(message):
             key = (suspicion.endpoint_id, suspicion.epoch)
-            is_urgent |= heard.suspicions.note(key, suspicion)
-        for clearing in status_fields.read_clears(word):
-            key = (clearing.endpoint_id, clearing.epoch)
-            is_urgent |= heard.clearings.note(key, clearing)
+            is_urgent |= updates.suspicions.record(key, suspicion)
+        for clearance in status_fields.parse_clearances(message):
+            key = (clearance.endpoint_id, clearance.epoch)
+            is_urgent |= updates.clearances.record(key, clearance)
         for state in news:
             is_urgent = True
-            heard.states.note(state.vm, state)
-        for usage in word.usages or ():
-            heard.usages.note(usage.vm, usage)
-        if word.usage:
-            told = status_messages.UsageWord(vm=word.vm, usage=word.usage)
-            heard.usages.note(word.vm, told)
+            updates.states.record(state.vm, state)
+        for usage in message.usages or ():
+            updates.usages.record(usage.vm, usage)
+        if message.usage:
+            usage_message = status_messages.PeerUsage(
+                vm=message.vm, usage=message.usage
+            )
+            updates.usages.record(message.vm, usage_message)
         return is_urgent
 
-    def changed(self, peer: peers_module.Peer) -> None:
-        """Note that a node that is heard here has changed."""
-        self._near.states.note(peer.address.vm, _state_of(peer))
+    def record_change(self, peer: peers_module.Peer) -> None:
+        """Record the state of a node that this hub has seen change."""
+        self._from_spokes.states.record(peer.address.vm, _state_message(peer))
 
-    def add_to(self, word: typing.Any, *, with_far: bool) -> None:
-        """Add what is to be passed on to a word of this node."""
-        sources = [self._near, self._far] if with_far else [self._near]
+    def add_to(self, message: typing.Any, *, with_hub_updates: bool) -> None:
+        """Add the updates to be forwarded to a message of this node.
+
+        Messages to spokes contain the updates of hubs; those to hubs don't.
+        """
+        received = (
+            [self._from_spokes, self._from_hubs]
+            if with_hub_updates
+            else [self._from_spokes]
+        )
         suspicions: list[serving.Suspicion] = []
-        clearings: list[status_fields.Clearing] = []
-        word.states = self._states_again(with_far=with_far)
-        word.usages = []
-        for heard in sources:
-            suspicions += heard.suspicions.fresh(MOST_FINDINGS)
-            clearings += heard.clearings.fresh(MOST_FINDINGS)
-            word.states += heard.states.fresh(MOST_STATES)
-            word.usages += heard.usages.fresh(MOST_USAGES)
-        word.suspects += status_fields.suspicion_words(suspicions)
-        word.cleared += status_fields.clearing_words(clearings)
-
-    def _is_near(self, vm: str) -> bool:
+        clearances: list[status_fields.Clearance] = []
+        message.states = self._next_repeated_states(
+            with_hub_updates=with_hub_updates
+        )
+        message.usages = []
+        for updates in received:
+            suspicions += updates.suspicions.recent(MAX_FINDINGS)
+            clearances += updates.clearances.recent(MAX_FINDINGS)
+            message.states += updates.states.recent(MAX_STATES)
+            message.usages += updates.usages.recent(MAX_USAGES)
+        message.suspects += status_fields.suspicion_messages(suspicions)
+        message.cleared += status_fields.clearance_messages(clearances)
+
+    def _is_spoke(self, vm: str) -> bool:
         peer = self.peers.known.get(vm)
         if peer is None:
             return False
         data_centre = peer.address.data_centre
-        is_near = data_centre == self.peers.local.data_centre
-        return is_near and vm not in self.hubs.of(data_centre)
-
-    def _states_again(self, *, with_far: bool) -> list[typing.Any]:
-        """Return some of the nodes that are down or leaving, in turn."""
-        near = self.peers.local.data_centre
-        repeated = self._repeated[with_far]
-        if not repeated:
-            repeated.extend(
+        is_local = data_centre == self.peers.local.data_centre
+        return is_local and vm not in self.hubs.of(data_centre)
+
+    def _next_repeated_states(
+        self, *, with_hub_updates: bool
+    ) -> list[typing.Any]:
+        """Return the next few nodes that are down or leaving, in turn."""
+        local_data_centre = self.peers.local.data_centre
+        queue = self._repeat_queues[with_hub_updates]
+        if not queue:
+            queue.extend(
                 vm
                 for vm, peer in self.peers.known.items()
                 if (peer.is_down or peer.is_leaving)
-                and (with_far or peer.address.data_centre == near)
+                and (
+                    with_hub_updates
+                    or peer.address.data_centre == local_data_centre
+                )
             )
-        count = min(len(repeated), REPEATED_STATES)
-        names = [repeated.popleft() for _ in range(count)]
+        count = min(len(queue), REPEATED_STATES)
+        names = [queue.popleft() for _ in range(count)]
         found = [self.peers.known.get(name) for name in names]
-        return [_state_of(peer) for peer in found if peer is not None]
+        return [_state_message(peer) for peer in found if peer is not None]
 
 
-def _state_of(peer: peers_module.Peer) -> typing.Any:
-    return status_messages.StateWord(
+def _state_message(peer: peers_module.Peer) -> typing.Any:
+    return status_messages.PeerState(
         vm=peer.address.vm,
         born_ms=peer.born_ms or peer.address.born_ms,
         is_up=not peer.is_down,
         is_leaving=peer.is_leaving,
         is_ready=peer.is_ready,
-        address=status_fields.address_word(peer.address),
+        address=status_fields.address_message(peer.address),
     )
--- a/redwingvalve/node/watch_sources.py
+++ b/redwingvalve/node/watch_sources.py
@@ -1,18 +1,18 @@
-"""From whom a node hears what the store holds.
+"""Selects the sources of a node's watches: the store, or relays.
 
 In a small fleet each node watches the store. In a large one only the first hub
-of each data centre does, and the holder of the lease, which must see changes at
-once. The second hub watches the first, the others watch both, and the store if
-they fail.
-
-Endpoints change several times a second, and each answer of the store has its
-price. Only the holder acts on a change at once; all others leave a pause
-between two watches, so that what changes meanwhile costs one call.
-
-What relays say has an age, and a node knows by when it must know of a change.
-Two relays that are cut off at once, asked one after the other, cost more than
-that time; so a node asks the store itself once its knowledge is older than a
-share of it, whatever its relays do.
+of each data centre does, and the lease holder, which must see changes at once.
+The second hub watches the first. All other nodes watch the hubs, or the store
+if both fail.
+
+Endpoints change several times a second, and each answer of the store is
+charged. Only the lease holder acts on a change at once; all other nodes pause
+between two watches, so that the changes in between cost one call.
+
+Answers of relays carry an age, and there is a limit by which a node must know
+of a change. If two relays are cut off at once, waiting for both in turn takes
+longer than that limit. So a node queries the store itself as soon as its state
+is older than a share of the limit, regardless of its relays.
 """
 
 import asyncio
@@ -31,17 +31,18 @@
 from redwingvalve.platform import settings as settings_module
 from redwingvalve.platform import store, store_responses
 
-# How long a connection to the store that fell silent may go unnoticed.
+# Wait of a watch at the store, and so the time in which a silent connection
+# goes unnoticed.
 STORE_WAIT_S = 2.5
-# Shares of the time in which a node must know of a change. A relay leaves a
-# pause and then waits at the store, so that what it says is at most as old as
-# both; a node behind it that knows nothing newer than ASK_STORE_SHARE asks the
-# store, which leaves the rest for its answer.
+# Shares of the time limit for learning of a change. A relay pauses and then
+# waits at the store, so its answers are at most as old as both together. A node
+# behind it queries the store if its state is older than STORE_FALLBACK_SHARE,
+# which leaves the remaining time for the answer.
 PAUSE_SHARE = 0.25
 RELAY_WAIT_SHARE = 0.25
-ASK_STORE_SHARE = 0.7
-# Ages are told in steps of a tenth of a second.
-_AGES_IN_S = 10
+STORE_FALLBACK_SHARE = 0.7
+# Ages are sent in steps of a tenth of a second.
+_AGE_STEPS_PER_S = 10
 _JSON = (b'content-type', b'application/json')
 _OK = 200
 _NOT_FOUND = 404
@@ -51,19 +52,19 @@
 
 @attrs.frozen
 class Source:
-    """A client, and how it is used."""
+    """A client for the store or a relay, and the timing of its watches."""
 
     client: store.StoreClient
     is_store: bool
     wait_s: float
-    # Left between two watches, so that changes in between cost one call.
+    # Pause between two watches, so that changes in between cost one call.
     pause_s: float = 0.0
-    # Older knowledge is not relied on while this source says nothing newer.
+    # If the known state is older than this, the store is queried instead.
     max_age_s: float = math.inf
 
 
 class SourceSelector:
-    """Chooses the sources of this node by who lives."""
+    """Selects this node's sources from the hubs that are alive."""
 
     def __init__(
         self,
@@ -74,9 +75,9 @@
         holds_lease: collections_abc.Callable[[], bool],
         bound_s: float,
     ) -> None:
-        """Prefer relays where the fleet is large.
+        """Prefer relays in a large fleet.
 
-        bound_s is the time in which changes must be known.
+        bound_s is the time limit for learning of a change.
         """
         self._store = store_client
         self._json = json_client
@@ -86,23 +87,25 @@
         self._bound_s = bound_s
 
     def select(self) -> list[Source]:
-        """Return the sources, the preferred one first."""
+        """Return the sources in order of preference."""
         is_large_fleet = self._peers.is_large_fleet
         relay_wait_s = RELAY_WAIT_SHARE * self._bound_s
         wait_s = relay_wait_s if is_large_fleet else STORE_WAIT_S
-        at_once = Source(self._store, is_store=True, wait_s=wait_s)
+        unpaused = Source(self._store, is_store=True, wait_s=wait_s)
         if self._holds_lease():
-            return [at_once]
-        own = attrs.evolve(at_once, pause_s=PAUSE_SHARE * self._bound_s)
+            return [unpaused]
+        store_source = attrs.evolve(
+            unpaused, pause_s=PAUSE_SHARE * self._bound_s
+        )
         if not is_large_fleet:
-            return [own]
+            return [store_source]
         relays = self._hubs.of(self._peers.local.data_centre)
-        # The second hub follows the first, so that a data centre costs the
-        # store the calls of one node.
-        before = itertools.takewhile(
+        # The second hub watches the first, so that a data centre costs the
+        # store the calls of one node only.
+        preceding = itertools.takewhile(
             lambda address: address.vm != self._peers.local.vm, relays.values()
         )
-        return [*map(self._relay_source, before), own]
+        return [*map(self._relay_source, preceding), store_source]
 
     def _relay_source(self, address: peers_module.PeerAddress) -> Source:
         socket = settings_module.SocketAddress(address.ip, address.peer_port)
@@ -110,42 +113,42 @@
             client=store.StoreClient(socket, self._json),
             is_store=False,
             wait_s=(PAUSE_SHARE + RELAY_WAIT_SHARE) * self._bound_s,
-            max_age_s=ASK_STORE_SHARE * self._bound_s,
+            max_age_s=STORE_FALLBACK_SHARE * self._bound_s,
         )
 
 
 class WatchRelayApplication(server.Application):
-    """Tells other nodes what this one knows."""
+    """Serves listings and watches to other nodes from the caches."""
 
     def __init__(self, caches: dict[str, watch_cache.WatchCache]) -> None:
-        """Answer from mirrors by kind."""
+        """Serve the caches, which are keyed by kind."""
         self._caches = caches
         self._tasks: set[asyncio.Task[None]] = set()
-        # The last page of each kind, and the question that it answers.
+        # The last page of each kind, with the query that it answers.
         self._pages: dict[str, tuple[typing.Any, bytes]] = {}
 
     def limits(self) -> reading.ServerLimits:
-        """Return bounds that any question keeps."""
+        """Return limits that suffice for any query."""
         limits = routes.DEFAULT_LIMITS
         return reading.ServerLimits(
             limits.head_bytes, limits.head_bytes, 3.0, 15.0
         )
 
     def is_closing(self) -> bool:
-        """Keep connections; nodes turn elsewhere by themselves."""
+        """Return False: clients of a stopping relay switch by themselves."""
         return False
 
     def serve(
         self, request: messages.Request, responder: server.Responder
     ) -> None:
-        """Answer, at once or when something changes."""
-        asked = store_responses.parse_query(request.target.decode('latin-1'))
-        cache = self._caches.get(asked.kind) if asked else None
-        if asked is None or cache is None:
+        """Answer at once, or when something changes."""
+        query = store_responses.parse_query(request.target.decode('latin-1'))
+        cache = self._caches.get(query.kind) if query else None
+        if query is None or cache is None:
             responder.answer(_NOT_FOUND, [_JSON], b'{}')
             return
         task = asyncio.get_running_loop().create_task(
-            self._answer(cache, asked, responder)
+            self._answer(cache, query, responder)
         )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -153,19 +156,19 @@
     async def _answer(
         self,
         cache: watch_cache.WatchCache,
-        asked: store_responses.StoreQuery,
+        query: store_responses.StoreQuery,
         responder: server.Responder,
     ) -> None:
         if not cache.is_current:
             responder.answer(_UNAVAILABLE, [_JSON], b'{}')
             return
-        if asked.after_revision is None:
+        if query.after_revision is None:
             page = store_responses.encode_listing(cache.listing())
             responder.answer(_OK, list(store_responses.HEADERS), page)
             return
         try:
             found = await cache.changes_after(
-                asked.after_revision, asked.wait_s
+                query.after_revision, query.wait_s
             )
         except store.HistoryGoneError:
             responder.answer(_HISTORY_GONE, [_JSON], b'{}')
@@ -173,26 +176,26 @@
         if not (found.changes or cache.is_current):
             responder.answer(_UNAVAILABLE, [_JSON], b'{}')
             return
-        page = self._page(asked, found)
+        page = self._page(query, found)
         responder.answer(_OK, list(store_responses.HEADERS), page)
 
     def _page(
-        self, asked: store_responses.StoreQuery, found: store.Changes
+        self, query: store_responses.StoreQuery, found: store.Changes
     ) -> bytes:
-        """Return the answer, made once for all nodes that wait for the same.
+        """Return the encoded answer, shared by all nodes with the same query.
 
-        Some twenty nodes wait for each change; a configuration that is written
-        for each of them takes the relay longer than the change should take.
+        About twenty nodes wait for each change. Encoding a configuration for
+        each of them would take longer than the change may take to propagate.
         """
-        # Never told younger than it is.
-        age_s = math.ceil(found.age_s * _AGES_IN_S) / _AGES_IN_S
-        key = (asked.after_revision, found.revision, age_s)
-        known, page = self._pages.get(asked.kind, (None, b''))
+        # Rounded up, so that the state never looks newer than it is.
+        age_s = math.ceil(found.age_s * _AGE_STEPS_PER_S) / _AGE_STEPS_PER_S
+        key = (query.after_revision, found.revision, age_s)
+        known, page = self._pages.get(query.kind, (None, b''))
         if known != key:
             page = store_responses.encode_changes(
                 attrs.evolve(found, age_s=age_s)
             )
-            self._pages[asked.kind] = (key, page)
+            self._pages[query.kind] = (key, page)
         return page
 
 
