--- a/redwingvalve/bench/relay_parts.py
+++ b/redwingvalve/bench/relay_parts.py
@@ -5,7 +5,7 @@
 from redwingvalve.configuration import snapshot
 from redwingvalve.core import clock, invariants
 from redwingvalve.declaration import schema
-from redwingvalve.entry import directory, parts, upstream
+from redwingvalve.entry import dependencies, directory, upstream
 from redwingvalve.evidence import permits
 from redwingvalve.membership import members
 from redwingvalve.news import board
@@ -75,11 +75,13 @@
         return ()
 
 
-def make_parts(sender: upstream.Upstream, engine_port: int) -> parts.EntryParts:
+def make_parts(
+    sender: upstream.Upstream, engine_port: int
+) -> dependencies.EntryDependencies:
     """Return an entry's parts with everything permitted."""
     alone = _Alone()
     settings = settings_schema.RequestSettings()
-    return parts.EntryParts(
+    return dependencies.EntryDependencies(
         source=_Source(engine_port),
         permits=_Permits(),
         members=alone,
--- a/redwingvalve/entry/account_gate.py
+++ b/redwingvalve/entry/account_gate.py
@@ -13,7 +13,7 @@
 from redwingvalve.configuration import snapshot
 from redwingvalve.core import clock, outcomes
 from redwingvalve.declaration import schema
-from redwingvalve.entry import parts
+from redwingvalve.entry import dependencies
 from redwingvalve.limits import account_limits, reports
 from redwingvalve.membership import members
 from redwingvalve.news import board
@@ -144,11 +144,13 @@
         )
 
 
-def make_account_gate(entry_parts: parts.EntryParts) -> AccountGate:
+def make_account_gate(
+    entry_dependencies: dependencies.EntryDependencies,
+) -> AccountGate:
     """Return the gate of one entry; run it beside the application."""
     return AccountGate(
-        entry_parts.source,
-        entry_parts.members,
-        entry_parts.news,
-        entry_parts.clock,
+        entry_dependencies.source,
+        entry_dependencies.members,
+        entry_dependencies.news,
+        entry_dependencies.clock,
     )
--- a/redwingvalve/entry/app.py
+++ b/redwingvalve/entry/app.py
@@ -15,10 +15,10 @@
     accounts,
     cache_watch,
     caller,
+    dependencies,
     load_watch,
     model_request,
     once,
-    parts,
     relay,
     request_metrics,
     responder,
@@ -35,24 +35,26 @@
 class EntryApp:
     """One entry; an ASGI 3 application."""
 
-    def __init__(self, entry_parts: parts.EntryParts) -> None:
-        """Answer requests with entry_parts."""
-        self._parts = entry_parts
-        self._accounts = accounts.AccountBook(entry_parts.source)
-        self.gate = account_gate.make_account_gate(entry_parts)
-        self._models = relay.ModelRelay(entry_parts, self.gate)
+    def __init__(
+        self, entry_dependencies: dependencies.EntryDependencies
+    ) -> None:
+        """Answer requests with entry_dependencies."""
+        self._dependencies = entry_dependencies
+        self._accounts = accounts.AccountBook(entry_dependencies.source)
+        self.gate = account_gate.make_account_gate(entry_dependencies)
+        self._models = relay.ModelRelay(entry_dependencies, self.gate)
         self.loads = load_watch.make_load_watch(
-            entry_parts.source,
-            entry_parts.permits,
+            entry_dependencies.source,
+            entry_dependencies.permits,
             self._models.choice,
-            entry_parts.clock,
+            entry_dependencies.clock,
         )
         self.stalls = self._models.stalls
         self.caches = cache_watch.make_cache_watch(
-            entry_parts, self._models.choice
+            entry_dependencies, self._models.choice
         )
-        self._services = services.ServiceRelay(entry_parts)
-        self._once = _make_once(entry_parts)
+        self._services = services.ServiceRelay(entry_dependencies)
+        self._once = _make_once(entry_dependencies)
         self.in_progress = 0
 
     async def __call__(
@@ -75,18 +77,20 @@
     def _counted(
         self, responds: responder.Responder
     ) -> collections_abc.Iterator[None]:
-        began_s = self._parts.clock.monotonic_s()
+        began_s = self._dependencies.clock.monotonic_s()
         self._count_in_progress(1)
         try:
             yield
         finally:
             self._count_in_progress(-1)
-            took_s = self._parts.clock.monotonic_s() - began_s
-            request_metrics.tell(self._parts.metrics, responds, took_s)
+            took_s = self._dependencies.clock.monotonic_s() - began_s
+            request_metrics.tell(self._dependencies.metrics, responds, took_s)
 
     def _count_in_progress(self, change: int) -> None:
         self.in_progress += change
-        self._parts.metrics.gauge(request_metrics.IN_PROGRESS, self.in_progress)
+        self._dependencies.metrics.gauge(
+            request_metrics.IN_PROGRESS, self.in_progress
+        )
 
     async def _answer(
         self,
@@ -95,7 +99,9 @@
         responds: responder.Responder,
     ) -> None:
         read = caller.read_head(
-            scope, self._parts.settings, self._parts.clock.monotonic_s()
+            scope,
+            self._dependencies.settings,
+            self._dependencies.clock.monotonic_s(),
         )
         if read.is_error():
             responds.request_id = read.error.request_id
@@ -103,13 +109,13 @@
             return
         head = read.ok
         responds.request_id = head.request_id
-        span = self._parts.tracing.start_span(
+        span = self._dependencies.tracing.start_span(
             'entry request',
             head.headers,
             attributes={
                 'redwingvalve.request_id': head.request_id,
                 'url.path': head.path,
-                'redwingvalve.entry': self._parts.members.myself().name,
+                'redwingvalve.entry': self._dependencies.members.myself().name,
             },
         )
         try:
@@ -147,7 +153,7 @@
             await self._answer_models(responds)
             return
         read = await caller.read_body(
-            receive, head, self._parts.settings.max_body_bytes
+            receive, head, self._dependencies.settings.max_body_bytes
         )
         if read.is_error():
             await responds.send_error(read.error)
@@ -199,7 +205,7 @@
         account: schema.ClientAccount,
         body: bytes,
     ) -> 'Work | outcomes.ErrorAnswer':
-        current = self._parts.source.current()
+        current = self._dependencies.source.current()
         if head.path in model_request.PROMPT_FIELDS and head.method == 'POST':
             read = model_request.read_model_request(
                 head, account, body, current
@@ -232,13 +238,13 @@
         await responds.send_json(200, {'key': self._once.issue()})
 
     async def _answer_entries(self, responds: responder.Responder) -> None:
-        listed = self._parts.directory.entries()
+        listed = self._dependencies.directory.entries()
         await responds.send_json(200, attrs.asdict(listed))
 
     async def _answer_models(self, responds: responder.Responder) -> None:
         names = [
             name
-            for deployment in self._parts.source.current().deployments
+            for deployment in self._dependencies.source.current().deployments
             for name in (deployment.name, *deployment.adapters)
         ]
         await responds.send_json(
@@ -293,10 +299,14 @@
             return
 
 
-def _make_once(entry_parts: parts.EntryParts) -> once.OnceGuard | None:
-    if entry_parts.key_claims is None:
+def _make_once(
+    entry_dependencies: dependencies.EntryDependencies,
+) -> once.OnceGuard | None:
+    if entry_dependencies.key_claims is None:
         return None
-    return once.OnceGuard(entry_parts.key_claims, entry_parts.members.myself())
+    return once.OnceGuard(
+        entry_dependencies.key_claims, entry_dependencies.members.myself()
+    )
 
 
 def _failed_inside(outcome: outcomes.Outcome) -> outcomes.ErrorAnswer:
@@ -318,6 +328,8 @@
     )
 
 
-def make_entry_app(entry_parts: parts.EntryParts) -> EntryApp:
+def make_entry_app(
+    entry_dependencies: dependencies.EntryDependencies,
+) -> EntryApp:
     """Return the application of one entry."""
-    return EntryApp(entry_parts)
+    return EntryApp(entry_dependencies)
--- a/redwingvalve/entry/cache_watch.py
+++ b/redwingvalve/entry/cache_watch.py
@@ -12,7 +12,7 @@
 import anyio
 
 from redwingvalve.configuration import snapshot
-from redwingvalve.entry import parts, replica_choice, upstream
+from redwingvalve.entry import dependencies, replica_choice, upstream
 from redwingvalve.evidence import findings_wire
 from redwingvalve.membership import rendezvous
 from redwingvalve.news import board
@@ -47,11 +47,11 @@
 
     def __init__(
         self,
-        entry_parts: parts.EntryParts,
+        entry_dependencies: dependencies.EntryDependencies,
         choice: replica_choice.ReplicaChoice,
     ) -> None:
         """Feed the policies of choice."""
-        self._parts = entry_parts
+        self._dependencies = entry_dependencies
         self._choice = choice
         self._follower = cache_follower.make_cache_follower()
         self._reader = cache_reader.make_cache_reader()
@@ -68,16 +68,20 @@
         """Look until cancelled."""
         while True:
             await self.step()
-            await self._parts.clock.sleep(LOOK_EVERY_S)
+            await self._dependencies.clock.sleep(LOOK_EVERY_S)
 
     async def step(self) -> None:
         """Read what the budget allows, tell, and take in what is told."""
         self._sort_replicas()
-        fetch = self._follower.next_fetch(self._parts.clock.monotonic_s())
+        fetch = self._follower.next_fetch(
+            self._dependencies.clock.monotonic_s()
+        )
         while fetch is not None:
             await self._read(fetch)
-            fetch = self._follower.next_fetch(self._parts.clock.monotonic_s())
-        now_s = self._parts.clock.monotonic_s()
+            fetch = self._follower.next_fetch(
+                self._dependencies.clock.monotonic_s()
+            )
+        now_s = self._dependencies.clock.monotonic_s()
         if now_s - self._told_s >= TELL_EVERY_S:
             self._told_s = now_s
             self._tell(now_s)
@@ -91,13 +95,13 @@
         At 480 replicas and 72 entries a look at all pairs takes 30 ms, which
         twice a second would be five times what a node may spend.
         """
-        myself = self._parts.members.myself()
+        myself = self._dependencies.members.myself()
         names = frozenset(
             member.name
-            for member in self._parts.members.alive(ENTRY_ROLE)
+            for member in self._dependencies.members.alive(ENTRY_ROLE)
             if member.region == myself.region
         ) | {myself.name}
-        current = self._parts.source.current()
+        current = self._dependencies.source.current()
         if self._sorted_for == (current.version, names):
             return
         self._sorted_for = (current.version, names)
@@ -121,7 +125,7 @@
 
     async def _read(self, fetch: cache_follower.Fetch) -> None:
         replica = self._replicas[fetch.name]
-        now_s = self._parts.clock.monotonic_s()
+        now_s = self._dependencies.clock.monotonic_s()
         if not self._choice.may_serve(replica, now_s):
             self._follower.failed(fetch, now_s)
             return
@@ -139,7 +143,7 @@
         self._follower.failed(fetch, now_s)
 
     async def _fetch(self, replica: snapshot.Replica, after: int) -> bytes:
-        answer = await self._parts.upstream.send(
+        answer = await self._dependencies.upstream.send(
             upstream.UpstreamRequest(
                 address=replica.members[0].address,
                 method='GET',
@@ -154,7 +158,7 @@
             return b''.join([chunk async for chunk in answer.chunks])
         finally:
             with anyio.CancelScope(shield=True):
-                await self._parts.upstream.release(answer)
+                await self._dependencies.upstream.release(answer)
 
     def _tell(self, now_s: float) -> None:
         words = [
@@ -180,16 +184,16 @@
 
     def _publish(self, items: dict[str, bytes], *, again: bool) -> None:
         for gone in self._told.keys() - items.keys():
-            self._parts.news.publish(CHANNEL, gone, b'')
+            self._dependencies.news.publish(CHANNEL, gone, b'')
         for key, body in items.items():
             if again or self._told.get(key) != body:
-                self._parts.news.publish(CHANNEL, key, body)
+                self._dependencies.news.publish(CHANNEL, key, body)
         self._told = items
 
     def _take_in(self) -> None:
         words = {
             self._marks[word.mark]: word
-            for news in self._parts.news.read(CHANNEL)
+            for news in self._dependencies.news.read(CHANNEL)
             for word in cache_news.decode(news.body)
             if word.mark in self._marks
         }
@@ -202,7 +206,7 @@
         return self._choice.routing(replica.deployment)
 
     def _in_region(self, replica: snapshot.Replica) -> bool:
-        own = self._parts.members.myself().region
+        own = self._dependencies.members.myself().region
         return not replica.region or replica.region == own
 
 
@@ -221,7 +225,8 @@
 
 
 def make_cache_watch(
-    entry_parts: parts.EntryParts, choice: replica_choice.ReplicaChoice
+    entry_dependencies: dependencies.EntryDependencies,
+    choice: replica_choice.ReplicaChoice,
 ) -> CacheWatch:
     """Return the watch of one entry."""
-    return CacheWatch(entry_parts, choice)
+    return CacheWatch(entry_dependencies, choice)
--- a/redwingvalve/entry/daemon.py
+++ b/redwingvalve/entry/daemon.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from redwingvalve.entry import app, parts, serving
+from redwingvalve.entry import app, dependencies, serving
 from redwingvalve.observability import logs
 from redwingvalve.settings import schema as settings_schema
 
@@ -15,7 +15,7 @@
 
 
 async def serve_entry(
-    entry_parts: parts.EntryParts,
+    entry_dependencies: dependencies.EntryDependencies,
     settings: settings_schema.Settings,
     stop: collections_abc.Callable[[], collections_abc.Awaitable[None]],
     leave: collections_abc.Callable[[], None],
@@ -24,7 +24,7 @@
 
     leave tells the other entries, so that discovery no longer names this one.
     """
-    application = app.make_entry_app(entry_parts)
+    application = app.make_entry_app(entry_dependencies)
     bind = f'{settings.node.host}:{settings.listen.http_port}'
     LOGGER.info('the entry listens', extra={'address': bind})
     async with anyio.create_task_group() as group:
@@ -32,22 +32,24 @@
         group.start_soon(application.loads.run)
         group.start_soon(application.stalls.run)
         group.start_soon(application.caches.run)
-        if entry_parts.key_claims is not None:
-            group.start_soon(entry_parts.key_claims.keep_looking)
+        if entry_dependencies.key_claims is not None:
+            group.start_soon(entry_dependencies.key_claims.keep_looking)
         await serving.serve(
             application,
             bind,
             settings.requests.drain_timeout_s,
-            functools.partial(_drain, application, entry_parts, stop, leave),
+            functools.partial(
+                _drain, application, entry_dependencies, stop, leave
+            ),
         )
         group.cancel_scope.cancel()
-    await entry_parts.upstream.aclose()
+    await entry_dependencies.upstream.aclose()
     LOGGER.info('the entry has ended')
 
 
 async def _drain(
     application: app.EntryApp,
-    entry_parts: parts.EntryParts,
+    entry_dependencies: dependencies.EntryDependencies,
     stop: collections_abc.Callable[[], collections_abc.Awaitable[None]],
     leave: collections_abc.Callable[[], None],
 ) -> None:
@@ -62,8 +64,8 @@
     LOGGER.info(
         'the entry leaves', extra={'in_progress': application.in_progress}
     )
-    await entry_parts.clock.sleep(
-        entry_parts.settings.discovery_keep_s + LEAVING_SPREADS_S
+    await entry_dependencies.clock.sleep(
+        entry_dependencies.settings.discovery_keep_s + LEAVING_SPREADS_S
     )
     LOGGER.info(
         'the entry takes no more connections',
--- a/redwingvalve/entry/parts.py
+++ b/redwingvalve/entry/dependencies.py
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen
-class EntryParts:
+class EntryDependencies:
     """Everything that the request path asks or tells."""
 
     source: snapshot.ConfigurationSource
--- a/redwingvalve/entry/relay.py
+++ b/redwingvalve/entry/relay.py
@@ -13,8 +13,8 @@
 from redwingvalve.entry import (
     account_gate,
     delivered,
+    dependencies,
     model_request,
-    parts,
     relay_refusals,
     relay_retries,
     replica_choice,
@@ -46,40 +46,44 @@
     """Chooses, sends, tries again where that is safe, and answers."""
 
     def __init__(
-        self, entry_parts: parts.EntryParts, gate: account_gate.AccountGate
+        self,
+        entry_dependencies: dependencies.EntryDependencies,
+        gate: account_gate.AccountGate,
     ) -> None:
-        """Carry requests with entry_parts, within the limits of gate."""
-        self._parts = entry_parts
+        """Carry requests with entry_dependencies, within the limits of gate."""
+        self._dependencies = entry_dependencies
         self._gate = gate
-        self._sender = sends.Sender(entry_parts)
+        self._sender = sends.Sender(entry_dependencies)
         self.choice = replica_choice.ReplicaChoice(
-            entry_parts.source,
-            entry_parts.permits,
-            entry_parts.members.myself(),
-            entry_parts.clock,
-            entry_parts.switches,
+            entry_dependencies.source,
+            entry_dependencies.permits,
+            entry_dependencies.members.myself(),
+            entry_dependencies.clock,
+            entry_dependencies.switches,
         )
         self._suspects = suspects.SuspectGate(
-            entry_parts.members,
-            entry_parts.news,
-            entry_parts.clock,
-            entry_parts.switches,
+            entry_dependencies.members,
+            entry_dependencies.news,
+            entry_dependencies.clock,
+            entry_dependencies.switches,
         )
         self._room = waiting_room.WaitingRoom(
-            entry_parts.members, entry_parts.clock
+            entry_dependencies.members, entry_dependencies.clock
         )
-        self._retries = relay_retries.RelayRetries(entry_parts.clock)
-        self.stalls = stall_watch.make_stall_watch(entry_parts.clock)
+        self._retries = relay_retries.RelayRetries(entry_dependencies.clock)
+        self.stalls = stall_watch.make_stall_watch(entry_dependencies.clock)
 
     async def run(
         self,
         request: model_request.ModelRequest,
         responds: responder.Responder,
         span: trace.Span,
-        may_send: parts.MaySend | None,
+        may_send: dependencies.MaySend | None,
     ) -> None:
         """Answer the request by its deadline."""
-        remaining_s = request.head.remaining_s(self._parts.clock.monotonic_s())
+        remaining_s = request.head.remaining_s(
+            self._dependencies.clock.monotonic_s()
+        )
         journey = sends.Journey(
             request,
             responds,
@@ -103,7 +107,7 @@
             await responds.send_error(refusal)
 
     async def _carry(
-        self, journey: sends.Journey, may_send: parts.MaySend | None
+        self, journey: sends.Journey, may_send: dependencies.MaySend | None
     ) -> outcomes.ErrorAnswer | None:
         """Send until the caller has its answer; return a refusal otherwise."""
         digest = self._suspects.digest(journey.request)
@@ -125,14 +129,14 @@
             # is charged as estimated.
             if journey.request.stream:
                 used = journey.delivered.count
-                self._parts.metrics.count(request_metrics.TOKENS, used)
+                self._dependencies.metrics.count(request_metrics.TOKENS, used)
                 self._gate.correct_tokens(account, used - estimated)
 
     async def _carry_admitted(
         self,
         journey: sends.Journey,
         digest: bytes,
-        may_send: parts.MaySend | None,
+        may_send: dependencies.MaySend | None,
     ) -> outcomes.ErrorAnswer | None:
         serving = self.choice.serving(journey.request.deployment.name)
         job_id = self._sender.next_identity(journey.request).endpoint_id
@@ -156,7 +160,7 @@
         self,
         journey: sends.Journey,
         digest: bytes,
-        may_send: parts.MaySend | None,
+        may_send: dependencies.MaySend | None,
     ) -> outcomes.ErrorAnswer | None:
         refusal: outcomes.ErrorAnswer | None = None
         tried: set[str] = set()
@@ -166,7 +170,7 @@
             if attempt is None:
                 return relay_refusals.no_replica(journey, failure)
             if may_send is not None and not may_send():
-                return parts.grant_expired()
+                return dependencies.grant_expired()
             tried.add(attempt.replica.name)
             failure = await self._send(
                 journey, attempt, digest, frozenset(tried)
@@ -212,12 +216,12 @@
         )
 
         def on_first_token() -> None:
-            now_s = self._parts.clock.monotonic_s()
+            now_s = self._dependencies.clock.monotonic_s()
             journey.turn.first_token()
             policy.first_token(identity.endpoint_id, now_s)
             if not journey.delivered.count:
                 waited_s = now_s - journey.request.head.arrived_s
-                self._parts.metrics.timing(
+                self._dependencies.metrics.timing(
                     request_metrics.FIRST_TOKEN_TIME,
                     waited_s * request_metrics.MS_PER_S,
                 )
@@ -251,7 +255,7 @@
                     'a stream stood still',
                     extra={'replica': attempt.replica.name},
                 )
-                self._parts.metrics.count('entry.stalled')
+                self._dependencies.metrics.count('entry.stalled')
         return failure
 
     def _watched(
@@ -296,7 +300,7 @@
         policy.sent(
             attempt.route,
             attempt.replica.name,
-            self._parts.clock.monotonic_s(),
+            self._dependencies.clock.monotonic_s(),
         )
         self._suspects.began(digest, attempt.replica)
         try:
@@ -304,7 +308,7 @@
         finally:
             self._suspects.ended(digest, attempt.replica, whole=attempt.whole)
             policy.finished(
-                attempt.route.request_id, self._parts.clock.monotonic_s()
+                attempt.route.request_id, self._dependencies.clock.monotonic_s()
             )
 
     def _blame(
@@ -314,11 +318,11 @@
             'a send failed',
             extra={'replica': replica.name, 'why': failure.message},
         )
-        self._parts.metrics.count('entry.send_failed')
-        self._parts.permits.report_failure(
+        self._dependencies.metrics.count('entry.send_failed')
+        self._dependencies.permits.report_failure(
             replica,
             replica.members[0].vm,
-            self._parts.clock.monotonic_s(),
+            self._dependencies.clock.monotonic_s(),
         )
         if failure.died:
             self._suspects.endpoint_died(replica)
@@ -357,6 +361,6 @@
                 journey.responds.outcome = outcomes.Outcome.UNKNOWN
                 return relay_refusals.failed(failure, outcomes.Outcome.UNKNOWN)
             return relay_refusals.failed(failure, decision.outcome)
-        self._parts.metrics.count(f'entry.{decision.step.value}')
+        self._dependencies.metrics.count(f'entry.{decision.step.value}')
         journey.resume_tokens = had.tokens
         return None
--- a/redwingvalve/entry/sends.py
+++ b/redwingvalve/entry/sends.py
@@ -15,8 +15,8 @@
 from redwingvalve.entry import (
     answer_check,
     delivered,
+    dependencies,
     model_request,
-    parts,
     responder,
     stall_watch,
     upstream,
@@ -85,11 +85,13 @@
 class Sender:
     """Sends model requests to replicas and passes their answers on."""
 
-    def __init__(self, entry_parts: parts.EntryParts) -> None:
+    def __init__(
+        self, entry_dependencies: dependencies.EntryDependencies
+    ) -> None:
         """Number the sends of this incarnation from 1."""
-        self._parts = entry_parts
+        self._dependencies = entry_dependencies
         self._numbers = itertools.count(1)
-        myself = entry_parts.members.myself()
+        myself = entry_dependencies.members.myself()
         self._entry = f'{myself.name}-{myself.incarnation}'
 
     def next_identity(
@@ -115,7 +117,7 @@
 
         The stream is given up when the scope of watched is cancelled.
         """
-        span = self._parts.tracing.start_span(
+        span = self._dependencies.tracing.start_span(
             'endpoint request',
             parent=journey.span,
             attributes={
@@ -183,7 +185,7 @@
         """Open an answer; on leaving early, cancel it and free its tokens."""
         exchange = _Exchange(watched)
         try:
-            exchange.answer = await self._parts.upstream.send(outgoing)
+            exchange.answer = await self._dependencies.upstream.send(outgoing)
             yield exchange
         except upstream.UpstreamError as error:
             exchange.ended = error.surely_not_run
@@ -200,7 +202,8 @@
     ) -> upstream.UpstreamRequest:
         request = journey.request
         remaining_s = max(
-            request.head.remaining_s(self._parts.clock.monotonic_s()), 0.001
+            request.head.remaining_s(self._dependencies.clock.monotonic_s()),
+            0.001,
         )
         fields: dict[str, typing.Any] = dict(
             request.fields,
@@ -219,7 +222,7 @@
             outcomes.DEADLINE_HEADER: str(int(remaining_s * MS_PER_S)),
             'x-redwingvalve-replica': replica.name,
             'x-redwingvalve-epoch': str(replica.epoch),
-            **self._parts.tracing.headers(span),
+            **self._dependencies.tracing.headers(span),
         }
         return upstream.UpstreamRequest(
             address=replica.members[0].address,
@@ -243,7 +246,9 @@
             refusal = await _read_refusal(answer)
             exchange.ended = True
             return refusal
-        answer_check.check_head(answer.headers, identity, self._parts.switches)
+        answer_check.check_head(
+            answer.headers, identity, self._dependencies.switches
+        )
         if journey.request.stream:
             await self._relay_stream(
                 exchange, identity, journey, on_first_token
@@ -254,7 +259,7 @@
         exchange.ended = True
         on_first_token()
         whole = answer_check.check_whole_json(
-            body, identity, self._parts.switches
+            body, identity, self._dependencies.switches
         )
         await journey.responds.send_json(OK_STATUS, whole, outcomes.Outcome.RAN)
         return None
@@ -266,7 +271,9 @@
         journey: Journey,
         on_first_token: collections_abc.Callable[[], None],
     ) -> None:
-        checker = answer_check.StreamChecker(identity, self._parts.switches)
+        checker = answer_check.StreamChecker(
+            identity, self._dependencies.switches
+        )
         responds = journey.responds
         pulse = exchange.watched.pulse
         told = False
@@ -290,7 +297,7 @@
             await responds.write(b''.join(events))
             pulse.held = False
         pulse.held = True
-        complete = checker.done or not self._parts.switches.enabled(
+        complete = checker.done or not self._dependencies.switches.enabled(
             invariants.Safeguard.ANSWER_COMPLETENESS
         )
         if not complete:
@@ -301,7 +308,7 @@
         # Only a connection that never stood proves that nothing ran. After
         # the first byte the endpoint may have run all of it and died.
         not_run = error.surely_not_run
-        if not self._parts.switches.enabled(
+        if not self._dependencies.switches.enabled(
             invariants.Safeguard.TRUTHFUL_NOT_RUN
         ):
             not_run = True
@@ -317,7 +324,7 @@
     ) -> None:
         with anyio.CancelScope(shield=True):
             if exchange.answer is not None:
-                await self._parts.upstream.release(exchange.answer)
+                await self._dependencies.upstream.release(exchange.answer)
             if not exchange.ended:
                 timeout_s = CANCEL_TIMEOUT_S
                 if exchange.watched.pulse.stalled:
@@ -340,10 +347,10 @@
         )
         with anyio.move_on_after(timeout_s):
             try:
-                answer = await self._parts.upstream.send(cancel)
+                answer = await self._dependencies.upstream.send(cancel)
             except upstream.UpstreamError:
                 return False
-            await self._parts.upstream.release(answer)
+            await self._dependencies.upstream.release(answer)
         return True
 
 
--- a/redwingvalve/entry/services.py
+++ b/redwingvalve/entry/services.py
@@ -14,7 +14,7 @@
 from redwingvalve.entry import (
     answer_check,
     caller,
-    parts,
+    dependencies,
     responder,
     service_queue,
     service_suspects,
@@ -96,22 +96,24 @@
 class ServiceRelay:
     """Sends to the address with the fewest own requests in flight."""
 
-    def __init__(self, entry_parts: parts.EntryParts) -> None:
-        """Carry requests with entry_parts."""
+    def __init__(
+        self, entry_dependencies: dependencies.EntryDependencies
+    ) -> None:
+        """Carry requests with entry_dependencies."""
         self._suspects = suspects.SuspectGate(
-            entry_parts.members,
-            entry_parts.news,
-            entry_parts.clock,
-            entry_parts.switches,
+            entry_dependencies.members,
+            entry_dependencies.news,
+            entry_dependencies.clock,
+            entry_dependencies.switches,
             channel.SERVICE_KEY,
         )
-        self._parts = entry_parts
+        self._dependencies = entry_dependencies
         self._numbers = itertools.count(1)
         self._in_flight: dict[str, int] = {}
-        myself = entry_parts.members.myself()
+        myself = entry_dependencies.members.myself()
         self._entry = f'{myself.name}-{myself.incarnation}-s'
         self._queue = service_queue.make_service_queue(
-            entry_parts.members, entry_parts.clock
+            entry_dependencies.members, entry_dependencies.clock
         )
 
     async def run(
@@ -119,7 +121,7 @@
         request: ServiceRequest,
         responds: responder.Responder,
         span: trace.Span,
-        may_send: parts.MaySend | None,
+        may_send: dependencies.MaySend | None,
     ) -> None:
         """Answer the request by its deadline, or refuse it early."""
         async with self._queue.turn(
@@ -139,7 +141,7 @@
         request: ServiceRequest,
         responds: responder.Responder,
         span: trace.Span,
-        may_send: parts.MaySend,
+        may_send: dependencies.MaySend,
     ) -> outcomes.ErrorAnswer | None:
         # Asked after the wait for a turn: what waited may have become suspect
         # meanwhile.
@@ -153,7 +155,7 @@
         request: ServiceRequest,
         responds: responder.Responder,
         span: trace.Span,
-        may_send: parts.MaySend,
+        may_send: dependencies.MaySend,
         watched: service_suspects.WatchedCall,
     ) -> outcomes.ErrorAnswer | None:
         tried: set[str] = set()
@@ -227,7 +229,7 @@
             if error.surely_not_run:
                 responds.outcome = before
             hop.set_attribute('redwingvalve.failure', str(error))
-            self._parts.metrics.count('entry.service_send_failed')
+            self._dependencies.metrics.count('entry.service_send_failed')
             return error
         finally:
             self._in_flight[address] -= 1
@@ -238,7 +240,7 @@
         self, request: ServiceRequest, address: str, span: trace.Span
     ) -> trace.Span:
         """Start the span of one send; each send has its own."""
-        return self._parts.tracing.start_span(
+        return self._dependencies.tracing.start_span(
             'service request',
             parent=span,
             attributes={
@@ -273,13 +275,13 @@
     async def _fetch(
         self, outgoing: upstream.UpstreamRequest
     ) -> tuple[upstream.UpstreamAnswer, bytes]:
-        answer = await self._parts.upstream.send(outgoing)
+        answer = await self._dependencies.upstream.send(outgoing)
         try:
             body = await self._read(answer, outgoing)
         except BaseException:
-            await self._parts.upstream.release(answer)
+            await self._dependencies.upstream.release(answer)
             raise
-        await self._parts.upstream.release(answer)
+        await self._dependencies.upstream.release(answer)
         return answer, body
 
     def _build(
@@ -292,10 +294,10 @@
         hop.set_attribute('redwingvalve.endpoint_request_id', endpoint_id)
         own = {
             outcomes.REQUEST_ID_HEADER: endpoint_id,
-            **self._parts.tracing.headers(hop),
+            **self._dependencies.tracing.headers(hop),
         }
         query = f'?{head.query}' if head.query else ''
-        remaining_s = head.remaining_s(self._parts.clock.monotonic_s())
+        remaining_s = head.remaining_s(self._dependencies.clock.monotonic_s())
         return upstream.UpstreamRequest(
             address=address,
             method=head.method,
@@ -314,7 +316,7 @@
         identity = answer_check.AnswerIdentity(outgoing.request_id, '')
         try:
             answer_check.check_head(
-                answer.headers, identity, self._parts.switches
+                answer.headers, identity, self._dependencies.switches
             )
         except answer_check.WrongAnswerError as error:
             raise service_suspects.AnsweredError(
--- a/redwingvalve/entry/tests/callers.py
+++ b/redwingvalve/entry/tests/callers.py
@@ -98,7 +98,7 @@
     changes = {} if traced is None else {'tracing': traced}
     engines.scripts[replica.members[0].address] = script
     return app.make_entry_app(
-        fakes.make_parts(
+        fakes.make_dependencies(
             engines,
             source=fakes.Source(fakes.make_snapshot(replicas=(replica,))),
             settings=schema.RequestSettings(**settings),
--- a/redwingvalve/entry/tests/fakes.py
+++ b/redwingvalve/entry/tests/fakes.py
@@ -9,7 +9,7 @@
 from redwingvalve.configuration import snapshot
 from redwingvalve.core import clock, invariants
 from redwingvalve.declaration import schema
-from redwingvalve.entry import app, directory, parts, upstream
+from redwingvalve.entry import app, dependencies, directory, upstream
 from redwingvalve.evidence import permits
 from redwingvalve.membership import members
 from redwingvalve.news import board
@@ -199,7 +199,7 @@
     return snapshot.Snapshot(**{**fields, **changes})
 
 
-def make_parts(engines, **changes):
+def make_dependencies(engines, **changes):
     known = changes.pop('members', Members())
     fields = {
         'source': Source(make_snapshot()),
@@ -216,7 +216,7 @@
         'switches': invariants.SafeguardSwitches(),
         'directory': directory.make_members_directory(known, 10.0),
     }
-    return parts.EntryParts(**{**fields, **changes})
+    return dependencies.EntryDependencies(**{**fields, **changes})
 
 
 @attrs.define
@@ -293,7 +293,7 @@
     """Run calls (dicts of arguments of call) one after the other."""
 
     async def main():
-        application = app.make_entry_app(make_parts(engines, **changes))
+        application = app.make_entry_app(make_dependencies(engines, **changes))
         return [await call(application, **arguments) for arguments in calls]
 
     return anyio.run(main)
--- a/redwingvalve/entry/tests/test_cache_watch.py
+++ b/redwingvalve/entry/tests/test_cache_watch.py
@@ -53,7 +53,7 @@
         items = {}
         self.entries = [
             app.make_entry_app(
-                fakes.make_parts(
+                fakes.make_dependencies(
                     self.engines,
                     clock=self.clock,
                     members=fakes.Members((other,), me),
--- a/redwingvalve/entry/tests/test_once.py
+++ b/redwingvalve/entry/tests/test_once.py
@@ -15,7 +15,7 @@
     """An app for each of the fleet's entries."""
     return {
         name: app.make_entry_app(
-            fakes.make_parts(
+            fakes.make_dependencies(
                 engines,
                 members=fakes.Members(me=attrs.evolve(fakes.ENTRY, name=name)),
                 key_claims=claims,
@@ -74,7 +74,7 @@
     fleet = fleets.Fleet()
     entries = make_entries(fleet, engines)
     nowhere = app.make_entry_app(
-        fakes.make_parts(
+        fakes.make_dependencies(
             engines,
             key_claims=fleet.entries['e1'],
             permits=fakes.Permits({'r1', 'r2'}),
--- a/redwingvalve/entry/tests/test_over_http.py
+++ b/redwingvalve/entry/tests/test_over_http.py
@@ -54,7 +54,7 @@
     member = snapshot.ReplicaMember('vm', f'127.0.0.1:{engine_port}')
     replica = attrs.evolve(fakes.replica('r1'), members=(member,))
     entry = app.make_entry_app(
-        fakes.make_parts(
+        fakes.make_dependencies(
             make_upstream(),
             source=fakes.Source(fakes.make_snapshot(replicas=(replica,))),
         )
--- a/redwingvalve/entry/tests/test_relay.py
+++ b/redwingvalve/entry/tests/test_relay.py
@@ -127,7 +127,7 @@
             return fakes.upstream.UpstreamAnswer(200, head, chunks())
 
         engines = fakes.Engines({'r1:1': endless, 'r2:1': endless})
-        application = app.make_entry_app(fakes.make_parts(engines))
+        application = app.make_entry_app(fakes.make_dependencies(engines))
         await fakes.call(application, hang_up=gone)
         assert engines.cancelled == [engines.sent[0].request_id]
 
@@ -249,7 +249,7 @@
         )
         engines = fakes.Engines({'r1:1': slow})
         application = app.make_entry_app(
-            fakes.make_parts(engines, source=source)
+            fakes.make_dependencies(engines, source=source)
         )
         answers = []
 
--- a/redwingvalve/entry/tests/test_service_queue.py
+++ b/redwingvalve/entry/tests/test_service_queue.py
@@ -36,7 +36,7 @@
             max_in_flight_per_address=1,
         )
         self.application = app.make_entry_app(
-            fakes.make_parts(
+            fakes.make_dependencies(
                 self.engines,
                 clock=self.clock,
                 source=fakes.Source(
--- a/redwingvalve/entry/tests/test_service_suspects.py
+++ b/redwingvalve/entry/tests/test_service_suspects.py
@@ -56,7 +56,7 @@
     source = fakes.Source(attrs.evolve(listed, services=(service,)))
     entries = [
         app.make_entry_app(
-            fakes.make_parts(
+            fakes.make_dependencies(
                 services,
                 source=source,
                 clock=ticks,
--- a/redwingvalve/entry/tests/test_stalls.py
+++ b/redwingvalve/entry/tests/test_stalls.py
@@ -50,7 +50,7 @@
 
         self.engines = fakes.Engines({f'{name}:1': script for name in names})
         self.application = app.make_entry_app(
-            fakes.make_parts(
+            fakes.make_dependencies(
                 self.engines,
                 clock=self.clock,
                 source=fakes.Source(fakes.make_snapshot(names)),
--- a/redwingvalve/process/entry.py
+++ b/redwingvalve/process/entry.py
@@ -7,7 +7,7 @@
 from redwingvalve.at_most_once import claims
 from redwingvalve.discovery import spread_directory
 from redwingvalve.entry import aiohttp_upstream, daemon
-from redwingvalve.entry import parts as entry_parts
+from redwingvalve.entry import dependencies as entry_dependencies
 from redwingvalve.evidence import prober, serving_permits, table
 from redwingvalve.process import entry_drains, key_votes, leaving_vms
 from redwingvalve.process import parts as process_parts
@@ -56,8 +56,8 @@
     parts: process_parts.ProcessParts,
     permits: serving_permits.EvidencePermits,
     key_claims: claims.KeyClaims,
-) -> entry_parts.EntryParts:
-    return entry_parts.EntryParts(
+) -> entry_dependencies.EntryDependencies:
+    return entry_dependencies.EntryDependencies(
         source=parts.node.configuration,
         permits=permits,
         members=parts.node.members,
--- a/tests/integration/test_fuzz.py
+++ b/tests/integration/test_fuzz.py
@@ -90,7 +90,7 @@
     )
 
     async def scenario():
-        application = app.make_entry_app(fakes.make_parts(engines))
+        application = app.make_entry_app(fakes.make_dependencies(engines))
         with anyio.fail_after(20):
             return await fakes.call(
                 application, path, body, headers=headers, method=method
