--- a/redwingvalve/bench/replicas_fleet.py
+++ b/redwingvalve/bench/replicas_fleet.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from redwingvalve.control import moves, surroundings
+from redwingvalve.control import inputs, move_reconciler
 from redwingvalve.core import clock
 from redwingvalve.declaration import schema
 from redwingvalve.plans import objects
@@ -19,9 +19,9 @@
     codec,
     controller,
     draft,
+    entry_reports,
     shares,
     spares,
-    witness,
 )
 from redwingvalve.replicas import domain as domain_module
 from redwingvalve.standins import memory_fleet, memory_store
@@ -70,7 +70,7 @@
         )
 
 
-class EntriesSee(witness.BoundedWitness):
+class EntriesSee(entry_reports.BoundedWitness):
     """Entries probe the serving replicas, as they do beside controllers."""
 
     def __init__(self, fleet: memory_fleet.MemoryFleet) -> None:
@@ -118,13 +118,13 @@
         self.controllers = self._controllers(strategy, seed)
         self._chance = random.Random(seed)
         self._movers = {
-            name: moves.make_mover(
+            name: move_reconciler.make_mover(
                 self.store, self.fleet, self.clock, self._chance
             )
             for name in self.names
             if strategy.heal_from_spares
         }
-        self._reader = surroundings.SurroundingsReader(
+        self._reader = inputs.SurroundingsReader(
             self.store, self.fleet, self.clock
         )
         self._read: dict[str, tuple[str, domain_module.FabricDomain]] = {}
--- a/redwingvalve/control/loop.py
+++ b/redwingvalve/control/loop.py
@@ -8,8 +8,8 @@
 import anyio
 import attrs
 
-from redwingvalve.control import moves
-from redwingvalve.control import surroundings as surroundings_module
+from redwingvalve.control import inputs as inputs_module
+from redwingvalve.control import move_reconciler
 from redwingvalve.core import invariants
 from redwingvalve.membership import members as members_module
 from redwingvalve.membership import rendezvous
@@ -34,7 +34,7 @@
     """One domain that this process watches."""
 
     controller: controller.DomainController
-    mover: moves.Mover
+    mover: move_reconciler.Mover
     created: bool = False
 
 
@@ -54,7 +54,7 @@
         self._vm_list = vms
         self._members = members
         self._book = book.make_plan_book(tools.objects, vms, tools.clock)
-        self._reader = surroundings_module.SurroundingsReader(
+        self._reader = inputs_module.SurroundingsReader(
             tools.objects, vms, tools.clock
         )
         self._domains: dict[str, _Domain] = {}
@@ -132,7 +132,7 @@
         tools = self._tools
         return _Domain(
             controller.make_domain_controller(name, self._owner, tools),
-            moves.make_mover(
+            move_reconciler.make_mover(
                 tools.objects, self._vm_list, tools.clock, tools.chance
             ),
         )
--- a/redwingvalve/control/moves.py
+++ b/redwingvalve/control/move_reconciler.py
@@ -16,7 +16,7 @@
 from redwingvalve.plans import making
 from redwingvalve.plans import world as world_module
 from redwingvalve.platform_api import object_api, vm_list
-from redwingvalve.replicas import codec, moving, shares
+from redwingvalve.replicas import codec, move_policy, shares
 from redwingvalve.replicas import domain as domain_module
 
 # A whole domain's controllers would list all domains at once without a wait.
@@ -59,8 +59,8 @@
 
     async def step(
         self,
-        place: moving.Place,
-        deployments: moving.Deployments,
+        place: move_policy.Place,
+        deployments: move_policy.Deployments,
         agreed: shares.Allocation,
     ) -> bool:
         """Make one pass; tell whether moves changed.
@@ -70,7 +70,7 @@
         now_s = self._clock.monotonic_s()
         if now_s < self._look_from_s:
             return False
-        if not moving.concerns(place, agreed, deployments):
+        if not move_policy.concerns(place, agreed, deployments):
             self.without_room = frozenset()
             return False
         done = await self._advance(
@@ -85,8 +85,8 @@
 
     async def _advance(
         self,
-        place: moving.Place,
-        deployments: moving.Deployments,
+        place: move_policy.Place,
+        deployments: move_policy.Deployments,
         *,
         may_seek: bool,
     ) -> Step:
@@ -105,28 +105,28 @@
             return Step()
         domains, capacities = listed.ok
         if place.short:
-            after = moving.relief_moves(deployments, capacities, before)
+            after = move_policy.relief_moves(deployments, capacities, before)
         else:
-            begun = moving.room_moves(
+            begun = move_policy.room_moves(
                 place, deployments, capacities, domains, before
             )
             after = shares.with_moves(before, begun)
         return Step(
             changed=after != before and await self._write(after, version),
             listed=True,
-            without_room=moving.without_room(
+            without_room=move_policy.without_room(
                 place, deployments, capacities, after
             ),
         )
 
     async def _ended(
         self,
-        place: moving.Place,
-        deployments: moving.Deployments,
+        place: move_policy.Place,
+        deployments: move_policy.Deployments,
         before: shares.Allocation,
     ) -> shares.Allocation:
         after = shares.without_moves(
-            before, moving.called_off(place, before, deployments)
+            before, move_policy.called_off(place, before, deployments)
         )
         for move in after.moves:
             if move.from_domain == place.domain.name and await self._arrived(
@@ -139,7 +139,7 @@
         self, move: shares.Move, agreed: shares.Allocation
     ) -> bool:
         found = await self._store.get(domain_module.KIND, move.to_domain)
-        return found.is_ok() and moving.holds_share(
+        return found.is_ok() and move_policy.holds_share(
             domain_module.from_stored(found.ok), agreed, move.deployment
         )
 
--- a/redwingvalve/evidence/entry_witness.py
+++ b/redwingvalve/evidence/entry_witness.py
@@ -7,7 +7,7 @@
 from redwingvalve.membership import members as members_module
 from redwingvalve.news import board
 from redwingvalve.replicas import domain as domain_module
-from redwingvalve.replicas import witness
+from redwingvalve.replicas import entry_reports
 
 READ_EVERY_S = 0.5
 # Entries see a VM each second. After this age, a step of the controller (0.5 s)
@@ -15,7 +15,7 @@
 VOUCHED_AGE_S = 1.5
 
 
-class NewsWitness(witness.Witness):
+class NewsWitness(entry_reports.Witness):
     """Reads findings and stopped epochs; waits for a bound without them."""
 
     def __init__(
@@ -28,7 +28,7 @@
         self._members = members
         self._news = news
         self._configuration = configuration
-        self._bounded = witness.BoundedWitness()
+        self._bounded = entry_reports.BoundedWitness()
         self._evidence = table.EvidenceTable()
         self._read_s: float | None = None
 
@@ -114,6 +114,6 @@
     members: members_module.Members,
     news: board.NewsBoard,
     configuration: snapshot.ConfigurationSource,
-) -> witness.Witness:
+) -> entry_reports.Witness:
     """Return the witness of one controller."""
     return NewsWitness(members, news, configuration)
--- a/redwingvalve/plans/making.py
+++ b/redwingvalve/plans/making.py
@@ -9,12 +9,18 @@
 from redwingvalve.declaration import schema
 from redwingvalve.plans import objects, plan
 from redwingvalve.platform_api import vm_list
-from redwingvalve.replicas import codec, moving, shares, spares, witness
+from redwingvalve.replicas import (
+    codec,
+    entry_reports,
+    move_policy,
+    shares,
+    spares,
+)
 from redwingvalve.replicas import domain as domain_module
 
 SECONDS_PER_MINUTE = 60.0
 # Entries stop sending before a drained replica is loaded anew.
-CHANGE_DRAIN_S = witness.SENDERS_STOPPED_AFTER_S
+CHANGE_DRAIN_S = entry_reports.SENDERS_STOPPED_AFTER_S
 
 
 @attrs.frozen
@@ -275,7 +281,7 @@
     """
     deployments = {each.name: each for each in after.deployments}
     capacities = capacities_of(world)
-    if moving.has_room(deployment, deployments, capacities, allocated):
+    if move_policy.has_room(deployment, deployments, capacities, allocated):
         return
     placed = allocated.total(deployment.name)
     accepted = deployment.accepts_change_in_place
--- a/redwingvalve/replicas/controller.py
+++ b/redwingvalve/replicas/controller.py
@@ -19,14 +19,14 @@
 )
 from redwingvalve.replicas import domain as domain_module
 from redwingvalve.replicas import (
+    domain_monitor,
     domain_store,
     draft,
+    entry_reports,
     lease,
-    moving,
-    ordering,
+    move_policy,
+    order_sender,
     placement,
-    watching,
-    witness,
 )
 from redwingvalve.replicas import view as view_module
 
@@ -53,7 +53,9 @@
     orders: engine_orders.EngineOrders
     weights: weight_store.WeightStore
     clock: clock.Clock
-    entries: witness.Witness = attrs.field(factory=witness.BoundedWitness)
+    entries: entry_reports.Witness = attrs.field(
+        factory=entry_reports.BoundedWitness
+    )
     chance: random.Random = attrs.field(factory=random.Random)
     switches: invariants.SafeguardSwitches = attrs.field(
         factory=invariants.SafeguardSwitches
@@ -82,10 +84,10 @@
         self._store = domain_store.DomainStore(
             tools.objects, owner, tools.switches
         )
-        self._watcher = watching.DomainWatcher(
+        self._watcher = domain_monitor.DomainWatcher(
             tools.orders, tools.clock, tools.entries, tools.switches
         )
-        self._sender = ordering.OrderSender(
+        self._sender = order_sender.OrderSender(
             tools.orders,
             tools.weights,
             tools.clock,
@@ -144,7 +146,7 @@
             self._read.domain if self._read else None,
         )
 
-    def place(self) -> moving.Place | None:
+    def place(self) -> move_policy.Place | None:
         """Return the domain and what it cannot hold; None without the lease.
 
         What lost a VM counts at once. What could not be formed counts after
@@ -160,7 +162,7 @@
                 for each in self._read.domain.replicas
                 if each.state == broken
             }
-        return moving.Place(self._read.domain, frozenset(short))
+        return move_policy.Place(self._read.domain, frozenset(short))
 
     def _short_for_s(self) -> float:
         if self._short_since_s is None:
@@ -191,7 +193,7 @@
         return reasons
 
     def _drop_lapsed_lease(self) -> None:
-        if not self._tools.switches.enabled(ordering.LEASE_CHECKED):
+        if not self._tools.switches.enabled(order_sender.LEASE_CHECKED):
             return
         holding = self._holding
         if holding is not None and holding.remaining_s(self._now_s()) <= 0:
@@ -265,7 +267,7 @@
     ) -> domain_module.FabricDomain:
         noted = current
         if surroundings.vms is not None:
-            noted = watching.with_listed(current, surroundings.vms)
+            noted = domain_monitor.with_listed(current, surroundings.vms)
         if surroundings.wanted is None:
             return noted
         view = self._watcher.view(noted, surroundings.wanted, stopped)
--- a/redwingvalve/replicas/watching.py
+++ b/redwingvalve/replicas/domain_monitor.py
@@ -8,7 +8,7 @@
 from redwingvalve.core import clock, invariants
 from redwingvalve.platform_api import engine_orders, vm_list
 from redwingvalve.replicas import domain as domain_module
-from redwingvalve.replicas import sightings, witness
+from redwingvalve.replicas import entry_reports, vm_health
 from redwingvalve.replicas import view as view_module
 
 PROBE_TIMEOUT_S = 0.5
@@ -24,7 +24,7 @@
         self,
         orders: engine_orders.EngineOrders,
         time_source: clock.Clock,
-        entries: witness.Witness,
+        entries: entry_reports.Witness,
         switches: invariants.SafeguardSwitches,
     ) -> None:
         """Know nothing yet."""
@@ -32,7 +32,7 @@
         self._clock = time_source
         self._entries = entries
         self._switches = switches
-        self._sightings = sightings.Sightings()
+        self._sightings = vm_health.Sightings()
         self._draining_since_s: dict[tuple[str, int], float] = {}
 
     async def probe(self, domain: domain_module.FabricDomain) -> None:
@@ -141,7 +141,7 @@
             name=vm.name,
             there=not vm.missing,
             leaving=vm.leaving,
-            kept_out=present_s < sightings.keep_out_s(vm.flaps),
+            kept_out=present_s < vm_health.keep_out_s(vm.flaps),
             failing=self._sightings.failing(vm.name),
             state=None if vm.missing else self._sightings.state(vm.name),
         )
@@ -170,7 +170,7 @@
         missing = self._sightings.missing(vm.name, now_s)
         flaps = vm.flaps + (missing and not vm.missing)
         present_s = self._sightings.present_for_s(vm.name, now_s)
-        if not missing and present_s > sightings.RECORD_CLEARED_AFTER_S:
+        if not missing and present_s > vm_health.RECORD_CLEARED_AFTER_S:
             flaps = 0
         if not self._sightings.judged(vm.name, now_s):
             missing = vm.missing
--- a/redwingvalve/replicas/tests/fixtures.py
+++ b/redwingvalve/replicas/tests/fixtures.py
@@ -7,7 +7,7 @@
 from redwingvalve.core import clock, invariants
 from redwingvalve.declaration import schema
 from redwingvalve.platform_api import vm_list
-from redwingvalve.replicas import controller, draft, view, witness
+from redwingvalve.replicas import controller, draft, entry_reports, view
 from redwingvalve.replicas import domain as domain_module
 from redwingvalve.standins import memory_fleet, memory_store
 
@@ -53,7 +53,7 @@
             self.ways[owner],
             self.weights,
             self.clock,
-            witness.BoundedWitness(),
+            entry_reports.BoundedWitness(),
             random.Random(owner),
             invariants.SafeguardSwitches(self.disabled),
             draft.Policy(),
--- a/redwingvalve/replicas/tests/gated.py
+++ b/redwingvalve/replicas/tests/gated.py
@@ -12,7 +12,7 @@
 
 from redwingvalve.core import invariants
 from redwingvalve.platform_api import engine_orders, object_api
-from redwingvalve.replicas import controller, draft, witness
+from redwingvalve.replicas import controller, draft, entry_reports
 from redwingvalve.standins import memory_fleet
 
 
@@ -82,7 +82,7 @@
         return await super().send(address, order, timeout_s)
 
 
-class EntriesSee(witness.BoundedWitness):
+class EntriesSee(entry_reports.BoundedWitness):
     """Entries see every VM that is alive."""
 
     def __init__(self, fleet):
