--- a/redwingvalve/bench/replicas_fleet.py
+++ b/redwingvalve/bench/replicas_fleet.py
@@ -70,14 +70,14 @@
         )
 
 
-class EntriesSee(entry_reports.BoundedWitness):
+class EntriesSee(entry_reports.NoEntryReports):
     """Entries probe the serving replicas, as they do beside controllers."""
 
     def __init__(self, fleet: memory_fleet.MemoryFleet) -> None:
         """See what is alive."""
         self._fleet = fleet
 
-    def shows(
+    def confirms_ready(
         self, vm: str, replica: domain_module.DomainReplica, now_s: float
     ) -> bool:
         """Tell whether the VM is ready in this epoch."""
--- a/redwingvalve/evidence/entry_witness.py
+++ b/redwingvalve/evidence/entry_witness.py
@@ -15,7 +15,7 @@
 VOUCHED_AGE_S = 1.5
 
 
-class NewsWitness(entry_reports.Witness):
+class NewsWitness(entry_reports.EntryReports):
     """Reads findings and stopped epochs; waits for a bound without them."""
 
     def __init__(
@@ -28,7 +28,7 @@
         self._members = members
         self._news = news
         self._configuration = configuration
-        self._bounded = entry_reports.BoundedWitness()
+        self._bounded = entry_reports.NoEntryReports()
         self._evidence = table.EvidenceTable()
         self._read_s: float | None = None
 
@@ -38,11 +38,11 @@
         seen = self._evidence.fresh(vm, now_s)
         return seen.seen_s if seen is not None else None
 
-    def cut_off(self) -> bool:
+    def is_isolated(self) -> bool:
         """Tell whether this process has heard from nobody for too long."""
         return self._members.isolated()
 
-    def shows(
+    def confirms_ready(
         self, vm: str, replica: domain_module.DomainReplica, now_s: float
     ) -> bool:
         """Tell whether an entry saw the VM ready in this epoch just now.
@@ -62,7 +62,7 @@
         if self._read_s is None or now_s - self._read_s >= READ_EVERY_S:
             self._take_in(now_s)
 
-    def all_stopped(
+    def senders_stopped(
         self,
         replica: domain_module.DomainReplica,
         draining_since_s: float,
@@ -74,7 +74,7 @@
         has ended or it is out of discovery, and the engine's count of work in
         flight still guards the stop.
         """
-        if self._bounded.all_stopped(replica, draining_since_s, now_s):
+        if self._bounded.senders_stopped(replica, draining_since_s, now_s):
             return True
         entries = {
             member.name
@@ -114,6 +114,6 @@
     members: members_module.Members,
     news: board.NewsBoard,
     configuration: snapshot.ConfigurationSource,
-) -> entry_reports.Witness:
+) -> entry_reports.EntryReports:
     """Return the witness of one controller."""
     return NewsWitness(members, news, configuration)
--- a/redwingvalve/plans/making.py
+++ b/redwingvalve/plans/making.py
@@ -20,7 +20,7 @@
 
 SECONDS_PER_MINUTE = 60.0
 # Entries stop sending before a drained replica is loaded anew.
-CHANGE_DRAIN_S = entry_reports.SENDERS_STOPPED_AFTER_S
+CHANGE_DRAIN_S = entry_reports.SENDERS_STOP_TIMEOUT_S
 
 
 @attrs.frozen
--- a/redwingvalve/replicas/controller.py
+++ b/redwingvalve/replicas/controller.py
@@ -53,8 +53,8 @@
     orders: engine_orders.EngineOrders
     weights: weight_store.WeightStore
     clock: clock.Clock
-    entries: entry_reports.Witness = attrs.field(
-        factory=entry_reports.BoundedWitness
+    entries: entry_reports.EntryReports = attrs.field(
+        factory=entry_reports.NoEntryReports
     )
     chance: random.Random = attrs.field(factory=random.Random)
     switches: invariants.SafeguardSwitches = attrs.field(
@@ -119,7 +119,7 @@
             return
         stopped = self._watcher.stopped_replicas(self._read.domain)
         await self._watcher.probe(self._read.domain)
-        if self._watcher.sees_none() and self._tools.entries.cut_off():
+        if self._watcher.sees_none() and self._tools.entries.is_isolated():
             # Cut off from its peers and from every engine, it would break
             # replicas that others see serving; those others take over.
             await self.release()
--- a/redwingvalve/replicas/domain_monitor.py
+++ b/redwingvalve/replicas/domain_monitor.py
@@ -24,7 +24,7 @@
         self,
         orders: engine_orders.EngineOrders,
         time_source: clock.Clock,
-        entries: entry_reports.Witness,
+        entries: entry_reports.EntryReports,
         switches: invariants.SafeguardSwitches,
     ) -> None:
         """Know nothing yet."""
@@ -61,7 +61,7 @@
             if replica.state == domain_module.ReplicaState.SERVING
             for name in replica.members
             if self._sightings.seen_within(name, OWN_PROBE_EVERY_S, now_s)
-            and self._entries.shows(name, replica, now_s)
+            and self._entries.confirms_ready(name, replica, now_s)
         )
 
     async def _probe_vm(
@@ -115,7 +115,7 @@
         return frozenset(
             each.name
             for each in draining
-            if self._entries.all_stopped(
+            if self._entries.senders_stopped(
                 each, self._draining_since_s[each.name, each.epoch], now_s
             )
         )
--- a/redwingvalve/replicas/tests/fixtures.py
+++ b/redwingvalve/replicas/tests/fixtures.py
@@ -53,7 +53,7 @@
             self.ways[owner],
             self.weights,
             self.clock,
-            entry_reports.BoundedWitness(),
+            entry_reports.NoEntryReports(),
             random.Random(owner),
             invariants.SafeguardSwitches(self.disabled),
             draft.Policy(),
--- a/redwingvalve/replicas/tests/gated.py
+++ b/redwingvalve/replicas/tests/gated.py
@@ -82,7 +82,7 @@
         return await super().send(address, order, timeout_s)
 
 
-class EntriesSee(entry_reports.BoundedWitness):
+class EntriesSee(entry_reports.NoEntryReports):
     """Entries see every VM that is alive."""
 
     def __init__(self, fleet):
