--- a/redwingvalve/bench/replicas_fleet.py
+++ b/redwingvalve/bench/replicas_fleet.py
@@ -118,15 +118,13 @@
         self.controllers = self._controllers(strategy, seed)
         self._chance = random.Random(seed)
         self._movers = {
-            name: move_reconciler.make_mover(
+            name: move_reconciler.make_move_reconciler(
                 self.store, self.fleet, self.clock, self._chance
             )
             for name in self.names
             if strategy.heal_from_spares
         }
-        self._reader = inputs.SurroundingsReader(
-            self.store, self.fleet, self.clock
-        )
+        self._reader = inputs.InputReader(self.store, self.fleet, self.clock)
         self._read: dict[str, tuple[str, domain_module.FabricDomain]] = {}
 
     def _vms(self, strategy: Strategy) -> tuple[vm_list.Vm, ...]:
@@ -150,13 +148,13 @@
     def _controllers(
         self, strategy: Strategy, seed: int
     ) -> dict[str, controller.DomainController]:
-        tools = controller.Tools(
+        tools = controller.Dependencies(
             objects=self.store,
             orders=memory_fleet.MemoryOrders(self.fleet),
             weights=self.weights,
             clock=self.clock,
             entries=EntriesSee(self.fleet),
-            chance=random.Random(seed),
+            rng=random.Random(seed),
             policy=draft.Policy(heal_from_spares=strategy.heal_from_spares),
         )
         return {
@@ -232,9 +230,9 @@
         without_room = frozenset((self.deployment.name,))
         if mover is not None:
             without_room = mover.without_room
-        await each.step(self._reader.of(name, without_room))
-        place = each.place()
-        deployments, agreed = self._reader.agreed()
+        await each.step(self._reader.inputs_for(name, without_room))
+        place = each.domain_state()
+        deployments, agreed = self._reader.desired_state()
         if mover is not None and place is not None and agreed is not None:
             await mover.step(place, deployments, agreed)
 
--- a/redwingvalve/control/inputs.py
+++ b/redwingvalve/control/inputs.py
@@ -23,7 +23,7 @@
 Deployments = dict[str, schema.ModelDeployment]
 
 
-class SurroundingsReader:
+class InputReader:
     """Keeps the last good answers; an outage leaves what was known."""
 
     def __init__(
@@ -60,21 +60,21 @@
             self._deployments = declared.ok
             self._shares = agreed.ok[0]
 
-    def of(
+    def inputs_for(
         self, domain: str, without_room: frozenset[str] = NO_DEPLOYMENTS
-    ) -> controller.Surroundings:
+    ) -> controller.ControllerInputs:
         """Return what the controller of a domain works from.
 
         without_room names deployments whose change found no VMs anywhere.
         """
         if self._deployments is None or self._shares is None:
-            return controller.Surroundings(self.vms, None)
+            return controller.ControllerInputs(self.vms, None)
         wanted = wanted_of(
             domain, self._shares, self._deployments, without_room
         )
-        return controller.Surroundings(self.vms, wanted)
+        return controller.ControllerInputs(self.vms, wanted)
 
-    def agreed(self) -> tuple[Deployments, shares.Allocation | None]:
+    def desired_state(self) -> tuple[Deployments, shares.Allocation | None]:
         """Return what is declared and allocated, as far as it is known."""
         return self._deployments or {}, self._shares
 
--- a/redwingvalve/control/loop.py
+++ b/redwingvalve/control/loop.py
@@ -34,7 +34,7 @@
     """One domain that this process watches."""
 
     controller: controller.DomainController
-    mover: move_reconciler.Mover
+    mover: move_reconciler.MoveReconciler
     created: bool = False
 
 
@@ -44,7 +44,7 @@
     def __init__(
         self,
         owner: str,
-        tools: controller.Tools,
+        tools: controller.Dependencies,
         vms: vm_list.VmList,
         members: members_module.Members | None = None,
     ) -> None:
@@ -54,7 +54,7 @@
         self._vm_list = vms
         self._members = members
         self._book = book.make_plan_book(tools.objects, vms, tools.clock)
-        self._reader = inputs_module.SurroundingsReader(
+        self._reader = inputs_module.InputReader(
             tools.objects, vms, tools.clock
         )
         self._domains: dict[str, _Domain] = {}
@@ -99,7 +99,7 @@
         if now_s < self._finish_from_s:
             return
         # Jitter keeps the controllers from all reading at one moment.
-        jitter = self._tools.chance.uniform(0.75, 1.25)
+        jitter = self._tools.rng.uniform(0.75, 1.25)
         self._finish_from_s = now_s + FINISH_EVERY_S * jitter
         if not self._is_candidate('plans'):
             return
@@ -132,8 +132,8 @@
         tools = self._tools
         return _Domain(
             controller.make_domain_controller(name, self._owner, tools),
-            move_reconciler.make_mover(
-                tools.objects, self._vm_list, tools.clock, tools.chance
+            move_reconciler.make_move_reconciler(
+                tools.objects, self._vm_list, tools.clock, tools.rng
             ),
         )
 
@@ -158,13 +158,13 @@
         if not watched.created:
             watched.created = await self._create(name)
         await watched.controller.step(
-            self._reader.of(name, watched.mover.without_room)
+            self._reader.inputs_for(name, watched.mover.without_room)
         )
-        place = watched.controller.place()
-        deployments, agreed = self._reader.agreed()
-        if place is None or agreed is None:
+        domain_state = watched.controller.domain_state()
+        deployments, agreed = self._reader.desired_state()
+        if domain_state is None or agreed is None:
             return
-        if await watched.mover.step(place, deployments, agreed):
+        if await watched.mover.step(domain_state, deployments, agreed):
             LOG.info('Moves of replicas changed', extra={'domain': name})
 
     async def _create(self, name: str) -> bool:
@@ -188,7 +188,7 @@
 
 def make_control_loop(
     owner: str,
-    tools: controller.Tools,
+    tools: controller.Dependencies,
     vms: vm_list.VmList,
     members: members_module.Members | None = None,
 ) -> ControlLoop:
--- a/redwingvalve/control/move_reconciler.py
+++ b/redwingvalve/control/move_reconciler.py
@@ -38,7 +38,7 @@
 ]
 
 
-class Mover:
+class MoveReconciler:
     """Takes the steps of one domain, no more often than stated above."""
 
     def __init__(
@@ -59,7 +59,7 @@
 
     async def step(
         self,
-        place: move_policy.Place,
+        domain_state: move_policy.DomainState,
         deployments: move_policy.Deployments,
         agreed: shares.Allocation,
     ) -> bool:
@@ -70,11 +70,11 @@
         now_s = self._clock.monotonic_s()
         if now_s < self._look_from_s:
             return False
-        if not move_policy.concerns(place, agreed, deployments):
+        if not move_policy.concerns(domain_state, agreed, deployments):
             self.without_room = frozenset()
             return False
         done = await self._advance(
-            place, deployments, may_seek=now_s >= self._seek_from_s
+            domain_state, deployments, may_seek=now_s >= self._seek_from_s
         )
         jitter = self._chance.uniform(0.75, 1.25)
         self._look_from_s = now_s + LOOK_EVERY_S * jitter
@@ -85,7 +85,7 @@
 
     async def _advance(
         self,
-        place: move_policy.Place,
+        domain_state: move_policy.DomainState,
         deployments: move_policy.Deployments,
         *,
         may_seek: bool,
@@ -95,7 +95,7 @@
         if agreed.is_error() or not agreed.ok[1]:
             return Step()
         before, version = agreed.ok
-        after = await self._ended(place, deployments, before)
+        after = await self._ended(domain_state, deployments, before)
         if after != before:
             return Step(changed=await self._write(after, version))
         if not may_seek:
@@ -104,33 +104,34 @@
         if listed.is_error():
             return Step()
         domains, capacities = listed.ok
-        if place.short:
+        if domain_state.short:
             after = move_policy.relief_moves(deployments, capacities, before)
         else:
             begun = move_policy.room_moves(
-                place, deployments, capacities, domains, before
+                domain_state, deployments, capacities, domains, before
             )
             after = shares.with_moves(before, begun)
         return Step(
             changed=after != before and await self._write(after, version),
             listed=True,
             without_room=move_policy.without_room(
-                place, deployments, capacities, after
+                domain_state, deployments, capacities, after
             ),
         )
 
     async def _ended(
         self,
-        place: move_policy.Place,
+        domain_state: move_policy.DomainState,
         deployments: move_policy.Deployments,
         before: shares.Allocation,
     ) -> shares.Allocation:
         after = shares.without_moves(
-            before, move_policy.called_off(place, before, deployments)
+            before, move_policy.called_off(domain_state, before, deployments)
         )
         for move in after.moves:
-            if move.from_domain == place.domain.name and await self._arrived(
-                move, after
+            if (
+                move.from_domain == domain_state.domain.name
+                and await self._arrived(move, after)
             ):
                 after = shares.after_moves(after, (move,))
         return after
@@ -164,11 +165,11 @@
         return written.is_ok()
 
 
-def make_mover(
+def make_move_reconciler(
     store: object_api.ObjectApi,
     vms: vm_list.VmList,
     time_source: clock.Clock,
     chance: random.Random,
-) -> Mover:
+) -> MoveReconciler:
     """Return the mover of one domain."""
-    return Mover(store, vms, time_source, chance)
+    return MoveReconciler(store, vms, time_source, chance)
--- a/redwingvalve/control/tests/test_loop.py
+++ b/redwingvalve/control/tests/test_loop.py
@@ -28,12 +28,12 @@
         self.weights = memory_fleet.MemoryWeights(self.clock, 1.0, 4)
 
     def loop(self, owner):
-        tools = controller.Tools(
+        tools = controller.Dependencies(
             self.store,
             memory_fleet.MemoryOrders(self.fleet),
             self.weights,
             self.clock,
-            chance=random.Random(3),
+            rng=random.Random(3),
         )
         return loop.make_control_loop(owner, tools, self.fleet)
 
--- a/redwingvalve/process/control.py
+++ b/redwingvalve/process/control.py
@@ -77,7 +77,7 @@
     """Return the control loop of one process."""
     me = parts.node.members.myself()
     owner = f'{me.name}/{me.incarnation}'
-    tools = controller.Tools(
+    tools = controller.Dependencies(
         objects=parts.objects,
         orders=parts.orders,
         weights=parts.weights,
@@ -85,7 +85,7 @@
         entries=entry_witness.make_news_witness(
             parts.node.members, parts.node.news, parts.node.configuration
         ),
-        chance=random.Random(owner),
+        rng=random.Random(owner),
         switches=parts.switches,
     )
     listed = drains.make_drained_vm_list(parts.vms, reader)
--- a/redwingvalve/replicas/controller.py
+++ b/redwingvalve/replicas/controller.py
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen
-class Surroundings:
+class ControllerInputs:
     """What the loop reads once for all domains; None when it is unknown."""
 
     vms: tuple[vm_list.Vm, ...] | None
@@ -46,7 +46,7 @@
 
 
 @attrs.frozen
-class Tools:
+class Dependencies:
     """What a controller works with."""
 
     objects: object_api.ObjectApi
@@ -56,7 +56,7 @@
     entries: entry_reports.EntryReports = attrs.field(
         factory=entry_reports.NoEntryReports
     )
-    chance: random.Random = attrs.field(factory=random.Random)
+    rng: random.Random = attrs.field(factory=random.Random)
     switches: invariants.SafeguardSwitches = attrs.field(
         factory=invariants.SafeguardSwitches
     )
@@ -76,7 +76,7 @@
 class DomainController:
     """Steps one domain; owner is unique to this process's incarnation."""
 
-    def __init__(self, name: str, owner: str, tools: Tools) -> None:
+    def __init__(self, name: str, owner: str, tools: Dependencies) -> None:
         """Hold nothing yet."""
         self._name = name
         self._owner = owner
@@ -91,7 +91,7 @@
             tools.orders,
             tools.weights,
             tools.clock,
-            tools.chance,
+            tools.rng,
             tools.switches,
         )
         self._read: domain_store.StoredDomain | None = None
@@ -105,7 +105,7 @@
         self._short: frozenset[str] = frozenset()
         self._short_since_s: float | None = None
 
-    async def step(self, surroundings: Surroundings) -> None:
+    async def step(self, inputs: ControllerInputs) -> None:
         """Make one pass."""
         now_s = self._now_s()
         if now_s - self._last_step_s > lease.PAUSE_NOTICED_S:
@@ -125,8 +125,8 @@
             await self.release()
             return
         if self._watcher.judged(self._read.domain):
-            await self._decide(surroundings, stopped)
-        await self._order(surroundings)
+            await self._decide(inputs, stopped)
+        await self._order(inputs)
 
     async def release(self) -> None:
         """Give the lease back, so that the next holder need not wait."""
@@ -146,7 +146,7 @@
             self._read.domain if self._read else None,
         )
 
-    def place(self) -> move_policy.Place | None:
+    def domain_state(self) -> move_policy.DomainState | None:
         """Return the domain and what it cannot hold; None without the lease.
 
         What lost a VM counts at once. What could not be formed counts after
@@ -162,7 +162,7 @@
                 for each in self._read.domain.replicas
                 if each.state == broken
             }
-        return move_policy.Place(self._read.domain, frozenset(short))
+        return move_policy.DomainState(self._read.domain, frozenset(short))
 
     def _short_for_s(self) -> float:
         if self._short_since_s is None:
@@ -249,12 +249,12 @@
         LOG.info('The lease was taken', extra={'domain': self._name})
 
     async def _decide(
-        self, surroundings: Surroundings, stopped: frozenset[str]
+        self, inputs: ControllerInputs, stopped: frozenset[str]
     ) -> None:
         read = self._read
         if read is None or self._now_s() < self._store_from_s:
             return
-        following = self._following(read.domain, surroundings, stopped)
+        following = self._following(read.domain, inputs, stopped)
         due = self._now_s() - self._renewed_s >= lease.RENEW_AFTER_S
         if following != read.domain or due:
             await self._write(read, following)
@@ -262,19 +262,19 @@
     def _following(
         self,
         current: domain_module.FabricDomain,
-        surroundings: Surroundings,
+        inputs: ControllerInputs,
         stopped: frozenset[str],
     ) -> domain_module.FabricDomain:
         noted = current
-        if surroundings.vms is not None:
-            noted = domain_monitor.with_listed(current, surroundings.vms)
-        if surroundings.wanted is None:
+        if inputs.vms is not None:
+            noted = domain_monitor.with_listed(current, inputs.vms)
+        if inputs.wanted is None:
             return noted
-        view = self._watcher.view(noted, surroundings.wanted, stopped)
+        view = self._watcher.view(noted, inputs.wanted, stopped)
         following = placement.next_domain(
             view, self._tools.switches, self._tools.policy
         )
-        self._note_shortage(following, surroundings.wanted)
+        self._note_shortage(following, inputs.wanted)
         return _with_events(current, following, self._tools.clock.wall_s())
 
     async def _write(
@@ -301,11 +301,11 @@
                 self._holding, answer.ok.domain, sent_s
             )
 
-    async def _order(self, surroundings: Surroundings) -> None:
+    async def _order(self, inputs: ControllerInputs) -> None:
         if self._read is None or self._holding is None:
             return
         view = self._watcher.view(
-            self._read.domain, surroundings.wanted or (), frozenset()
+            self._read.domain, inputs.wanted or (), frozenset()
         )
         with invariants.breaches_alone():
             await self._sender.converge(view, self._holding)
@@ -321,7 +321,7 @@
             max(2 * self._backoff_s, FIRST_BACKOFF_S, problem.retry_after_s),
             max(LONGEST_BACKOFF_S, problem.retry_after_s),
         )
-        jitter = self._tools.chance.uniform(0.5, 1)
+        jitter = self._tools.rng.uniform(0.5, 1)
         self._store_from_s = now_s + self._backoff_s * jitter
 
     def _note_success(self) -> None:
@@ -377,7 +377,7 @@
 
 
 def make_domain_controller(
-    name: str, owner: str, tools: Tools
+    name: str, owner: str, tools: Dependencies
 ) -> DomainController:
     """Return the controller of one domain."""
     return DomainController(name, owner, tools)
--- a/redwingvalve/replicas/move_policy.py
+++ b/redwingvalve/replicas/move_policy.py
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen
-class Place:
+class DomainState:
     """A domain as its own controller sees it; short names deployments."""
 
     domain: domain_module.FabricDomain
@@ -33,14 +33,19 @@
 
 
 def concerns(
-    place: Place, agreed: shares.Allocation, deployments: Deployments
+    domain_state: DomainState,
+    agreed: shares.Allocation,
+    deployments: Deployments,
 ) -> bool:
     """Tell whether the domain has a move to begin, end or call off."""
-    name = place.domain.name
+    name = domain_state.domain.name
     return (
-        bool(place.short)
+        bool(domain_state.short)
         or any(each.from_domain == name for each in agreed.moves)
-        or any(needs_room(place.domain, each) for each in deployments.values())
+        or any(
+            needs_room(domain_state.domain, each)
+            for each in deployments.values()
+        )
     )
 
 
@@ -63,34 +68,38 @@
 
 
 def called_off(
-    place: Place, agreed: shares.Allocation, deployments: Deployments
+    domain_state: DomainState,
+    agreed: shares.Allocation,
+    deployments: Deployments,
 ) -> tuple[shares.Move, ...]:
     """Return the open moves that the domain should call off."""
     return tuple(
         move
         for move in agreed.moves
-        if _into_short(move, place) or _not_needed(move, place, deployments)
+        if _into_short(move, domain_state)
+        or _not_needed(move, domain_state, deployments)
     )
 
 
-def _into_short(move: shares.Move, place: Place) -> bool:
+def _into_short(move: shares.Move, domain_state: DomainState) -> bool:
     return (
-        move.to_domain == place.domain.name and move.deployment in place.short
+        move.to_domain == domain_state.domain.name
+        and move.deployment in domain_state.short
     )
 
 
 def _not_needed(
-    move: shares.Move, place: Place, deployments: Deployments
+    move: shares.Move, domain_state: DomainState, deployments: Deployments
 ) -> bool:
-    if move.from_domain != place.domain.name:
+    if move.from_domain != domain_state.domain.name:
         return False
     deployment = deployments.get(move.deployment)
     if deployment is None:
         return True
     if move.reason == shares.MoveReason.RELIEF:
-        return move.deployment not in place.short
+        return move.deployment not in domain_state.short
     return not any(
-        _outdated(each, deployment) for each in place.domain.replicas
+        _outdated(each, deployment) for each in domain_state.domain.replicas
     )
 
 
@@ -127,21 +136,21 @@
 
 
 def room_moves(
-    place: Place,
+    domain_state: DomainState,
     deployments: Deployments,
     capacities: tuple[shares.DomainCapacity, ...],
     domains: tuple[domain_module.FabricDomain, ...],
     agreed: shares.Allocation,
 ) -> tuple[shares.Move, ...]:
     """Begin to free VMs for one replica of each deployment that waits."""
-    name = place.domain.name
+    name = domain_state.domain.name
     moving = {
         each.deployment for each in agreed.moves if each.from_domain == name
     }
     found: list[shares.Move] = []
     for deployment in deployments.values():
         if deployment.name in moving or not needs_room(
-            place.domain, deployment
+            domain_state.domain, deployment
         ):
             continue
         host = _host(name, deployment, deployments, capacities, domains, agreed)
@@ -184,7 +193,7 @@
 
 
 def without_room(
-    place: Place,
+    domain_state: DomainState,
     deployments: Deployments,
     capacities: tuple[shares.DomainCapacity, ...],
     agreed: shares.Allocation,
@@ -194,7 +203,7 @@
     return frozenset(
         each.name
         for each in deployments.values()
-        if needs_room(place.domain, each)
+        if needs_room(domain_state.domain, each)
         and each.name not in moving
         and not has_room(each, deployments, capacities, agreed)
     )
--- a/redwingvalve/replicas/tests/fixtures.py
+++ b/redwingvalve/replicas/tests/fixtures.py
@@ -48,7 +48,7 @@
 
     def controller(self, owner, store=None):
         self.ways[owner] = memory_fleet.MemoryOrders(self.fleet)
-        tools = controller.Tools(
+        tools = controller.Dependencies(
             store or self.store,
             self.ways[owner],
             self.weights,
@@ -60,13 +60,13 @@
         )
         return controller.make_domain_controller('d', owner, tools)
 
-    def surroundings(self):
-        return controller.Surroundings(self.fleet.vms(), self.wanted)
+    def inputs(self):
+        return controller.ControllerInputs(self.fleet.vms(), self.wanted)
 
     async def run(self, duration_s, *controllers):
         for _ in range(int(duration_s / STEP_S)):
             for each in controllers:
-                await each.step(self.surroundings())
+                await each.step(self.inputs())
             self.clock.advance(STEP_S)
 
     def domain(self):
--- a/redwingvalve/replicas/tests/gated.py
+++ b/redwingvalve/replicas/tests/gated.py
@@ -99,7 +99,7 @@
         self.gate = Gate()
         self.bench = bench
         self.orders = GatedOrders(bench.fleet, self.gate)
-        tools = controller.Tools(
+        tools = controller.Dependencies(
             GatedStore(bench.store, self.gate),
             self.orders,
             bench.weights,
@@ -114,7 +114,7 @@
 
     async def _run(self):
         while True:
-            await self.controller.step(self.bench.surroundings())
+            await self.controller.step(self.bench.inputs())
             await self.gate.wait()
 
     def check(self):
