--- a/redwingvalve/bench/replicas.py
+++ b/redwingvalve/bench/replicas.py
@@ -235,7 +235,7 @@
     """
     looked_at = [_view_with_loss(index) for index in range(domains)]
     switches = invariants.SafeguardSwitches()
-    policy = draft.Policy()
+    policy = draft.PlacementPolicy()
     began_s = time.perf_counter()
     for _ in range(repeats):
         for each in looked_at:
@@ -267,12 +267,14 @@
     )
     views = {
         vm.name: view.VmView(
-            vm.name, there=True, state=_state(vm.name, replicas)
+            vm.name, reachable=True, state=_state(vm.name, replicas)
         )
         for vm in vms
     }
-    views['vm-1'] = view.VmView('vm-1', there=False)
-    return view.DomainView(domain, views, (view.Wanted(deployment, 15, 12),))
+    views['vm-1'] = view.VmView('vm-1', reachable=False)
+    return view.DomainView(
+        domain, views, (view.DesiredShare(deployment, 15, 12),)
+    )
 
 
 def _state(
--- a/redwingvalve/bench/replicas_fleet.py
+++ b/redwingvalve/bench/replicas_fleet.py
@@ -155,7 +155,9 @@
             clock=self.clock,
             entries=EntriesSee(self.fleet),
             rng=random.Random(seed),
-            policy=draft.Policy(heal_from_spares=strategy.heal_from_spares),
+            policy=draft.PlacementPolicy(
+                heal_from_spares=strategy.heal_from_spares
+            ),
         )
         return {
             name: controller.make_domain_controller(
--- a/redwingvalve/control/inputs.py
+++ b/redwingvalve/control/inputs.py
@@ -84,10 +84,10 @@
     agreed: shares.Allocation,
     deployments: Deployments,
     without_room: frozenset[str],
-) -> tuple[view_module.Wanted, ...]:
+) -> tuple[view_module.DesiredShare, ...]:
     """Return the shares of one domain."""
     return tuple(
-        view_module.Wanted(
+        view_module.DesiredShare(
             deployments[share.deployment],
             share.replicas,
             share.floor_replicas,
--- a/redwingvalve/replicas/controller.py
+++ b/redwingvalve/replicas/controller.py
@@ -42,7 +42,7 @@
     """What the loop reads once for all domains; None when it is unknown."""
 
     vms: tuple[vm_list.Vm, ...] | None
-    wanted: tuple[view_module.Wanted, ...] | None
+    wanted: tuple[view_module.DesiredShare, ...] | None
 
 
 @attrs.frozen
@@ -60,7 +60,7 @@
     switches: invariants.SafeguardSwitches = attrs.field(
         factory=invariants.SafeguardSwitches
     )
-    policy: draft.Policy = attrs.field(factory=draft.Policy)
+    policy: draft.PlacementPolicy = attrs.field(factory=draft.PlacementPolicy)
 
 
 @attrs.frozen
@@ -172,7 +172,7 @@
     def _note_shortage(
         self,
         following: domain_module.FabricDomain,
-        wanted: tuple[view_module.Wanted, ...],
+        wanted: tuple[view_module.DesiredShare, ...],
     ) -> None:
         self._short = _short(following, wanted)
         if not self._short:
@@ -334,7 +334,7 @@
 
 def _short(
     domain: domain_module.FabricDomain,
-    wanted: tuple[view_module.Wanted, ...],
+    wanted: tuple[view_module.DesiredShare, ...],
 ) -> frozenset[str]:
     """Return the deployments of which the domain cannot hold its share."""
     broken = domain_module.ReplicaState.BROKEN
--- a/redwingvalve/replicas/domain_monitor.py
+++ b/redwingvalve/replicas/domain_monitor.py
@@ -123,7 +123,7 @@
     def view(
         self,
         domain: domain_module.FabricDomain,
-        wanted: tuple[view_module.Wanted, ...],
+        wanted: tuple[view_module.DesiredShare, ...],
         stopped: frozenset[str],
     ) -> view_module.DomainView:
         """Return the view after a probe."""
@@ -139,9 +139,9 @@
         present_s = self._sightings.present_for_s(vm.name, now_s)
         return view_module.VmView(
             name=vm.name,
-            there=not vm.missing,
+            reachable=not vm.missing,
             leaving=vm.leaving,
-            kept_out=present_s < vm_health.keep_out_s(vm.flaps),
+            quarantined=present_s < vm_health.keep_out_s(vm.flaps),
             failing=self._sightings.failing(vm.name),
             state=None if vm.missing else self._sightings.state(vm.name),
         )
--- a/redwingvalve/replicas/draft.py
+++ b/redwingvalve/replicas/draft.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class Policy:
+class PlacementPolicy:
     """What placement goes by beside the prices.
 
     A replaced VM is back after repair_time_s (platforms restart one in
@@ -35,7 +35,7 @@
         self,
         view: view_module.DomainView,
         switches: invariants.SafeguardSwitches,
-        policy: Policy,
+        policy: PlacementPolicy,
     ) -> None:
         """Start from the domain as it stands."""
         self.domain = view.domain
@@ -73,7 +73,7 @@
 
     def lost_members(self, replica: Replica) -> list[str]:
         """Return the members that are not there."""
-        return [name for name in replica.members if not self.vm(name).there]
+        return [name for name in replica.members if not self.vm(name).reachable]
 
     def runs_as_ordered(self, replica: Replica) -> bool:
         """Tell whether every member is at its state, ready or not yet."""
@@ -88,7 +88,7 @@
 
     def outdated(self, replica: Replica) -> bool:
         """Tell whether the replica has to be replaced by another."""
-        wanted = self.view.wants(replica.deployment)
+        wanted = self.view.desired_share(replica.deployment)
         if wanted is None or self.has_leaving(replica):
             return True
         return not domain_module.is_as_declared(replica, wanted.deployment)
@@ -103,7 +103,7 @@
 
     def value_of(self, replica: Replica) -> float:
         """Return the price of a minute without the replica."""
-        wanted = self.view.wants(replica.deployment)
+        wanted = self.view.desired_share(replica.deployment)
         return downtime_price(wanted.deployment) if wanted else 0.0
 
     def set_state(self, replica: Replica, state: State, reason: str) -> None:
@@ -127,7 +127,7 @@
 
         Its model, version and adapters are brought up to what is declared.
         """
-        wanted = self.view.wants(replica.deployment)
+        wanted = self.view.desired_share(replica.deployment)
         changed = attrs.evolve(
             replica,
             epoch=self.take_epoch(),
@@ -159,7 +159,7 @@
     )
 
 
-def value_rank(wanted: view_module.Wanted) -> tuple[float, str]:
+def value_rank(wanted: view_module.DesiredShare) -> tuple[float, str]:
     """Order deployments by price, the dearest first."""
     return (-downtime_price(wanted.deployment), wanted.deployment.name)
 
--- a/redwingvalve/replicas/healing.py
+++ b/redwingvalve/replicas/healing.py
@@ -74,7 +74,7 @@
 
 def _heal(draft: Draft, name: str, lower_ranked: list[str]) -> None:
     replica = draft.domain.replica(name)
-    wanted = draft.view.wants(replica.deployment) if replica else None
+    wanted = draft.view.desired_share(replica.deployment) if replica else None
     # Members that are all at their state only need time to get ready.
     if replica is None or wanted is None or draft.runs_as_ordered(replica):
         return
@@ -119,7 +119,7 @@
     return gifts
 
 
-def _dissolve_for(draft: Draft, wanted: view_module.Wanted) -> bool:
+def _dissolve_for(draft: Draft, wanted: view_module.DesiredShare) -> bool:
     candidates = [
         replica
         for replica in draft.in_state(State.SERVING)
@@ -136,9 +136,9 @@
 
 
 def _worth_dissolving(
-    draft: Draft, replica: Replica, wanted: view_module.Wanted
+    draft: Draft, replica: Replica, wanted: view_module.DesiredShare
 ) -> bool:
-    other = draft.view.wants(replica.deployment)
+    other = draft.view.desired_share(replica.deployment)
     if other is None or other.deployment.name == wanted.deployment.name:
         return False
     serving = draft.of(replica.deployment, State.SERVING)
@@ -164,7 +164,7 @@
     gaining: schema.ModelDeployment,
     losing: schema.ModelDeployment,
     left_over_vms: int,
-    policy: draft_module.Policy,
+    policy: draft_module.PlacementPolicy,
 ) -> bool:
     """Weigh the outage that is left after a load against the other one.
 
--- a/redwingvalve/replicas/order_sender.py
+++ b/redwingvalve/replicas/order_sender.py
@@ -141,7 +141,7 @@
         replica: domain_module.DomainReplica | None,
         holding: lease.Holding,
     ) -> engine_orders.EngineOrder | None:
-        if not seen.there or seen.state is None:
+        if not seen.reachable or seen.state is None:
             return None
         if replica is None:
             wanted = _idle_order(seen.name, holding.fencing_number)
@@ -279,4 +279,4 @@
     """
     if state is None or not state.replica or _is_at(state, order):
         return False
-    return all(view.vm(name).there for name in state.members)
+    return all(view.vm(name).reachable for name in state.members)
--- a/redwingvalve/replicas/placement.py
+++ b/redwingvalve/replicas/placement.py
@@ -25,7 +25,7 @@
 def next_domain(
     view: view_module.DomainView,
     switches: invariants.SafeguardSwitches,
-    policy: draft_module.Policy,
+    policy: draft_module.PlacementPolicy,
 ) -> domain_module.FabricDomain:
     """Return the domain as it should stand next."""
     draft = Draft(view, switches, policy)
@@ -81,13 +81,13 @@
             'a replica serves only after its state was read back',
             f'{draft.domain.name}/{replica.name} epoch {replica.epoch}',
         )
-        if not any(draft.vm(name).kept_out for name in replica.members):
+        if not any(draft.vm(name).quarantined for name in replica.members):
             draft.set_state(replica, State.SERVING, '')
 
 
 def _retire_surplus(draft: Draft) -> None:
     for name in sorted({each.deployment for each in draft.domain.replicas}):
-        wanted = draft.view.wants(name)
+        wanted = draft.view.desired_share(name)
         _retire(draft, name, wanted.replicas if wanted else 0)
 
 
@@ -117,7 +117,7 @@
         _replace_one(draft, wanted)
 
 
-def _replace_one(draft: Draft, wanted: view_module.Wanted) -> None:
+def _replace_one(draft: Draft, wanted: view_module.DesiredShare) -> None:
     """Form a replacement first if VMs are free, else drain one."""
     name = wanted.deployment.name
     serving = draft.of(name, State.SERVING)
--- a/redwingvalve/replicas/tests/fixtures.py
+++ b/redwingvalve/replicas/tests/fixtures.py
@@ -37,7 +37,7 @@
             LOAD_S,
         )
         self.weights = memory_fleet.MemoryWeights(self.clock, 1.0, 4)
-        self.wanted = wanted or (view.Wanted(deployment(), 2, 0),)
+        self.wanted = wanted or (view.DesiredShare(deployment(), 2, 0),)
         self.disabled = disabled
         self.ways = {}
 
@@ -56,7 +56,7 @@
             entry_reports.NoEntryReports(),
             random.Random(owner),
             invariants.SafeguardSwitches(self.disabled),
-            draft.Policy(),
+            draft.PlacementPolicy(),
         )
         return controller.make_domain_controller('d', owner, tools)
 
--- a/redwingvalve/replicas/tests/gated.py
+++ b/redwingvalve/replicas/tests/gated.py
@@ -107,7 +107,7 @@
             EntriesSee(bench.fleet),
             random.Random(name),
             invariants.SafeguardSwitches(bench.disabled),
-            draft.Policy(),
+            draft.PlacementPolicy(),
         )
         self.controller = controller.make_domain_controller('d', name, tools)
         self.task = runner.get_loop().create_task(self._run())
--- a/redwingvalve/replicas/tests/test_domain_machine.py
+++ b/redwingvalve/replicas/tests/test_domain_machine.py
@@ -51,7 +51,7 @@
         declared = fixtures.deployment(
             version=version, vms_per_replica=2, endpoint_trust=self.trust
         )
-        self.bench.wanted = (view.Wanted(declared, 2, 1),)
+        self.bench.wanted = (view.DesiredShare(declared, 2, 1),)
 
     def go(self, name, calls):
         for _ in range(calls):
--- a/redwingvalve/replicas/tests/test_lease_model.py
+++ b/redwingvalve/replicas/tests/test_lease_model.py
@@ -29,7 +29,7 @@
         declared = fixtures.deployment(endpoint_trust=trust, vms_per_replica=2)
         self.runner = runner
         self.bench = fixtures.Bench(
-            3, (view.Wanted(declared, 1),), disabled=disabled
+            3, (view.DesiredShare(declared, 1),), disabled=disabled
         )
         ignores = trust == schema.EndpointTrust.IGNORES_FENCING
         for engine in self.bench.fleet.engines.values():
--- a/redwingvalve/replicas/view.py
+++ b/redwingvalve/replicas/view.py
@@ -19,20 +19,20 @@
     """
 
     name: str
-    there: bool
+    reachable: bool
     leaving: bool = False
-    kept_out: bool = False
+    quarantined: bool = False
     failing: bool = False
     state: engine_orders.EngineState | None = None
 
     def usable(self) -> bool:
         """Tell whether a replica may be formed with this VM."""
-        held_back = self.leaving or self.kept_out or self.failing
-        return self.there and not held_back and self.state is not None
+        held_back = self.leaving or self.quarantined or self.failing
+        return self.reachable and not held_back and self.state is not None
 
 
 @attrs.frozen
-class Wanted:
+class DesiredShare:
     """The share of this domain in one deployment.
 
     in_place lets a change drain replicas above the floor where no VMs are
@@ -55,15 +55,15 @@
 
     domain: domain_module.FabricDomain
     vms: dict[str, VmView]
-    wanted: tuple[Wanted, ...]
+    wanted: tuple[DesiredShare, ...]
     drained: frozenset[str] = frozenset()
 
     def vm(self, name: str) -> VmView:
         """Return a VM; one that nobody saw yet is not there."""
         found = self.vms.get(name)
-        return VmView(name, there=False) if found is None else found
+        return VmView(name, reachable=False) if found is None else found
 
-    def wants(self, deployment: str) -> Wanted | None:
+    def desired_share(self, deployment: str) -> DesiredShare | None:
         """Return the share in a deployment, if there is one."""
         found = (
             each for each in self.wanted if each.deployment.name == deployment
@@ -107,7 +107,7 @@
 def reads_back(view: DomainView, replica: domain_module.DomainReplica) -> bool:
     """Tell whether every member is there, ready and as ordered."""
     return all(
-        view.vm(name).there
+        view.vm(name).reachable
         and _ready(view.vm(name).state)
         and runs(view.vm(name).state, replica, name)
         for name in replica.members
