--- a/redwingvalve/bench/replicas_fleet.py
+++ b/redwingvalve/bench/replicas_fleet.py
@@ -128,7 +128,7 @@
         self._read: dict[str, tuple[str, domain_module.FabricDomain]] = {}
 
     def _vms(self, strategy: Strategy) -> tuple[vm_list.Vm, ...]:
-        needs = (spares.Need(self.deployment, self.per_domain),)
+        needs = (spares.DeploymentDemand(self.deployment, self.per_domain),)
         kept = (strategy.spares_per_domain or 0,) * len(self.names)
         if strategy.spares_per_domain is None:
             domains = (needs,) * len(self.names)
--- a/redwingvalve/control/move_reconciler.py
+++ b/redwingvalve/control/move_reconciler.py
@@ -110,7 +110,7 @@
             begun = move_policy.room_moves(
                 domain_state, deployments, capacities, domains, before
             )
-            after = shares.with_moves(before, begun)
+            after = shares.start_moves(before, begun)
         return Step(
             changed=after != before and await self._write(after, version),
             listed=True,
@@ -125,7 +125,7 @@
         deployments: move_policy.Deployments,
         before: shares.Allocation,
     ) -> shares.Allocation:
-        after = shares.without_moves(
+        after = shares.cancel_moves(
             before, move_policy.called_off(domain_state, before, deployments)
         )
         for move in after.moves:
@@ -133,7 +133,7 @@
                 move.from_domain == domain_state.domain.name
                 and await self._arrived(move, after)
             ):
-                after = shares.after_moves(after, (move,))
+                after = shares.complete_moves(after, (move,))
         return after
 
     async def _arrived(
--- a/redwingvalve/plans/making.py
+++ b/redwingvalve/plans/making.py
@@ -335,9 +335,9 @@
 
 def _needs_of(
     domain: str, declaration: schema.Declaration, allocated: shares.Allocation
-) -> tuple[spares.Need, ...]:
+) -> tuple[spares.DeploymentDemand, ...]:
     return tuple(
-        spares.Need(each, allocated.replicas(domain, each.name))
+        spares.DeploymentDemand(each, allocated.replicas(domain, each.name))
         for each in declaration.deployments
     )
 
--- a/redwingvalve/plans/tests/test_book.py
+++ b/redwingvalve/plans/tests/test_book.py
@@ -253,7 +253,9 @@
             ('d0', 'd1'), key=lambda name: -agreed.replicas(name, 'quotes')
         )
         move = shares.Move('quotes', full, roomy, shares.MoveReason.ROOM)
-        moved = shares.after_moves(shares.with_moves(agreed, (move,)), (move,))
+        moved = shares.complete_moves(
+            shares.start_moves(agreed, (move,)), (move,)
+        )
         body = codec.to_body(moved)
         await store.update(attrs.evolve(stored, body=body))
         refused = await plans.confirm(late.name, 'ana')
--- a/redwingvalve/replicas/move_policy.py
+++ b/redwingvalve/replicas/move_policy.py
@@ -119,7 +119,7 @@
     agreed: shares.Allocation,
 ) -> shares.Allocation:
     """Begin moving what its domain cannot hold; what has no place stays."""
-    target = shares.after_moves(agreed, agreed.moves)
+    target = shares.complete_moves(agreed, agreed.moves)
     wanted = shares.reallocate(deployments.values(), capacities, target)
     lost, gained = shares.differences(target, wanted)
     moves: list[shares.Move] = []
@@ -132,7 +132,9 @@
                         name, domain, to_domain, shares.MoveReason.RELIEF
                     )
                 )
-    return shares.added(shares.with_moves(agreed, tuple(moves)), +gained)
+    return shares.add_replicas(
+        shares.start_moves(agreed, tuple(moves)), +gained
+    )
 
 
 def room_moves(
@@ -159,7 +161,7 @@
                 deployment.name, name, host, shares.MoveReason.ROOM
             )
             found.append(move)
-            agreed = shares.with_moves(agreed, (move,))
+            agreed = shares.start_moves(agreed, (move,))
     return tuple(found)
 
 
--- a/redwingvalve/replicas/shares.py
+++ b/redwingvalve/replicas/shares.py
@@ -104,7 +104,7 @@
 
     What was moving stays where it still serves.
     """
-    previous = without_moves(previous, previous.moves)
+    previous = cancel_moves(previous, previous.moves)
     free = {each.domain: each.usable_vms for each in capacities}
     counts: Counts = collections.Counter()
     ordered = sorted(deployments, key=_rank)
@@ -145,30 +145,30 @@
     return Allocation(before.generation, tuple(_shares(ordered, counts)))
 
 
-def with_moves(allocation: Allocation, moves: tuple[Move, ...]) -> Allocation:
+def start_moves(allocation: Allocation, moves: tuple[Move, ...]) -> Allocation:
     """Return the allocation with moves begun: one more at each place to."""
     counts = _counts(allocation)
     counts.update((each.to_domain, each.deployment) for each in moves)
     return _recounted(allocation, counts, (*allocation.moves, *moves))
 
 
-def without_moves(
-    allocation: Allocation, moves: tuple[Move, ...]
-) -> Allocation:
+def cancel_moves(allocation: Allocation, moves: tuple[Move, ...]) -> Allocation:
     """Return the allocation with open moves called off."""
     counts = _counts(allocation)
     counts.subtract((each.to_domain, each.deployment) for each in moves)
     return _recounted(allocation, counts, _others(allocation, moves))
 
 
-def after_moves(allocation: Allocation, moves: tuple[Move, ...]) -> Allocation:
+def complete_moves(
+    allocation: Allocation, moves: tuple[Move, ...]
+) -> Allocation:
     """Return the allocation with open moves ended: one less at from."""
     counts = _counts(allocation)
     counts.subtract((each.from_domain, each.deployment) for each in moves)
     return _recounted(allocation, counts, _others(allocation, moves))
 
 
-def added(allocation: Allocation, places: Counts) -> Allocation:
+def add_replicas(allocation: Allocation, places: Counts) -> Allocation:
     """Return the allocation with replicas more at some places."""
     return _recounted(
         allocation, _counts(allocation) + places, allocation.moves
--- a/redwingvalve/replicas/spares.py
+++ b/redwingvalve/replicas/spares.py
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen
-class Need:
+class DeploymentDemand:
     """The replicas of one deployment in a domain."""
 
     deployment: schema.ModelDeployment
@@ -44,7 +44,7 @@
         return self.replicas * self.deployment.vms_per_replica
 
 
-Needs = tuple[Need, ...]
+DomainDemand = tuple[DeploymentDemand, ...]
 
 
 @attrs.frozen
@@ -73,7 +73,7 @@
     replicas: int
 
 
-def advise(needs: Needs, rates: FailureRates) -> Advice:
+def advise(needs: DomainDemand, rates: FailureRates) -> Advice:
     """Return the number of spares with the lowest price for one domain."""
     prices = [
         price_per_minute(needs, rates, spares)
@@ -83,12 +83,16 @@
     return Advice(best, prices[best], prices[0])
 
 
-def price_per_minute(needs: Needs, rates: FailureRates, spares: int) -> float:
+def price_per_minute(
+    needs: DomainDemand, rates: FailureRates, spares: int
+) -> float:
     """Return the price of a minute of one domain that shares no spares."""
     return pool_price_per_minute((needs,), rates, (spares,))
 
 
-def advise_pool(domains: tuple[Needs, ...], rates: FailureRates) -> PoolAdvice:
+def advise_pool(
+    domains: tuple[DomainDemand, ...], rates: FailureRates
+) -> PoolAdvice:
     """Return the layout with the lowest price.
 
     Weighed are equal spares in every domain, and whole sets in the first
@@ -104,7 +108,7 @@
 
 
 def _with_sets(
-    domains: tuple[Needs, ...], rates: FailureRates, spares: int
+    domains: tuple[DomainDemand, ...], rates: FailureRates, spares: int
 ) -> PoolAdvice:
     """Return the best number of sets beside so many spares a domain."""
     places = range(len(domains))
@@ -122,7 +126,9 @@
 
 
 def pool_price_per_minute(
-    domains: tuple[Needs, ...], rates: FailureRates, spares: tuple[int, ...]
+    domains: tuple[DomainDemand, ...],
+    rates: FailureRates,
+    spares: tuple[int, ...],
 ) -> float:
     """Return what spares and downtime together cost in a minute.
 
@@ -142,7 +148,9 @@
 
 
 def _expected_short(
-    domains: tuple[Needs, ...], rates: FailureRates, spares: tuple[int, ...]
+    domains: tuple[DomainDemand, ...],
+    rates: FailureRates,
+    spares: tuple[int, ...],
 ) -> float:
     """Return the mean number of replicas that only a repair can bring back."""
     set_vms = _set_vms(domains)
@@ -165,7 +173,7 @@
     )
 
 
-def _vms_out(needs: Needs, rates: FailureRates) -> float:
+def _vms_out(needs: DomainDemand, rates: FailureRates) -> float:
     """Return the mean of VMs out of use one by one."""
     outages_per_day = (
         rates.vm_failures_per_vm_day + rates.vm_restarts_per_vm_day
@@ -175,7 +183,7 @@
 
 
 def _outages(
-    needs: Needs, rates: FailureRates, spares: int, set_vms: int
+    needs: DomainDemand, rates: FailureRates, spares: int, set_vms: int
 ) -> tuple[_Outage, _Outage]:
     """Return the loss of a rack, whose remnants merge, and of the domain."""
     rack_days = rates.rack_repair_time_s / SECONDS_PER_DAY
@@ -191,7 +199,7 @@
     )
 
 
-def _set_vms(domains: tuple[Needs, ...]) -> int:
+def _set_vms(domains: tuple[DomainDemand, ...]) -> int:
     """Return the VMs that hold any one replica."""
     return max(
         (
@@ -218,15 +226,15 @@
     return max(excess, 0.0)
 
 
-def _most_useful(needs: Needs) -> int:
+def _most_useful(needs: DomainDemand) -> int:
     return min(_vms(needs), MOST_SPARES)
 
 
-def _vms(needs: Needs) -> int:
+def _vms(needs: DomainDemand) -> int:
     return sum(need.vms() for need in needs)
 
 
-def _dearest_accelerators(needs: Needs) -> float:
+def _dearest_accelerators(needs: DomainDemand) -> float:
     """Return the stranded price of one spare VM a minute."""
     return max(
         (
@@ -238,7 +246,7 @@
     )
 
 
-def _cheapest(needs: Needs) -> float:
+def _cheapest(needs: DomainDemand) -> float:
     """Return the price of a minute of the replica that is healed last."""
     return min(
         (
--- a/redwingvalve/replicas/tests/test_spares.py
+++ b/redwingvalve/replicas/tests/test_spares.py
@@ -14,7 +14,7 @@
 
 def advise(file_name, replicas=12):
     declared = reader.read_file(file_name).ok.content
-    need = spares.Need(declared.deployments[0], replicas)
+    need = spares.DeploymentDemand(declared.deployments[0], replicas)
     return spares.advise((need,), RATES)
 
 
@@ -30,7 +30,7 @@
     def need(price):
         prices = schema.Prices(price, stranded)
         declared = schema.ModelDeployment('m', 'm', '1', 4, 4, prices=prices)
-        return (spares.Need(declared, replicas),)
+        return (spares.DeploymentDemand(declared, replicas),)
 
     advice = spares.advise(need(downtime), RATES)
     for count in range(4 * replicas):
@@ -89,7 +89,7 @@
 
 def pool(file_name, **failures):
     declared = reader.read_file(file_name).ok.content
-    needs = (spares.Need(declared.deployments[0], 10),)
+    needs = (spares.DeploymentDemand(declared.deployments[0], 10),)
     rates = attrs.evolve(declared.failures, **failures)
     return spares.advise_pool((needs,) * 6, rates)
 
@@ -99,7 +99,7 @@
     assert sorted(advice.spares) == [0, 0, 0, 0, 0, 4]
     assert sum(pool('examples/tapiceria.yaml').spares) == 0
     declared = reader.read_file('examples/lonestar.yaml').ok.content
-    needs = ((spares.Need(declared.deployments[0], 10),),) * 6
+    needs = ((spares.DeploymentDemand(declared.deployments[0], 10),),) * 6
     each = spares.pool_price_per_minute(needs, declared.failures, (1,) * 6)
     assert advice.price_per_minute < each < advice.price_without_per_minute
 
