--- a/redwingvalve/replicas/domain.py
+++ b/redwingvalve/replicas/domain.py
@@ -139,7 +139,7 @@
         return attrs.evolve(self, events=kept)
 
 
-def require_sound(domain: FabricDomain) -> None:
+def require_valid(domain: FabricDomain) -> None:
     """Assert the promises that one object can break by itself."""
     counts = collections.Counter(
         member for replica in domain.replicas for member in replica.members
@@ -168,7 +168,7 @@
         )
 
 
-def require_succession(before: FabricDomain, after: FabricDomain) -> None:
+def require_monotonic(before: FabricDomain, after: FabricDomain) -> None:
     """Assert that a newer state of the object never goes back."""
     for field in ('fencing_number', 'next_epoch'):
         invariants.require(
@@ -189,7 +189,7 @@
 
 def to_body(domain: FabricDomain) -> object_api.Body:
     """Return the object's body after checking it."""
-    require_sound(domain)
+    require_valid(domain)
     return codec.to_body(domain)
 
 
@@ -198,7 +198,7 @@
     return codec.from_body(stored.body, FabricDomain)
 
 
-def replicas_of(domain: FabricDomain) -> tuple[snapshot.Replica, ...]:
+def to_snapshot_replicas(domain: FabricDomain) -> tuple[snapshot.Replica, ...]:
     """Return the replicas as entries see them."""
     addresses = {vm.name: vm.address for vm in domain.vms}
     return tuple(
@@ -225,7 +225,7 @@
     stored: object_api.StoredObject,
 ) -> tuple[snapshot.Replica, ...]:
     """Return the replicas of a stored domain; for configuration.decoding."""
-    return replicas_of(from_stored(stored))
+    return to_snapshot_replicas(from_stored(stored))
 
 
 def is_as_declared(
--- a/redwingvalve/replicas/domain_store.py
+++ b/redwingvalve/replicas/domain_store.py
@@ -72,7 +72,7 @@
         An error with maybe_applied means that even the read-back failed; the
         caller then knows nothing and reads again before anything else.
         """
-        domain_module.require_succession(read.domain, domain)
+        domain_module.require_monotonic(read.domain, domain)
         marked = self._mark(domain)
         version = await self._version_for(read)
         answer = await self._objects.update(
@@ -138,7 +138,7 @@
         read = StoredDomain(domain_module.from_stored(stored), stored.version)
         before = self._newest.get(stored.name)
         if before is not None and int(read.version) >= int(before.version):
-            domain_module.require_succession(before.domain, read.domain)
+            domain_module.require_monotonic(before.domain, read.domain)
         if before is None or int(read.version) >= int(before.version):
             self._newest[stored.name] = read
         return read
--- a/redwingvalve/replicas/tests/test_domain_machine.py
+++ b/redwingvalve/replicas/tests/test_domain_machine.py
@@ -131,7 +131,7 @@
         for process in self.processes.values():
             process.check()
         gated.check_engines(self.bench.fleet)
-        domain_module.require_sound(self.bench.domain())
+        domain_module.require_valid(self.bench.domain())
 
     def teardown(self):
         if hasattr(self, 'processes'):
--- a/tests/integration/test_frozen_controller.py
+++ b/tests/integration/test_frozen_controller.py
@@ -94,7 +94,7 @@
         if answer.is_error():
             return None
         domain = domain_module.from_stored(answer.ok)
-        domain_module.require_sound(domain)
+        domain_module.require_valid(domain)
         assert domain.fencing_number >= self.fencing_number
         self.fencing_number = domain.fencing_number
         return domain
--- a/tests/integration/test_fuzz.py
+++ b/tests/integration/test_fuzz.py
@@ -193,4 +193,4 @@
 
 
 def decode_domain(stored):
-    return domain.replicas_of(domain.from_stored(stored))
+    return domain.to_snapshot_replicas(domain.from_stored(stored))
