--- a/redwingvalve/bench/replicas_fleet.py
+++ b/redwingvalve/bench/replicas_fleet.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from redwingvalve.control import inputs, move_reconciler
+from redwingvalve.control import inputs, moves
 from redwingvalve.core import clock
 from redwingvalve.declaration import schema
 from redwingvalve.plans import objects
@@ -118,7 +118,7 @@
         self.controllers = self._controllers(strategy, seed)
         self._chance = random.Random(seed)
         self._movers = {
-            name: move_reconciler.make_move_reconciler(
+            name: moves.make_move_reconciler(
                 self.store, self.fleet, self.clock, self._chance
             )
             for name in self.names
--- a/redwingvalve/control/loop.py
+++ b/redwingvalve/control/loop.py
@@ -9,7 +9,7 @@
 import attrs
 
 from redwingvalve.control import inputs as inputs_module
-from redwingvalve.control import move_reconciler
+from redwingvalve.control import moves
 from redwingvalve.core import invariants
 from redwingvalve.membership import members as members_module
 from redwingvalve.membership import rendezvous
@@ -34,7 +34,7 @@
     """One domain that this process watches."""
 
     controller: controller.DomainController
-    mover: move_reconciler.MoveReconciler
+    mover: moves.MoveReconciler
     created: bool = False
 
 
@@ -132,7 +132,7 @@
         tools = self._tools
         return _Domain(
             controller.make_domain_controller(name, self._owner, tools),
-            move_reconciler.make_move_reconciler(
+            moves.make_move_reconciler(
                 tools.objects, self._vm_list, tools.clock, tools.rng
             ),
         )
