--- a/redwingvalve/bench/request_path_caches.py
+++ b/redwingvalve/bench/request_path_caches.py
@@ -10,7 +10,11 @@
 
 from redwingvalve.bench import request_path_entries as entries
 from redwingvalve.bench import request_path_replicas as replicas
-from redwingvalve.routing import cache_follower, cache_news, cache_reader
+from redwingvalve.routing import (
+    cache_follower,
+    cache_summary,
+    cache_summary_reader,
+)
 
 LOST_EVENT = 10
 TELL_EVERY_S = 5.0
@@ -18,7 +22,7 @@
 EVENT_BYTES = 70
 PAGE_BYTES = 400
 
-Words = dict[str, cache_news.CacheWord]
+Words = dict[str, cache_summary.CacheSummary]
 
 
 class CacheSpread:
@@ -32,7 +36,9 @@
         """Share the replicas out among the entries."""
         self._fleet = fleet
         self._entries = all_entries
-        self._readers = [cache_reader.make_cache_reader() for _ in all_entries]
+        self._readers = [
+            cache_summary_reader.make_summary_reader() for _ in all_entries
+        ]
         self._followers = [
             cache_follower.make_cache_follower() for _ in all_entries
         ]
@@ -56,7 +62,7 @@
         while self._on_the_way and self._on_the_way[0][0] <= now_s:
             (_, words) = self._on_the_way.pop(0)
             for reader, entry in zip(self._readers, self._entries, strict=True):
-                reader.take(words, lambda _, one=entry: one.routing)
+                reader.apply(words, lambda _, one=entry: one.routing)
 
     def _publish(self, replica: replicas.ReplicaModel) -> None:
         for event in replica.cache_events:
@@ -85,12 +91,12 @@
             ]
             self._pages[fetch.name].clear()
             size = PAGE_BYTES + EVENT_BYTES * len(page)
-            follower.took(fetch, page, size, now_s)
+            follower.record_page(fetch, page, size, now_s)
             fetch = follower.next_fetch(now_s)
 
     def _words(self, now_s: float) -> Words:
         return {
-            name: cache_news.make_word(
+            name: cache_summary.make_summary(
                 name.encode(), follower, name, entry.asked, now_s
             )
             for place, (follower, entry) in enumerate(
--- a/redwingvalve/bench/request_path_entries.py
+++ b/redwingvalve/bench/request_path_entries.py
@@ -20,7 +20,7 @@
 from redwingvalve.poison import ledger
 from redwingvalve.retries import budget, decisions
 from redwingvalve.routing import baselines as routing_baselines
-from redwingvalve.routing import cache_news, policy, scored
+from redwingvalve.routing import cache_summary, policy, scored
 from redwingvalve.routing import messages as routing_messages
 
 LONG_TOKENS = 1000.0
@@ -119,7 +119,7 @@
         self._dead: set[str] = set()
         self.queue = _make_queue(arrangement.admission)
         self.routing = _make_routing(arrangement.routing, self._home)
-        self.asked = cache_news.AskedPrefixes()
+        self.asked = cache_summary.PrefixPopularity()
         self.ledger = ledger.make_suspect_ledger(self.name)
         self._budget: budget.RetryBudget = budget.make_retry_budget()
         if not arrangement.budgeted:
@@ -248,7 +248,7 @@
         if job.prefix:
             name = prefix_name(job.prefix)
             prefixes = (routing_messages.Prefix(name, job.prefix_tokens),)
-            self.asked.asked((name,))
+            self.asked.record((name,))
         return routing_messages.RouteRequest(
             request_id=job.request_id,
             draw=self._random.getrandbits(64),
@@ -312,7 +312,7 @@
 
 def prefix_name(prefix: str) -> str:
     """Return the name that entries give a prefix."""
-    return cache_news.short_name(xxhash.xxh64_hexdigest(prefix.encode()))
+    return cache_summary.short_hash(xxhash.xxh64_hexdigest(prefix.encode()))
 
 
 def _digest(job: replicas.Job) -> bytes:
--- a/redwingvalve/entry/cache_watch.py
+++ b/redwingvalve/entry/cache_watch.py
@@ -2,7 +2,7 @@
 
 Each replica is read by one entry of its region, by rendezvous hashing, which
 tells the others on the board of news; what is told and believed is decided in
-routing.cache_follower and routing.cache_news.
+routing.cache_follower and routing.cache_summary.
 """
 
 import json
@@ -18,8 +18,8 @@
 from redwingvalve.news import board
 from redwingvalve.routing import (
     cache_follower,
-    cache_news,
-    cache_reader,
+    cache_summary,
+    cache_summary_reader,
     policy,
 )
 
@@ -54,7 +54,7 @@
         self._dependencies = entry_dependencies
         self._choice = choice
         self._follower = cache_follower.make_cache_follower()
-        self._reader = cache_reader.make_cache_reader()
+        self._reader = cache_summary_reader.make_summary_reader()
         self._replicas: dict[str, snapshot.Replica] = {}
         self._marks: dict[bytes, str] = {}
         self._mine: tuple[str, ...] = ()
@@ -136,7 +136,7 @@
             except BROKEN:
                 self._follower.failed(fetch, now_s)
                 return
-            self._follower.took(
+            self._follower.record_page(
                 fetch, events, len(body) + OVERHEAD_BYTES, now_s
             )
             return
@@ -162,7 +162,7 @@
 
     def _tell(self, now_s: float) -> None:
         words = [
-            cache_news.make_word(
+            cache_summary.make_summary(
                 findings_wire.mark_of(self._replicas[name]),
                 self._follower,
                 name,
@@ -172,7 +172,7 @@
             for name in self._mine
         ]
         items = {
-            str(start): cache_news.encode(
+            str(start): cache_summary.encode(
                 words[start : start + REPLICAS_PER_ITEM]
             )
             for start in range(0, len(words), REPLICAS_PER_ITEM)
@@ -194,10 +194,10 @@
         words = {
             self._marks[word.mark]: word
             for news in self._dependencies.news.read(CHANNEL)
-            for word in cache_news.decode(news.body)
+            for word in cache_summary.decode(news.body)
             if word.mark in self._marks
         }
-        self._reader.take(words, self._routing_of)
+        self._reader.apply(words, self._routing_of)
 
     def _routing_of(self, name: str) -> policy.RoutingPolicy | None:
         replica = self._replicas.get(name)
@@ -217,7 +217,7 @@
     return [
         cache_follower.CacheEvent(
             int(row['number']),
-            cache_news.short_name(str(row['prefix_hash'])),
+            cache_summary.short_hash(str(row['prefix_hash'])),
             row['type'] == 'stored',
         )
         for row in json.loads(body)['events']
--- a/redwingvalve/entry/replica_choice.py
+++ b/redwingvalve/entry/replica_choice.py
@@ -10,7 +10,7 @@
 from redwingvalve.evidence import permits
 from redwingvalve.membership import members
 from redwingvalve.platform_api import prefix_hashes
-from redwingvalve.routing import cache_news, policy, scored
+from redwingvalve.routing import cache_summary, policy, scored
 from redwingvalve.routing import messages as routing_messages
 
 # Without a measured delay: a data centre of the own region is near, another
@@ -46,7 +46,7 @@
         self._replicas: dict[str, snapshot.Replica] = {}
         self._policies: dict[str, policy.RoutingPolicy] = {}
         self._regions: dict[str, str] = {}
-        self.asked = cache_news.AskedPrefixes()
+        self.asked = cache_summary.PrefixPopularity()
 
     def routing(self, deployment: str) -> policy.RoutingPolicy:
         """Return the policy of a deployment in the configuration in force."""
@@ -65,7 +65,7 @@
         """Return what routing needs to know of one send."""
         text = prefix_hashes.prompt_text(request.prompt)
         prefixes = _prefixes(text)
-        self.asked.asked(prefix.prefix_hash for prefix in prefixes)
+        self.asked.record(prefix.prefix_hash for prefix in prefixes)
         return routing_messages.RouteRequest(
             request_id=send_id,
             draw=self._random.getrandbits(DRAW_BITS),
@@ -204,7 +204,7 @@
     known = zip(hashes, PREFIX_BLOCKS, strict=False)
     return tuple(
         routing_messages.Prefix(
-            cache_news.short_name(prefix_hash),
+            cache_summary.short_hash(prefix_hash),
             blocks * prefix_hashes.BLOCK_CHARACTERS / CHARACTERS_PER_TOKEN,
         )
         for prefix_hash, blocks in reversed(tuple(known))
--- a/redwingvalve/routing/baselines.py
+++ b/redwingvalve/routing/baselines.py
@@ -51,7 +51,7 @@
     def prefix_removed(self, name: str, prefix_hash: str) -> None:
         """Learn nothing."""
 
-    def prefixes_unknown(self, name: str) -> None:
+    def forget_prefixes(self, name: str) -> None:
         """Learn nothing."""
 
     def _allowed(
--- a/redwingvalve/routing/cache_follower.py
+++ b/redwingvalve/routing/cache_follower.py
@@ -141,7 +141,7 @@
         behind = int(followed.events_per_s * since_s)
         return Fetch(name, last + max(behind - MAX_PAGE_EVENTS, 0))
 
-    def took(
+    def record_page(
         self,
         fetch: Fetch,
         events: collections_abc.Sequence[CacheEvent],
--- a/redwingvalve/routing/cache_news.py
+++ b/redwingvalve/routing/cache_summary.py
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen
-class CacheWord:
+class CacheSummary:
     """What is told of one replica; a new doubts means: forget the rest."""
 
     mark: bytes
@@ -43,7 +43,7 @@
     removed: tuple[bytes, ...]
 
 
-class AskedPrefixes:
+class PrefixPopularity:
     """How often this entry's callers asked for each prefix lately."""
 
     def __init__(self) -> None:
@@ -53,7 +53,7 @@
         )
         self._asked = 0
 
-    def asked(self, prefix_hashes: collections_abc.Iterable[str]) -> None:
+    def record(self, prefix_hashes: collections_abc.Iterable[str]) -> None:
         """Count one request."""
         for prefix_hash in prefix_hashes:
             count = self._counts.pop(prefix_hash, 0.0)
@@ -79,16 +79,16 @@
         return tuple(prefix_hash for _, prefix_hash in hot[:most])
 
 
-def make_word(
+def make_summary(
     mark: bytes,
     follower: cache_follower.CacheFollower,
     name: str,
-    asked: AskedPrefixes,
+    asked: PrefixPopularity,
     now_s: float,
-) -> CacheWord:
+) -> CacheSummary:
     """Return what to tell of one replica now."""
     removed = follower.removed(name, now_s - REMOVED_TOLD_S)
-    return CacheWord(
+    return CacheSummary(
         mark=mark,
         doubts=follower.doubts(name) % MAX_DOUBTS,
         held=_short(asked.hottest(follower.held(name), MAX_HELD_TOLD)),
@@ -102,12 +102,12 @@
     )
 
 
-def short_name(prefix_hash: str) -> str:
+def short_hash(prefix_hash: str) -> str:
     """Return the name by which entries know a prefix: its first 32 bits."""
     return prefix_hash[: HASH_BYTES * 2]
 
 
-def encode(words: collections_abc.Iterable[CacheWord]) -> bytes:
+def encode(words: collections_abc.Iterable[CacheSummary]) -> bytes:
     """Return the body of one news item."""
     return b''.join(
         HEAD.pack(
@@ -120,9 +120,9 @@
     )
 
 
-def decode(body: bytes) -> tuple[CacheWord, ...]:
+def decode(body: bytes) -> tuple[CacheSummary, ...]:
     """Return the words up to the first part that cannot be read."""
-    words: list[CacheWord] = []
+    words: list[CacheSummary] = []
     start = 0
     while start + HEAD.size <= len(body):
         mark, doubts, counts = HEAD.unpack_from(body, start)
@@ -135,5 +135,5 @@
         start += HASH_BYTES * len(hashes)
         if start > len(body):
             break
-        words.append(CacheWord(mark, doubts, hashes[:held], hashes[held:]))
+        words.append(CacheSummary(mark, doubts, hashes[:held], hashes[held:]))
     return tuple(words)
--- a/redwingvalve/routing/cache_reader.py
+++ b/redwingvalve/routing/cache_summary_reader.py
@@ -6,28 +6,28 @@
 
 from collections import abc as collections_abc
 
-from redwingvalve.routing import cache_news, policy
+from redwingvalve.routing import cache_summary, policy
 
 Routings = collections_abc.Callable[[str], policy.RoutingPolicy | None]
 
 
-class CacheReader:
+class CacheSummaryReader:
     """Remembers the last word on each replica."""
 
     def __init__(self) -> None:
         """Start with nothing told."""
-        self._told: dict[str, cache_news.CacheWord] = {}
+        self._told: dict[str, cache_summary.CacheSummary] = {}
 
-    def take(
+    def apply(
         self,
-        words: collections_abc.Mapping[str, cache_news.CacheWord],
+        words: collections_abc.Mapping[str, cache_summary.CacheSummary],
         routing_of: Routings,
     ) -> None:
         """Tell routing what changed; words are by replica name."""
         for name in self._told.keys() - words.keys():
             routing = routing_of(name)
             if routing is not None:
-                routing.prefixes_unknown(name)
+                routing.forget_prefixes(name)
             del self._told[name]
         for told_name, word in words.items():
             told_routing = routing_of(told_name)
@@ -37,13 +37,13 @@
     def _change(
         self,
         name: str,
-        word: cache_news.CacheWord,
+        word: cache_summary.CacheSummary,
         routing: policy.RoutingPolicy,
     ) -> None:
         before = self._told.get(name)
         self._told[name] = word
         if before is not None and before.doubts != word.doubts:
-            routing.prefixes_unknown(name)
+            routing.forget_prefixes(name)
         # What is no longer told as held may have been pushed out by hotter
         # ones; a removal is told as such.
         known = () if before is None else before.removed
@@ -53,6 +53,6 @@
             routing.prefix_stored(name, held.hex())
 
 
-def make_cache_reader() -> CacheReader:
+def make_summary_reader() -> CacheSummaryReader:
     """Return the reader of one entry."""
-    return CacheReader()
+    return CacheSummaryReader()
--- a/redwingvalve/routing/policy.py
+++ b/redwingvalve/routing/policy.py
@@ -77,5 +77,5 @@
         """Learn that an endpoint gave up a prefix."""
 
     @abc.abstractmethod
-    def prefixes_unknown(self, name: str) -> None:
+    def forget_prefixes(self, name: str) -> None:
         """Forget what an endpoint holds, after a gap in its events."""
--- a/redwingvalve/routing/scored.py
+++ b/redwingvalve/routing/scored.py
@@ -202,7 +202,7 @@
         """Learn that an endpoint gave up a prefix."""
         self._prefixes.removed(name, prefix_hash)
 
-    def prefixes_unknown(self, name: str) -> None:
+    def forget_prefixes(self, name: str) -> None:
         """Forget what an endpoint holds."""
         self._prefixes.forget_endpoint(name)
 
--- a/redwingvalve/routing/tests/test_cache_news.py
+++ b/redwingvalve/routing/tests/test_cache_summary.py
@@ -3,7 +3,11 @@
 import pytest
 
 from redwingvalve.platform_api import prefix_hashes
-from redwingvalve.routing import cache_follower, cache_news, cache_reader
+from redwingvalve.routing import (
+    cache_follower,
+    cache_summary,
+    cache_summary_reader,
+)
 
 HOT = 'aabbccdd'
 
@@ -21,7 +25,7 @@
     follower.follow({'r1': 1})
     fetch = follower.next_fetch(0.0)
     page = [*events(1, known - 1), cache_follower.CacheEvent(known, HOT, True)]
-    follower.took(fetch, page, 500, 0.0)
+    follower.record_page(fetch, page, 500, 0.0)
     return follower
 
 
@@ -34,7 +38,7 @@
     """
     follower = followed(known=40)
     fetch = follower.next_fetch(1.0)
-    follower.took(fetch, events(41 + lost, 1), 500, 1.0)
+    follower.record_page(fetch, events(41 + lost, 1), 500, 1.0)
     assert (HOT in follower.held('r1')) == bool(believed)
     assert follower.doubts('r1') == (0 if believed else 1)
     assert f'{41 + lost:08x}' in follower.held('r1')
@@ -43,7 +47,7 @@
 def test_a_removal_and_a_new_epoch_end_what_was_believed():
     follower = followed()
     gone = cache_follower.CacheEvent(41, HOT, False)
-    follower.took(follower.next_fetch(1.0), [gone], 500, 1.0)
+    follower.record_page(follower.next_fetch(1.0), [gone], 500, 1.0)
     assert HOT not in follower.held('r1')
     assert follower.removed('r1', 0.5) == (HOT,)
     follower.follow({'r1': 2})
@@ -66,15 +70,15 @@
             page = events(max(fetch.after + 1, newest - 2000), 2000)
             page = [event for event in page if event.number <= newest]
             read_bytes += 70 * len(page)
-            follower.took(fetch, page, 70 * len(page), now_s)
+            follower.record_page(fetch, page, 70 * len(page), now_s)
     # The last page may be one that the engine made as long as it could.
     assert read_bytes < 4000 * 200 + 2000 * 70
     held = sorted(int(name, 16) for name in follower.held('r0'))
     assert held and held[-1] - held[0] < 2000
 
 
-def make_word(name, held, removed=(), doubts=0):
-    return cache_news.CacheWord(
+def make_summary(name, held, removed=(), doubts=0):
+    return cache_summary.CacheSummary(
         name.encode().rjust(6),
         doubts,
         tuple(bytes.fromhex(one) for one in held),
@@ -85,13 +89,13 @@
 def test_a_region_of_480_replicas_stays_in_its_budget():
     """Full words of 480 replicas each 5 s, in items that the board takes."""
     words = [
-        make_word(f'{number}', [HOT] * 6, [HOT] * 2) for number in range(480)
+        make_summary(f'{number}', [HOT] * 6, [HOT] * 2) for number in range(480)
     ]
-    body = cache_news.encode(words)
+    body = cache_summary.encode(words)
     assert len(body) / 5 < 4000
     assert len(body) / 480 * 200 <= 8192
-    assert cache_news.decode(body) == tuple(words)
-    assert cache_news.decode(body[:-1]) == tuple(words[:-1])
+    assert cache_summary.decode(body) == tuple(words)
+    assert cache_summary.decode(body[:-1]) == tuple(words[:-1])
 
 
 class Learned:
@@ -104,31 +108,31 @@
 
 def test_only_changes_reach_routing_and_silence_is_distrust():
     """The word comes twice, then with a removal, with doubts, then no more."""
-    reader, learned = cache_reader.make_cache_reader(), Learned()
+    reader, learned = cache_summary_reader.make_summary_reader(), Learned()
     steps = (
-        ({'r1': make_word('r1', [HOT])}, [('prefix_stored', 'r1', HOT)]),
-        ({'r1': make_word('r1', [HOT])}, []),
+        ({'r1': make_summary('r1', [HOT])}, [('prefix_stored', 'r1', HOT)]),
+        ({'r1': make_summary('r1', [HOT])}, []),
         (
-            {'r1': make_word('r1', [], [HOT])},
+            {'r1': make_summary('r1', [], [HOT])},
             [('prefix_removed', 'r1', HOT)],
         ),
         (
-            {'r1': make_word('r1', [], [HOT], doubts=1)},
-            [('prefixes_unknown', 'r1')],
+            {'r1': make_summary('r1', [], [HOT], doubts=1)},
+            [('forget_prefixes', 'r1')],
         ),
-        ({}, [('prefixes_unknown', 'r1')]),
+        ({}, [('forget_prefixes', 'r1')]),
     )
     for words, wanted in steps:
         learned.calls.clear()
-        reader.take(words, lambda name: learned)
+        reader.apply(words, lambda name: learned)
         assert learned.calls == wanted
 
 
 def test_only_what_callers_ask_for_again_is_told():
-    asked = cache_news.AskedPrefixes()
-    asked.asked(['once', HOT])
-    asked.asked([HOT])
-    word = cache_news.make_word(b'marked', followed(), 'r1', asked, 0.0)
+    asked = cache_summary.PrefixPopularity()
+    asked.record(['once', HOT])
+    asked.record([HOT])
+    word = cache_summary.make_summary(b'marked', followed(), 'r1', asked, 0.0)
     assert word.held == (bytes.fromhex(HOT),)
 
 
