--- a/redwingvalve/entry/relay.py
+++ b/redwingvalve/entry/relay.py
@@ -227,7 +227,9 @@
                 )
 
         watched = stall_watch.Watched(
-            stalls.Pulse(attempt.replica.name, attempt.route.prompt_tokens),
+            stalls.MonitoredStream(
+                attempt.replica.name, attempt.route.prompt_tokens
+            ),
             identity.endpoint_id,
             journey.request.deployment.name,
             policy,
@@ -270,7 +272,7 @@
         self,
         journey: sends.Journey,
         attempt: _Attempt,
-        pulse: stalls.Pulse,
+        pulse: stalls.MonitoredStream,
         tried: frozenset[str],
     ) -> bool:
         """Tell whether giving a stalled send up serves its caller.
--- a/redwingvalve/entry/relay_retries.py
+++ b/redwingvalve/entry/relay_retries.py
@@ -41,7 +41,7 @@
     def pay_ahead(self, journey: sends.Journey) -> bool:
         """Pay for the send that follows a stalled one, if it may be paid."""
         retries = self._retries[journey.request.deployment.name]
-        journey.paid = retries.policy.pay_ahead(
+        journey.paid = retries.policy.try_reserve_retry(
             _failed_attempt(journey, repeatable=True, not_run=False),
             self._clock.monotonic_s(),
         )
@@ -82,5 +82,5 @@
         delivered_tokens=journey.delivered.count,
         earlier_unknown=journey.responds.outcome != outcomes.Outcome.NOT_RUN,
         deadline_s=head.arrived_s + head.deadline_s,
-        paid=journey.paid,
+        budget_spent=journey.paid,
     )
--- a/redwingvalve/entry/sends.py
+++ b/redwingvalve/entry/sends.py
@@ -285,7 +285,7 @@
             events = checker.feed(chunk)
             if not events:
                 continue
-            pulse.held = True
+            pulse.is_paused = True
             if not told:
                 told = True
                 on_first_token()
@@ -295,8 +295,8 @@
             journey.delivered.add(events)
             pulse.tokens += len(events)
             await responds.write(b''.join(events))
-            pulse.held = False
-        pulse.held = True
+            pulse.is_paused = False
+        pulse.is_paused = True
         complete = checker.done or not self._dependencies.switches.enabled(
             invariants.Safeguard.ANSWER_COMPLETENESS
         )
--- a/redwingvalve/entry/stall_watch.py
+++ b/redwingvalve/entry/stall_watch.py
@@ -27,7 +27,7 @@
     endpoint_gone says that nobody was there to be told of its early end.
     """
 
-    pulse: stalls.Pulse
+    pulse: stalls.MonitoredStream
     request_id: str
     deployment: str
     routing: policy.RoutingPolicy
@@ -53,28 +53,28 @@
     def watching(self, watched: Watched) -> collections_abc.Iterator[None]:
         """Look at a send while the block runs."""
         self._watched[id(watched.pulse)] = watched
-        self._detectors[watched.deployment].begin(watched.pulse)
+        self._detectors[watched.deployment].add(watched.pulse)
         try:
             yield
         finally:
-            self._detectors[watched.deployment].end(watched.pulse)
+            self._detectors[watched.deployment].remove(watched.pulse)
             self._watched.pop(id(watched.pulse))
 
     async def run(self) -> None:
         """Look until cancelled."""
         while True:
             self.look()
-            await self._clock.sleep(stalls.LOOK_EVERY_S)
+            await self._clock.sleep(stalls.CHECK_INTERVAL_S)
 
     def look(self) -> None:
         """Stop what has stalled, where something better can be done."""
         now_s = self._clock.monotonic_s()
         self._looks += 1
         for detector in self._detectors.values():
-            for pulse in detector.look(now_s):
+            for pulse in detector.check(now_s):
                 self._stop(self._watched[id(pulse)], now_s)
         for watched in self._watched.values():
-            watched.read_slowly |= watched.pulse.held
+            watched.read_slowly |= watched.pulse.is_paused
         if not self._looks % LOOKS_PER_PROGRESS:
             self._tell_progress(now_s)
 
--- a/redwingvalve/entry/tests/test_stalls.py
+++ b/redwingvalve/entry/tests/test_stalls.py
@@ -65,7 +65,7 @@
 
     async def look(self, times):
         for _ in range(times):
-            self.clock.advance(stalls.LOOK_EVERY_S)
+            self.clock.advance(stalls.CHECK_INTERVAL_S)
             self.application.stalls.look()
             await anyio.wait_all_tasks_blocked()
 
@@ -107,7 +107,7 @@
     async def play():
         await scene.look(7)
         for _ in range(4):
-            scene.clock.advance(stalls.LOOK_EVERY_S)
+            scene.clock.advance(stalls.CHECK_INTERVAL_S)
             hanging.released.set()
             scene.application.stalls.look()
         await scene.look(1)
--- a/redwingvalve/retries/decisions.py
+++ b/redwingvalve/retries/decisions.py
@@ -46,7 +46,7 @@
     earlier_unknown: bool = False
     deadline_s: float = 0.0
     expected_time_s: float = 0.0
-    paid: bool = False
+    budget_spent: bool = False
 
 
 @attrs.frozen
@@ -90,7 +90,7 @@
             return _give_up(outcome, GiveUpReason.DEADLINE)
         if attempt.attempts >= self._settings.max_attempts:
             return _give_up(outcome, GiveUpReason.TOO_MANY_ATTEMPTS)
-        if not attempt.paid and not self._budget.try_spend(now_s):
+        if not attempt.budget_spent and not self._budget.try_spend(now_s):
             return _give_up(outcome, GiveUpReason.NO_BUDGET)
         invariants.require(
             attempt.idempotent or outcome == outcomes.Outcome.NOT_RUN,
@@ -100,7 +100,7 @@
         step = NextStep.RESUME if attempt.delivered_tokens else NextStep.RETRY
         return RetryDecision(step, outcome)
 
-    def pay_ahead(self, attempt: FailedAttempt, now_s: float) -> bool:
+    def try_reserve_retry(self, attempt: FailedAttempt, now_s: float) -> bool:
         """Spend for a repetition before the attempt is given up.
 
         A stalled stream that can't go on elsewhere is better waited for. Asked
--- a/redwingvalve/retries/stalls.py
+++ b/redwingvalve/retries/stalls.py
@@ -16,9 +16,9 @@
 
 import attrs
 
-LOOK_EVERY_S = 0.25
+CHECK_INTERVAL_S = 0.25
 # A look that comes later than this was held up with the whole process.
-MAX_LOOK_S = 2 * LOOK_EVERY_S
+MAX_LOOK_S = 2 * CHECK_INTERVAL_S
 # The declared target between tokens, until something is known.
 START_GAP_S = 0.06
 START_FIRST_TOKEN_S = 0.3
@@ -45,7 +45,7 @@
 
 
 @attrs.define(eq=False)
-class Pulse:
+class MonitoredStream:
     """One stream under way; its relay sets tokens and held.
 
     held is true while the caller's side is waited for. stalled is set at the
@@ -55,9 +55,9 @@
     replica: str
     prompt_tokens: float = 0.0
     tokens: int = 0
-    held: bool = False
+    is_paused: bool = False
     stalled: bool = False
-    quiet_s: float = 0.0
+    idle_s: float = 0.0
     gap_s: float = START_GAP_S
     seen_tokens: int = 0
 
@@ -68,20 +68,20 @@
     def __init__(self, settings: StallSettings | None = None) -> None:
         """Start without streams."""
         self._settings = settings or StallSettings()
-        self._pulses: dict[int, Pulse] = {}
+        self._pulses: dict[int, MonitoredStream] = {}
         self._looked_at_s: float | None = None
         self._usual_gap_s = START_GAP_S
         self._usual_first_s = START_FIRST_TOKEN_S
 
-    def begin(self, pulse: Pulse) -> None:
+    def add(self, pulse: MonitoredStream) -> None:
         """Look at a stream from now on."""
         self._pulses[id(pulse)] = pulse
 
-    def end(self, pulse: Pulse) -> None:
+    def remove(self, pulse: MonitoredStream) -> None:
         """Look at a stream no longer."""
         self._pulses.pop(id(pulse), None)
 
-    def look(self, now_s: float) -> list[Pulse]:
+    def check(self, now_s: float) -> list[MonitoredStream]:
         """Return the streams that have been quiet for too long."""
         elapsed_s = 0.0
         if self._looked_at_s is not None:
@@ -93,27 +93,27 @@
         return [
             pulse
             for pulse in self._pulses.values()
-            if pulse.quiet_s > self._bound_s(pulse, gaps_s)
+            if pulse.idle_s > self._bound_s(pulse, gaps_s)
         ]
 
-    def _observe(self, pulse: Pulse, elapsed_s: float) -> None:
+    def _observe(self, pulse: MonitoredStream, elapsed_s: float) -> None:
         came = pulse.tokens - pulse.seen_tokens
-        if pulse.held:
-            pulse.quiet_s = 0.0
+        if pulse.is_paused:
+            pulse.idle_s = 0.0
             pulse.seen_tokens = pulse.tokens
             return
-        pulse.quiet_s += elapsed_s
+        pulse.idle_s += elapsed_s
         if not came:
             return
         if pulse.seen_tokens:
-            self._learn_gap(pulse, pulse.quiet_s / came)
+            self._learn_gap(pulse, pulse.idle_s / came)
         else:
-            first_s = min(pulse.quiet_s, MAX_GAP_RATIO * self._usual_first_s)
+            first_s = min(pulse.idle_s, MAX_GAP_RATIO * self._usual_first_s)
             self._usual_first_s += USUAL_STEP * (first_s - self._usual_first_s)
-        pulse.quiet_s = 0.0
+        pulse.idle_s = 0.0
         pulse.seen_tokens = pulse.tokens
 
-    def _learn_gap(self, pulse: Pulse, gap_s: float) -> None:
+    def _learn_gap(self, pulse: MonitoredStream, gap_s: float) -> None:
         bounded_s = min(gap_s, MAX_GAP_RATIO * pulse.gap_s)
         pulse.gap_s += GAP_STEP * (bounded_s - pulse.gap_s)
         bounded_s = min(gap_s, MAX_GAP_RATIO * self._usual_gap_s)
@@ -127,7 +127,9 @@
             gaps_s[pulse.replica] = max(known_s, pulse.gap_s)
         return gaps_s
 
-    def _bound_s(self, pulse: Pulse, gaps_s: dict[str, float]) -> float:
+    def _bound_s(
+        self, pulse: MonitoredStream, gaps_s: dict[str, float]
+    ) -> float:
         settings = self._settings
         if not pulse.tokens:
             usual_s = settings.first_token_multiple * self._usual_first_s
--- a/redwingvalve/retries/tests/test_stalls.py
+++ b/redwingvalve/retries/tests/test_stalls.py
@@ -12,10 +12,11 @@
         self.now_s = 0.0
         self.detector = stalls.make_stall_detector()
         self.pulses = [
-            stalls.Pulse(f'r{number % 3}', **more) for number in range(count)
+            stalls.MonitoredStream(f'r{number % 3}', **more)
+            for number in range(count)
         ]
         for pulse in self.pulses:
-            self.detector.begin(pulse)
+            self.detector.add(pulse)
 
     def go_on(self, looks, tokens=10, quiet=()):
         """Give every stream tokens a look, but for quiet ones."""
@@ -23,8 +24,8 @@
         for _ in range(looks):
             for pulse in self.pulses:
                 pulse.tokens += 0 if pulse in quiet else tokens
-            self.now_s += stalls.LOOK_EVERY_S
-            found += self.detector.look(self.now_s)
+            self.now_s += stalls.CHECK_INTERVAL_S
+            found += self.detector.check(self.now_s)
         return found
 
 
@@ -65,7 +66,7 @@
     """The entry waits for the caller and so doesn't read the replica."""
     streams = Streams(2)
     streams.go_on(12)
-    streams.pulses[0].held = True
+    streams.pulses[0].is_paused = True
     assert not streams.go_on(40, quiet=(streams.pulses[0],))
 
 
