--- a/redwingvalve/bench/request_path_entries.py
+++ b/redwingvalve/bench/request_path_entries.py
@@ -17,7 +17,7 @@
 from redwingvalve.bench import request_path_replicas as replicas
 from redwingvalve.core import invariants
 from redwingvalve.declaration import schema
-from redwingvalve.poison import ledger
+from redwingvalve.poison import suspect_table
 from redwingvalve.retries import budget, decisions
 from redwingvalve.routing import baselines as routing_baselines
 from redwingvalve.routing import cache_summary, policy, scored
@@ -120,7 +120,7 @@
         self.queue = _make_queue(arrangement.admission)
         self.routing = _make_routing(arrangement.routing, self._home)
         self.asked = cache_summary.PrefixPopularity()
-        self.ledger = ledger.make_suspect_ledger(self.name)
+        self.ledger = suspect_table.make_suspect_table(self.name)
         self._budget: budget.RetryBudget = budget.make_retry_budget()
         if not arrangement.budgeted:
             self._budget = budget.UnboundedBudget()
@@ -141,16 +141,19 @@
             now_s,
         )
         self.queue.resize(make_capacity(len(live)), now_s)
-        self._own_share = ledger.own_share(
+        self._own_share = suspect_table.trial_endpoints(
             self.name, self._names, [one.name for one in live]
         )
 
     def arrived(self, job: replicas.Job, now_s: float) -> None:
         """Decide on a new request."""
         if self.arrangement.ledger:
-            home = ledger.home_entry(_digest(job), self._names)
-            verdict = self.ledger.judge(_digest(job), home, now_s)
-            if verdict in {ledger.Verdict.REFUSE, ledger.Verdict.WAIT}:
+            home = suspect_table.home_entry(_digest(job), self._names)
+            verdict = self.ledger.classify(_digest(job), home, now_s)
+            if verdict in {
+                suspect_table.Verdict.REFUSE,
+                suspect_table.Verdict.WAIT,
+            }:
                 job.refused_s = now_s
                 return
         self._jobs[job.request_id] = job
@@ -202,7 +205,9 @@
         self._dead.add(name)
         digests = frozenset(_digest(job) for job in own)
         if self.arrangement.ledger:
-            self.ledger.endpoint_died(ledger.Death(name, 1, digests), now_s)
+            self.ledger.record_failure(
+                suspect_table.EndpointFailure(name, 1, digests), now_s
+            )
         for job in own:
             self._suspects.discard(job.request_id)
             self.routing.finished(job.request_id, now_s)
@@ -213,14 +218,14 @@
     ) -> None:
         suspect = False
         if self.arrangement.ledger:
-            verdict = self.ledger.judge_again(_digest(job), now_s)
-            if verdict == ledger.Verdict.REFUSE:
+            verdict = self.ledger.classify_retry(_digest(job), now_s)
+            if verdict == suspect_table.Verdict.REFUSE:
                 self._fail(job, now_s)
                 return
-            if verdict == ledger.Verdict.WAIT:
+            if verdict == suspect_table.Verdict.WAIT:
                 self._park_or_fail(job, now_s)
                 return
-            suspect = verdict == ledger.Verdict.ISOLATE
+            suspect = verdict == suspect_table.Verdict.ISOLATE
         if suspect:
             free = self.ledger.free_endpoints(self._own_share, now_s)
             excluded |= self._fleet.keys() - free
@@ -284,7 +289,7 @@
             return
         self.retries += 1
         if self.arrangement.ledger and not surely_not_run:
-            self.ledger.intends(_digest(job), now_s)
+            self.ledger.reserve_trial(_digest(job), now_s)
         self._send(job, now_s, frozenset((name,)))
 
     def _park_or_fail(self, job: replicas.Job, now_s: float) -> None:
@@ -296,7 +301,7 @@
 
     def _fail(self, job: replicas.Job, now_s: float) -> None:
         job.failed_s = now_s
-        self.ledger.gave_up(_digest(job), now_s)
+        self.ledger.abandon_trial(_digest(job), now_s)
         self.queue.finished(job.request_id, _work(job), now_s)
         self._forget(job)
 
--- a/redwingvalve/entry/suspects.py
+++ b/redwingvalve/entry/suspects.py
@@ -10,7 +10,7 @@
 from redwingvalve.entry import model_request
 from redwingvalve.membership import members, rendezvous
 from redwingvalve.news import board
-from redwingvalve.poison import channel, facts, ledger
+from redwingvalve.poison import channel, facts, suspect_table
 
 WAIT_RETRY_AFTER_S = 2.0
 
@@ -43,7 +43,7 @@
         self._news = news
         self._clock = gate_clock
         self._myself = known.myself().name
-        self._ledger = ledger.make_suspect_ledger(
+        self._ledger = suspect_table.make_suspect_table(
             self._myself,
             safeguards=switches,
             incarnation=known.myself().incarnation,
@@ -70,13 +70,16 @@
         """
         self._hear()
         now_s = self._clock.monotonic_s()
-        if self._ledger.judge_again(digest, now_s) == ledger.Verdict.FREE:
+        if (
+            self._ledger.classify_retry(digest, now_s)
+            == suspect_table.Verdict.FREE
+        ):
             return None
         home = self._home(digest, addresses)
-        verdict = self._ledger.judge(digest, home, now_s)
-        if verdict == ledger.Verdict.REFUSE:
+        verdict = self._ledger.classify(digest, home, now_s)
+        if verdict == suspect_table.Verdict.REFUSE:
             return _poison(outcomes.Outcome.NOT_RUN)
-        if verdict == ledger.Verdict.WAIT:
+        if verdict == suspect_table.Verdict.WAIT:
             return _wait(home, outcomes.Outcome.NOT_RUN)
         return None
 
@@ -84,20 +87,20 @@
         """Return why a request that failed here is not sent again, if so."""
         self._hear()
         now_s = self._clock.monotonic_s()
-        verdict = self._ledger.judge_again(digest, now_s)
-        if verdict == ledger.Verdict.ISOLATE:
-            # Claimed before another entry may try it; see ledger.intends.
-            self._ledger.intends(digest, now_s)
+        verdict = self._ledger.classify_retry(digest, now_s)
+        if verdict == suspect_table.Verdict.ISOLATE:
+            # Claimed before another entry may try it; see SuspectTable.reserve_trial.
+            self._ledger.reserve_trial(digest, now_s)
             self._tell()
-        if verdict == ledger.Verdict.REFUSE:
+        if verdict == suspect_table.Verdict.REFUSE:
             return _poison(outcomes.Outcome.UNKNOWN)
-        if verdict == ledger.Verdict.WAIT:
+        if verdict == suspect_table.Verdict.WAIT:
             return _wait('another entry', outcomes.Outcome.UNKNOWN)
         return None
 
     def gave_up(self, digest: bytes) -> None:
         """Leave a suspect that is not sent again to its home."""
-        self._ledger.gave_up(digest, self._clock.monotonic_s())
+        self._ledger.abandon_trial(digest, self._clock.monotonic_s())
         self._tell()
 
     def allowed(
@@ -105,12 +108,14 @@
     ) -> frozenset[str] | None:
         """Return where a suspect may go; None when anywhere."""
         now_s = self._clock.monotonic_s()
-        verdict = self._ledger.judge_again(digest, now_s)
-        if verdict == ledger.Verdict.FREE:
+        verdict = self._ledger.classify_retry(digest, now_s)
+        if verdict == suspect_table.Verdict.FREE:
             return None
-        if verdict == ledger.Verdict.WAIT:
+        if verdict == suspect_table.Verdict.WAIT:
             return frozenset()
-        own = ledger.own_share(self._myself, self._entries(), serving)
+        own = suspect_table.trial_endpoints(
+            self._myself, self._entries(), serving
+        )
         busy = {name for name, running in self._on_endpoint.items() if running}
         free = self._ledger.free_endpoints(own, now_s)
         return (free - busy) or free
@@ -119,7 +124,10 @@
         """Count a send; True when it is one of a suspect."""
         self._on_endpoint.setdefault(replica.name, []).append(digest)
         now_s = self._clock.monotonic_s()
-        suspect = self._ledger.judge_again(digest, now_s) != ledger.Verdict.FREE
+        suspect = (
+            self._ledger.classify_retry(digest, now_s)
+            != suspect_table.Verdict.FREE
+        )
         if suspect and not self._ledger.running(digest):
             self._ledger.started(digest, replica.name, now_s)
             self._tell()
@@ -141,8 +149,11 @@
         now_s = self._clock.monotonic_s()
         running = frozenset(self._on_endpoint.get(replica.name, ()))
         if running:
-            self._ledger.endpoint_died(
-                ledger.Death(replica.name, replica.epoch, running), now_s
+            self._ledger.record_failure(
+                suspect_table.EndpointFailure(
+                    replica.name, replica.epoch, running
+                ),
+                now_s,
             )
             self._tell()
 
@@ -151,9 +162,9 @@
     ) -> str:
         entries = self._entries()
         if not addresses:
-            return ledger.home_entry(digest, entries)
+            return suspect_table.home_entry(digest, entries)
         nearest = rendezvous.holders(addresses, digest.hex(), 1)[0]
-        return ledger.home_entry(nearest.encode(), entries)
+        return suspect_table.home_entry(nearest.encode(), entries)
 
     def _entries(self) -> tuple[str, ...]:
         return tuple(member.name for member in self._members.alive())
--- a/redwingvalve/poison/facts.py
+++ b/redwingvalve/poison/facts.py
@@ -54,7 +54,7 @@
     return state.digest()
 
 
-def make_death(endpoint: str, epoch: int, earlier: int) -> bytes:
+def make_failure_id(endpoint: str, epoch: int, earlier: int) -> bytes:
     """Return the id of a death, the same at every entry that saw it.
 
     earlier counts the deaths of this endpoint and epoch that are known for the
--- a/redwingvalve/poison/recent_deaths.py
+++ b/redwingvalve/poison/recent_failures.py
@@ -24,7 +24,7 @@
     digests: set[bytes] = attrs.field(factory=set)
 
 
-class RecentDeaths:
+class RecentFailures:
     """The deaths of the last seconds, and the facts that came with them."""
 
     def __init__(self, many: int, window_s: float) -> None:
--- a/redwingvalve/poison/ledger.py
+++ b/redwingvalve/poison/suspect_table.py
@@ -26,7 +26,7 @@
 
 from redwingvalve.core import invariants
 from redwingvalve.membership import rendezvous
-from redwingvalve.poison import facts, recent_deaths
+from redwingvalve.poison import facts, recent_failures
 
 DEATHS_TO_REFUSE = 2
 # Entries notice one death within seconds of each other; a plain service needs
@@ -58,7 +58,7 @@
 
 
 @attrs.frozen
-class Death:
+class EndpointFailure:
     """An endpoint died with these requests of this entry running on it."""
 
     endpoint: str
@@ -66,7 +66,7 @@
     digests: frozenset[bytes]
 
 
-class SuspectLedger:
+class SuspectTable:
     """What one entry knows of suspects; merges with that of others."""
 
     def __init__(
@@ -86,25 +86,25 @@
         self._running: dict[str, set[bytes]] = {}
         self._trials: dict[bytes, facts.Fact] = {}
         self._trial_numbers = itertools.count()
-        self._recent = recent_deaths.RecentDeaths(
+        self._recent = recent_failures.RecentFailures(
             self._settings.mass_deaths, self._settings.mass_window_s
         )
         self.revision = 0
 
-    def endpoint_died(self, death: Death, now_s: float) -> None:
+    def record_failure(self, death: EndpointFailure, now_s: float) -> None:
         """Suspect all requests that ran there; publish encode() at once."""
         for tried in self._running.pop(death.endpoint, ()):
-            self.gave_up(tried, now_s)
+            self.abandon_trial(tried, now_s)
         for digest in death.digests:
             self._learn(self._fact(digest, death, now_s), now_s, closed=False)
 
-    def judge(self, digest: bytes, home: str, now_s: float) -> Verdict:
+    def classify(self, digest: bytes, home: str, now_s: float) -> Verdict:
         """Judge a request as a caller sends it.
 
         home is the entry that runs a resent suspect, by home_entry(); at any
         other the caller is told to wait or is sent there.
         """
-        verdict = self.judge_again(digest, now_s)
+        verdict = self.classify_retry(digest, now_s)
         if verdict != Verdict.ISOLATE:
             return verdict
         newest_s = max(
@@ -115,7 +115,7 @@
             return Verdict.WAIT
         return verdict
 
-    def judge_again(self, digest: bytes, now_s: float) -> Verdict:
+    def classify_retry(self, digest: bytes, now_s: float) -> Verdict:
         """Judge a request that this entry itself wants to send again."""
         if digest not in self._by_digest:
             return Verdict.FREE
@@ -156,9 +156,9 @@
             f'{digest.hex()} starts on {endpoint}',
         )
         self._running.setdefault(endpoint, set()).add(digest)
-        self.intends(digest, now_s)
+        self.reserve_trial(digest, now_s)
 
-    def intends(self, digest: bytes, now_s: float) -> None:
+    def reserve_trial(self, digest: bytes, now_s: float) -> None:
         """Claim the next trial of a suspect, before it has an endpoint.
 
         An entry that retries what it lost calls this right after the death
@@ -166,14 +166,14 @@
         """
         if digest in self._trials:
             return
-        trial_id = facts.make_death(
+        trial_id = facts.make_failure_id(
             self._entry, self._incarnation, next(self._trial_numbers)
         )
         trial = facts.Fact(digest, trial_id, trial=True)
         self._trials[digest] = trial
         self._learn(trial, now_s, closed=False)
 
-    def gave_up(self, digest: bytes, now_s: float) -> None:
+    def abandon_trial(self, digest: bytes, now_s: float) -> None:
         """Leave a suspect to its home; the caller may send it again."""
         trial = self._trials.pop(digest, None)
         if trial is not None:
@@ -184,7 +184,7 @@
     ) -> None:
         """Note that a suspect ended; a whole answer clears it."""
         self._running.get(endpoint, set()).discard(digest)
-        self.gave_up(digest, now_s)
+        self.abandon_trial(digest, now_s)
         if not whole:
             return
         for fact in self._deaths(digest):
@@ -212,10 +212,14 @@
             if place < surplus or state.learned_at_s < oldest_s:
                 self._drop(fact)
 
-    def _fact(self, digest: bytes, death: Death, now_s: float) -> facts.Fact:
+    def _fact(
+        self, digest: bytes, death: EndpointFailure, now_s: float
+    ) -> facts.Fact:
         earlier = 0
         while True:
-            death_id = facts.make_death(death.endpoint, death.epoch, earlier)
+            death_id = facts.make_failure_id(
+                death.endpoint, death.epoch, earlier
+            )
             fact = facts.Fact(digest, death_id)
             state = self._states.get(fact)
             if state is None or now_s - state.learned_at_s < SAME_DEATH_S:
@@ -274,7 +278,7 @@
     return rendezvous.holders(tuple(entries), digest.hex(), 1)[0]
 
 
-def own_share(
+def trial_endpoints(
     entry: str,
     entries: collections_abc.Collection[str],
     endpoints: collections_abc.Iterable[str],
@@ -295,11 +299,11 @@
     return item[1].learned_at_s
 
 
-def make_suspect_ledger(
+def make_suspect_table(
     entry: str,
     settings: PoisonSettings | None = None,
     safeguards: invariants.SafeguardSwitches | None = None,
     incarnation: int = 0,
-) -> SuspectLedger:
+) -> SuspectTable:
     """Return the ledger of one entry."""
-    return SuspectLedger(entry, settings, safeguards, incarnation)
+    return SuspectTable(entry, settings, safeguards, incarnation)
--- a/redwingvalve/poison/tests/test_ledger.py
+++ b/redwingvalve/poison/tests/test_suspect_table.py
@@ -1,19 +1,21 @@
 import hypothesis
 from hypothesis import strategies as st
 
-from redwingvalve.poison import ledger
+from redwingvalve.poison import suspect_table
 
-Verdict = ledger.Verdict
+Verdict = suspect_table.Verdict
 ENTRIES = ('e1', 'e2', 'e3')
 POISON, INNOCENT, OTHER = b'poison!!', b'innocent', b'stranger'
 
 
 def make_ledger(entry='e1'):
-    return ledger.make_suspect_ledger(entry)
+    return suspect_table.make_suspect_table(entry)
 
 
 def die(where, endpoint, *digests, now_s=0.0):
-    where.endpoint_died(ledger.Death(endpoint, 1, frozenset(digests)), now_s)
+    where.record_failure(
+        suspect_table.EndpointFailure(endpoint, 1, frozenset(digests)), now_s
+    )
 
 
 def test_a_poison_request_is_refused_after_its_second_death_everywhere():
@@ -24,15 +26,15 @@
     """
     first, second = make_ledger('e1'), make_ledger('e2')
     die(first, 'r1', POISON)
-    assert first.judge_again(POISON, 0.0) == Verdict.ISOLATE
+    assert first.classify_retry(POISON, 0.0) == Verdict.ISOLATE
     first.started(POISON, 'r2', 0.0)
     die(first, 'r2', POISON, now_s=1.0)
-    assert first.judge_again(POISON, 1.0) == Verdict.REFUSE
+    assert first.classify_retry(POISON, 1.0) == Verdict.REFUSE
     second.merge(first.encode(), 1.5)
-    assert second.judge(POISON, 'e2', 1.5) == Verdict.REFUSE
+    assert second.classify(POISON, 'e2', 1.5) == Verdict.REFUSE
     third = make_ledger('e3')
     third.merge(second.encode(), 2.0)
-    assert third.judge(POISON, 'e1', 2.0) == Verdict.REFUSE
+    assert third.classify(POISON, 'e1', 2.0) == Verdict.REFUSE
 
 
 def test_an_innocent_that_shared_the_endpoint_is_cleared_everywhere():
@@ -45,11 +47,11 @@
     before = first.encode()
     first.started(INNOCENT, 'r2', 0.0)
     first.ended(INNOCENT, 'r2', 1.0, whole=True)
-    assert first.judge(INNOCENT, 'e1', 1.0) == Verdict.FREE
+    assert first.classify(INNOCENT, 'e1', 1.0) == Verdict.FREE
     second.merge(first.encode(), 1.0)
     second.merge(before, 2.0)
-    assert second.judge(INNOCENT, 'e2', 9.0) == Verdict.FREE
-    assert second.judge(POISON, 'e2', 9.0) == Verdict.ISOLATE
+    assert second.classify(INNOCENT, 'e2', 9.0) == Verdict.FREE
+    assert second.classify(POISON, 'e2', 9.0) == Verdict.ISOLATE
 
 
 def test_a_resent_suspect_waits_for_news_and_runs_only_at_its_home():
@@ -58,12 +60,12 @@
     Were every entry to try it, each would lose an endpoint before the news of
     the second death arrives.
     """
-    home = ledger.home_entry(POISON, ENTRIES)
+    home = suspect_table.home_entry(POISON, ENTRIES)
     for entry in ENTRIES:
         where = make_ledger(entry)
         die(where, 'r1', POISON)
-        assert where.judge(POISON, home, 0.5) == Verdict.WAIT
-        later = where.judge(POISON, home, 3.0)
+        assert where.classify(POISON, home, 0.5) == Verdict.WAIT
+        later = where.classify(POISON, home, 3.0)
         assert later == (Verdict.ISOLATE if entry == home else Verdict.WAIT)
 
 
@@ -72,19 +74,19 @@
 
     Two trials at a time could cost two endpoints, a third death in all.
     """
-    home = ledger.home_entry(POISON, ENTRIES)
+    home = suspect_table.home_entry(POISON, ENTRIES)
     first, second = make_ledger('other'), make_ledger(home)
     die(first, 'r1', POISON)
-    first.intends(POISON, 0.1)
+    first.reserve_trial(POISON, 0.1)
     second.merge(first.encode(), 0.5)
-    assert second.judge(POISON, home, 5.0) == Verdict.WAIT
-    assert first.judge_again(POISON, 5.0) == Verdict.ISOLATE
+    assert second.classify(POISON, home, 5.0) == Verdict.WAIT
+    assert first.classify_retry(POISON, 5.0) == Verdict.ISOLATE
     first.started(POISON, 'r2', 5.0)
     second.merge(first.encode(), 5.5)
-    assert second.judge(POISON, home, 5.5) == Verdict.WAIT
+    assert second.classify(POISON, home, 5.5) == Verdict.WAIT
     first.ended(POISON, 'r2', 6.0, whole=False)
     second.merge(first.encode(), 6.5)
-    assert second.judge(POISON, home, 7.0) == Verdict.ISOLATE
+    assert second.classify(POISON, home, 7.0) == Verdict.ISOLATE
 
 
 def test_suspects_do_not_share_an_endpoint_unless_very_many_died():
@@ -110,9 +112,9 @@
         die(where, f'r{number}', OTHER, now_s=float(number))
     for number in range(3, 5):
         die(where, f'r{number}', INNOCENT, now_s=2.0)
-    assert where.judge_again(INNOCENT, 3.0) == Verdict.ISOLATE
+    assert where.classify_retry(INNOCENT, 3.0) == Verdict.ISOLATE
     die(where, 'r9', INNOCENT, now_s=60.0)
-    assert where.judge_again(INNOCENT, 60.0) == Verdict.REFUSE
+    assert where.classify_retry(INNOCENT, 60.0) == Verdict.REFUSE
 
 
 def test_deaths_of_others_do_not_buy_a_poison_request_a_third():
@@ -125,15 +127,17 @@
     die(where, 'r1', INNOCENT, now_s=0.0)
     die(where, 'r2', INNOCENT, now_s=1.7)
     die(where, 'r3', POISON, now_s=2.9)
-    assert where.judge_again(POISON, 2.9) == Verdict.ISOLATE
+    assert where.classify_retry(POISON, 2.9) == Verdict.ISOLATE
     die(where, 'r4', POISON, now_s=2.91)
-    assert where.judge_again(POISON, 2.91) == Verdict.REFUSE
+    assert where.classify_retry(POISON, 2.91) == Verdict.REFUSE
 
 
 def test_entries_put_suspects_on_disjoint_endpoints():
     """No two entries put suspects together, and every endpoint is used."""
     endpoints = [f'r{number}' for number in range(60)]
-    shares = [ledger.own_share(e, ENTRIES, endpoints) for e in ENTRIES]
+    shares = [
+        suspect_table.trial_endpoints(e, ENTRIES, endpoints) for e in ENTRIES
+    ]
     assert sum(len(share) for share in shares) == 60
     assert len(frozenset().union(*shares)) == 60
 
@@ -147,9 +151,9 @@
     die(first, 'r1', INNOCENT)
     die(second, 'r1', INNOCENT, now_s=1.0)
     first.merge(second.encode(), 2.0)
-    assert first.judge_again(INNOCENT, 2.0) == Verdict.ISOLATE
+    assert first.classify_retry(INNOCENT, 2.0) == Verdict.ISOLATE
     die(first, 'r1', INNOCENT, now_s=60.0)
-    assert first.judge_again(INNOCENT, 60.0) == Verdict.REFUSE
+    assert first.classify_retry(INNOCENT, 60.0) == Verdict.REFUSE
 
 
 STEPS = st.lists(
@@ -179,5 +183,7 @@
     for place in (*order, *order):
         other.merge(bodies[place], 0.0)
     for digest in (POISON, INNOCENT):
-        assert one.judge_again(digest, 0.0) == other.judge_again(digest, 0.0)
+        assert one.classify_retry(digest, 0.0) == other.classify_retry(
+            digest, 0.0
+        )
     assert sorted(one.encode()) == sorted(other.encode())
