--- a/redwingvalve/administration/retention.py
+++ b/redwingvalve/administration/retention.py
@@ -5,7 +5,7 @@
 week and the store's rate limits within a year. Plans have an end of their own
 (plans.finishing).
 
-Names of voters that are long gone (at_most_once.first_start) go with them.
+Names of voters that are long gone (at_most_once.voter_registration) go with them.
 
 Grounds: a fined target is disputed within a month, so entries stay 35 days.
 One delete every half a second uses under one hundredth of the store's several
@@ -18,7 +18,7 @@
 import attrs
 
 from redwingvalve.administration import audit
-from redwingvalve.at_most_once import first_start
+from redwingvalve.at_most_once import voter_registration
 from redwingvalve.core import clock
 from redwingvalve.observability import logs
 from redwingvalve.platform_api import object_api
@@ -46,7 +46,10 @@
 
 
 OUTDATED = types.MappingProxyType(
-    {audit.KIND: outdated_audits, first_start.KIND: first_start.outdated}
+    {
+        audit.KIND: outdated_audits,
+        voter_registration.KIND: voter_registration.find_expired,
+    }
 )
 
 
--- a/redwingvalve/at_most_once/ledger.py
+++ b/redwingvalve/at_most_once/claim_table.py
@@ -24,11 +24,11 @@
 MAX_CLAIMS = 150_000
 PAGE_CLAIMS = 200
 
-LedgerKey = tuple[str, str]
+ClaimKey = tuple[str, str]
 
 
 @attrs.define
-class Granted:
+class GrantedClaim:
     """A granted claim and what became of it."""
 
     claim: messages.Claim
@@ -37,17 +37,17 @@
     outcome: outcomes.Outcome = outcomes.Outcome.UNKNOWN
 
 
-class Ledger:
+class ClaimTable:
     """Grants each key to one claim."""
 
     def __init__(self, memory_s: float = MEMORY_S) -> None:
         """Start empty; claims are kept for memory_s."""
         self._memory_s = memory_s
-        self._granted: collections.OrderedDict[LedgerKey, Granted] = (
+        self._granted: collections.OrderedDict[ClaimKey, GrantedClaim] = (
             collections.OrderedDict()
         )
         self._numbers = itertools.count(1)
-        self._by_number: dict[int, Granted] = {}
+        self._by_number: dict[int, GrantedClaim] = {}
 
     def vote(self, claim: messages.Claim, now_s: float) -> messages.Vote:
         """Grant the claim if its key is free, and remember it."""
@@ -56,7 +56,7 @@
         earlier = self._granted.get(key)
         if earlier is None:
             return self._grant(key, claim, now_s)
-        if earlier.claim.send_id == claim.send_id:
+        if earlier.claim.claim_id == claim.claim_id:
             # The same claim asked again after a lost answer.
             return messages.Vote(messages.Verdict.RUN)
         reason = 'the key was used before'
@@ -72,7 +72,7 @@
         """Take the claimant's word on the end; NOT_RUN frees the key."""
         key = (claim.account, claim.request_key)
         granted = self._granted.get(key)
-        if granted is None or granted.claim.send_id != claim.send_id:
+        if granted is None or granted.claim.claim_id != claim.claim_id:
             return
         if outcome == outcomes.Outcome.NOT_RUN:
             invariants.require(
@@ -86,7 +86,7 @@
         granted.granted_s = now_s
         self._granted.move_to_end(key)
 
-    def page(self, after: int, now_s: float) -> tuple[Granted, ...]:
+    def page(self, after: int, now_s: float) -> tuple[GrantedClaim, ...]:
         """Return the next claims by number, at most PAGE_CLAIMS."""
         self._forget_old(now_s)
         later = (
@@ -112,7 +112,7 @@
         return len(self._granted)
 
     def _grant(
-        self, key: LedgerKey, claim: messages.Claim, now_s: float
+        self, key: ClaimKey, claim: messages.Claim, now_s: float
     ) -> messages.Vote:
         if len(self._granted) >= MAX_CLAIMS:
             return messages.Vote(
@@ -123,17 +123,17 @@
 
     def _keep(
         self,
-        key: LedgerKey,
+        key: ClaimKey,
         claim: messages.Claim,
         now_s: float,
         outcome: outcomes.Outcome,
     ) -> None:
         number = next(self._numbers)
-        granted = Granted(claim, now_s, number, outcome)
+        granted = GrantedClaim(claim, now_s, number, outcome)
         self._granted[key] = granted
         self._by_number[number] = granted
 
-    def _drop(self, key: LedgerKey) -> None:
+    def _drop(self, key: ClaimKey) -> None:
         granted = self._granted.pop(key)
         self._by_number.pop(granted.number)
 
--- a/redwingvalve/at_most_once/claims.py
+++ b/redwingvalve/at_most_once/claims.py
@@ -114,13 +114,13 @@
                 for name in claim.voters:
                     group.start_soon(self._report_to, name, claim, outcome)
 
-    async def keep_looking(self) -> None:
+    async def keep_synced(self) -> None:
         """Follow membership and copy what a new voter must know, for ever."""
         while True:
-            await self.look_once()
+            await self.sync_once()
             await self._clock.sleep(LOOK_INTERVAL_S)
 
-    async def look_once(self) -> None:
+    async def sync_once(self) -> None:
         """Look at the members and copy claims that are still missing."""
         now_s = self._clock.monotonic_s()
         known = self._members.known()
--- a/redwingvalve/at_most_once/messages.py
+++ b/redwingvalve/at_most_once/messages.py
@@ -29,7 +29,7 @@
     request_key: str
     entry: str
     incarnation: int
-    send_id: str
+    claim_id: str
     digest: str
     voters: tuple[str, ...] = ()
 
@@ -48,7 +48,7 @@
 
 
 @attrs.frozen
-class Copy:
+class ClaimPage:
     """A page of a voter's claims, for one that has just become a voter.
 
     An incarnation numbers its claims; the page ends with reached, and more
--- a/redwingvalve/at_most_once/peers.py
+++ b/redwingvalve/at_most_once/peers.py
@@ -30,5 +30,5 @@
     @abc.abstractmethod
     async def copy(
         self, member: members.Member, names: tuple[str, ...], after: int
-    ) -> Result[messages.Copy, str]:
+    ) -> Result[messages.ClaimPage, str]:
         """Copy a page of a voter's claims; names are the voters we know of."""
--- a/redwingvalve/at_most_once/roster.py
+++ b/redwingvalve/at_most_once/roster.py
@@ -36,12 +36,12 @@
 
 import attrs
 
-from redwingvalve.at_most_once import keys, ledger, messages, voters
+from redwingvalve.at_most_once import claim_table, keys, messages, voters
 from redwingvalve.membership import members
 
 SETTLE_S = 2.0
 LONGEST_PAUSE_S = 3.0
-LONGEST_ABSENCE_S = 2 * ledger.MEMORY_S
+LONGEST_ABSENCE_S = 2 * claim_table.MEMORY_S
 CLOCK_SKEW_S = 5.0
 
 
@@ -69,7 +69,7 @@
         first_start: bool,
         names: collections_abc.Iterable[str] = (),
         alone: bool = False,
-        resend_s: float = ledger.MEMORY_S,
+        resend_s: float = claim_table.MEMORY_S,
     ) -> None:
         """Start with the own name and the names that the store holds.
 
@@ -78,7 +78,7 @@
         No caller sends a request again later than resend_s after the first
         time; at most as long as claims are remembered.
         """
-        self._resend_s = min(resend_s, ledger.MEMORY_S)
+        self._resend_s = min(resend_s, claim_table.MEMORY_S)
         self._myself = myself
         self._started_s = now_s
         self._whole = first_start
@@ -148,7 +148,7 @@
         return self.missing()
 
     def learned_from(
-        self, name: str, copied: messages.Copy, now_s: float
+        self, name: str, copied: messages.ClaimPage, now_s: float
     ) -> None:
         """Count the claims of another voter in."""
         self.introduce(copied.names, now_s)
@@ -292,4 +292,4 @@
     made_at_s = keys.made_at_s(request_key)
     if made_at_s is None:
         return False
-    return wall_s - made_at_s > ledger.MEMORY_S - CLOCK_SKEW_S
+    return wall_s - made_at_s > claim_table.MEMORY_S - CLOCK_SKEW_S
--- a/redwingvalve/at_most_once/tests/fleet.py
+++ b/redwingvalve/at_most_once/tests/fleet.py
@@ -8,8 +8,8 @@
 from expression import Error, Ok
 
 from redwingvalve.at_most_once import (
+    claim_table,
     claims,
-    ledger,
     messages,
     peers,
     roster,
@@ -21,7 +21,7 @@
 BASE_NAMES = ('e1', 'e2', 'e3', 'e4', 'e5')
 WITH_CONTROLS = ('e1', 'e2', 'e3', 'c1', 'c2')
 KEYS = ('k1', 'k2', 'k3', 'k4')
-MEMORY_S = ledger.MEMORY_S
+MEMORY_S = claim_table.MEMORY_S
 # All voters settle, look at each other twice and copy.
 READY_S = 10
 RUN = invariants.Safeguard.RUN_AT_MOST_ONCE
@@ -31,7 +31,7 @@
 def small_pages():
     """Copies take several pages, with anything in between."""
     with pytest.MonkeyPatch.context() as patched:
-        patched.setattr(ledger, 'PAGE_CLAIMS', 2)
+        patched.setattr(claim_table, 'PAGE_CLAIMS', 2)
         yield
 
 
@@ -104,7 +104,7 @@
             self.clock.advance(1.0)
             for name in self.awake():
                 self.seen_s[name] = self.clock.monotonic_s()
-                anyio.run(self.entries[name].look_once)
+                anyio.run(self.entries[name].sync_once)
 
     def advance(self, duration_s):
         """Let a long time pass in which everybody looks now and then."""
--- a/redwingvalve/at_most_once/tests/test_fleet.py
+++ b/redwingvalve/at_most_once/tests/test_fleet.py
@@ -6,7 +6,7 @@
 import pytest
 
 from redwingvalve.at_most_once import (
-    ledger,
+    claim_table,
     messages,
 )
 from redwingvalve.at_most_once.tests import fleet as fleets
@@ -43,7 +43,7 @@
     """
     fleet = fleets.Fleet()
     fleet.side.update(e4=1, e5=1)
-    fleet.advance(ledger.MEMORY_S)
+    fleet.advance(claim_table.MEMORY_S)
     answers = [
         fleet.send(name, f'k{i}') for i in range(20) for name in ('e4', 'e1')
     ]
@@ -154,7 +154,7 @@
     fleet.crash_together(['e1'])
     for _ in range(3):
         fleet.clock.advance(0.4)
-        anyio.run(fleet.entries['e1'].look_once)
+        anyio.run(fleet.entries['e1'].sync_once)
     votes.extend(fleet.entries[name].voter.vote(claim) for name in ('e2', 'e3'))
     assert {vote.verdict for vote in votes} == {messages.Verdict.RUN}
     fleet.settle(fleets.READY_S)
@@ -318,7 +318,7 @@
     fleet = fleets.Fleet()
     fleet.start('n6')
     fleet.side['e2'] = 1
-    anyio.run(fleet.entries['e1'].look_once)
+    anyio.run(fleet.entries['e1'].sync_once)
     knows = fleet.entries['e1'].voter
     stale = fleet.entries['e2'].voter.roster
     verdicts = set()
--- a/redwingvalve/at_most_once/tests/test_fleet_machine.py
+++ b/redwingvalve/at_most_once/tests/test_fleet_machine.py
@@ -133,7 +133,7 @@
     @stateful.rule(number=st.integers(0, 9))
     def one_looks(self, number):
         self.fleet.clock.advance(0.5)
-        anyio.run(self.fleet.entries[self.pick(number)].look_once)
+        anyio.run(self.fleet.entries[self.pick(number)].sync_once)
 
     @stateful.rule(duration_s=st.sampled_from((10, 1000, 4000)))
     def advance(self, duration_s):
--- a/redwingvalve/at_most_once/tests/test_thrift_peers.py
+++ b/redwingvalve/at_most_once/tests/test_thrift_peers.py
@@ -35,7 +35,7 @@
         member = attrs.evolve(ME, peer_port=listening.port)
         first = await asked.claim(member, CLAIM)
         await asked.report(member, CLAIM, outcomes.Outcome.RAN)
-        again = await asked.claim(member, attrs.evolve(CLAIM, send_id='x'))
+        again = await asked.claim(member, attrs.evolve(CLAIM, claim_id='x'))
         copied = await asked.copy(member, ('e1',), 0)
         await listening.aclose()
         gone = await asked.claim(member, CLAIM)
--- a/redwingvalve/at_most_once/thrift_peers.py
+++ b/redwingvalve/at_most_once/thrift_peers.py
@@ -50,7 +50,7 @@
 
     async def copy(
         self, member: members.Member, names: tuple[str, ...], after: int
-    ) -> Result[messages.Copy, str]:
+    ) -> Result[messages.ClaimPage, str]:
         """Copy a page of a voter's claims."""
         request = wire.KeyCopyRequest(names=list(names), after=after)
         called = await self._call(member, 'copy_keys', request)
@@ -58,7 +58,7 @@
             return Error(called.error)
         copied = called.ok
         return Ok(
-            messages.Copy(
+            messages.ClaimPage(
                 claims=tuple(
                     (_from_wire(kept.claim), outcomes.Outcome(kept.outcome))
                     for kept in copied.claims
@@ -130,7 +130,7 @@
         request_key=claim.request_key,
         entry=claim.entry,
         incarnation=claim.incarnation,
-        request_id=claim.send_id,
+        request_id=claim.claim_id,
         digest=claim.digest,
         voters=list(claim.voters),
     )
@@ -142,7 +142,7 @@
         request_key=claim.request_key,
         entry=claim.entry,
         incarnation=claim.incarnation,
-        send_id=claim.request_id,
+        claim_id=claim.request_id,
         digest=claim.digest,
         voters=tuple(claim.voters or ()),
     )
--- a/redwingvalve/at_most_once/voter.py
+++ b/redwingvalve/at_most_once/voter.py
@@ -3,7 +3,7 @@
 import itertools
 from collections import abc as collections_abc
 
-from redwingvalve.at_most_once import keys, ledger, messages, roster
+from redwingvalve.at_most_once import claim_table, keys, messages, roster
 from redwingvalve.core import clock, invariants, outcomes
 from redwingvalve.membership import members
 
@@ -29,8 +29,8 @@
         self.roster = own_roster
         self._clock = voter_clock
         self._switches = switches
-        self._issued = ledger.Ledger(2 * ledger.MEMORY_S)
-        self._chosen = ledger.Ledger()
+        self._issued = claim_table.ClaimTable(2 * claim_table.MEMORY_S)
+        self._chosen = claim_table.ClaimTable()
         self._numbers = itertools.count(1)
 
     def issue(self) -> keys.IssuedKey:
@@ -72,22 +72,22 @@
             remembered = self._issued
         remembered.report(claim, outcome, self._clock.monotonic_s())
 
-    def copy(self, names: tuple[str, ...], after: int) -> messages.Copy:
+    def copy(self, names: tuple[str, ...], after: int) -> messages.ClaimPage:
         """Return claims numbered after; names count as voters from now on."""
         now_s = self._clock.monotonic_s()
         self.roster.introduce(names, now_s)
         page = self._chosen.page(after, now_s)
-        return messages.Copy(
+        return messages.ClaimPage(
             claims=tuple((granted.claim, granted.outcome) for granted in page),
             names=tuple(sorted(self.roster.names)),
             whole=self.roster.is_whole(now_s),
             complete=self.roster.is_complete(now_s),
             incarnation=self.myself.incarnation,
             reached=page[-1].number if page else after,
-            more=len(page) == ledger.PAGE_CLAIMS,
+            more=len(page) == claim_table.PAGE_CLAIMS,
         )
 
-    def learn(self, name: str, copied: messages.Copy) -> None:
+    def learn(self, name: str, copied: messages.ClaimPage) -> None:
         """Take a page of another voter's claims in."""
         now_s = self._clock.monotonic_s()
         self._chosen.learn(copied.claims, now_s)
@@ -110,7 +110,7 @@
                 reason='the entry that issued the key has ended',
             )
         age_s = now_s - issued.issued_ms / MS_PER_S
-        if not -1 / MS_PER_S <= age_s <= ledger.MEMORY_S:
+        if not -1 / MS_PER_S <= age_s <= claim_table.MEMORY_S:
             return messages.Vote(
                 messages.Verdict.UNKNOWN, reason='the key has expired'
             )
@@ -125,7 +125,7 @@
     first_start: bool,
     names: collections_abc.Iterable[str] = (),
     alone: bool = False,
-    resend_s: float = ledger.MEMORY_S,
+    resend_s: float = claim_table.MEMORY_S,
 ) -> Voter:
     """Return the voter of a starting process; see roster.Roster."""
     return Voter(
--- a/redwingvalve/at_most_once/first_start.py
+++ b/redwingvalve/at_most_once/voter_registration.py
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen
-class Start:
+class Registration:
     """first: no process had this name; names: who may vote, seen or not."""
 
     first: bool
@@ -34,23 +34,23 @@
 
 async def register(
     objects: object_api.ObjectApi, name: str, wall_s: float
-) -> Start:
+) -> Registration:
     """Write down that a voter starts; an outage counts as a restart."""
     created = await objects.create(KIND, name, _body(name, wall_s))
     if created.is_error() and not isinstance(
         created.error, object_api.Conflict
     ):
-        return Start(first=False)
+        return Registration(first=False)
     listed = await objects.list(KIND)
     if listed.is_error():
-        return Start(first=False)
+        return Registration(first=False)
     oldest_s = wall_s - roster.LONGEST_ABSENCE_S
     names = frozenset(
         stored.name
         for stored in listed.ok.objects
         if _seen_s(stored) >= oldest_s
     )
-    return Start(created.is_ok(), names)
+    return Registration(created.is_ok(), names)
 
 
 async def refresh(
@@ -67,7 +67,7 @@
     return False
 
 
-async def keep_fresh(
+async def keep_refreshed(
     objects: object_api.ObjectApi, name: str, time_source: clock.Clock
 ) -> None:
     """Refresh the object of a voter that runs, until cancelled.
@@ -81,7 +81,7 @@
         pause_s = REFRESH_S if fresh else RETRY_S
 
 
-def outdated(
+def find_expired(
     kept: collections_abc.Iterable[object_api.StoredObject], wall_s: float
 ) -> tuple[object_api.StoredObject, ...]:
     """Return the objects of names that are long gone."""
--- a/redwingvalve/entry/daemon.py
+++ b/redwingvalve/entry/daemon.py
@@ -33,7 +33,7 @@
         group.start_soon(application.stalls.run)
         group.start_soon(application.caches.run)
         if entry_dependencies.key_claims is not None:
-            group.start_soon(entry_dependencies.key_claims.keep_looking)
+            group.start_soon(entry_dependencies.key_claims.keep_synced)
         await serving.serve(
             application,
             bind,
--- a/redwingvalve/entry/once.py
+++ b/redwingvalve/entry/once.py
@@ -49,7 +49,7 @@
                 request_key=key,
                 entry=self._myself.name,
                 incarnation=self._myself.incarnation,
-                send_id=(
+                claim_id=(
                     f'{self._myself.name}-{self._myself.incarnation}'
                     f'-{next(self._numbers)}'
                 ),
--- a/redwingvalve/process/key_votes.py
+++ b/redwingvalve/process/key_votes.py
@@ -4,9 +4,9 @@
 
 from redwingvalve.at_most_once import (
     claims,
-    first_start,
     thrift_peers,
     voter,
+    voter_registration,
 )
 from redwingvalve.process import parts as process_parts
 
@@ -16,7 +16,7 @@
 ) -> claims.KeyClaims:
     """Return the claims of request keys, answering the other voters too."""
     myself = parts.node.members.myself()
-    started = await first_start.register(
+    started = await voter_registration.register(
         parts.objects, myself.name, parts.clock.wall_s()
     )
     own_voter = voter.make_voter(
@@ -41,7 +41,7 @@
 
 async def keep_registered(parts: process_parts.ProcessParts) -> None:
     """Let voters that start know of this one, until cancelled."""
-    await first_start.keep_fresh(
+    await voter_registration.keep_refreshed(
         parts.objects, parts.settings.node.name, parts.clock
     )
 
@@ -51,4 +51,4 @@
     key_claims = await make_claims(parts)
     async with anyio.create_task_group() as group:
         group.start_soon(keep_registered, parts)
-        group.start_soon(key_claims.keep_looking)
+        group.start_soon(key_claims.keep_synced)
