--- a/redwingvalve/admission/account_line.py
+++ b/redwingvalve/admission/account_queue.py
@@ -64,7 +64,7 @@
         return max(-self.level, 0.0) / max(self._rate, 1e-9)
 
 
-class AccountLine:
+class AccountQueue:
     """Requests by priority, then by arrival; with their summed cost."""
 
     def __init__(self, name: str, number: int) -> None:
--- a/redwingvalve/admission/fair_queue.py
+++ b/redwingvalve/admission/fair_queue.py
@@ -16,7 +16,7 @@
 import attrs
 
 from redwingvalve.admission import (
-    account_line,
+    account_queue,
     in_flight,
     lane,
     lanes,
@@ -152,7 +152,7 @@
     def _queue_or_refuse(
         self,
         request: messages.AdmissionRequest,
-        line: account_line.AccountLine,
+        line: account_queue.AccountQueue,
         cost: float,
         now_s: float,
     ) -> messages.Decision:
@@ -174,7 +174,7 @@
                 messages.RefusalReason.WOULD_MISS_TARGET,
                 wait_s - max(slack_s, 0.0),
             )
-        waiting = account_line.Waiting(
+        waiting = account_queue.Waiting(
             -request.priority, self._number, cost, request
         )
         in_lane.add(line, waiting, now_s)
@@ -188,7 +188,7 @@
     def _wait_s(
         self,
         in_lane: lane.Lane,
-        line: account_line.AccountLine,
+        line: account_queue.AccountQueue,
         ahead_tokens: float,
         speed: float,
         now_s: float,
--- a/redwingvalve/admission/lane.py
+++ b/redwingvalve/admission/lane.py
@@ -14,7 +14,7 @@
 import heapq
 
 from redwingvalve.admission import (
-    account_line,
+    account_queue,
     messages,
     preference,
     speed_shares,
@@ -34,7 +34,7 @@
         self.waiting_count = 0
         self.waiting_tokens = 0.0
         self.in_flight = 0
-        self.lines: dict[str, account_line.AccountLine] = {}
+        self.lines: dict[str, account_queue.AccountQueue] = {}
         self._settings = settings
         self._active_weight = 0.0
         self._virtual_time = 0.0
@@ -43,12 +43,12 @@
         self._credit_bound = 0.0
         self._fair: list[tuple[float, int, int]] = []
         self._preference = preference.Preference(settings)
-        self._by_number: list[account_line.AccountLine] = []
+        self._by_number: list[account_queue.AccountQueue] = []
 
     def add(
         self,
-        line: account_line.AccountLine,
-        waiting: account_line.Waiting,
+        line: account_queue.AccountQueue,
+        waiting: account_queue.Waiting,
         now_s: float,
     ) -> None:
         """Let a request wait in the line of its account."""
@@ -61,12 +61,12 @@
 
     def line(
         self, request: messages.AdmissionRequest
-    ) -> account_line.AccountLine:
+    ) -> account_queue.AccountQueue:
         """Return the line of a request's account."""
         line = self.lines.get(request.account)
         if line is not None:
             return line
-        line = account_line.AccountLine(request.account, len(self._by_number))
+        line = account_queue.AccountQueue(request.account, len(self._by_number))
         line.weight = request.weight
         line.penalty = request.penalty
         self.lines[request.account] = line
@@ -80,7 +80,7 @@
         self.shares.speed = tokens_per_s
         self._credit_bound = self._settings.preference_burst_s * tokens_per_s
 
-    def fair_share(self, line: account_line.AccountLine) -> float:
+    def fair_share(self, line: account_queue.AccountQueue) -> float:
         """Return the share of the lane that a line has by weight alone."""
         weight = self._active_weight
         if not line.waiting:
@@ -88,7 +88,7 @@
         return line.weight / max(weight, line.weight)
 
     def turn_in_s(
-        self, line: account_line.AccountLine, tokens_per_s: float
+        self, line: account_queue.AccountQueue, tokens_per_s: float
     ) -> float:
         """Return when a line's turn comes by fairness alone.
 
@@ -109,7 +109,7 @@
 
     def choose(
         self, now_s: float
-    ) -> tuple[account_line.AccountLine, bool] | None:
+    ) -> tuple[account_queue.AccountQueue, bool] | None:
         """Return the account whose turn it is, and whether by preference."""
         if not self.waiting_count:
             return None
@@ -121,11 +121,11 @@
 
     def take(
         self,
-        line: account_line.AccountLine,
+        line: account_queue.AccountQueue,
         *,
         by_preference: bool,
         now_s: float,
-    ) -> account_line.Waiting:
+    ) -> account_queue.Waiting:
         """Remove the line's first request and charge the account for it."""
         entry = line.take_first()
         cost = entry[2]
@@ -142,8 +142,8 @@
         return entry
 
     def remove(
-        self, line: account_line.AccountLine, priority: int, number: int
-    ) -> account_line.Waiting | None:
+        self, line: account_queue.AccountQueue, priority: int, number: int
+    ) -> account_queue.Waiting | None:
         """Remove one waiting request without serving it."""
         entry = line.remove(priority, number)
         if entry is not None:
@@ -151,14 +151,14 @@
         return entry
 
     def remove_last(
-        self, line: account_line.AccountLine
-    ) -> account_line.Waiting:
+        self, line: account_queue.AccountQueue
+    ) -> account_queue.Waiting:
         """Remove the request of a line that would go last."""
         entry = line.take_last()
         self._left(line, entry[2])
         return entry
 
-    def correct(self, line: account_line.AccountLine, cost: float) -> None:
+    def correct(self, line: account_queue.AccountQueue, cost: float) -> None:
         """Charge what was used beyond the estimate, or give it back.
 
         The lane's own time moves along: otherwise accounts that overstate
@@ -168,7 +168,7 @@
         self._virtual_time += cost / weight
         self.charge(line, cost)
 
-    def charge(self, line: account_line.AccountLine, cost: float) -> None:
+    def charge(self, line: account_queue.AccountQueue, cost: float) -> None:
         """Move an account's virtual time."""
         # An account that got less than its share for long would otherwise
         # hold a claim that shuts out the others for as long again.
@@ -180,7 +180,7 @@
             self._push_fair(line)
 
     def pass_by(
-        self, line: account_line.AccountLine, cost: float, now_s: float
+        self, line: account_queue.AccountQueue, cost: float, now_s: float
     ) -> None:
         """Charge a request that was admitted without waiting."""
         line.virtual_time = max(line.virtual_time, self._virtual_time)
@@ -192,7 +192,7 @@
 
     def _activate(
         self,
-        line: account_line.AccountLine,
+        line: account_queue.AccountQueue,
         request: messages.AdmissionRequest,
     ) -> None:
         # An account that was idle must not save up a claim: it would shut out
@@ -205,7 +205,7 @@
         self._push_fair(line)
         self._preference.enter(line, request.priority)
 
-    def _left(self, line: account_line.AccountLine, cost: float) -> None:
+    def _left(self, line: account_queue.AccountQueue, cost: float) -> None:
         self.waiting_count -= 1
         self.waiting_tokens -= cost
         if not line.waiting:
@@ -219,12 +219,12 @@
         self._fair.clear()
         self._preference.clear()
 
-    def _push_fair(self, line: account_line.AccountLine) -> None:
+    def _push_fair(self, line: account_queue.AccountQueue) -> None:
         heapq.heappush(
             self._fair, (line.virtual_time, line.number, line.version)
         )
 
-    def _first_fair(self) -> account_line.AccountLine:
+    def _first_fair(self) -> account_queue.AccountQueue:
         while True:
             _, number, version = self._fair[0]
             line = self._by_number[number]
@@ -233,7 +233,7 @@
             heapq.heappop(self._fair)
 
     def _preferred_rate(
-        self, line: account_line.AccountLine, now_s: float
+        self, line: account_queue.AccountQueue, now_s: float
     ) -> float:
         return self._settings.preference_bound * self.shares.of(line, now_s)
 
--- a/redwingvalve/admission/lanes.py
+++ b/redwingvalve/admission/lanes.py
@@ -11,7 +11,7 @@
 
 import typing
 
-from redwingvalve.admission import account_line, estimates, lane, messages
+from redwingvalve.admission import account_queue, estimates, lane, messages
 
 KINDS = tuple(messages.JobKind)
 
@@ -20,7 +20,7 @@
     """Whose turn it is, and whether by preference."""
 
     kind: messages.JobKind
-    line: account_line.AccountLine
+    line: account_queue.AccountQueue
     by_preference: bool
 
 
--- a/redwingvalve/admission/preference.py
+++ b/redwingvalve/admission/preference.py
@@ -9,12 +9,12 @@
 import heapq
 from collections import abc as collections_abc
 
-from redwingvalve.admission import account_line, messages
+from redwingvalve.admission import account_queue, messages
 
 # After this an account without allowance is looked at again, at the earliest.
 MIN_PARKED_S = 0.001
 
-Rates = collections_abc.Callable[[account_line.AccountLine, float], float]
+Rates = collections_abc.Callable[[account_queue.AccountQueue, float], float]
 
 
 # Penalty and priority, both negative, then virtual time: equals take turns.
@@ -27,15 +27,15 @@
     def __init__(self, settings: messages.AdmissionSettings) -> None:
         """Start without lines."""
         self._settings = settings
-        self._lines: list[account_line.AccountLine] = []
+        self._lines: list[account_queue.AccountQueue] = []
         self._listed: list[Listed] = []
         self._parked: list[tuple[float, Listed]] = []
 
-    def know(self, line: account_line.AccountLine) -> None:
+    def know(self, line: account_queue.AccountQueue) -> None:
         """Take in a new line; its number is its place."""
         self._lines.append(line)
 
-    def enter(self, line: account_line.AccountLine, priority: int) -> None:
+    def enter(self, line: account_queue.AccountQueue, priority: int) -> None:
         """List a line that has something waiting."""
         if line.listed:
             return
@@ -47,7 +47,7 @@
 
     def first(
         self, now_s: float, rate: Rates
-    ) -> account_line.AccountLine | None:
+    ) -> account_queue.AccountQueue | None:
         """Return the dearest line with an allowance; rate gives its growth."""
         while self._parked and self._parked[0][0] <= now_s:
             heapq.heappush(self._listed, heapq.heappop(self._parked)[1])
@@ -69,7 +69,7 @@
         return None
 
     def _allowed(
-        self, line: account_line.AccountLine, now_s: float, rate: Rates
+        self, line: account_queue.AccountQueue, now_s: float, rate: Rates
     ) -> bool:
         line.allowance.refill(
             rate(line, now_s), self._settings.preference_burst_s, now_s
--- a/redwingvalve/admission/service_calls.py
+++ b/redwingvalve/admission/service_calls.py
@@ -29,10 +29,12 @@
 MS_PER_S = 1000.0
 # Every place is declared, so the bound may not grow past it; the time that a
 # call takes stands in its deadline, so none is expected on top.
-SETTINGS = messages.AdmissionSettings(first_token_s=0.0, most_over_declared=1.0)
+ADMISSION_SETTINGS = messages.AdmissionSettings(
+    first_token_s=0.0, most_over_declared=1.0
+)
 
 
-class CallTimes:
+class CallDurations:
     """How long calls took, by service, method and beginning of the path.
 
     All paths of a service and method are one until some take far longer or
--- a/redwingvalve/admission/speed_shares.py
+++ b/redwingvalve/admission/speed_shares.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from redwingvalve.admission import account_line, messages
+from redwingvalve.admission import account_queue, messages
 
 # Accounts that asked within this time count.
 RECENT_S = 10.0
@@ -34,25 +34,25 @@
         self._expected_of = 0.0
         self.speed = 0.0
         self.weight = 1.0
-        self._lines: list[account_line.AccountLine] = []
-        self._recent: list[account_line.AccountLine] = []
+        self._lines: list[account_queue.AccountQueue] = []
+        self._recent: list[account_queue.AccountQueue] = []
         self._again_at_s = 0.0
         self._expect_again_at_s = 0.0
 
-    def know(self, line: account_line.AccountLine) -> None:
+    def know(self, line: account_queue.AccountQueue) -> None:
         """Take in a new account."""
         self._lines.append(line)
         self._again_at_s = 0.0
         self._expect_again_at_s = 0.0
 
-    def of(self, line: account_line.AccountLine, now_s: float) -> float:
+    def of(self, line: account_queue.AccountQueue, now_s: float) -> float:
         """Return an account's share in tokens per second."""
         if now_s >= self._again_at_s:
             self._recount(now_s)
         return self.speed * line.weight / self.weight
 
     def expected(
-        self, line: account_line.AccountLine, speed: float, now_s: float
+        self, line: account_queue.AccountQueue, speed: float, now_s: float
     ) -> float:
         """Return the rate at which an account gets its part of a speed."""
         stale = abs(speed - self._expected_of) > CHANGED * self._expected_of
@@ -65,7 +65,7 @@
             return speed * line.weight / self.weight
         return known
 
-    def moderate(self, line: account_line.AccountLine, now_s: float) -> bool:
+    def moderate(self, line: account_queue.AccountQueue, now_s: float) -> bool:
         """Tell whether an account asks at most its share.
 
         Fair sharing serves it soon, whatever the others ask, so that its
@@ -91,7 +91,9 @@
             left = _divide(tuple(equals), left)
         return {claim.number: claim.expected() for claim in claims}
 
-    def _claim(self, line: account_line.AccountLine, speed: float) -> '_Claim':
+    def _claim(
+        self, line: account_queue.AccountQueue, speed: float
+    ) -> '_Claim':
         share = speed * line.weight / self.weight
         asked = line.asked_tokens_per_s()
         guaranteed = share * (1.0 - self._settings.preferred_share)
--- a/redwingvalve/admission/tests/test_service_calls.py
+++ b/redwingvalve/admission/tests/test_service_calls.py
@@ -20,9 +20,10 @@
     """Calls to one service, and the queue before it."""
 
     def __init__(self):
-        self.times = service_calls.CallTimes()
+        self.times = service_calls.CallDurations()
         self.queue = fair_queue.make_admission_queue(
-            capacity.make_service_capacity(SERVICE), service_calls.SETTINGS
+            capacity.make_service_capacity(SERVICE),
+            service_calls.ADMISSION_SETTINGS,
         )
         self.number = 0
 
--- a/redwingvalve/entry/service_queue.py
+++ b/redwingvalve/entry/service_queue.py
@@ -23,10 +23,10 @@
     ) -> None:
         """Start with nothing known of any call."""
         self._clock = time_source
-        self._times = service_calls.CallTimes()
+        self._times = service_calls.CallDurations()
         self._numbers = itertools.count(1)
         self._room = waiting_room.WaitingRoom(
-            known, time_source, service_calls.SETTINGS
+            known, time_source, service_calls.ADMISSION_SETTINGS
         )
 
     @contextlib.asynccontextmanager
