--- a/redwingvalve/administration/retention.py
+++ b/redwingvalve/administration/retention.py
@@ -5,7 +5,8 @@
 week and the store's rate limits within a year. Plans have an end of their own
 (plans.finishing).
 
-Names of voters that are long gone (at_most_once.voter_registration) go with them.
+Names of voters that are long gone (at_most_once.voter_registration) go with
+them.
 
 Grounds: a fined target is disputed within a month, so entries stay 35 days.
 One delete every half a second uses under one hundredth of the store's several
--- a/redwingvalve/entry/suspects.py
+++ b/redwingvalve/entry/suspects.py
@@ -89,7 +89,8 @@
         now_s = self._clock.monotonic_s()
         verdict = self._ledger.classify_retry(digest, now_s)
         if verdict == suspect_table.Verdict.ISOLATE:
-            # Claimed before another entry may try it; see SuspectTable.reserve_trial.
+            # Claimed before another entry may try it; see
+            # SuspectTable.reserve_trial.
             self._ledger.reserve_trial(digest, now_s)
             self._tell()
         if verdict == suspect_table.Verdict.REFUSE:
