--- a/redwingvalve/administration/tests/test_api.py
+++ b/redwingvalve/administration/tests/test_api.py
@@ -40,13 +40,13 @@
 
 
 class OneMember(members.Members):
-    def myself(self):
+    def local_member(self):
         return members.Member(
             'entry-1', 1, 'entry', '127.0.0.1', 1, 2, 'nave-a', 'mvd'
         )
 
     def known(self):
-        return (self.myself(),)
+        return (self.local_member(),)
 
     def isolated(self):
         return False
--- a/redwingvalve/allocation/owners.py
+++ b/redwingvalve/allocation/owners.py
@@ -94,4 +94,4 @@
         # In a data centre without nodes, any node may own the pool.
         names = local or [candidate.vm for candidate in candidates]
         pool_key = f'{pool.service}\0{pool.model}\0{pool.data_centre}'
-        return rendezvous.holders(names, pool_key, len(names))
+        return rendezvous.select(names, pool_key, len(names))
--- a/redwingvalve/at_most_once/claims.py
+++ b/redwingvalve/at_most_once/claims.py
@@ -231,7 +231,7 @@
 ) -> KeyClaims:
     """Return the claims of one entry."""
     invariants.require(
-        own_voter.myself.name == known_members.myself().name,
+        own_voter.myself.name == known_members.local_member().name,
         'an entry votes under its own name',
         own_voter.myself.name,
     )
--- a/redwingvalve/at_most_once/tests/fleet.py
+++ b/redwingvalve/at_most_once/tests/fleet.py
@@ -147,7 +147,7 @@
     fleet: Fleet
     me: members.Member
 
-    def myself(self):
+    def local_member(self):
         return self.me
 
     def isolated(self):
--- a/redwingvalve/at_most_once/voters.py
+++ b/redwingvalve/at_most_once/voters.py
@@ -21,9 +21,7 @@
 
     Adding or removing a name moves only the keys that it votes on.
     """
-    return rendezvous.holders(
-        names, f'{account}\0{request_key}', VOTERS_PER_KEY
-    )
+    return rendezvous.select(names, f'{account}\0{request_key}', VOTERS_PER_KEY)
 
 
 def votes_needed(voters: int) -> int:
--- a/redwingvalve/bench/control_cost.py
+++ b/redwingvalve/bench/control_cost.py
@@ -124,9 +124,9 @@
         await fleet.darken(DARK_DATA_CENTRE)
     if load == 'return':
         gone = [
-            each.members.myself()
+            each.members.local_member()
             for each in fleet.nodes
-            if each.members.myself().region == LOST_REGION
+            if each.members.local_member().region == LOST_REGION
         ]
         for data_centre in sorted({each.data_centre for each in gone}):
             await fleet.darken(data_centre)
@@ -197,7 +197,7 @@
         item.age_s
         for each in fleet.nodes
         for item in each.news.read(peer_fleet.EVIDENCE)
-        if item.owner != each.members.myself().name
+        if item.owner != each.members.local_member().name
     )
     return ages[int(len(ages) * share)] if ages else 0.0
 
--- a/redwingvalve/bench/peer_fleet.py
+++ b/redwingvalve/bench/peer_fleet.py
@@ -19,7 +19,7 @@
 from redwingvalve.core import clock
 from redwingvalve.evidence import prober
 from redwingvalve.membership import bounds, members, node
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.platform_api import object_api
 from redwingvalve.standins import memory_store
 
@@ -53,7 +53,7 @@
 
     items: int
     item_bytes: int
-    interval_s: float = prober.PROBE_EVERY_S
+    interval_s: float = prober.PROBE_INTERVAL_S
 
 
 @attrs.define
@@ -70,7 +70,7 @@
     def start(self, group: anyio_abc.TaskGroup, started: node.PeerNode) -> None:
         """Run a node until it is stopped."""
         scope = anyio.CancelScope()
-        self.scopes[started.members.myself().name] = scope
+        self.scopes[started.members.local_member().name] = scope
         self.nodes.append(started)
         group.start_soon(_run_in, scope, started)
 
@@ -79,10 +79,10 @@
         gone = [
             each
             for each in self.nodes
-            if each.members.myself().data_centre == data_centre
+            if each.members.local_member().data_centre == data_centre
         ]
         for each in gone:
-            self.scopes[each.members.myself().name].cancel()
+            self.scopes[each.members.local_member().name].cancel()
             self.nodes.remove(each)
         for closed in gone:
             await closed.server.aclose(grace_s=0.0)
@@ -93,7 +93,7 @@
         return next(
             each
             for each in self.nodes
-            if each.members.myself().region == region
+            if each.members.local_member().region == region
         )
 
     async def bring_back(self, gone: list[members.Member]) -> None:
@@ -122,7 +122,7 @@
             await self.clock.sleep(0.2)
 
 
-EVIDENCE = board.Channel('evidence', board.Reach.REGION, 2.5, 8192)
+EVIDENCE = bus.Channel('evidence', bus.Scope.REGION, 2.5, 8192)
 
 
 def place_of(index: int, regions: int = REGIONS) -> tuple[str, str]:
@@ -200,7 +200,7 @@
 
 
 async def _publish(
-    news: board.NewsBoard, load: NewsLoad, timers: clock.Clock
+    news: bus.NewsBus, load: NewsLoad, timers: clock.Clock
 ) -> None:
     # Random, so that compressing messages does not make it smaller.
     randomness = random.Random(load.item_bytes)
--- a/redwingvalve/bench/peer_process.py
+++ b/redwingvalve/bench/peer_process.py
@@ -82,7 +82,7 @@
         )
 
     def _look(self) -> None:
-        revision = self._node.members.table.book.revision
+        revision = self._node.members.table.statuses.revision
         if revision != self._revision:
             self._revision = revision
             self._write_states()
@@ -126,7 +126,7 @@
         replicas_of=peer_fleet.replicas_in,
         seed=arguments.index,
     )
-    name = started.members.myself().name
+    name = started.members.local_member().name
     _write('listening', port=started.server.port, name=name)
     reporter = Reporter(started)
     async with anyio.create_task_group() as group:
--- a/redwingvalve/bench/probing_cost.py
+++ b/redwingvalve/bench/probing_cost.py
@@ -19,7 +19,7 @@
 from redwingvalve.core import clock
 from redwingvalve.evidence import prober, table
 from redwingvalve.membership import members
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.platform_api import http_engine_orders
 
 HOST = '127.0.0.1'
@@ -110,13 +110,13 @@
 class _Alone(members.Members):
     """An entry that probes everything."""
 
-    def myself(self) -> members.Member:
+    def local_member(self) -> members.Member:
         """Return the entry."""
         return members.Member('entry', 1, 'entry', HOST, 1, 2, 'dc-00', REGION)
 
     def known(self) -> tuple[members.Member, ...]:
         """Return the entry."""
-        return (self.myself(),)
+        return (self.local_member(),)
 
     def isolated(self) -> bool:
         """Tell that it is not."""
@@ -135,16 +135,16 @@
 
 
 @attrs.define
-class _Board(board.NewsBoard):
+class _Board(bus.NewsBus):
     """Counts what is published; nobody else says anything."""
 
     published_bytes: int = 0
 
-    def publish(self, channel: board.Channel, key: str, body: bytes) -> None:
+    def publish(self, channel: bus.Channel, key: str, body: bytes) -> None:
         """Count."""
         self.published_bytes += len(body)
 
-    def read(self, channel: board.Channel) -> tuple[board.NewsItem, ...]:
+    def read(self, channel: bus.Channel) -> tuple[bus.NewsItem, ...]:
         """Return nothing."""
         return ()
 
--- a/redwingvalve/bench/relay_parts.py
+++ b/redwingvalve/bench/relay_parts.py
@@ -8,7 +8,7 @@
 from redwingvalve.entry import dependencies, directory, upstream
 from redwingvalve.evidence import permits
 from redwingvalve.membership import members
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.observability import metrics, tracing
 from redwingvalve.settings import schema as settings_schema
 
@@ -57,7 +57,7 @@
 
 
 class _Alone(members.Members):
-    def myself(self) -> members.Member:
+    def local_member(self) -> members.Member:
         return MYSELF
 
     def known(self) -> tuple[members.Member, ...]:
@@ -67,11 +67,11 @@
         return False
 
 
-class _NoNews(board.NewsBoard):
-    def publish(self, channel: board.Channel, key: str, body: bytes) -> None:
+class _NoNews(bus.NewsBus):
+    def publish(self, channel: bus.Channel, key: str, body: bytes) -> None:
         """Tell nobody."""
 
-    def read(self, channel: board.Channel) -> tuple[board.NewsItem, ...]:
+    def read(self, channel: bus.Channel) -> tuple[bus.NewsItem, ...]:
         return ()
 
 
--- a/redwingvalve/configuration/fetching.py
+++ b/redwingvalve/configuration/fetching.py
@@ -14,7 +14,7 @@
 import xxhash
 
 from redwingvalve.configuration import records
-from redwingvalve.membership import members, riders
+from redwingvalve.membership import members, delegates
 from redwingvalve.wire import messages, rpc
 
 Address = tuple[str, int]
@@ -27,7 +27,7 @@
 MAX_SOURCES = 8
 
 
-class RecordFetcher(riders.Rider):
+class RecordFetcher(delegates.ExchangeDelegate):
     """Keeps a record table level with the peers that exchanges meet."""
 
     def __init__(
@@ -55,7 +55,7 @@
         if heard.configuration_digest != mine:
             reply.configuration_versions = self._table.versions()
 
-    def supply(self, heard: Exchange, supplement: Exchange) -> bool:
+    def follow_up(self, heard: Exchange, supplement: Exchange) -> bool:
         """Say which versions are known, if the answerer lacks some."""
         theirs = heard.configuration_versions
         mine = self._table.versions()
@@ -64,7 +64,9 @@
         supplement.configuration_versions = mine
         return True
 
-    def absorb(self, heard: Exchange, address: Address, delay_s: float) -> None:
+    def receive(
+        self, heard: Exchange, address: Address, delay_s: float
+    ) -> None:
         """Fetch from the sender when it knows more."""
         theirs = heard.configuration_versions or {}
         if not _lacks(self._table.versions(), theirs, self._region()):
@@ -115,7 +117,7 @@
         return digest
 
     def _region(self) -> str:
-        return self._members.myself().region
+        return self._members.local_member().region
 
 
 @functools.lru_cache(maxsize=4096)
--- a/redwingvalve/configuration/in_force.py
+++ b/redwingvalve/configuration/in_force.py
@@ -11,12 +11,12 @@
 import attrs
 
 from redwingvalve.membership import members
-from redwingvalve.news import board
+from redwingvalve.news import bus
 
 # Said again well before it is too old, and at once after each change.
-VERSIONS_CHANNEL = board.Channel(
+VERSIONS_CHANNEL = bus.Channel(
     name='configuration',
-    reach=board.Reach.REGION,
+    scope=bus.Scope.REGION,
     max_age_s=60.0,
     max_item_bytes=400,
 )
@@ -44,7 +44,7 @@
 
 def missing_entries(
     present: collections_abc.Iterable[members.Member],
-    said: collections_abc.Iterable[board.NewsItem],
+    said: collections_abc.Iterable[bus.NewsItem],
     kind: str,
     version: int,
 ) -> InForce:
--- a/redwingvalve/configuration/reporting.py
+++ b/redwingvalve/configuration/reporting.py
@@ -12,7 +12,7 @@
 from redwingvalve.configuration import in_force, records
 from redwingvalve.core import clock
 from redwingvalve.membership import members, rendezvous
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.wire import handlers, messages, rpc
 
 # Members of a region that are asked before it counts as cut off.
@@ -26,7 +26,7 @@
         self,
         table: records.RecordTable,
         present: members.Members,
-        news: board.NewsBoard,
+        news: bus.NewsBus,
         caller: rpc.PeerCaller,
         timers: clock.Clock,
     ) -> None:
@@ -75,7 +75,7 @@
 
     def missing_here(self, kind: str, version: int) -> in_force.InForce:
         """Tell for this region whether a version is in force."""
-        region = self._members.myself().region
+        region = self._members.local_member().region
         return in_force.missing_entries(
             _by_region(self._members).get(region, ()),
             self._news.read(in_force.VERSIONS_CHANNEL),
@@ -88,7 +88,7 @@
         answers = [self.missing_here(kind, version)]
         request = messages.peer.InForceRequest(kind=kind, version=version)
         regions = _by_region(self._members)
-        regions.pop(self._members.myself().region, None)
+        regions.pop(self._members.local_member().region, None)
         async with anyio.create_task_group() as group:
             for present in regions.values():
                 group.start_soon(self._ask_region, present, request, answers)
@@ -120,7 +120,7 @@
     present: list[members.Member], question: str
 ) -> collections_abc.Iterator[members.Member]:
     by_name = {member.name: member for member in present}
-    chosen = rendezvous.holders(by_name, question, ASKED_PER_REGION)
+    chosen = rendezvous.select(by_name, question, ASKED_PER_REGION)
     for name in chosen:
         yield by_name[name]
 
--- a/redwingvalve/configuration/source.py
+++ b/redwingvalve/configuration/source.py
@@ -22,7 +22,7 @@
 )
 from redwingvalve.core import clock, invariants
 from redwingvalve.membership import gossip, members, rendezvous
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.platform_api import object_api
 from redwingvalve.wire import rpc
 
@@ -43,7 +43,7 @@
     def __init__(
         self,
         present: gossip.GossipMembers,
-        news: board.NewsBoard,
+        news: bus.NewsBus,
         caller: rpc.PeerCaller,
         timers: clock.Clock,
         decoder: decoding.Decoder,
@@ -94,7 +94,7 @@
         self.watch = store_watch.StoreWatch(
             objects, self.table, self._decoder, self._clock, randomness
         )
-        self.watch.notify(self._changed, self._members.note_network)
+        self.watch.notify(self._changed, self._members.confirm_connectivity)
 
     def offer(self, stored: object_api.StoredObject) -> None:
         """Take a fabric domain that this process has read or written.
@@ -136,14 +136,14 @@
         # would choose may be the ones that it can't hear.
         if self._members.isolated():
             return True
-        me = self._members.myself()
+        me = self._members.local_member()
         present = [
             member.name
             for member in self._members.known()
             if member.data_centre == me.data_centre
             and member.state is members.MemberState.ALIVE
         ]
-        chosen = rendezvous.holders(present, DUTY, WATCHERS_PER_DATA_CENTRE)
+        chosen = rendezvous.select(present, DUTY, WATCHERS_PER_DATA_CENTRE)
         return me.name in chosen
 
     async def _run_telling(self) -> None:
@@ -153,7 +153,7 @@
             self._told = anyio.Event()
             self.current()
             self.reports.say()
-            self._members.hurry()
+            self._members.trigger_urgent_round()
             for listener in self._listeners:
                 listener()
             await self._clock.sleep(TELL_INTERVAL_S)
@@ -168,7 +168,7 @@
         # kind may arrive last; it still makes a snapshot of its own.
         version = max(self._current.version + 1, highest)
         newer = self._decoder.to_snapshot(
-            self.table, self._members.myself().region, version
+            self.table, self._members.local_member().region, version
         )
         invariants.require(
             newer.version > self._current.version,
@@ -180,7 +180,7 @@
 
 def make_gossip_configuration(
     present: gossip.GossipMembers,
-    news: board.NewsBoard,
+    news: bus.NewsBus,
     caller: rpc.PeerCaller,
     timers: clock.Clock,
     replicas_of: decoding.DomainDecoder = decoding.no_replicas,
--- a/redwingvalve/control/loop.py
+++ b/redwingvalve/control/loop.py
@@ -140,19 +140,19 @@
     def _is_candidate(self, duty: str) -> bool:
         if self._members is None:
             return True
-        myself = self._members.myself()
+        myself = self._members.local_member()
         near = {
             each.name
             for each in self._members.alive(CONTROL_ROLE)
             if each.region == myself.region
         }
         near.add(myself.name)
-        return myself.name in rendezvous.holders(near, duty, CANDIDATES)
+        return myself.name in rendezvous.select(near, duty, CANDIDATES)
 
     def _is_near(self, vm: vm_list.Vm) -> bool:
         if self._members is None or not vm.region:
             return True
-        return vm.region == self._members.myself().region
+        return vm.region == self._members.local_member().region
 
     async def _step_domain(self, name: str, watched: _Domain) -> None:
         if not watched.created:
--- a/redwingvalve/discovery/spread_directory.py
+++ b/redwingvalve/discovery/balanced_directory.py
@@ -2,19 +2,19 @@
 
 import random
 
-from redwingvalve.discovery import load_reports, naming
+from redwingvalve.discovery import load_reports, entry_selection
 from redwingvalve.entry import directory
 from redwingvalve.membership import members
-from redwingvalve.news import board
+from redwingvalve.news import bus
 
 
-class SpreadDirectory(directory.EntryDirectory):
+class BalancedDirectory(directory.EntryDirectory):
     """Names a few entries, drawn anew for each caller."""
 
     def __init__(
         self,
         present: members.Members,
-        news: board.NewsBoard,
+        news: bus.NewsBus,
         keep_s: float,
         randomness: random.Random,
     ) -> None:
@@ -26,10 +26,10 @@
 
     def entries(self) -> directory.EntryList:
         """Return the entries for one caller."""
-        named = naming.name_entries(
+        named = entry_selection.name_entries(
             self._members.known(),
             load_reports.read_loads(self._news),
-            self._members.myself(),
+            self._members.local_member(),
             self._keep_s,
             self._randomness,
             isolated=self._members.isolated(),
@@ -45,11 +45,11 @@
         )
 
 
-def make_spread_directory(
+def make_balanced_directory(
     present: members.Members,
-    news: board.NewsBoard,
+    news: bus.NewsBus,
     keep_s: float,
     randomness: random.Random,
 ) -> directory.EntryDirectory:
     """Return the directory that entries use."""
-    return SpreadDirectory(present, news, keep_s, randomness)
+    return BalancedDirectory(present, news, keep_s, randomness)
--- a/redwingvalve/discovery/load_reports.py
+++ b/redwingvalve/discovery/load_reports.py
@@ -8,11 +8,11 @@
 import math
 
 from redwingvalve.core import clock
-from redwingvalve.news import board
+from redwingvalve.news import bus
 
-LOAD_CHANNEL = board.Channel(
+LOAD_CHANNEL = bus.Channel(
     name='entry-load',
-    reach=board.Reach.REGION,
+    scope=bus.Scope.REGION,
     max_age_s=15.0,
     max_item_bytes=4,
 )
@@ -27,7 +27,7 @@
 class LoadReporter:
     """Says this entry's load in steps."""
 
-    def __init__(self, news: board.NewsBoard, timers: clock.Clock) -> None:
+    def __init__(self, news: bus.NewsBus, timers: clock.Clock) -> None:
         """Nothing is said before report."""
         self._news = news
         self._clock = timers
@@ -47,7 +47,7 @@
         self._news.publish(LOAD_CHANNEL, LOAD_KEY, bytes([self._said]))
 
 
-def read_loads(news: board.NewsBoard) -> dict[str, float]:
+def read_loads(news: bus.NewsBus) -> dict[str, float]:
     """Return the load of each entry that has lately said it."""
     return {
         item.owner: item.body[0] / STEPS
@@ -56,8 +56,6 @@
     }
 
 
-def make_load_reporter(
-    news: board.NewsBoard, timers: clock.Clock
-) -> LoadReporter:
+def make_load_reporter(news: bus.NewsBus, timers: clock.Clock) -> LoadReporter:
     """Return a reporter that has said nothing yet."""
     return LoadReporter(news, timers)
--- a/redwingvalve/discovery/tests/test_naming.py
+++ b/redwingvalve/discovery/tests/test_entry_selection.py
@@ -4,7 +4,7 @@
 import random
 
 from redwingvalve.core import clock
-from redwingvalve.discovery import load_reports, naming
+from redwingvalve.discovery import load_reports, entry_selection
 from redwingvalve.membership import members
 
 State = members.MemberState
@@ -19,7 +19,7 @@
 def first_choices(present, load, here, count=3000):
     randomness = random.Random(1)
     return collections.Counter(
-        naming.name_entries(present, load, here, 10.0, randomness)
+        entry_selection.name_entries(present, load, here, 10.0, randomness)
         .entries[0]
         .name
         for _ in range(count)
@@ -36,7 +36,7 @@
     ]
     here = make_member('good')
     assert set(first_choices(present, {'full': 0.97}, here)) == {'good'}
-    alone = naming.name_entries(
+    alone = entry_selection.name_entries(
         present, {}, here, 10.0, random.Random(1), isolated=True
     )
     assert 'good' not in {entry.name for entry in alone.entries}
@@ -68,7 +68,7 @@
     present += [make_member('b0', 'b'), make_member('z', 'z', 'far')]
     randomness = random.Random(3)
     named = [
-        naming.name_entries(present, {}, present[0], 10.0, randomness)
+        entry_selection.name_entries(present, {}, present[0], 10.0, randomness)
         for _ in range(50)
     ]
     for each in named:
--- a/redwingvalve/entry/account_gate.py
+++ b/redwingvalve/entry/account_gate.py
@@ -16,7 +16,7 @@
 from redwingvalve.entry import dependencies
 from redwingvalve.limits import account_limits, reports
 from redwingvalve.membership import members
-from redwingvalve.news import board
+from redwingvalve.news import bus
 
 UPDATE_EVERY_S = 0.5
 # Less often than shares are worked out; a report counts for 3 s.
@@ -41,11 +41,11 @@
         self,
         source: snapshot.ConfigurationSource,
         present: members.Members,
-        news: board.NewsBoard,
+        news: bus.NewsBus,
         time_source: clock.Clock,
     ) -> None:
         """Limit the accounts of source in shares among the entries."""
-        me = present.myself().name
+        me = present.local_member().name
         self._source = source
         self._members = present
         self._news = news
@@ -108,7 +108,7 @@
         )
         now_s = self._clock.monotonic_s()
         heard = self._news.read(reports.SHARES)
-        me = self._members.myself().name
+        me = self._members.local_member().name
         for key, limits in self._limits.items():
             bodies = [
                 (item.owner, item.body, item.age_s)
--- a/redwingvalve/entry/app.py
+++ b/redwingvalve/entry/app.py
@@ -115,7 +115,9 @@
             attributes={
                 'redwingvalve.request_id': head.request_id,
                 'url.path': head.path,
-                'redwingvalve.entry': self._dependencies.members.myself().name,
+                'redwingvalve.entry': (
+                    self._dependencies.members.local_member().name
+                ),
             },
         )
         try:
@@ -305,7 +307,7 @@
     if entry_dependencies.key_claims is None:
         return None
     return once.OnceGuard(
-        entry_dependencies.key_claims, entry_dependencies.members.myself()
+        entry_dependencies.key_claims, entry_dependencies.members.local_member()
     )
 
 
--- a/redwingvalve/entry/cache_watch.py
+++ b/redwingvalve/entry/cache_watch.py
@@ -13,9 +13,9 @@
 
 from redwingvalve.configuration import snapshot
 from redwingvalve.entry import dependencies, replica_choice, upstream
-from redwingvalve.evidence import findings_wire
+from redwingvalve.evidence import probe_reports
 from redwingvalve.membership import rendezvous
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.routing import (
     cache_follower,
     cache_summary,
@@ -33,9 +33,9 @@
 REPLICAS_PER_ITEM = 200
 ENTRY_ROLE = 'entry'
 EVENTS_PATH = '/cache-events'
-CHANNEL = board.Channel(
+CHANNEL = bus.Channel(
     name='cache',
-    reach=board.Reach.REGION,
+    scope=bus.Scope.REGION,
     max_age_s=25.0,
     max_item_bytes=8192,
 )
@@ -95,7 +95,7 @@
         At 480 replicas and 72 entries a look at all pairs takes 30 ms, which
         twice a second would be five times what a node may spend.
         """
-        myself = self._dependencies.members.myself()
+        myself = self._dependencies.members.local_member()
         names = frozenset(
             member.name
             for member in self._dependencies.members.alive(ENTRY_ROLE)
@@ -111,13 +111,13 @@
             if replica.serving and self._in_region(replica)
         }
         self._marks = {
-            findings_wire.mark_of(replica): name
+            probe_reports.fingerprint_of(replica): name
             for name, replica in self._replicas.items()
         }
         self._mine = tuple(
             name
             for name in self._replicas
-            if rendezvous.holders(names, name, 1) == (myself.name,)
+            if rendezvous.select(names, name, 1) == (myself.name,)
         )
         self._follower.follow(
             {name: self._replicas[name].epoch for name in self._mine}
@@ -163,7 +163,7 @@
     def _tell(self, now_s: float) -> None:
         words = [
             cache_summary.make_summary(
-                findings_wire.mark_of(self._replicas[name]),
+                probe_reports.fingerprint_of(self._replicas[name]),
                 self._follower,
                 name,
                 self._choice.asked,
@@ -206,7 +206,7 @@
         return self._choice.routing(replica.deployment)
 
     def _in_region(self, replica: snapshot.Replica) -> bool:
-        own = self._dependencies.members.myself().region
+        own = self._dependencies.members.local_member().region
         return not replica.region or replica.region == own
 
 
--- a/redwingvalve/entry/dependencies.py
+++ b/redwingvalve/entry/dependencies.py
@@ -10,7 +10,7 @@
 from redwingvalve.entry import directory, upstream
 from redwingvalve.evidence import permits
 from redwingvalve.membership import members
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.observability import metrics, tracing
 from redwingvalve.settings import schema as settings_schema
 
@@ -25,7 +25,7 @@
     source: snapshot.ConfigurationSource
     permits: permits.ServingPermits
     members: members.Members
-    news: board.NewsBoard
+    news: bus.NewsBus
     upstream: upstream.Upstream
     clock: clock.Clock
     settings: settings_schema.RequestSettings
--- a/redwingvalve/entry/relay.py
+++ b/redwingvalve/entry/relay.py
@@ -57,7 +57,7 @@
         self.choice = replica_choice.ReplicaChoice(
             entry_dependencies.source,
             entry_dependencies.permits,
-            entry_dependencies.members.myself(),
+            entry_dependencies.members.local_member(),
             entry_dependencies.clock,
             entry_dependencies.switches,
         )
--- a/redwingvalve/entry/sends.py
+++ b/redwingvalve/entry/sends.py
@@ -91,7 +91,7 @@
         """Number the sends of this incarnation from 1."""
         self._dependencies = entry_dependencies
         self._numbers = itertools.count(1)
-        myself = entry_dependencies.members.myself()
+        myself = entry_dependencies.members.local_member()
         self._entry = f'{myself.name}-{myself.incarnation}'
 
     def next_identity(
--- a/redwingvalve/entry/services.py
+++ b/redwingvalve/entry/services.py
@@ -110,7 +110,7 @@
         self._dependencies = entry_dependencies
         self._numbers = itertools.count(1)
         self._in_flight: dict[str, int] = {}
-        myself = entry_dependencies.members.myself()
+        myself = entry_dependencies.members.local_member()
         self._entry = f'{myself.name}-{myself.incarnation}-s'
         self._queue = service_queue.make_service_queue(
             entry_dependencies.members, entry_dependencies.clock
--- a/redwingvalve/entry/suspects.py
+++ b/redwingvalve/entry/suspects.py
@@ -9,7 +9,7 @@
 from redwingvalve.core import clock, invariants, outcomes
 from redwingvalve.entry import model_request
 from redwingvalve.membership import members, rendezvous
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.poison import channel, facts, suspect_table
 
 WAIT_RETRY_AFTER_S = 2.0
@@ -32,7 +32,7 @@
     def __init__(
         self,
         known: members.Members,
-        news: board.NewsBoard,
+        news: bus.NewsBus,
         gate_clock: clock.Clock,
         switches: invariants.SafeguardSwitches,
         key: str = channel.KEY,
@@ -42,11 +42,11 @@
         self._members = known
         self._news = news
         self._clock = gate_clock
-        self._myself = known.myself().name
+        self._myself = known.local_member().name
         self._ledger = suspect_table.make_suspect_table(
             self._myself,
             safeguards=switches,
-            incarnation=known.myself().incarnation,
+            incarnation=known.local_member().incarnation,
         )
         self._merged: dict[str, tuple[int, int]] = {}
         self._told_revision = 0
@@ -164,7 +164,7 @@
         entries = self._entries()
         if not addresses:
             return suspect_table.home_entry(digest, entries)
-        nearest = rendezvous.holders(addresses, digest.hex(), 1)[0]
+        nearest = rendezvous.select(addresses, digest.hex(), 1)[0]
         return suspect_table.home_entry(nearest.encode(), entries)
 
     def _entries(self) -> tuple[str, ...]:
--- a/redwingvalve/entry/tests/fakes.py
+++ b/redwingvalve/entry/tests/fakes.py
@@ -12,7 +12,7 @@
 from redwingvalve.entry import app, dependencies, directory, upstream
 from redwingvalve.evidence import permits
 from redwingvalve.membership import members
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.observability import metrics, tracing
 from redwingvalve.settings import schema as settings_schema
 
@@ -48,7 +48,7 @@
     others: tuple = ()
     me: members.Member = ENTRY
 
-    def myself(self):
+    def local_member(self):
         return self.me
 
     def known(self):
@@ -59,7 +59,7 @@
 
 
 @attrs.define
-class Board(board.NewsBoard):
+class Board(bus.NewsBus):
     """Every process that shares a board sees the others at once."""
 
     items: dict = attrs.field(factory=dict)
@@ -68,7 +68,7 @@
 
     def publish(self, channel, key, body):
         self.number += 1
-        self.items[channel.name, self.owner, key] = board.NewsItem(
+        self.items[channel.name, self.owner, key] = bus.NewsItem(
             channel.name, self.owner, 1, key, self.number, body, 0.0
         )
 
--- a/redwingvalve/entry/tests/test_account_gate.py
+++ b/redwingvalve/entry/tests/test_account_gate.py
@@ -4,12 +4,12 @@
 from redwingvalve.entry import account_gate
 from redwingvalve.entry.tests import fakes
 from redwingvalve.membership import members
-from redwingvalve.news import board
+from redwingvalve.news import bus
 
 LIMIT_PER_S = 100.0
 
 
-class SharedBoard(board.NewsBoard):
+class SharedBoard(bus.NewsBus):
     """News that reaches the others at once, unless it is cut."""
 
     def __init__(self, owner, shared, cut):
@@ -20,7 +20,7 @@
 
     def read(self, channel):
         return tuple(
-            board.NewsItem(name, owner, 1, key, 1, body, 0.1)
+            bus.NewsItem(name, owner, 1, key, 1, body, 0.1)
             for (name, owner, key), body in self.shared.items()
             if name == channel.name and not (self.cut and owner != self.owner)
         )
@@ -31,7 +31,7 @@
         super().__init__()
         self.name, self.names = name, names
 
-    def myself(self):
+    def local_member(self):
         return self.member(self.name)
 
     def known(self):
--- a/redwingvalve/entry/tests/test_load_watch.py
+++ b/redwingvalve/entry/tests/test_load_watch.py
@@ -25,7 +25,7 @@
     choice = replica_choice.ReplicaChoice(
         source,
         serving,
-        fakes.Members().myself(),
+        fakes.Members().local_member(),
         time_source,
         invariants.SafeguardSwitches(),
     )
--- a/redwingvalve/evidence/leaving.py
+++ b/redwingvalve/evidence/leaving.py
@@ -11,13 +11,13 @@
 import json
 from collections import abc as collections_abc
 
-from redwingvalve.news import board
+from redwingvalve.news import bus
 
 # A controller that dies must not make a leaving VM look live again before
 # another has taken its duty over.
-CHANNEL = board.Channel(
+CHANNEL = bus.Channel(
     name='leaving',
-    reach=board.Reach.REGION,
+    scope=bus.Scope.REGION,
     max_age_s=30.0,
     max_item_bytes=16_000,
     urgent=True,
@@ -26,8 +26,8 @@
 MOST_VMS = 300
 
 
-def tell(
-    news: board.NewsBoard,
+def publish(
+    news: bus.NewsBus,
     leaving: collections_abc.Iterable[str],
     told: frozenset[str],
 ) -> frozenset[str]:
@@ -44,7 +44,7 @@
     return named
 
 
-def read(news: board.NewsBoard) -> frozenset[str]:
+def read(news: bus.NewsBus) -> frozenset[str]:
     """Return the VMs that any controller says are leaving."""
     return frozenset(
         name for told in news.read(CHANNEL) for name in _names(told.body)
--- a/redwingvalve/evidence/entry_witness.py
+++ b/redwingvalve/evidence/news_entry_reports.py
@@ -3,9 +3,9 @@
 import json
 
 from redwingvalve.configuration import snapshot
-from redwingvalve.evidence import findings_wire, prober, table
+from redwingvalve.evidence import probe_reports, prober, table
 from redwingvalve.membership import members as members_module
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.replicas import domain as domain_module
 from redwingvalve.replicas import entry_reports
 
@@ -15,13 +15,13 @@
 VOUCHED_AGE_S = 1.5
 
 
-class NewsWitness(entry_reports.EntryReports):
+class NewsEntryReports(entry_reports.EntryReports):
     """Reads findings and stopped epochs; waits for a bound without them."""
 
     def __init__(
         self,
         members: members_module.Members,
-        news: board.NewsBoard,
+        news: bus.NewsBus,
         configuration: snapshot.ConfigurationSource,
     ) -> None:
         """Hear of the entries through news on the replicas in force."""
@@ -79,7 +79,7 @@
         entries = {
             member.name
             for member in self._members.alive(prober.ENTRY_ROLE)
-            if member.region == self._members.myself().region
+            if member.region == self._members.local_member().region
         }
         return bool(entries) and entries <= self._stopped(replica)
 
@@ -94,8 +94,8 @@
     def _take_in(self, now_s: float) -> None:
         self._read_s = now_s
         self._evidence.forget_old(now_s)
-        found = findings_wire.sightings(
-            self._news.read(findings_wire.CHANNEL),
+        found = probe_reports.sightings(
+            self._news.read(probe_reports.CHANNEL),
             self._configuration.current().replicas,
             now_s,
         )
@@ -110,10 +110,10 @@
         return []
 
 
-def make_news_witness(
+def make_news_entry_reports(
     members: members_module.Members,
-    news: board.NewsBoard,
+    news: bus.NewsBus,
     configuration: snapshot.ConfigurationSource,
 ) -> entry_reports.EntryReports:
     """Return the witness of one controller."""
-    return NewsWitness(members, news, configuration)
+    return NewsEntryReports(members, news, configuration)
--- a/redwingvalve/evidence/findings_wire.py
+++ b/redwingvalve/evidence/probe_reports.py
@@ -20,11 +20,11 @@
 
 from redwingvalve.configuration import snapshot
 from redwingvalve.evidence import table
-from redwingvalve.news import board
+from redwingvalve.news import bus
 
-CHANNEL = board.Channel(
+CHANNEL = bus.Channel(
     name='evidence',
-    reach=board.Reach.REGION,
+    scope=bus.Scope.REGION,
     max_age_s=table.MAX_AGE_S,
     max_item_bytes=8192,
 )
@@ -50,7 +50,7 @@
     in_flight: int = 0
 
 
-def mark_of(replica: snapshot.Replica) -> bytes:
+def fingerprint_of(replica: snapshot.Replica) -> bytes:
     """Return the bytes that stand for a replica's name and epoch."""
     named = f'{replica.name}\0{replica.epoch}'.encode()
     return xxhash.xxh3_64_digest(named)[:MARK_BYTES]
@@ -89,12 +89,12 @@
 
 
 def sightings(
-    published: collections_abc.Iterable[board.NewsItem],
+    published: collections_abc.Iterable[bus.NewsItem],
     replicas: collections_abc.Iterable[snapshot.Replica],
     now_s: float,
 ) -> collections_abc.Iterator[table.Seen]:
     """Return what the items say of the replicas that this process knows."""
-    known = {mark_of(replica): replica for replica in replicas}
+    known = {fingerprint_of(replica): replica for replica in replicas}
     for news in published:
         for finding in decode(news.body):
             replica = known.get(finding.mark)
--- a/redwingvalve/evidence/prober.py
+++ b/redwingvalve/evidence/prober.py
@@ -17,16 +17,16 @@
 
 from redwingvalve.configuration import snapshot
 from redwingvalve.core import clock
-from redwingvalve.evidence import findings_wire, table
+from redwingvalve.evidence import probe_reports, table
 from redwingvalve.membership import members as members_module
 from redwingvalve.membership import rendezvous
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.platform_api import engine_orders
 
 PROBERS = 2
 # With one of the two probers paused a sighting is this old when the next one
 # is made; 1.5 s are left for it to reach the region (0021 measures 1.3 s).
-PROBE_EVERY_S = 1.0
+PROBE_INTERVAL_S = 1.0
 PROBE_TIMEOUT_S = 0.6
 # Findings are told after this time even if some engine has not answered: one
 # dead VM must not make the evidence of all other replicas older by its timeout.
@@ -37,9 +37,9 @@
 REPEAT_STOPPED_S = 8.0
 PARALLEL_PROBES = 64
 ENTRY_ROLE = 'entry'
-STOPPED_CHANNEL = board.Channel(
+STOPPED_CHANNEL = bus.Channel(
     name='stopped',
-    reach=board.Reach.REGION,
+    scope=bus.Scope.REGION,
     max_age_s=30.0,
     max_item_bytes=512,
 )
@@ -53,7 +53,7 @@
         evidence: table.EvidenceTable,
         configuration: snapshot.ConfigurationSource,
         members: members_module.Members,
-        news: board.NewsBoard,
+        news: bus.NewsBus,
         orders: engine_orders.EngineOrders,
         time_source: clock.Clock,
     ) -> None:
@@ -77,7 +77,7 @@
             started_s = self._clock.monotonic_s()
             await self.step()
             spent_s = self._clock.monotonic_s() - started_s
-            await self._clock.sleep(max(PROBE_EVERY_S - spent_s, 0.05))
+            await self._clock.sleep(max(PROBE_INTERVAL_S - spent_s, 0.05))
 
     async def step(self) -> None:
         """Probe once, publish, and take in what others found."""
@@ -97,7 +97,7 @@
 
     def assigned(self) -> tuple[snapshot.Replica, ...]:
         """Return the serving replicas that fall to this entry."""
-        myself = self._members.myself()
+        myself = self._members.local_member()
         names = {
             member.name
             for member in self._members.alive(ENTRY_ROLE)
@@ -115,8 +115,8 @@
     def take_in_news(self) -> None:
         """Record what other entries found."""
         now_s = self._clock.monotonic_s()
-        found = findings_wire.sightings(
-            self._news.read(findings_wire.CHANNEL),
+        found = probe_reports.sightings(
+            self._news.read(probe_reports.CHANNEL),
             self._configuration.current().replicas,
             now_s,
         )
@@ -186,28 +186,28 @@
             self._vouching_now.add((replica.name, replica.epoch))
 
     def _publish(self, mine: tuple[snapshot.Replica, ...]) -> None:
-        size = findings_wire.REPLICAS_PER_ITEM
+        size = probe_reports.REPLICAS_PER_ITEM
         items = [
-            findings_wire.encode(map(self._finding, mine[start : start + size]))
+            probe_reports.encode(map(self._finding, mine[start : start + size]))
             for start in range(0, len(mine), size)
         ]
         for number, body in enumerate(items):
-            self._news.publish(findings_wire.CHANNEL, str(number), body)
+            self._news.publish(probe_reports.CHANNEL, str(number), body)
         for number in range(len(items), self._published_items):
-            self._news.publish(findings_wire.CHANNEL, str(number), b'')
+            self._news.publish(probe_reports.CHANNEL, str(number), b'')
         self._published_items = len(items)
 
     def _finding(
         self, replica: snapshot.Replica
-    ) -> findings_wire.ReplicaFinding:
+    ) -> probe_reports.ReplicaFinding:
         now_s = self._clock.monotonic_s()
         ages = bytes(
-            findings_wire.age_code(self._age_s(member.vm, replica, now_s))
+            probe_reports.age_code(self._age_s(member.vm, replica, now_s))
             for member in replica.members
         )
         head = self._evidence.fresh(replica.members[0].vm, now_s)
-        return findings_wire.ReplicaFinding(
-            findings_wire.mark_of(replica),
+        return probe_reports.ReplicaFinding(
+            probe_reports.fingerprint_of(replica),
             ages,
             0 if head is None else head.in_flight,
         )
@@ -229,7 +229,7 @@
             [replica.name, replica.epoch]
             for replica in self._configuration.current().replicas
             if not replica.serving
-            and _in_region(replica, self._members.myself())
+            and _in_region(replica, self._members.local_member())
         ]
         body = json.dumps(stopped).encode()
         now_s = self._clock.monotonic_s()
@@ -243,7 +243,7 @@
 
 def probers_of(replica: str, names: set[str]) -> frozenset[str]:
     """Return the entries that probe a replica, by rendezvous hashing."""
-    return frozenset(rendezvous.holders(names, replica, PROBERS))
+    return frozenset(rendezvous.select(names, replica, PROBERS))
 
 
 def _other_vms(replica: snapshot.Replica) -> set[str]:
@@ -260,7 +260,7 @@
     evidence: table.EvidenceTable,
     configuration: snapshot.ConfigurationSource,
     members: members_module.Members,
-    news: board.NewsBoard,
+    news: bus.NewsBus,
     orders: engine_orders.EngineOrders,
     time_source: clock.Clock,
 ) -> Prober:
--- a/redwingvalve/evidence/tests/test_evidence.py
+++ b/redwingvalve/evidence/tests/test_evidence.py
@@ -9,15 +9,15 @@
 from redwingvalve.configuration import snapshot
 from redwingvalve.core import clock, invariants
 from redwingvalve.evidence import (
-    entry_witness,
-    findings_wire,
+    news_entry_reports,
+    probe_reports,
     leaving,
     prober,
     serving_permits,
     table,
 )
 from redwingvalve.membership import members
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.platform_api import engine_orders, vm_list
 from redwingvalve.replicas import domain as domain_module
 from redwingvalve.standins import memory_fleet
@@ -49,7 +49,7 @@
     def __init__(self, name):
         self.name = name
 
-    def myself(self):
+    def local_member(self):
         return member(self.name)
 
     def known(self):
@@ -63,7 +63,7 @@
     return members.Member(name, 1, 'entry', 'h', 1, 2, 'nave-a', 'mvd')
 
 
-class Board(board.NewsBoard):
+class Board(bus.NewsBus):
     """All entries share one dict; cut_off ones are alone."""
 
     def __init__(self, owner, shared, time_source):
@@ -76,7 +76,7 @@
     def read(self, channel):
         now_s = self.clock.monotonic_s()
         return tuple(
-            board.NewsItem(name, owner, 1, key, 1, body, now_s - at_s)
+            bus.NewsItem(name, owner, 1, key, 1, body, now_s - at_s)
             for (name, owner, key), (body, at_s) in self.shared.items()
             if name == channel.name and now_s - at_s <= channel.max_age_s
         )
@@ -120,10 +120,10 @@
         self.entries = {name: Entry(name, self, disabled) for name in NAMES}
 
     async def run(self, duration_s):
-        for _ in range(round(duration_s / prober.PROBE_EVERY_S)):
+        for _ in range(round(duration_s / prober.PROBE_INTERVAL_S)):
             for entry in self.entries.values():
                 await entry.prober.step()
-            self.clock.advance(prober.PROBE_EVERY_S)
+            self.clock.advance(prober.PROBE_INTERVAL_S)
 
     def permitted(self):
         now_s = self.clock.monotonic_s()
@@ -178,7 +178,7 @@
         permits.report_failure(REPLICA, 'vm-1', bench.clock.monotonic_s())
         assert bench.permitted().count(False) == 1
         bench.clock.advance(0.1)
-        await bench.run(2 * prober.PROBE_EVERY_S)
+        await bench.run(2 * prober.PROBE_INTERVAL_S)
         assert all(bench.permitted())
 
     anyio.run(scenario)
@@ -198,7 +198,7 @@
 def test_a_drain_is_acknowledged_only_once_every_live_entry_stopped():
     async def scenario():
         bench = Bench()
-        witness = entry_witness.make_news_witness(
+        witness = news_entry_reports.make_news_entry_reports(
             FixedMembers('e1'),
             Board('control', bench.news, bench.clock),
             bench.configuration,
@@ -209,12 +209,12 @@
         await bench.run(3)
         now_s = bench.clock.monotonic_s()
         seen_s = witness.last_seen_s('vm-0', now_s)
-        assert now_s - seen_s <= prober.PROBE_EVERY_S
+        assert now_s - seen_s <= prober.PROBE_INTERVAL_S
         assert not witness.all_stopped(draining, now_s, now_s)
         bench.configuration.replicas = (attrs.evolve(REPLICA, serving=False),)
         await bench.entries['e1'].prober.step()
         assert not witness.all_stopped(draining, now_s, now_s)
-        await bench.run(prober.PROBE_EVERY_S)
+        await bench.run(prober.PROBE_INTERVAL_S)
         assert witness.all_stopped(draining, now_s, now_s)
 
     anyio.run(scenario)
@@ -222,8 +222,8 @@
 
 @hypothesis.given(strategies.binary(max_size=60))
 def test_any_body_of_news_is_read_without_a_crash(body):
-    for finding in findings_wire.decode(body):
-        assert len(finding.mark) == findings_wire.MARK_BYTES
+    for finding in probe_reports.decode(body):
+        assert len(finding.mark) == probe_reports.MARK_BYTES
 
 
 def test_findings_are_small_and_never_make_evidence_younger():
@@ -233,22 +233,22 @@
     a member that was not seen, or a replica of another epoch, shows nothing.
     """
     ages = (0.011, 2.49, None)
-    finding = findings_wire.ReplicaFinding(
-        findings_wire.mark_of(REPLICA),
-        bytes(map(findings_wire.age_code, ages)),
+    finding = probe_reports.ReplicaFinding(
+        probe_reports.fingerprint_of(REPLICA),
+        bytes(map(probe_reports.age_code, ages)),
         17,
     )
-    body = findings_wire.encode([finding])
+    body = probe_reports.encode([finding])
     assert len(body) == 12
-    published = board.NewsItem('evidence', 'e1', 1, '0', 1, body, 0.3)
-    seen = list(findings_wire.sightings([published], [REPLICA], 100.0))
+    published = bus.NewsItem('evidence', 'e1', 1, '0', 1, body, 0.3)
+    seen = list(probe_reports.sightings([published], [REPLICA], 100.0))
     assert [each.vm for each in seen] == ['vm-0', 'vm-1']
     assert seen[0].in_flight == 17
     for each, age_s in zip(seen, ages, strict=False):
         assert each.seen_s <= 100.0 - 0.3 - age_s
     other = attrs.evolve(REPLICA, epoch=REPLICA.epoch + 1)
-    assert not list(findings_wire.sightings([published], [other], 100.0))
-    assert findings_wire.age_code(9.0) == findings_wire.NOT_SEEN
+    assert not list(probe_reports.sightings([published], [other], 100.0))
+    assert probe_reports.age_code(9.0) == probe_reports.NOT_SEEN
 
 
 def test_a_replica_whose_vm_leaves_gets_no_new_work_without_the_store():
@@ -262,11 +262,11 @@
         bench = Bench(disabled)
         await bench.run(3)
         teller = Board('control', bench.news, bench.clock)
-        told = leaving.tell(teller, {'vm-1', 'other'}, frozenset())
+        told = leaving.publish(teller, {'vm-1', 'other'}, frozenset())
         for entry in bench.entries.values():
             entry.permits.replace_leaving(leaving.read(teller))
         assert set(bench.permitted()) == {wanted}
-        leaving.tell(teller, (), told)
+        leaving.publish(teller, (), told)
         assert leaving.read(teller) == frozenset()
 
     anyio.run(scenario, (), False)
--- a/redwingvalve/limits/reports.py
+++ b/redwingvalve/limits/reports.py
@@ -10,7 +10,7 @@
 from collections import abc as collections_abc
 
 from redwingvalve.limits import shares
-from redwingvalve.news import board
+from redwingvalve.news import bus
 
 ACCOUNT = struct.Struct('>IfB')
 GRANT = struct.Struct('>If')
@@ -18,9 +18,9 @@
 MAX_BYTES = 16_000
 NO_DEMAND_PER_S = 0.001
 
-SHARES = board.Channel(
+SHARES = bus.Channel(
     name='shares',
-    reach=board.Reach.EVERYWHERE,
+    scope=bus.Scope.EVERYWHERE,
     max_age_s=3.0,
     max_item_bytes=MAX_BYTES,
 )
--- a/redwingvalve/membership/bounds.py
+++ b/redwingvalve/membership/bounds.py
@@ -34,8 +34,8 @@
     round_s: float = 0.35
     foreign_interval_s: float = 4.0
     reconnect_interval_s: float = 5.0
-    eager_interval_s: float = 0.1
-    longest_eager_interval_s: float = 1.0
+    urgent_interval_s: float = 0.1
+    max_urgent_interval_s: float = 1.0
     probe_timeout_s: float = 0.5
     suspicion_s: float = 5.0
     refused_suspicion_s: float = 1.5
--- a/redwingvalve/membership/rumours.py
+++ b/redwingvalve/membership/broadcast_queue.py
@@ -10,7 +10,7 @@
 
 import math
 
-from redwingvalve.membership import words
+from redwingvalve.membership import member_status
 
 # Enough that all but one in some thousand members hear of it this way.
 SENDS_FACTOR = 2
@@ -37,8 +37,8 @@
         self._sent.pop(name, None)
 
     def take(
-        self, held: dict[str, words.Word], skip: str = ''
-    ) -> list[words.Word]:
+        self, held: dict[str, member_status.Word], skip: str = ''
+    ) -> list[member_status.Word]:
         """Return the words for one message; skip names its receiver."""
         limit = SENDS_FACTOR * math.ceil(math.log2(len(held) + 2))
         chosen = sorted(self._sent, key=self._sent.__getitem__)
--- a/redwingvalve/membership/riders.py
+++ b/redwingvalve/membership/delegates.py
@@ -7,7 +7,7 @@
 Exchange = messages.peer.Exchange
 
 
-class Rider(abc.ABC):
+class ExchangeDelegate(abc.ABC):
     """Adds its part to each exchange and takes the other side's."""
 
     @abc.abstractmethod
@@ -19,11 +19,11 @@
         """Give what the asker lacks and name what this process lacks."""
 
     @abc.abstractmethod
-    def supply(self, heard: Exchange, supplement: Exchange) -> bool:
+    def follow_up(self, heard: Exchange, supplement: Exchange) -> bool:
         """Give what an answer named as lacking; False when nothing is."""
 
     @abc.abstractmethod
-    def absorb(
+    def receive(
         self, heard: Exchange, address: tuple[str, int], delay_s: float
     ) -> None:
         """Take what the other side gave, packed at most delay_s ago.
--- a/redwingvalve/membership/digests.py
+++ b/redwingvalve/membership/digests.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-from redwingvalve.membership import members, words
+from redwingvalve.membership import members, member_status
 
 BUCKETS = 16
 _INT64 = struct.Struct('>q')
@@ -31,7 +31,7 @@
         self._digests = [0 for _ in range(BUCKETS)]
 
     def replace(
-        self, held: words.Word | None, newer: words.Word | None
+        self, held: member_status.Word | None, newer: member_status.Word | None
     ) -> None:
         """Account for a word that takes another's place."""
         for word in (held, newer):
@@ -57,7 +57,7 @@
         ]
 
 
-def _hash(word: words.Word) -> int:
+def _hash(word: member_status.Word) -> int:
     text = (
         f'{word.name}\0{word.member.incarnation}\0{word.heartbeat}'
         f'\0{word.state}'
--- a/redwingvalve/membership/conversations.py
+++ b/redwingvalve/membership/exchange_transport.py
@@ -35,7 +35,7 @@
         if heard.is_error():
             raise ValueError(heard.error)
         now_s = self._clock.monotonic_s()
-        if not self.exchanges.absorb(heard.ok, None, now_s):
+        if not self.exchanges.receive(heard.ok, None, now_s):
             raise ValueError('an exchange without a sender')
         return packing.pack(self.exchanges.answer(heard.ok, now_s))
 
@@ -81,7 +81,7 @@
         self, address: Address, heard: Exchange, asked_s: float
     ) -> None:
         now_s = self._clock.monotonic_s()
-        self.exchanges.absorb(heard, address, now_s, asked_s)
+        self.exchanges.receive(heard, address, now_s, asked_s)
         supplement = self.exchanges.supplement(heard)
         if supplement is not None:
             await self._send(address, supplement)
--- a/redwingvalve/membership/exchanges.py
+++ b/redwingvalve/membership/exchanges.py
@@ -11,7 +11,13 @@
 
 import attrs
 
-from redwingvalve.membership import members, records, riders, table, words
+from redwingvalve.membership import (
+    members,
+    records,
+    delegates,
+    table,
+    member_status,
+)
 from redwingvalve.wire import messages
 
 Exchange = messages.peer.Exchange
@@ -32,19 +38,21 @@
     """Turns a member table and its riders into messages and back."""
 
     members: table.MemberTable
-    parts: list[riders.Rider] = attrs.field(factory=list)
+    parts: list[delegates.ExchangeDelegate] = attrs.field(factory=list)
     _started: int = 0
-    _records: dict[str, tuple[words.Word, Record]] = attrs.field(factory=dict)
+    _records: dict[str, tuple[member_status.Word, Record]] = attrs.field(
+        factory=dict
+    )
 
     def question(self, receiver: str, region: str, now_s: float) -> Exchange:
         """Return the question for one receiver."""
         asked = self._start(receiver, now_s)
-        held = self.members.book.get(receiver)
+        held = self.members.statuses.get(receiver)
         if held is not None and held.state is not members.MemberState.ALIVE:
             # So that the receiver can refute it.
             self._add_words(asked, [held])
-        asked.table_digest = self.members.book.digest()
-        asked.table_size = len(self.members.book.held())
+        asked.table_digest = self.members.statuses.digest()
+        asked.table_size = len(self.members.statuses.held())
         for rider in self.parts:
             rider.ask(asked, region)
         return asked
@@ -53,7 +61,7 @@
         """Return the answer to a question or supplement, once absorbed."""
         reply = self._start(heard.sender.name, now_s)
         reply.clock_ms = int(now_s * MS_PER_S)
-        held = self.members.book.get(heard.sender.name)
+        held = self.members.statuses.get(heard.sender.name)
         if held is not None and _older(heard.sender, held):
             self._add_words(reply, [held])
         if heard.table_digest is None:
@@ -71,13 +79,13 @@
         added.clock_ms = heard.clock_ms
         self._settle(heard, added)
         if heard.table_digests:
-            added.table_digests = self.members.book.digests()
-        supplied = [rider.supply(heard, added) for rider in self.parts]
+            added.table_digests = self.members.statuses.digests()
+        supplied = [rider.follow_up(heard, added) for rider in self.parts]
         if heard.table_digests or any(supplied):
             return added
         return None
 
-    def absorb(
+    def receive(
         self,
         heard: Exchange,
         address: Address | None,
@@ -96,20 +104,20 @@
             if not self._is_held(record)
         ]
         self.members.merge(records.words_of(fresh), now_s)
-        sender = self.members.book.get(heard.sender.name or '')
+        sender = self.members.statuses.get(heard.sender.name or '')
         if sender is None:
             return False
         self.members.merge_region_ages(_ages(heard), now_s)
         self.members.heard_from(sender.name, now_s)
         source = address or (sender.member.host, sender.member.peer_port)
         for rider in self.parts:
-            rider.absorb(heard, source, _delay_s(heard, asked_s, now_s))
+            rider.receive(heard, source, _delay_s(heard, asked_s, now_s))
         return True
 
     def _start(self, receiver: str, now_s: float) -> Exchange:
         started = Exchange(sender=self._record(self.members.own.word()))
         started.changes = []
-        self._add_words(started, self.members.book.take_rumours(receiver))
+        self._add_words(started, self.members.statuses.take_rumours(receiver))
         self._started += 1
         if self._started % REGIONS_EVERY == 1:
             started.regions = [
@@ -119,7 +127,7 @@
         return started
 
     def _compare(self, heard: Exchange, reply: Exchange) -> None:
-        book = self.members.book
+        book = self.members.statuses
         if heard.table_digest == book.digest():
             return
         if 2 * (heard.table_size or 0) <= len(book.held()):
@@ -131,16 +139,20 @@
     def _settle(self, heard: Exchange, reply: Exchange) -> None:
         self._add_words(
             reply,
-            self.members.book.differing_words(heard.table_digests, MAX_BUCKETS),
+            self.members.statuses.differing_words(
+                heard.table_digests, MAX_BUCKETS
+            ),
         )
 
-    def _add_words(self, exchange: Exchange, added: list[words.Word]) -> None:
+    def _add_words(
+        self, exchange: Exchange, added: list[member_status.Word]
+    ) -> None:
         present = {record.name for record in exchange.changes}
         exchange.changes.extend(
             self._record(word) for word in added if word.name not in present
         )
 
-    def _record(self, word: words.Word) -> Record:
+    def _record(self, word: member_status.Word) -> Record:
         kept = self._records.get(word.name)
         if kept is None or kept[0] is not word:
             kept = (word, records.to_record(word))
@@ -148,7 +160,7 @@
         return kept[1]
 
     def _is_held(self, record: Record) -> bool:
-        held = self.members.book.get(record.name or '')
+        held = self.members.statuses.get(record.name or '')
         return (
             held is not None
             and held.heartbeat == record.heartbeat
@@ -157,7 +169,7 @@
         )
 
 
-def _older(sender: Record, held: words.Word) -> bool:
+def _older(sender: Record, held: member_status.Word) -> bool:
     said = (sender.incarnation or 0, sender.heartbeat or 0)
     return held.order() > (*said, 0)
 
--- a/redwingvalve/membership/gossip.py
+++ b/redwingvalve/membership/gossip.py
@@ -9,11 +9,11 @@
 from redwingvalve.core import clock, invariants
 from redwingvalve.membership import bounds as member_bounds
 from redwingvalve.membership import (
-    conversations,
+    exchange_transport,
     members,
     peers,
     probing,
-    riders,
+    delegates,
     table,
     urgency,
 )
@@ -39,7 +39,9 @@
     ) -> None:
         """Start from contacts; others are learned."""
         self.table = member_table
-        self.talks = conversations.Conversations(member_table, caller, timers)
+        self.talks = exchange_transport.Conversations(
+            member_table, caller, timers
+        )
         self.choice = peers.PeerChoice(member_table, contacts, randomness)
         self._prober = probing.Prober(
             member_table, self.talks, self.choice, caller, timers
@@ -51,7 +53,7 @@
 
     # Members as other slices see them.
 
-    def myself(self) -> members.Member:
+    def local_member(self) -> members.Member:
         """Return this process."""
         return self.table.own.member()
 
@@ -66,19 +68,19 @@
     def leave(self) -> None:
         """Take no new work from now on; the others hear within a second."""
         self.table.own.leave()
-        self.hurry()
+        self.trigger_urgent_round()
 
     # For slices that ride on exchanges.
 
-    def add_rider(self, rider: riders.Rider) -> None:
+    def add_delegate(self, rider: delegates.ExchangeDelegate) -> None:
         """Put another slice's part on each exchange."""
         self.talks.exchanges.parts.append(rider)
 
-    def hurry(self) -> None:
+    def trigger_urgent_round(self) -> None:
         """Pass on what is new without waiting for the next round."""
         self._urgent.set()
 
-    def note_network(self) -> None:
+    def confirm_connectivity(self) -> None:
         """Note that the store has answered: this process is not cut off."""
         self.table.heard_network(self._clock.monotonic_s())
 
@@ -167,15 +169,15 @@
         while True:
             await self._urgent.wait()
             self._urgent = anyio.Event()
-            self.table.book.take_changed()
+            self.table.statuses.take_changed()
             for member in self.choice.sample(EAGER_FANOUT):
                 group.start_soon(self.talks.with_member, member)
             now_s = self._clock.monotonic_s()
             await self._clock.sleep(self._pace.pause_s(now_s))
 
     def _pass_on(self) -> None:
-        if self.table.book.take_changed():
-            self.hurry()
+        if self.table.statuses.take_changed():
+            self.trigger_urgent_round()
 
 
 def make_gossip_members(
--- a/redwingvalve/membership/targets.py
+++ b/redwingvalve/membership/gossip_targets.py
@@ -10,9 +10,9 @@
 import random
 from collections import abc as collections_abc
 
-from redwingvalve.membership import members, words
+from redwingvalve.membership import members, member_status
 
-Words = collections_abc.Mapping[str, words.Word]
+Words = collections_abc.Mapping[str, member_status.Word]
 DEAD = members.MemberState.DEAD
 
 
--- a/redwingvalve/membership/own_word.py
+++ b/redwingvalve/membership/local_status.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from redwingvalve.membership import members, word_book, words
+from redwingvalve.membership import members, status_store, member_status
 
 State = members.MemberState
 
@@ -10,15 +10,15 @@
 class OwnWord:
     """This process's own word, and its answers to what others say of it."""
 
-    def __init__(self, me: members.Member, book: word_book.WordBook) -> None:
+    def __init__(self, me: members.Member, book: status_store.WordBook) -> None:
         """Say that me is there."""
         self.superseded = False
         self._name = me.name
         self._book = book
         self._joined = False
-        book.put(words.Word(me, 0))
+        book.put(member_status.Word(me, 0))
 
-    def word(self) -> words.Word:
+    def word(self) -> member_status.Word:
         """Return the newest word."""
         return self._book.held()[self._name]
 
@@ -43,7 +43,7 @@
         """Raise the heartbeat, which refutes every doubt so far."""
         self._refute(self.word().heartbeat)
 
-    def answer(self, heard: words.Word) -> None:
+    def answer(self, heard: member_status.Word) -> None:
         """Refute what a peer says of this process, if it is newer."""
         mine = self.word()
         if heard.member.incarnation > mine.member.incarnation:
@@ -52,7 +52,7 @@
         if heard.order() > mine.order() and mine.state is not State.DEAD:
             self._refute(heard.heartbeat)
 
-    def _answer_later_life(self, heard: words.Word) -> None:
+    def _answer_later_life(self, heard: member_status.Word) -> None:
         # Before the first exchange, or when that life has ended, the clock
         # of our VM merely runs behind; else another process runs under our
         # name and started later, and only one of us may go on.
@@ -61,15 +61,15 @@
             return
         incarnation = heard.member.incarnation + 1
         reborn = attrs.evolve(self.member(), incarnation=incarnation)
-        self._book.put(words.Word(reborn, 0))
+        self._book.put(member_status.Word(reborn, 0))
 
     def _refute(self, heartbeat: int) -> None:
         mine = self.word()
         raised = max(heartbeat, mine.heartbeat) + 1
-        self._book.put(words.Word(mine.member, raised))
+        self._book.put(member_status.Word(mine.member, raised))
         self._book.mark_urgent()
 
     def _say(self, state: State) -> None:
         mine = self.word()
         changed = attrs.evolve(mine.member, state=state)
-        self._book.put(words.Word(changed, mine.heartbeat + 1))
+        self._book.put(member_status.Word(changed, mine.heartbeat + 1))
--- a/redwingvalve/membership/members.py
+++ b/redwingvalve/membership/members.py
@@ -38,7 +38,7 @@
     """Who is there, in this process's own view."""
 
     @abc.abstractmethod
-    def myself(self) -> Member:
+    def local_member(self) -> Member:
         """Return this process."""
 
     @abc.abstractmethod
--- a/redwingvalve/membership/node.py
+++ b/redwingvalve/membership/node.py
@@ -13,8 +13,8 @@
 from redwingvalve.configuration import decoding, source
 from redwingvalve.core import clock, invariants
 from redwingvalve.membership import bounds as member_bounds
-from redwingvalve.membership import gossip, members, store_nodes
-from redwingvalve.news import gossip_board
+from redwingvalve.membership import gossip, members, node_directory
+from redwingvalve.news import gossip_bus
 from redwingvalve.platform_api import object_api
 from redwingvalve.settings import schema
 from redwingvalve.wire import handlers, rpc, server, traffic
@@ -44,12 +44,12 @@
     """One process's part in the fleet; handler takes further slices' calls."""
 
     members: gossip.GossipMembers
-    news: gossip_board.GossipNews
+    news: gossip_bus.GossipNews
     configuration: source.GossipConfiguration
     handler: handlers.PeerHandler
     server: server.PeerServer
     caller: rpc.PeerCaller
-    directory: store_nodes.NodeDirectory | None = None
+    directory: node_directory.NodeDirectory | None = None
 
     async def run(self) -> None:
         """Take part until cancelled; the server listens already."""
@@ -114,13 +114,13 @@
     present = gossip.make_gossip_members(
         listening, caller, timers, contacts, seed, bounds, switches
     )
-    news = gossip_board.make_gossip_news(present, timers)
+    news = gossip_bus.make_gossip_news(present, timers)
     configured = source.make_gossip_configuration(
         present, news, caller, timers, replicas_of, switches
     )
-    present.add_rider(news)
-    news.hurry_with(present.hurry)
-    present.add_rider(configured.fetcher)
+    present.add_delegate(news)
+    news.on_urgent(present.trigger_urgent_round)
+    present.add_delegate(configured.fetcher)
     handler.gossip_handler = present
     handler.configuration_handler = configured.reports
     node = PeerNode(
@@ -134,7 +134,7 @@
     if objects is not None:
         randomness = random.Random(f'{seed}/{me.name}/store')
         configured.watch_store(objects, randomness)
-        node.directory = store_nodes.make_node_directory(
+        node.directory = node_directory.make_node_directory(
             objects, present, timers, randomness
         )
     return node
--- a/redwingvalve/membership/store_nodes.py
+++ b/redwingvalve/membership/node_directory.py
@@ -42,7 +42,7 @@
         listed = await self._objects.list(KIND)
         if listed.is_error():
             return False
-        self._members.note_network()
+        self._members.confirm_connectivity()
         found = [_address(stored.body) for stored in listed.ok.objects]
         self._members.choice.add_contacts(
             tuple(address for address in found if address is not None)
@@ -67,7 +67,7 @@
 
     async def write(self) -> bool:
         """Create or replace this process's object; False when that fails."""
-        me = self._members.myself()
+        me = self._members.local_member()
         body = _body(me)
         for _ in range(WRITE_ATTEMPTS):
             created = await self._objects.create(KIND, me.name, body)
@@ -81,7 +81,7 @@
 
     async def remove(self) -> None:
         """Delete this process's object; it stays when the store is away."""
-        me = self._members.myself()
+        me = self._members.local_member()
         held = await self._objects.get(KIND, me.name)
         if held.is_ok() and held.ok.body.get('incarnation') == me.incarnation:
             await self._objects.delete(KIND, me.name, held.ok.version)
@@ -99,12 +99,12 @@
         """Delete objects of the dead, each by the one whose duty it is."""
         known = {member.name: member for member in self._members.known()}
         alive = [member.name for member in self._members.alive()]
-        me = self._members.myself().name
+        me = self._members.local_member().name
         for stored in listed:
             member = known.get(stored.name)
             if member is None or member.state is not members.MemberState.DEAD:
                 continue
-            if rendezvous.holders(alive, stored.name, 1) == (me,):
+            if rendezvous.select(alive, stored.name, 1) == (me,):
                 await self._objects.delete(KIND, stored.name, stored.version)
 
 
--- a/redwingvalve/membership/peers.py
+++ b/redwingvalve/membership/peers.py
@@ -2,7 +2,7 @@
 
 import random
 
-from redwingvalve.membership import members, table, targets
+from redwingvalve.membership import members, table, gossip_targets
 
 Address = tuple[str, int]
 
@@ -20,7 +20,7 @@
         self._table = member_table
         self._contacts = contacts
         self._randomness = randomness
-        self._rotation = targets.Rotation(randomness)
+        self._rotation = gossip_targets.Rotation(randomness)
         self._regional: tuple[members.Member, ...] = ()
         self._revision = -1
 
@@ -32,10 +32,10 @@
 
     def regional(self) -> tuple[members.Member, ...]:
         """Return those that this process exchanges with in its region."""
-        book = self._table.book
+        book = self._table.statuses
         if self._revision != book.revision:
             self._revision = book.revision
-            self._regional = targets.regional(
+            self._regional = gossip_targets.regional(
                 book.held(), self._table.own.member()
             )
         return self._regional
@@ -46,10 +46,10 @@
 
     def abroad(self) -> members.Member | None:
         """Return a member elsewhere, if this process speaks for its VM."""
-        held, me = self._table.book.held(), self._table.own.member()
-        if not targets.speaks(held, me):
+        held, me = self._table.statuses.held(), self._table.own.member()
+        if not gossip_targets.speaks(held, me):
             return None
-        return targets.foreign(held, me, self._randomness)
+        return gossip_targets.foreign(held, me, self._randomness)
 
     def sample(self, count: int) -> list[members.Member]:
         """Return some regional peers and one abroad."""
@@ -72,7 +72,9 @@
 
     def dead(self) -> members.Member | None:
         """Return one of the dead, to find out whether it is back."""
-        return targets.dead(self._table.book.held(), self._randomness)
+        return gossip_targets.dead(
+            self._table.statuses.held(), self._randomness
+        )
 
     def contacts(self) -> list[Address]:
         """Return all contacts but ourselves."""
@@ -84,7 +86,7 @@
         """Return a contact that belongs to no known member."""
         present = {
             (word.member.host, word.member.peer_port)
-            for word in self._table.book.held().values()
+            for word in self._table.statuses.held().values()
         }
         unmet = [
             address for address in self.contacts() if address not in present
--- a/redwingvalve/membership/probing.py
+++ b/redwingvalve/membership/probing.py
@@ -7,7 +7,7 @@
 import anyio
 
 from redwingvalve.core import clock
-from redwingvalve.membership import conversations, members, peers, table
+from redwingvalve.membership import exchange_transport, members, peers, table
 from redwingvalve.wire import call_errors, messages, rpc
 
 INDIRECT_PROBES = 2
@@ -19,7 +19,7 @@
     def __init__(
         self,
         member_table: table.MemberTable,
-        talks: conversations.Conversations,
+        talks: exchange_transport.Conversations,
         choice: peers.PeerChoice,
         caller: rpc.PeerCaller,
         timers: clock.Clock,
@@ -44,7 +44,7 @@
 
     async def probe_for(self, request: messages.peer.ProbeRequest) -> bool:
         """Tell another member whether we reach a third."""
-        word = self._table.book.get(request.name)
+        word = self._table.statuses.get(request.name)
         if word is None:
             return False
         return await self._talks.with_member(word.member) is None
--- a/redwingvalve/membership/records.py
+++ b/redwingvalve/membership/records.py
@@ -2,7 +2,7 @@
 
 import types
 
-from redwingvalve.membership import members, words
+from redwingvalve.membership import members, member_status
 from redwingvalve.wire import messages
 
 Record = messages.peer.MemberRecord
@@ -13,7 +13,7 @@
 _NUMBER_FIELDS = ('incarnation', 'peer_port', 'http_port')
 
 
-def to_record(word: words.Word) -> Record:
+def to_record(word: member_status.Word) -> Record:
     """Return a word as it travels."""
     member = word.member
     plain = {
@@ -22,7 +22,7 @@
     return Record(state=member.state.value, heartbeat=word.heartbeat, **plain)
 
 
-def from_record(record: Record) -> words.Word | None:
+def from_record(record: Record) -> member_status.Word | None:
     """Return the word of a record, or None when it is unsound."""
     state = _STATES.get(record.state)
     if state is None or not record.name or record.incarnation is None:
@@ -30,10 +30,10 @@
     texts = {name: getattr(record, name) or '' for name in _TEXT_FIELDS}
     numbers = {name: getattr(record, name) or 0 for name in _NUMBER_FIELDS}
     member = members.Member(state=state, **texts, **numbers)
-    return words.Word(member, record.heartbeat or 0)
+    return member_status.Word(member, record.heartbeat or 0)
 
 
-def words_of(records: list[Record] | None) -> list[words.Word]:
+def words_of(records: list[Record] | None) -> list[member_status.Word]:
     """Return the words of all sound records; the others are left out."""
     read = [from_record(record) for record in records or ()]
     return [word for word in read if word is not None]
--- a/redwingvalve/membership/rendezvous.py
+++ b/redwingvalve/membership/rendezvous.py
@@ -9,7 +9,7 @@
 import xxhash
 
 
-def holders(
+def select(
     candidates: collections_abc.Iterable[str], duty: str, count: int
 ) -> tuple[str, ...]:
     """Return the count candidates that hold a duty, the first one first."""
--- a/redwingvalve/membership/word_book.py
+++ b/redwingvalve/membership/status_store.py
@@ -3,7 +3,12 @@
 from collections import abc as collections_abc
 
 from redwingvalve.core import invariants
-from redwingvalve.membership import digests, members, rumours, words
+from redwingvalve.membership import (
+    digests,
+    members,
+    broadcast_queue,
+    member_status,
+)
 
 State = members.MemberState
 
@@ -17,29 +22,29 @@
         """Start empty."""
         self.revision = 0
         self._switches = switches or invariants.SafeguardSwitches()
-        self._words: dict[str, words.Word] = {}
-        self._rumours = rumours.RumourQueue()
+        self._words: dict[str, member_status.Word] = {}
+        self._rumours = broadcast_queue.RumourQueue()
         self._digests = digests.TableDigests()
         self._changed = False
 
-    def held(self) -> collections_abc.Mapping[str, words.Word]:
+    def held(self) -> collections_abc.Mapping[str, member_status.Word]:
         """Return the newest word of every member."""
         return self._words
 
-    def get(self, name: str) -> words.Word | None:
+    def get(self, name: str) -> member_status.Word | None:
         """Return the newest word of a member."""
         return self._words.get(name)
 
-    def accepts(self, word: words.Word) -> bool:
+    def accepts(self, word: member_status.Word) -> bool:
         """Tell whether a word heard from a peer is newer than ours."""
         held = self._words.get(word.name)
         if held is None:
             # Whoever is dead before we knew it is of no interest.
             return word.state is not State.DEAD
         stays = self._switches.enabled(invariants.Safeguard.LEAVING_EXCLUDED)
-        return words.replaces(word, held, leaving_stays=stays)
+        return member_status.replaces(word, held, leaving_stays=stays)
 
-    def put(self, word: words.Word) -> None:
+    def put(self, word: member_status.Word) -> None:
         """Replace a member's word and pass it on."""
         held = self._words.get(word.name)
         _require_order(word, held)
@@ -65,7 +70,7 @@
         self._changed = False
         return changed
 
-    def take_rumours(self, receiver: str) -> list[words.Word]:
+    def take_rumours(self, receiver: str) -> list[member_status.Word]:
         """Return the words for one message."""
         return self._rumours.take(self._words, receiver)
 
@@ -79,7 +84,7 @@
 
     def differing_words(
         self, other_digests: list[int] | None, limit: int
-    ) -> list[words.Word]:
+    ) -> list[member_status.Word]:
         """Return the words of the first buckets that differ."""
         if not other_digests:
             return []
@@ -91,7 +96,7 @@
         ]
 
 
-def _urgent(word: words.Word, held: words.Word | None) -> bool:
+def _urgent(word: member_status.Word, held: member_status.Word | None) -> bool:
     """Tell whether a word is to be passed on without delay.
 
     Doubts and their refutation are not: the suspicion time leaves room for
@@ -102,7 +107,9 @@
     return word.member.incarnation != held.member.incarnation
 
 
-def _require_order(word: words.Word, held: words.Word | None) -> None:
+def _require_order(
+    word: member_status.Word, held: member_status.Word | None
+) -> None:
     if held is None:
         return
     invariants.require(
--- a/redwingvalve/membership/table.py
+++ b/redwingvalve/membership/table.py
@@ -15,7 +15,12 @@
 
 from redwingvalve.core import invariants
 from redwingvalve.membership import bounds as member_bounds
-from redwingvalve.membership import members, own_word, word_book, words
+from redwingvalve.membership import (
+    members,
+    local_status,
+    status_store,
+    member_status,
+)
 
 State = members.MemberState
 # In a region with fewer members nobody else might notice a death.
@@ -34,8 +39,8 @@
     ) -> None:
         """Know nobody but me."""
         self.bounds = bounds
-        self.book = word_book.WordBook(switches)
-        self.own = own_word.OwnWord(me, self.book)
+        self.statuses = status_store.WordBook(switches)
+        self.own = local_status.OwnWord(me, self.statuses)
         self._judged_at_s: dict[str, float] = {}
         self._died_at_s: dict[str, float] = {}
         self._region_seen_s: dict[str, float] = {me.region: now_s}
@@ -50,11 +55,11 @@
         silent = self._silent_regions(now_s)
         # Asked several times a second by each slice, changed a few times a
         # minute.
-        if self._shown_for != (self.book.revision, silent):
-            self._shown_for = (self.book.revision, silent)
+        if self._shown_for != (self.statuses.revision, silent):
+            self._shown_for = (self.statuses.revision, silent)
             self._shown_members = tuple(
                 _shown(word.member, silent)
-                for word in self.book.held().values()
+                for word in self.statuses.held().values()
             )
         return self._shown_members
 
@@ -72,14 +77,14 @@
         }
 
     def merge(
-        self, heard: collections_abc.Iterable[words.Word], now_s: float
+        self, heard: collections_abc.Iterable[member_status.Word], now_s: float
     ) -> None:
         """Take the newer of the words; late and doubled ones do nothing."""
         mine = self.own.member().name
         for word in heard:
             if word.name == mine:
                 self.own.answer(word)
-            elif self.book.accepts(word):
+            elif self.statuses.accepts(word):
                 self._take(word, now_s)
 
     def merge_region_ages(
@@ -95,7 +100,7 @@
         """Note that a member has spoken to this process."""
         self.heard_network(now_s)
         self._met_anybody = True
-        word = self.book.get(name)
+        word = self.statuses.get(name)
         if word is not None:
             self._region_seen_s[word.member.region] = now_s
             self._judged_at_s.pop(name, None)
@@ -106,7 +111,7 @@
 
     def suspect(self, name: str, now_s: float, *, refused: bool) -> None:
         """Doubt a member that neither we nor those we asked could reach."""
-        word = self.book.get(name)
+        word = self.statuses.get(name)
         if word is None or word.state is State.DEAD:
             return
         if self._silent(now_s) or self._judged_elsewhere(word.member):
@@ -117,7 +122,7 @@
         judged_at_s = self._judged_at_s.get(name, now_s + wait_s)
         self._judged_at_s[name] = min(judged_at_s, now_s + wait_s)
         if word.state is State.ALIVE:
-            self.book.put(word.with_state(State.SUSPECT))
+            self.statuses.put(word.with_state(State.SUSPECT))
 
     def clear_doubt(self, name: str) -> None:
         """Drop our own doubt: somebody has just met the member."""
@@ -150,10 +155,10 @@
         ]
         for name in due:
             del self._judged_at_s[name]
-            word = self.book.get(name)
+            word = self.statuses.get(name)
             if word is not None and word.state is not State.DEAD:
                 self._died_at_s[name] = now_s
-                self.book.put(word.with_state(State.DEAD))
+                self.statuses.put(word.with_state(State.DEAD))
 
     def _forget(self, now_s: float) -> None:
         too_old_s = now_s - self.bounds.dead_keep_s
@@ -161,10 +166,10 @@
             if died_at_s < too_old_s:
                 del self._died_at_s[name]
                 self._judged_at_s.pop(name, None)
-                self.book.remove(name)
+                self.statuses.remove(name)
 
-    def _take(self, word: words.Word, now_s: float) -> None:
-        self.book.put(word)
+    def _take(self, word: member_status.Word, now_s: float) -> None:
+        self.statuses.put(word)
         self._judged_at_s.pop(word.name, None)
         self._died_at_s.pop(word.name, None)
         if word.state is State.DEAD:
@@ -180,7 +185,7 @@
             return False
         present = collections.Counter(
             word.member.region
-            for word in self.book.held().values()
+            for word in self.statuses.held().values()
             if word.state is not State.DEAD
         )
         return present[member.region] >= JUDGED_BY_ITSELF
--- a/redwingvalve/membership/tests/network.py
+++ b/redwingvalve/membership/tests/network.py
@@ -9,8 +9,8 @@
     exchanges,
     members,
     table,
-    targets,
-    words,
+    gossip_targets,
+    member_status,
 )
 from redwingvalve.wire import messages, packing
 
@@ -27,7 +27,7 @@
     """One process: its table and whom it meets next."""
 
     exchanges: exchanges.Exchanges
-    rotation: targets.Rotation
+    rotation: gossip_targets.Rotation
     paused_until_s: float = 0.0
 
     @property
@@ -57,7 +57,7 @@
                     member, self.now_s, self.bounds, self.switches
                 )
             ),
-            targets.Rotation(self.randomness),
+            gossip_targets.Rotation(self.randomness),
         )
         self.processes[name] = started
         if contact is not None:
@@ -86,7 +86,7 @@
         answer = self._deliver(second, question)
         if not self._carries(asked, asker):
             return False
-        first.exchanges.absorb(self._copy(answer), None, self.now_s)
+        first.exchanges.receive(self._copy(answer), None, self.now_s)
         supplement = first.exchanges.supplement(answer)
         if supplement is not None and self._carries(asker, asked):
             self._deliver(second, supplement)
@@ -102,17 +102,17 @@
 
     def states(self, name):
         return {
-            other: process.table.book.get(name).state
+            other: process.table.statuses.get(name).state
             for other, process in self.processes.items()
-            if process.table.book.get(name) is not None
+            if process.table.statuses.get(name) is not None
         }
 
     def _round(self, name, process):
-        held, me = process.table.book.held(), process.table.own.member()
-        chosen = [process.rotation.next(targets.regional(held, me))]
+        held, me = process.table.statuses.held(), process.table.own.member()
+        chosen = [process.rotation.next(gossip_targets.regional(held, me))]
         if self.randomness.random() < 0.2:
-            chosen.append(targets.foreign(held, me, self.randomness))
-            chosen.append(targets.dead(held, self.randomness))
+            chosen.append(gossip_targets.foreign(held, me, self.randomness))
+            chosen.append(gossip_targets.dead(held, self.randomness))
         for member in chosen:
             if member is None or self.meet(name, member.name):
                 continue
@@ -133,7 +133,7 @@
         name = receiver.table.own.member().name
         if keep:
             self.late = [*self.late[-40:], (name, packing.pack(message))]
-        receiver.exchanges.absorb(heard, None, self.now_s)
+        receiver.exchanges.receive(heard, None, self.now_s)
         return self._copy(receiver.exchanges.answer(heard, self.now_s))
 
     def _carries(self, sender, receiver):
@@ -147,7 +147,7 @@
 
     def _note_deaths(self):
         for process in self.processes.values():
-            for word in process.table.book.held().values():
+            for word in process.table.statuses.held().values():
                 if word.state is State.DEAD:
                     self.deaths.add((word.name, word.member.incarnation))
 
@@ -160,4 +160,4 @@
 
 
 def words_of(member):
-    return words.Word(member, 0)
+    return member_status.Word(member, 0)
--- a/redwingvalve/membership/tests/test_faults.py
+++ b/redwingvalve/membership/tests/test_faults.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from redwingvalve.membership import bounds, members, targets
+from redwingvalve.membership import bounds, members, gossip_targets
 from redwingvalve.membership.tests import network
 
 State = members.MemberState
@@ -80,7 +80,7 @@
     net.start('e1', incarnation=5, contact='e0')
     net.step(5)
     net.processes['old'] = old
-    old.exchanges.absorb(
+    old.exchanges.receive(
         net.processes['e0'].exchanges.answer(
             old.exchanges.question('e0', 'r0', net.now_s), net.now_s
         ),
@@ -114,7 +114,7 @@
     del net.processes['e7']
     net.step(10_000)
     assert {name for name, _ in net.deaths} == {'e7'}
-    assert net.processes['e0'].table.book.get('e7').state is State.ALIVE
+    assert net.processes['e0'].table.statuses.get('e7').state is State.ALIVE
     net.cut.clear()
     net.step(40)
     assert set(net.states('e7').values()) == {State.DEAD}
@@ -129,9 +129,9 @@
     alone = net.processes['e0'].table
     assert alone.isolated(net.now_s)
     assert all(
-        word.state is not State.DEAD for word in alone.book.held().values()
+        word.state is not State.DEAD for word in alone.statuses.held().values()
     )
-    assert net.processes['e1'].table.book.get('e0').state is State.DEAD
+    assert net.processes['e1'].table.statuses.get('e0').state is State.DEAD
     net.cut.clear()
     net.step(60)
     assert not alone.isolated(net.now_s)
@@ -149,9 +149,9 @@
             )
             held[name] = network.words_of(member)
     speaker = held['0-control'].member
-    peers = targets.regional(held, speaker)
+    peers = gossip_targets.regional(held, speaker)
     assert sorted(peer.name for peer in peers) == sorted(
         [f'{vm}-control' for vm in range(1, 8)] + ['0-entry-1', '0-entry-2']
     )
-    local = targets.regional(held, held['0-entry-2'].member)
+    local = gossip_targets.regional(held, held['0-entry-2'].member)
     assert [peer.name for peer in local] == ['0-control']
--- a/redwingvalve/membership/tests/test_machine.py
+++ b/redwingvalve/membership/tests/test_machine.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from redwingvalve.core import invariants
-from redwingvalve.membership import members, words
+from redwingvalve.membership import members, member_status
 from redwingvalve.membership.tests import network
 
 State = members.MemberState
@@ -79,7 +79,7 @@
         for name in self.left:
             own = self.network.processes[name].table.own.word()
             for process in self.network.processes.values():
-                held = process.table.book.get(name)
+                held = process.table.statuses.get(name)
                 if held is None or held.order() < own.order():
                     continue
                 assert held.state in {State.LEAVING, State.DEAD}
@@ -120,11 +120,11 @@
         net.processes['b'].table.own.leave()
         net.step(3)
         table = net.processes['a'].table
-        assert table.book.get('b').state is State.LEAVING
-        forged = words.Word(network.make_member('b'), 50)
+        assert table.statuses.get('b').state is State.LEAVING
+        forged = member_status.Word(network.make_member('b'), 50)
         if caught:
             with pytest.raises(invariants.InvariantBreachError):
                 table.merge([forged], net.now_s)
         else:
             table.merge([forged], net.now_s)
-            assert table.book.get('b').state is State.LEAVING
+            assert table.statuses.get('b').state is State.LEAVING
--- a/redwingvalve/membership/urgency.py
+++ b/redwingvalve/membership/urgency.py
@@ -15,16 +15,16 @@
     def __init__(self, bounds: member_bounds.MembershipBounds) -> None:
         """Start with the short pause."""
         self._bounds = bounds
-        self._pause_s = bounds.eager_interval_s
+        self._pause_s = bounds.urgent_interval_s
         self._last_s = float('-inf')
 
     def pause_s(self, now_s: float) -> float:
         """Return how long to wait after a round at now_s."""
-        longest_s = self._bounds.longest_eager_interval_s
+        longest_s = self._bounds.max_urgent_interval_s
         quiet_s = now_s - self._last_s
         self._last_s = now_s
         if quiet_s > 2 * longest_s:
-            self._pause_s = self._bounds.eager_interval_s
+            self._pause_s = self._bounds.urgent_interval_s
         else:
             self._pause_s = min(2 * self._pause_s, longest_s)
         return self._pause_s
--- a/redwingvalve/news/board.py
+++ b/redwingvalve/news/bus.py
@@ -6,7 +6,7 @@
 import attrs
 
 
-class Reach(enum.StrEnum):
+class Scope(enum.StrEnum):
     """How far a channel's news travels."""
 
     REGION = 'region'
@@ -22,7 +22,7 @@
     """
 
     name: str
-    reach: Reach
+    scope: Scope
     max_age_s: float
     max_item_bytes: int
     urgent: bool = False
@@ -45,7 +45,7 @@
     age_s: float
 
 
-class NewsBoard(abc.ABC):
+class NewsBus(abc.ABC):
     """Publishes this process's news and reads everybody's."""
 
     @abc.abstractmethod
--- a/redwingvalve/news/gossip_board.py
+++ b/redwingvalve/news/gossip_bus.py
@@ -4,8 +4,8 @@
 from collections import abc as collections_abc
 
 from redwingvalve.core import clock
-from redwingvalve.membership import members, riders
-from redwingvalve.news import board, store
+from redwingvalve.membership import members, delegates
+from redwingvalve.news import bus, store
 from redwingvalve.observability import logs
 from redwingvalve.wire import messages
 
@@ -22,12 +22,12 @@
 DROP_INTERVAL_S = 1.0
 
 
-class GossipNews(board.NewsBoard, riders.Rider):
+class GossipNews(bus.NewsBus, delegates.ExchangeDelegate):
     """News in two stores, one for each reach."""
 
     def __init__(self, present: members.Members, timers: clock.Clock) -> None:
         """Speak as present.myself()."""
-        me = present.myself().name
+        me = present.local_member().name
         self._members = present
         self._clock = timers
         self._region = store.NewsStore(me)
@@ -37,19 +37,19 @@
         self._hurry: collections_abc.Callable[[], None] = _nothing
         self._dropped_s = timers.monotonic_s()
 
-    def hurry_with(self, hurry: collections_abc.Callable[[], None]) -> None:
+    def on_urgent(self, hurry: collections_abc.Callable[[], None]) -> None:
         """Call hurry whenever urgent news is said or heard."""
         self._hurry = hurry
 
     # The board as other slices see it.
 
-    def publish(self, channel: board.Channel, key: str, body: bytes) -> None:
+    def publish(self, channel: bus.Channel, key: str, body: bytes) -> None:
         """Replace this process's word on key; an empty body retracts it."""
         if len(body) > min(channel.max_item_bytes, MAX_BODY_BYTES):
             LOG.error(f'{channel.name} of {len(body)} bytes is too large')
             return
         now_s = self._clock.monotonic_s()
-        me = self._members.myself()
+        me = self._members.local_member()
         first_number = me.incarnation * NUMBERS_PER_INCARNATION
         self._last_number = max(self._last_number, first_number) + 1
         item = store.Item(
@@ -62,18 +62,18 @@
             said_s=now_s,
             max_age_s=channel.max_age_s,
         )
-        self._store(channel.reach).put(item, now_s)
+        self._store(channel.scope).put(item, now_s)
         if channel.urgent:
             self._urgent.add(channel.name)
             self._hurry()
 
-    def read(self, channel: board.Channel) -> tuple[board.NewsItem, ...]:
+    def read(self, channel: bus.Channel) -> tuple[bus.NewsItem, ...]:
         """Return all items of a channel that are not too old."""
         now_s = self._clock.monotonic_s()
         if channel.urgent:
             self._urgent.add(channel.name)
         return tuple(
-            board.NewsItem(
+            bus.NewsItem(
                 channel=item.channel,
                 owner=item.owner,
                 owner_incarnation=item.owner_incarnation,
@@ -82,7 +82,7 @@
                 body=item.body,
                 age_s=now_s - item.said_s,
             )
-            for item in self._store(channel.reach).read(channel.name, now_s)
+            for item in self._store(channel.scope).read(channel.name, now_s)
             if now_s - item.said_s <= channel.max_age_s
         )
 
@@ -91,7 +91,7 @@
     def ask(self, question: Exchange, peer_region: str) -> None:
         """Say the highest numbers known."""
         self._drop_old()
-        if peer_region == self._members.myself().region:
+        if peer_region == self._members.local_member().region:
             question.region_digest = _to_digest(self._region.digest())
         question.everywhere_digest = _to_digest(self._everywhere.digest())
 
@@ -108,7 +108,7 @@
                 self._everywhere.behind(theirs)
             )
 
-    def supply(self, heard: Exchange, supplement: Exchange) -> bool:
+    def follow_up(self, heard: Exchange, supplement: Exchange) -> bool:
         """Give what the answer named as lacking."""
         if heard.region_digest is not None and self._same_region(heard):
             supplement.region_news = self._missing(
@@ -124,7 +124,7 @@
             )
         return bool(supplement.region_news or supplement.everywhere_news)
 
-    def absorb(
+    def receive(
         self, heard: Exchange, address: tuple[str, int], delay_s: float
     ) -> None:
         """Take the other side's news, older by the time on the way."""
@@ -137,13 +137,13 @@
             self._take(self._region, heard.region_news, packed_s)
         self._take(self._everywhere, heard.everywhere_news, packed_s)
 
-    def _store(self, reach: board.Reach) -> store.NewsStore:
-        if reach is board.Reach.REGION:
+    def _store(self, scope: bus.Scope) -> store.NewsStore:
+        if scope is bus.Scope.REGION:
             return self._region
         return self._everywhere
 
     def _same_region(self, heard: Exchange) -> bool:
-        return heard.sender.region == self._members.myself().region
+        return heard.sender.region == self._members.local_member().region
 
     def _missing(
         self,
--- a/redwingvalve/news/tests/test_ages.py
+++ b/redwingvalve/news/tests/test_ages.py
@@ -4,10 +4,10 @@
 
 from redwingvalve.core import clock
 from redwingvalve.membership import exchanges, members, table
-from redwingvalve.news import board, gossip_board
+from redwingvalve.news import bus, gossip_bus
 from redwingvalve.wire import messages, packing
 
-EVIDENCE = board.Channel('evidence', board.Reach.REGION, 2.5, 100)
+EVIDENCE = bus.Channel('evidence', bus.Scope.REGION, 2.5, 100)
 ROUNDING_S = 1e-6
 
 
@@ -15,7 +15,7 @@
     def __init__(self, me):
         self.me = me
 
-    def myself(self):
+    def local_member(self):
         return self.me
 
     def known(self):
@@ -31,7 +31,7 @@
     def __init__(self, name, start_s):
         self.clock = clock.ManualClock(start_s)
         me = members.Member(name, 1, 'entry', name, 1, 2, 'a', 'r1')
-        self.news = gossip_board.make_gossip_news(_Known(me), self.clock)
+        self.news = gossip_bus.make_gossip_news(_Known(me), self.clock)
         self.exchanges = exchanges.Exchanges(
             table.make_member_table(me, start_s), [self.news]
         )
@@ -39,11 +39,11 @@
     def now_s(self):
         return self.clock.monotonic_s()
 
-    def absorb(self, message, asked_s=None):
+    def receive(self, message, asked_s=None):
         copied = packing.unpack(
             messages.peer.Exchange(), packing.pack(message)
         ).ok
-        self.exchanges.absorb(copied, None, self.now_s(), asked_s)
+        self.exchanges.receive(copied, None, self.now_s(), asked_s)
         return copied
 
     def ages(self):
@@ -66,10 +66,10 @@
     asked.news.publish(EVIDENCE, 'k', b'seen')
     _pass(0.1, asker, asked)
     asked_s = asker.now_s()
-    heard = asked.absorb(asker.exchanges.question('b', 'r1', asked_s))
+    heard = asked.receive(asker.exchanges.question('b', 'r1', asked_s))
     answer = asked.exchanges.answer(heard, asked.now_s())
     _pass(waits_s, asker, asked)
-    asker.absorb(answer, asked_s)
+    asker.receive(answer, asked_s)
     assert all(age_s > 0.1 + waits_s - ROUNDING_S for age_s in asker.ages())
     assert bool(asker.ages()) == (waits_s < 2.4)
 
@@ -84,11 +84,11 @@
     asker.news.publish(EVIDENCE, 'k', b'seen')
     _pass(0.1, asker, asked)
     asked_s = asker.now_s()
-    heard = asked.absorb(asker.exchanges.question('b', 'r1', asked_s))
+    heard = asked.receive(asker.exchanges.question('b', 'r1', asked_s))
     answer = asked.exchanges.answer(heard, asked.now_s())
-    supplement = asker.exchanges.supplement(asker.absorb(answer, asked_s))
+    supplement = asker.exchanges.supplement(asker.receive(answer, asked_s))
     _pass(waits_s, asker, asked)
-    asked.absorb(supplement)
+    asked.receive(supplement)
     assert len(asked.ages()) == 1
     assert asked.ages()[0] > 0.1 + waits_s - ROUNDING_S
 
@@ -101,12 +101,12 @@
     """
     asker, asked = _Process('a', 100.0), _Process('b', 700.0)
     asker.news.publish(EVIDENCE, 'k', b'seen')
-    heard = asked.absorb(asker.exchanges.question('b', 'r1', 100.0))
+    heard = asked.receive(asker.exchanges.question('b', 'r1', 100.0))
     answer = asked.exchanges.answer(heard, asked.now_s())
-    supplement = asker.exchanges.supplement(asker.absorb(answer, 100.0))
+    supplement = asker.exchanges.supplement(asker.receive(answer, 100.0))
     supplement.clock_ms = clock_ms
-    asked.absorb(supplement)
+    asked.receive(supplement)
     assert not asked.ages()
     supplement.clock_ms = answer.clock_ms
-    asked.absorb(supplement)
+    asked.receive(supplement)
     assert len(asked.ages()) == 1
--- a/redwingvalve/poison/channel.py
+++ b/redwingvalve/poison/channel.py
@@ -1,6 +1,6 @@
 """The channel on which entries tell each other of suspects."""
 
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.poison import facts
 
 KEY = 'suspects'
@@ -8,9 +8,9 @@
 # deaths within seconds count as a lost rack, for which the rules are eased.
 SERVICE_KEY = 'service-suspects'
 
-SUSPECTS = board.Channel(
+SUSPECTS = bus.Channel(
     name='suspects',
-    reach=board.Reach.EVERYWHERE,
+    scope=bus.Scope.EVERYWHERE,
     max_age_s=3600.0,
     max_item_bytes=facts.MAX_ENCODED_FACTS * facts.RECORD.size,
     # A caller sends again within milliseconds of the reset that killed its
--- a/redwingvalve/poison/suspect_table.py
+++ b/redwingvalve/poison/suspect_table.py
@@ -275,7 +275,7 @@
 
 def home_entry(digest: bytes, entries: collections_abc.Iterable[str]) -> str:
     """Return the entry that runs a resent suspect (rendezvous hashing)."""
-    return rendezvous.holders(tuple(entries), digest.hex(), 1)[0]
+    return rendezvous.select(tuple(entries), digest.hex(), 1)[0]
 
 
 def trial_endpoints(
--- a/redwingvalve/process/control.py
+++ b/redwingvalve/process/control.py
@@ -15,7 +15,7 @@
 )
 from redwingvalve.configuration import in_force, records
 from redwingvalve.control import loop
-from redwingvalve.evidence import entry_witness
+from redwingvalve.evidence import news_entry_reports
 from redwingvalve.observability import logs
 from redwingvalve.plans import book as plan_book
 from redwingvalve.process import (
@@ -75,14 +75,14 @@
     parts: process_parts.ProcessParts, reader: drains.DrainReader
 ) -> loop.ControlLoop:
     """Return the control loop of one process."""
-    me = parts.node.members.myself()
+    me = parts.node.members.local_member()
     owner = f'{me.name}/{me.incarnation}'
     tools = controller.Dependencies(
         objects=parts.objects,
         orders=parts.orders,
         weights=parts.weights,
         clock=parts.clock,
-        entries=entry_witness.make_news_witness(
+        entries=news_entry_reports.make_news_entry_reports(
             parts.node.members, parts.node.news, parts.node.configuration
         ),
         rng=random.Random(owner),
--- a/redwingvalve/process/duties.py
+++ b/redwingvalve/process/duties.py
@@ -17,4 +17,4 @@
     """
     present = {member.name for member in parts.node.members.alive(CONTROL_ROLE)}
     mine = parts.settings.node.name
-    return mine in rendezvous.holders(sorted(present | {mine}), duty, holders)
+    return mine in rendezvous.select(sorted(present | {mine}), duty, holders)
--- a/redwingvalve/process/entry.py
+++ b/redwingvalve/process/entry.py
@@ -5,7 +5,7 @@
 import anyio
 
 from redwingvalve.at_most_once import claims
-from redwingvalve.discovery import spread_directory
+from redwingvalve.discovery import balanced_directory
 from redwingvalve.entry import aiohttp_upstream, daemon
 from redwingvalve.entry import dependencies as entry_dependencies
 from redwingvalve.evidence import prober, serving_permits, table
@@ -68,7 +68,7 @@
         metrics=parts.metrics,
         tracing=parts.tracing,
         switches=parts.switches,
-        directory=spread_directory.make_spread_directory(
+        directory=balanced_directory.make_balanced_directory(
             parts.node.members,
             parts.node.news,
             parts.settings.requests.discovery_keep_s,
--- a/redwingvalve/process/entry_drains.py
+++ b/redwingvalve/process/entry_drains.py
@@ -8,7 +8,7 @@
 from collections import abc as collections_abc
 
 from redwingvalve.administration import drains
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.observability import logs
 from redwingvalve.process import duties
 from redwingvalve.process import parts as process_parts
@@ -16,9 +16,9 @@
 TELL_EVERY_S = 2.0
 LISTEN_EVERY_S = 0.5
 LOGGER = logs.make_logger('drains')
-CHANNEL = board.Channel(
+CHANNEL = bus.Channel(
     name='entry-drains',
-    reach=board.Reach.EVERYWHERE,
+    scope=bus.Scope.EVERYWHERE,
     max_age_s=10.0,
     max_item_bytes=100,
 )
@@ -54,7 +54,7 @@
 
 
 def _tell(
-    news: board.NewsBoard,
+    news: bus.NewsBus,
     told: set[str],
     wanted: dict[str, str],
 ) -> set[str]:
@@ -65,5 +65,5 @@
     return set(wanted)
 
 
-def _is_wanted(news: board.NewsBoard, name: str) -> bool:
+def _is_wanted(news: bus.NewsBus, name: str) -> bool:
     return any(published.key == name for published in news.read(CHANNEL))
--- a/redwingvalve/process/key_votes.py
+++ b/redwingvalve/process/key_votes.py
@@ -15,7 +15,7 @@
     parts: process_parts.ProcessParts,
 ) -> claims.KeyClaims:
     """Return the claims of request keys, answering the other voters too."""
-    myself = parts.node.members.myself()
+    myself = parts.node.members.local_member()
     started = await voter_registration.register(
         parts.objects, myself.name, parts.clock.wall_s()
     )
--- a/redwingvalve/process/leaving_vms.py
+++ b/redwingvalve/process/leaving_vms.py
@@ -44,7 +44,7 @@
         gone = {
             vm.name for vm in listed.ok if vm.state == vm_list.VmState.LEAVING
         }
-        self._told = leaving.tell(
+        self._told = leaving.publish(
             self._parts.node.news, gone | self._reader.vms, self._told
         )
 
--- a/redwingvalve/process/waits.py
+++ b/redwingvalve/process/waits.py
@@ -8,13 +8,13 @@
 import json
 
 from redwingvalve.control import loop
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.process import parts as process_parts
 
 PUBLISH_EVERY_S = 2.0
-CHANNEL = board.Channel(
+CHANNEL = bus.Channel(
     name='waits',
-    reach=board.Reach.EVERYWHERE,
+    scope=bus.Scope.EVERYWHERE,
     max_age_s=10.0,
     max_item_bytes=400,
 )
@@ -39,7 +39,7 @@
         await parts.clock.sleep(PUBLISH_EVERY_S)
 
 
-def read(news: board.NewsBoard) -> list[str]:
+def read(news: bus.NewsBus) -> list[str]:
     """Return a sentence for each domain that waits."""
     return sorted(
         f'{published.key} ({published.owner}): {_decode(published.body)}'
--- a/tests/integration/test_peer_nodes.py
+++ b/tests/integration/test_peer_nodes.py
@@ -7,7 +7,7 @@
 
 from redwingvalve.core import clock
 from redwingvalve.membership import bounds, members, node
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.standins import memory_store
 from tests.integration import fault_proxy
 
@@ -15,12 +15,12 @@
     round_s=0.1,
     foreign_interval_s=0.3,
     reconnect_interval_s=0.3,
-    eager_interval_s=0.02,
+    urgent_interval_s=0.02,
     suspicion_s=2.5,
     refused_suspicion_s=0.3,
     isolation_s=1.0,
 )
-CHANNEL = board.Channel('load', board.Reach.REGION, 30.0, 100)
+CHANNEL = bus.Channel('load', bus.Scope.REGION, 30.0, 100)
 ACCOUNT = {'name': 'a', 'credential_sha256': 'x', 'priority': 1}
 
 
@@ -73,7 +73,7 @@
 
     def states(self, name):
         return {
-            each.members.myself().name: {
+            each.members.local_member().name: {
                 member.name: member.state.value
                 for member in each.members.known()
             }.get(name)
