--- a/redwingvalve/configuration/fetching.py
+++ b/redwingvalve/configuration/fetching.py
@@ -14,7 +14,7 @@
 import xxhash
 
 from redwingvalve.configuration import records
-from redwingvalve.membership import members, delegates
+from redwingvalve.membership import delegates, members
 from redwingvalve.wire import messages, rpc
 
 Address = tuple[str, int]
--- a/redwingvalve/discovery/balanced_directory.py
+++ b/redwingvalve/discovery/balanced_directory.py
@@ -2,7 +2,7 @@
 
 import random
 
-from redwingvalve.discovery import load_reports, entry_selection
+from redwingvalve.discovery import entry_selection, load_reports
 from redwingvalve.entry import directory
 from redwingvalve.membership import members
 from redwingvalve.news import bus
--- a/redwingvalve/discovery/tests/test_entry_selection.py
+++ b/redwingvalve/discovery/tests/test_entry_selection.py
@@ -4,7 +4,7 @@
 import random
 
 from redwingvalve.core import clock
-from redwingvalve.discovery import load_reports, entry_selection
+from redwingvalve.discovery import entry_selection, load_reports
 from redwingvalve.membership import members
 
 State = members.MemberState
--- a/redwingvalve/evidence/tests/test_evidence.py
+++ b/redwingvalve/evidence/tests/test_evidence.py
@@ -9,9 +9,9 @@
 from redwingvalve.configuration import snapshot
 from redwingvalve.core import clock, invariants
 from redwingvalve.evidence import (
+    leaving,
     news_entry_reports,
     probe_reports,
-    leaving,
     prober,
     serving_permits,
     table,
--- a/redwingvalve/membership/digests.py
+++ b/redwingvalve/membership/digests.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-from redwingvalve.membership import members, member_status
+from redwingvalve.membership import member_status, members
 
 BUCKETS = 16
 _INT64 = struct.Struct('>q')
--- a/redwingvalve/membership/exchanges.py
+++ b/redwingvalve/membership/exchanges.py
@@ -12,11 +12,11 @@
 import attrs
 
 from redwingvalve.membership import (
+    delegates,
+    member_status,
     members,
     records,
-    delegates,
     table,
-    member_status,
 )
 from redwingvalve.wire import messages
 
--- a/redwingvalve/membership/gossip.py
+++ b/redwingvalve/membership/gossip.py
@@ -9,11 +9,11 @@
 from redwingvalve.core import clock, invariants
 from redwingvalve.membership import bounds as member_bounds
 from redwingvalve.membership import (
+    delegates,
     exchange_transport,
     members,
     peers,
     probing,
-    delegates,
     table,
     urgency,
 )
--- a/redwingvalve/membership/gossip_targets.py
+++ b/redwingvalve/membership/gossip_targets.py
@@ -10,7 +10,7 @@
 import random
 from collections import abc as collections_abc
 
-from redwingvalve.membership import members, member_status
+from redwingvalve.membership import member_status, members
 
 Words = collections_abc.Mapping[str, member_status.Word]
 DEAD = members.MemberState.DEAD
--- a/redwingvalve/membership/local_status.py
+++ b/redwingvalve/membership/local_status.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from redwingvalve.membership import members, status_store, member_status
+from redwingvalve.membership import member_status, members, status_store
 
 State = members.MemberState
 
--- a/redwingvalve/membership/peers.py
+++ b/redwingvalve/membership/peers.py
@@ -2,7 +2,7 @@
 
 import random
 
-from redwingvalve.membership import members, table, gossip_targets
+from redwingvalve.membership import gossip_targets, members, table
 
 Address = tuple[str, int]
 
--- a/redwingvalve/membership/records.py
+++ b/redwingvalve/membership/records.py
@@ -2,7 +2,7 @@
 
 import types
 
-from redwingvalve.membership import members, member_status
+from redwingvalve.membership import member_status, members
 from redwingvalve.wire import messages
 
 Record = messages.peer.MemberRecord
--- a/redwingvalve/membership/status_store.py
+++ b/redwingvalve/membership/status_store.py
@@ -4,10 +4,10 @@
 
 from redwingvalve.core import invariants
 from redwingvalve.membership import (
-    digests,
-    members,
     broadcast_queue,
+    digests,
     member_status,
+    members,
 )
 
 State = members.MemberState
--- a/redwingvalve/membership/table.py
+++ b/redwingvalve/membership/table.py
@@ -16,10 +16,10 @@
 from redwingvalve.core import invariants
 from redwingvalve.membership import bounds as member_bounds
 from redwingvalve.membership import (
-    members,
     local_status,
-    status_store,
     member_status,
+    members,
+    status_store,
 )
 
 State = members.MemberState
--- a/redwingvalve/membership/tests/network.py
+++ b/redwingvalve/membership/tests/network.py
@@ -7,10 +7,10 @@
 from redwingvalve.membership import (
     bounds,
     exchanges,
-    members,
-    table,
     gossip_targets,
     member_status,
+    members,
+    table,
 )
 from redwingvalve.wire import messages, packing
 
--- a/redwingvalve/membership/tests/test_faults.py
+++ b/redwingvalve/membership/tests/test_faults.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from redwingvalve.membership import bounds, members, gossip_targets
+from redwingvalve.membership import bounds, gossip_targets, members
 from redwingvalve.membership.tests import network
 
 State = members.MemberState
--- a/redwingvalve/membership/tests/test_machine.py
+++ b/redwingvalve/membership/tests/test_machine.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from redwingvalve.core import invariants
-from redwingvalve.membership import members, member_status
+from redwingvalve.membership import member_status, members
 from redwingvalve.membership.tests import network
 
 State = members.MemberState
--- a/redwingvalve/news/gossip_bus.py
+++ b/redwingvalve/news/gossip_bus.py
@@ -4,7 +4,7 @@
 from collections import abc as collections_abc
 
 from redwingvalve.core import clock
-from redwingvalve.membership import members, delegates
+from redwingvalve.membership import delegates, members
 from redwingvalve.news import bus, store
 from redwingvalve.observability import logs
 from redwingvalve.wire import messages
