--- a/redwingvalve/administration/store_operations.py
+++ b/redwingvalve/administration/store_operations.py
@@ -19,8 +19,8 @@
 from redwingvalve.core import clock, findings
 from redwingvalve.declaration import reader
 from redwingvalve.membership import members
-from redwingvalve.plans import book as plan_book
-from redwingvalve.plans import objects, plan, world
+from redwingvalve.plans import fleet_state, objects, plan
+from redwingvalve.plans import manager as plan_manager
 from redwingvalve.platform_api import object_api, vm_list
 from redwingvalve.replicas import codec
 from redwingvalve.replicas import domain as domain_module
@@ -54,7 +54,7 @@
 
     store: object_api.ObjectApi
     vms: vm_list.VmList
-    book: plan_book.PlanBook
+    book: plan_manager.PlanManager
     members: members.Members
     clock: clock.Clock
     in_force: InForceReader
@@ -96,7 +96,7 @@
         return await self._runners[name](call)
 
     async def _status(self, call: operations.Call) -> Answer:
-        current = await world.read_current(self._its.store)
+        current = await fleet_state.read_current(self._its.store)
         if current.is_error():
             return _plan_problem(current.error)
         declared = await self._its.store.list(objects.DEPLOYMENTS)
@@ -177,7 +177,7 @@
         if impossible:
             return _findings_problem(impossible)
         declaration = checked.ok.content
-        in_force = await world.read_current(self._its.store)
+        in_force = await fleet_state.read_current(self._its.store)
         if in_force.is_error():
             return _plan_problem(in_force.error)
         made = await self._its.book.propose(declaration, call.principal.name)
@@ -251,7 +251,7 @@
             'not-found',
             f'no plan is named {error.plan!r}',
         )
-    if isinstance(error, plan.StoreTrouble):
+    if isinstance(error, plan.StoreError):
         return Error(
             operations.OperationError(
                 operations.STATUS_UNAVAILABLE,
--- a/redwingvalve/administration/tests/test_api.py
+++ b/redwingvalve/administration/tests/test_api.py
@@ -17,7 +17,7 @@
 from redwingvalve.configuration import in_force
 from redwingvalve.core import clock
 from redwingvalve.membership import members
-from redwingvalve.plans import book as plan_book
+from redwingvalve.plans import manager as plan_manager
 from redwingvalve.platform_api import object_api, vm_list
 from redwingvalve.replicas import domain as domain_module
 from redwingvalve.standins import memory_store
@@ -75,7 +75,9 @@
         }
         self.bearers = {role: made.bearer for role, made in issued.items()}
         self.book.replace(made.record for made in issued.values())
-        plans = plan_book.make_plan_book(self.store, FixedVmList(), self.clock)
+        plans = plan_manager.make_plan_manager(
+            self.store, FixedVmList(), self.clock
+        )
         doer = store_operations.make_store_operations(
             store_operations.Surroundings(
                 store=self.store,
--- a/redwingvalve/control/inputs.py
+++ b/redwingvalve/control/inputs.py
@@ -11,8 +11,7 @@
 
 from redwingvalve.core import clock
 from redwingvalve.declaration import schema
-from redwingvalve.plans import objects
-from redwingvalve.plans import world as world_module
+from redwingvalve.plans import fleet_state, objects
 from redwingvalve.platform_api import object_api, vm_list
 from redwingvalve.replicas import controller, shares
 from redwingvalve.replicas import view as view_module
@@ -50,7 +49,7 @@
         listed = await self._vm_list.read()
         if listed.is_ok():
             self.vms = listed.ok
-        agreed = await world_module.read_allocation(self._store)
+        agreed = await fleet_state.read_allocation(self._store)
         if agreed.is_error():
             return
         # A share whose deployment is not known yet must not read as "none
--- a/redwingvalve/control/loop.py
+++ b/redwingvalve/control/loop.py
@@ -14,7 +14,7 @@
 from redwingvalve.membership import members as members_module
 from redwingvalve.membership import rendezvous
 from redwingvalve.observability import logs
-from redwingvalve.plans import book, finishing
+from redwingvalve.plans import manager, recovery
 from redwingvalve.platform_api import object_api, vm_list
 from redwingvalve.replicas import controller
 from redwingvalve.replicas import domain as domain_module
@@ -53,7 +53,9 @@
         self._tools = tools
         self._vm_list = vms
         self._members = members
-        self._book = book.make_plan_book(tools.objects, vms, tools.clock)
+        self._plan_manager = manager.make_plan_manager(
+            tools.objects, vms, tools.clock
+        )
         self._reader = inputs_module.InputReader(
             tools.objects, vms, tools.clock
         )
@@ -103,11 +105,13 @@
         self._finish_from_s = now_s + FINISH_EVERY_S * jitter
         if not self._is_candidate('plans'):
             return
-        with_marked = now_s >= self._list_plans_from_s
-        if with_marked:
+        include_uncommitted = now_s >= self._list_plans_from_s
+        if include_uncommitted:
             self._list_plans_from_s = now_s + LIST_PLANS_EVERY_S * jitter
-        done = await finishing.finish_confirmations(
-            self._tools.objects, self._book, with_marked=with_marked
+        done = await recovery.resume_confirmations(
+            self._tools.objects,
+            self._plan_manager,
+            include_uncommitted=include_uncommitted,
         )
         if done.is_error():
             LOG.warning('Plans wait', extra={'reason': str(done.error)})
--- a/redwingvalve/control/moves.py
+++ b/redwingvalve/control/moves.py
@@ -13,8 +13,7 @@
 from expression import Error, Ok, Result
 
 from redwingvalve.core import clock
-from redwingvalve.plans import making
-from redwingvalve.plans import world as world_module
+from redwingvalve.plans import fleet_state, planner
 from redwingvalve.platform_api import object_api, vm_list
 from redwingvalve.replicas import codec, move_policy, shares
 from redwingvalve.replicas import domain as domain_module
@@ -91,7 +90,7 @@
         may_seek: bool,
     ) -> Step:
         """Take one step; errors leave all to the next pass."""
-        agreed = await world_module.read_allocation(self._store)
+        agreed = await fleet_state.read_allocation(self._store)
         if agreed.is_error() or not agreed.ok[1]:
             return Step()
         before, version = agreed.ok
@@ -152,8 +151,8 @@
         if vms.is_error():
             return Error(vms.error)
         domains = tuple(map(domain_module.from_stored, stored.ok.objects))
-        world = making.World(domains=domains, vms=vms.ok)
-        return Ok((domains, making.capacities_of(world)))
+        state = planner.FleetState(domains=domains, vms=vms.ok)
+        return Ok((domains, planner.capacities_of(state)))
 
     async def _write(self, after: shares.Allocation, version: str) -> bool:
         # After a lost answer or a conflict the next pass reads what stands.
--- a/redwingvalve/control/tests/test_loop.py
+++ b/redwingvalve/control/tests/test_loop.py
@@ -7,7 +7,7 @@
 from redwingvalve.control import loop
 from redwingvalve.core import clock
 from redwingvalve.declaration import schema
-from redwingvalve.plans import book
+from redwingvalve.plans import manager
 from redwingvalve.platform_api import vm_list
 from redwingvalve.replicas import controller
 from redwingvalve.replicas import domain as domain_module
@@ -38,7 +38,7 @@
         return loop.make_control_loop(owner, tools, self.fleet)
 
     async def confirm(self, declaration):
-        plans = book.make_plan_book(self.store, self.fleet, self.clock)
+        plans = manager.make_plan_manager(self.store, self.fleet, self.clock)
         made = await plans.propose(declaration, 'ana')
         assert (await plans.confirm(made.ok.name, 'ana')).is_ok()
 
--- a/redwingvalve/plans/applying.py
+++ b/redwingvalve/plans/applier.py
@@ -13,8 +13,7 @@
 import attrs
 from expression import Error, Ok, Result
 
-from redwingvalve.plans import objects, plan, settled
-from redwingvalve.plans import world as world_module
+from redwingvalve.plans import fleet_state, objects, plan, verified_writes
 from redwingvalve.platform_api import object_api
 from redwingvalve.replicas import codec, shares
 
@@ -22,10 +21,10 @@
 
 
 async def apply_confirmed(
-    store: object_api.ObjectApi, current: world_module.Current
+    store: object_api.ObjectApi, current: fleet_state.CurrentConfirmation
 ) -> ApplyResult:
     """Write the declared objects and the allocation of the plan in force."""
-    found = await world_module.read_plan(store, current.confirmed.plan)
+    found = await fleet_state.read_plan(store, current.confirmed.plan)
     if found.is_error():
         return Error(found.error)
     confirmed_plan = found.ok[0]
@@ -33,16 +32,16 @@
     for step in (_apply_objects, _apply_allocation):
         applied = await step(store, confirmed_plan, generation)
         if applied.is_error():
-            return Error(world_module.trouble(applied.error))
+            return Error(fleet_state.to_plan_error(applied.error))
     body = codec.to_body(attrs.evolve(current.confirmed, applied=True))
-    marked = await settled.update(
+    marked = await verified_writes.update(
         store,
         object_api.StoredObject(
             objects.DECLARATIONS, objects.CURRENT, current.version, body
         ),
     )
     if marked.is_error() and not isinstance(marked.error, object_api.Conflict):
-        return Error(world_module.trouble(marked.error))
+        return Error(fleet_state.to_plan_error(marked.error))
     return Ok(True)
 
 
@@ -82,18 +81,18 @@
 ) -> Result[None, object_api.ObjectError]:
     body = objects.declared_body(generation, content)
     if stored is None:
-        answer = await settled.create(store, *place, body)
+        answer = await verified_writes.create(store, *place, body)
         return _settled_or_newer(answer)
     held = codec.from_body(stored.body, objects.Declared)
     if held.generation >= generation or held.content == body['content']:
         return Ok(None)
     return _settled_or_newer(
-        await settled.update(store, attrs.evolve(stored, body=body))
+        await verified_writes.update(store, attrs.evolve(stored, body=body))
     )
 
 
 def _settled_or_newer(
-    answer: settled.StoredResult,
+    answer: verified_writes.StoredResult,
 ) -> Result[None, object_api.ObjectError]:
     # A conflict means that another carrier wrote: the next pass looks again,
     # and finds the same body or a newer generation.
@@ -111,10 +110,12 @@
     if answer.is_error():
         if not isinstance(answer.error, object_api.NotFound):
             return Error(answer.error)
-        return _settled_or_newer(await settled.create(store, kind, name, body))
+        return _settled_or_newer(
+            await verified_writes.create(store, kind, name, body)
+        )
     held = codec.from_body(answer.ok.body, shares.Allocation)
     if held.generation >= generation:
         return Ok(None)
     return _settled_or_newer(
-        await settled.update(store, attrs.evolve(answer.ok, body=body))
+        await verified_writes.update(store, attrs.evolve(answer.ok, body=body))
     )
--- a/redwingvalve/plans/world.py
+++ b/redwingvalve/plans/fleet_state.py
@@ -3,31 +3,31 @@
 import attrs
 from expression import Error, Ok, Result
 
-from redwingvalve.plans import making, objects, plan
+from redwingvalve.plans import objects, plan, planner
 from redwingvalve.platform_api import object_api, vm_list
 from redwingvalve.replicas import codec, shares
 from redwingvalve.replicas import domain as domain_module
 
 
 @attrs.frozen
-class Current:
+class CurrentConfirmation:
     """The confirmation in force; version is empty before the first one."""
 
-    confirmed: objects.Confirmed
+    confirmed: objects.Confirmation
     version: str = ''
 
 
 async def read_current(
     store: object_api.ObjectApi,
-) -> Result[Current, plan.StoreTrouble]:
+) -> Result[CurrentConfirmation, plan.StoreError]:
     """Read which plan is in force."""
     answer = await store.get(objects.DECLARATIONS, objects.CURRENT)
     if answer.is_ok():
-        confirmed = codec.from_body(answer.ok.body, objects.Confirmed)
-        return Ok(Current(confirmed, answer.ok.version))
+        confirmed = codec.from_body(answer.ok.body, objects.Confirmation)
+        return Ok(CurrentConfirmation(confirmed, answer.ok.version))
     if isinstance(answer.error, object_api.NotFound):
-        return Ok(Current(objects.Confirmed()))
-    return Error(trouble(answer.error))
+        return Ok(CurrentConfirmation(objects.Confirmation()))
+    return Error(to_plan_error(answer.error))
 
 
 async def read_plan(
@@ -40,12 +40,12 @@
         return Ok((found, answer.ok.version))
     if isinstance(answer.error, object_api.NotFound):
         return Error(plan.PlanNotFound(name))
-    return Error(trouble(answer.error))
+    return Error(to_plan_error(answer.error))
 
 
 async def read_allocation(
     store: object_api.ObjectApi,
-) -> Result[tuple[shares.Allocation, str], plan.StoreTrouble]:
+) -> Result[tuple[shares.Allocation, str], plan.StoreError]:
     """Read the agreed allocation; version is empty when there is none."""
     answer = await store.get(shares.KIND, shares.NAME)
     if answer.is_ok():
@@ -53,12 +53,12 @@
         return Ok((found, answer.ok.version))
     if isinstance(answer.error, object_api.NotFound):
         return Ok((shares.Allocation(), ''))
-    return Error(trouble(answer.error))
+    return Error(to_plan_error(answer.error))
 
 
-async def read_world(
+async def read_fleet_state(
     store: object_api.ObjectApi, vms: vm_list.VmList
-) -> Result[tuple[making.World, Current], plan.PlanError]:
+) -> Result[tuple[planner.FleetState, CurrentConfirmation], plan.PlanError]:
     """Read everything that a plan depends on."""
     current = await read_current(store)
     if current.is_error():
@@ -74,22 +74,22 @@
         return Error(agreed.error)
     domains = await store.list(domain_module.KIND)
     if domains.is_error():
-        return Error(trouble(domains.error))
+        return Error(to_plan_error(domains.error))
     listed = await vms.read()
     if listed.is_error():
-        return Error(trouble(listed.error))
-    world = making.World(
+        return Error(to_plan_error(listed.error))
+    state = planner.FleetState(
         generation=current.ok.confirmed.generation,
         declaration=declared,
         allocation=agreed.ok[0],
         domains=tuple(map(domain_module.from_stored, domains.ok.objects)),
         vms=listed.ok,
     )
-    return Ok((world, current.ok))
+    return Ok((state, current.ok))
 
 
-def trouble(problem: object_api.ObjectError) -> plan.StoreTrouble:
+def to_plan_error(problem: object_api.ObjectError) -> plan.StoreError:
     """Return a store's error in the words of a plan."""
     if isinstance(problem, object_api.Unavailable):
-        return plan.StoreTrouble(problem.message, problem.maybe_applied)
-    return plan.StoreTrouble(str(problem))
+        return plan.StoreError(problem.message, problem.maybe_applied)
+    return plan.StoreError(str(problem))
--- a/redwingvalve/plans/book.py
+++ b/redwingvalve/plans/manager.py
@@ -13,8 +13,14 @@
 
 from redwingvalve.core import clock
 from redwingvalve.declaration import schema
-from redwingvalve.plans import applying, making, objects, plan, settled
-from redwingvalve.plans import world as world_module
+from redwingvalve.plans import (
+    applier,
+    fleet_state,
+    objects,
+    plan,
+    planner,
+    verified_writes,
+)
 from redwingvalve.platform_api import object_api, vm_list
 from redwingvalve.replicas import codec
 
@@ -22,7 +28,7 @@
 NAME_BYTES = 5
 
 
-class PlanBook:
+class PlanManager:
     """All plans of one operator's system."""
 
     def __init__(
@@ -40,32 +46,32 @@
         self, declaration: schema.Declaration, operator: str, name: str = ''
     ) -> PlanResult:
         """Make a plan and keep it; nothing else changes."""
-        read = await world_module.read_world(self._store, self._vms)
+        read = await fleet_state.read_fleet_state(self._store, self._vms)
         if read.is_error():
             return Error(read.error)
-        proposal = making.Proposal(
+        proposal = planner.Proposal(
             name or f'plan-{secrets.token_hex(NAME_BYTES)}',
             operator,
             self._clock.wall_s(),
         )
-        made = making.make_plan(declaration, read.ok[0], proposal)
-        written = await settled.create(
+        made = planner.make_plan(declaration, read.ok[0], proposal)
+        written = await verified_writes.create(
             self._store, objects.PLANS, made.name, codec.to_body(made)
         )
         if written.is_error():
-            return Error(world_module.trouble(written.error))
+            return Error(fleet_state.to_plan_error(written.error))
         return Ok(made)
 
     async def read(self, name: str) -> PlanResult:
         """Return a plan."""
-        found = await world_module.read_plan(self._store, name)
+        found = await fleet_state.read_plan(self._store, name)
         return found.map(lambda pair: pair[0])
 
     async def list(self) -> Result[tuple[plan.Plan, ...], plan.PlanError]:
         """Return all kept plans."""
         listed = await self._store.list(objects.PLANS)
         if listed.is_error():
-            return Error(world_module.trouble(listed.error))
+            return Error(fleet_state.to_plan_error(listed.error))
         return Ok(
             tuple(
                 codec.from_body(stored.body, plan.Plan)
@@ -91,13 +97,13 @@
         if found.is_error():
             return Error(found.error)
         proposed = found.ok[0]
-        read = await world_module.read_world(self._store, self._vms)
+        read = await fleet_state.read_fleet_state(self._store, self._vms)
         if read.is_error():
             return Error(read.error)
-        world, current = read.ok
-        if world.generation != proposed.basis.generation:
+        state, current = read.ok
+        if state.generation != proposed.basis.generation:
             return Error(await self._lost(proposed, current))
-        moved = _moved(proposed, world)
+        moved = _moved(proposed, state)
         if moved:
             return Error(plan.PlanOutdated(name, moved))
         marked = await self._decide(
@@ -111,7 +117,7 @@
         return committed
 
     async def commit(
-        self, marked: plan.Plan, current: world_module.Current
+        self, marked: plan.Plan, current: fleet_state.CurrentConfirmation
     ) -> PlanResult:
         """Make a marked plan the one in force; exactly one wins."""
         if current.confirmed.plan == marked.name:
@@ -121,11 +127,11 @@
         # left alone. Once a plan was applied, none of its writes is left.
         if not current.confirmed.applied:
             return Error(
-                plan.StoreTrouble(
+                plan.StoreError(
                     f'plan {current.confirmed.plan} is still being applied'
                 )
             )
-        confirmed = objects.Confirmed(
+        confirmed = objects.Confirmation(
             generation=marked.basis.generation + 1,
             plan=marked.name,
             confirmed_by=marked.decided_by,
@@ -136,8 +142,8 @@
         if written.is_ok():
             return Ok(marked)
         if not isinstance(written.error, object_api.Conflict):
-            return Error(world_module.trouble(written.error))
-        newer = await world_module.read_current(self._store)
+            return Error(fleet_state.to_plan_error(written.error))
+        newer = await fleet_state.read_current(self._store)
         if newer.is_error():
             return Error(newer.error)
         if newer.ok.confirmed.plan == marked.name:
@@ -145,25 +151,25 @@
         return Error(await self._lost(marked, newer.ok))
 
     async def _apply_current(self) -> None:
-        current = await world_module.read_current(self._store)
+        current = await fleet_state.read_current(self._store)
         if current.is_ok() and not current.ok.confirmed.applied:
-            await applying.apply_confirmed(self._store, current.ok)
+            await applier.apply_confirmed(self._store, current.ok)
 
     async def _write_current(
-        self, confirmed: objects.Confirmed, version: str
-    ) -> settled.StoredResult:
+        self, confirmed: objects.Confirmation, version: str
+    ) -> verified_writes.StoredResult:
         kind, name = objects.DECLARATIONS, objects.CURRENT
         body = codec.to_body(confirmed)
         if not version:
-            return await settled.create(self._store, kind, name, body)
-        return await settled.update(
+            return await verified_writes.create(self._store, kind, name, body)
+        return await verified_writes.update(
             self._store, object_api.StoredObject(kind, name, version, body)
         )
 
     async def _read_undecided(
         self, name: str
     ) -> Result[tuple[plan.Plan, str], plan.PlanError]:
-        found = await world_module.read_plan(self._store, name)
+        found = await fleet_state.read_plan(self._store, name)
         if found.is_error():
             return found
         kept = found.ok[0]
@@ -181,7 +187,7 @@
     ) -> PlanResult:
         proposed, version = found
         decided = attrs.evolve(proposed, state=state, decided_by=operator)
-        written = await settled.update(
+        written = await verified_writes.update(
             self._store,
             object_api.StoredObject(
                 objects.PLANS, proposed.name, version, codec.to_body(decided)
@@ -190,7 +196,7 @@
         if written.is_ok():
             return Ok(decided)
         if not isinstance(written.error, object_api.Conflict):
-            return Error(world_module.trouble(written.error))
+            return Error(fleet_state.to_plan_error(written.error))
         newer = await self.read(proposed.name)
         if newer.is_error():
             return newer
@@ -201,7 +207,7 @@
         )
 
     async def _lost(
-        self, loser: plan.Plan, current: world_module.Current
+        self, loser: plan.Plan, current: fleet_state.CurrentConfirmation
     ) -> plan.PlanLost:
         confirmed = current.confirmed
         winner = await self.read(confirmed.plan)
@@ -220,7 +226,7 @@
         )
 
 
-def _moved(proposed: plan.Plan, world: making.World) -> str:
+def _moved(proposed: plan.Plan, state: planner.FleetState) -> str:
     """Say what moved, if the plan would now be another one.
 
     VMs come and go every few minutes in a large fleet. A plan that any such
@@ -228,20 +234,20 @@
     placement still fits and a plan made now would promise the same.
     """
     before = dict(proposed.basis.domain_fingerprints)
-    after = dict(making.basis_of(world).domain_fingerprints)
+    after = dict(planner.basis_of(state).domain_fingerprints)
     names = sorted(set(before) | set(after))
     changed = [name for name in names if before.get(name) != after.get(name)]
-    remade = making.make_plan(
+    remade = planner.make_plan(
         proposed.declaration,
-        world,
-        making.Proposal(
+        state,
+        planner.Proposal(
             proposed.name, proposed.proposed_by, proposed.proposed_at_s
         ),
     )
-    moved = _moved_since(proposed, remade, world)
+    moved = _moved_since(proposed, remade, state)
     if moved:
         return f'replicas moved in {", ".join(moved)}'
-    fits = making.placement_fits(proposed, world)
+    fits = planner.placement_fits(proposed, state)
     if fits and _promises(remade) == _promises(proposed):
         return ''
     where = ', '.join(changed) or 'the VM list'
@@ -249,7 +255,7 @@
 
 
 def _moved_since(
-    proposed: plan.Plan, remade: plan.Plan, world: making.World
+    proposed: plan.Plan, remade: plan.Plan, state: planner.FleetState
 ) -> list[str]:
     """Name the domains to which replicas moved after the plan was made.
 
@@ -262,7 +268,7 @@
         if proposed.allocation.replicas(share.domain, share.deployment)
         < min(
             share.replicas,
-            world.allocation.replicas(share.domain, share.deployment),
+            state.allocation.replicas(share.domain, share.deployment),
         )
     ]
 
@@ -274,10 +280,10 @@
     return (counts, made.risks)
 
 
-def make_plan_book(
+def make_plan_manager(
     store: object_api.ObjectApi,
     vms: vm_list.VmList,
     time_source: clock.Clock,
-) -> PlanBook:
+) -> PlanManager:
     """Return the book of plans kept in a store."""
-    return PlanBook(store, vms, time_source)
+    return PlanManager(store, vms, time_source)
--- a/redwingvalve/plans/objects.py
+++ b/redwingvalve/plans/objects.py
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class Confirmed:
+class Confirmation:
     """The one object by which a confirmation is won; plan holds the rest.
 
     applied says that every declared object carries this generation.
--- a/redwingvalve/plans/plan.py
+++ b/redwingvalve/plans/plan.py
@@ -127,11 +127,11 @@
 
 
 @attrs.frozen
-class StoreTrouble:
+class StoreError:
     """The store gave no usable answer; unknown says what may have happened."""
 
     message: str
     maybe_applied: bool = False
 
 
-PlanError = PlanOutdated | PlanLost | PlanDecided | PlanNotFound | StoreTrouble
+PlanError = PlanOutdated | PlanLost | PlanDecided | PlanNotFound | StoreError
--- a/redwingvalve/plans/making.py
+++ b/redwingvalve/plans/planner.py
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class World:
+class FleetState:
     """What a plan is made from, read at one time."""
 
     generation: int = 0
@@ -44,38 +44,38 @@
 
 
 def make_plan(
-    declaration: schema.Declaration, world: World, proposal: Proposal
+    declaration: schema.Declaration, state: FleetState, proposal: Proposal
 ) -> plan.Plan:
     """Return the plan for a declaration in the world as it was read."""
     allocated = shares.allocate(
-        world.generation + 1,
+        state.generation + 1,
         declaration.deployments,
-        capacities_of(world),
-        world.allocation,
+        capacities_of(state),
+        state.allocation,
     )
-    before = world.declaration or schema.Declaration(declaration.operator)
+    before = state.declaration or schema.Declaration(declaration.operator)
     changes = (
         *_object_changes(before, declaration),
-        *_replica_changes(before, declaration, world, allocated),
+        *_replica_changes(before, declaration, state, allocated),
     )
     return plan.Plan(
         name=proposal.name,
         proposed_by=proposal.operator,
         proposed_at_s=proposal.at_s,
-        basis=basis_of(world),
+        basis=basis_of(state),
         declaration=declaration,
         allocation=allocated,
         changes=changes,
-        risks=tuple(_risks(before, declaration, world, allocated)),
-        spares=tuple(_spares(declaration, world, allocated)),
+        risks=tuple(_risks(before, declaration, state, allocated)),
+        spares=tuple(_spares(declaration, state, allocated)),
     )
 
 
-def basis_of(world: World) -> plan.Basis:
+def basis_of(state: FleetState) -> plan.Basis:
     """Return the versions that a plan made from world depends on."""
     return plan.Basis(
-        world.generation,
-        tuple(sorted((each.name, fingerprint(each)) for each in world.domains)),
+        state.generation,
+        tuple(sorted((each.name, fingerprint(each)) for each in state.domains)),
     )
 
 
@@ -88,14 +88,14 @@
     return hashlib.sha256(json.dumps(basis).encode()).hexdigest()[:16]
 
 
-def capacities_of(world: World) -> tuple[shares.DomainCapacity, ...]:
+def capacities_of(state: FleetState) -> tuple[shares.DomainCapacity, ...]:
     """Return what each domain can hold; missing and leaving VMs not at all."""
     missing = {
-        vm.name for domain in world.domains for vm in domain.vms if vm.missing
+        vm.name for domain in state.domains for vm in domain.vms if vm.missing
     }
     usable: dict[str, int] = {}
     places: dict[str, str] = {}
-    for vm in world.vms:
+    for vm in state.vms:
         places[vm.fabric_domain] = vm.data_centre
         counts = vm.state == vm_list.VmState.LIVE and vm.name not in missing
         usable[vm.fabric_domain] = usable.get(vm.fabric_domain, 0) + counts
@@ -105,9 +105,9 @@
     )
 
 
-def placement_fits(made: plan.Plan, world: World) -> bool:
+def placement_fits(made: plan.Plan, state: FleetState) -> bool:
     """Tell whether each domain still has the VMs that a plan counts on."""
-    usable = {each.domain: each.usable_vms for each in capacities_of(world)}
+    usable = {each.domain: each.usable_vms for each in capacities_of(state)}
     sizes = {
         each.name: each.vms_per_replica for each in made.declaration.deployments
     }
@@ -158,13 +158,13 @@
 def _replica_changes(
     before: schema.Declaration,
     after: schema.Declaration,
-    world: World,
+    state: FleetState,
     allocated: shares.Allocation,
 ) -> collections_abc.Iterator[plan.Change]:
     new = {each.name: each for each in after.deployments}
     old = {each.name: each for each in before.deployments}
     for name in sorted(set(old) | set(new)):
-        running = _running(world, name)
+        running = _running(state, name)
         subject = f'replicas of {name}'
         placed = allocated.total(name)
         if placed > running:
@@ -181,7 +181,7 @@
                 running - placed,
                 'drained first; no request is cut off',
             )
-        yield from _moves(world, allocated, name, subject)
+        yield from _moves(state, allocated, name, subject)
         declared = new.get(name)
         if declared is not None:
             yield from _per_deployment(declared, old.get(name), placed)
@@ -222,21 +222,21 @@
 
 
 def _moves(
-    world: World, allocated: shares.Allocation, name: str, subject: str
+    state: FleetState, allocated: shares.Allocation, name: str, subject: str
 ) -> collections_abc.Iterator[plan.Change]:
-    for domain in world.domains:
+    for domain in state.domains:
         running = sum(each.deployment == name for each in domain.replicas)
         lost = running - allocated.replicas(domain.name, name)
-        if lost > 0 and allocated.total(name) >= _running(world, name):
+        if lost > 0 and allocated.total(name) >= _running(state, name):
             yield plan.Change(
                 plan.ChangeKind.MOVED, subject, lost, f'out of {domain.name}'
             )
 
 
-def _running(world: World, deployment: str) -> int:
+def _running(state: FleetState, deployment: str) -> int:
     return sum(
         each.deployment == deployment
-        for domain in world.domains
+        for domain in state.domains
         for each in domain.replicas
     )
 
@@ -253,7 +253,7 @@
 def _risks(
     before: schema.Declaration,
     after: schema.Declaration,
-    world: World,
+    state: FleetState,
     allocated: shares.Allocation,
 ) -> collections_abc.Iterator[plan.Risk]:
     old = {each.name: each for each in before.deployments}
@@ -265,13 +265,13 @@
             )
         known = old.get(deployment.name)
         if known is not None and needs_reload(known, deployment):
-            yield from _change_risks(deployment, after, world, allocated)
+            yield from _change_risks(deployment, after, state, allocated)
 
 
 def _change_risks(
     deployment: schema.ModelDeployment,
     after: schema.Declaration,
-    world: World,
+    state: FleetState,
     allocated: shares.Allocation,
 ) -> collections_abc.Iterator[plan.Risk]:
     """Say what a change costs where no domain has room for one replica more.
@@ -280,7 +280,7 @@
     accepted or while the floor allows none, the change waits.
     """
     deployments = {each.name: each for each in after.deployments}
-    capacities = capacities_of(world)
+    capacities = capacities_of(state)
     if move_policy.has_room(deployment, deployments, capacities, allocated):
         return
     placed = allocated.total(deployment.name)
@@ -301,18 +301,18 @@
 
 def _spares(
     declaration: schema.Declaration,
-    world: World,
+    state: FleetState,
     allocated: shares.Allocation,
 ) -> collections_abc.Iterator[plan.SpareAdvice]:
     """Advise on all domains together, the roomiest first to hold sets."""
     needs = {
         capacity.domain: _needs_of(capacity.domain, declaration, allocated)
-        for capacity in capacities_of(world)
+        for capacity in capacities_of(state)
     }
     free = {
         capacity.domain: capacity.usable_vms
         - sum(need.vms() for need in needs[capacity.domain])
-        for capacity in capacities_of(world)
+        for capacity in capacities_of(state)
     }
     roomiest = sorted(free, key=free.__getitem__, reverse=True)
     used = [
--- a/redwingvalve/plans/finishing.py
+++ b/redwingvalve/plans/recovery.py
@@ -2,30 +2,29 @@
 
 from expression import Error, Ok
 
-from redwingvalve.plans import applying, book, objects, plan
-from redwingvalve.plans import world as world_module
+from redwingvalve.plans import applier, fleet_state, manager, objects, plan
 from redwingvalve.platform_api import object_api
 
 KEPT_PLANS = 50
 
 
-async def finish_confirmations(
+async def resume_confirmations(
     store: object_api.ObjectApi,
-    plans: book.PlanBook,
+    plans: manager.PlanManager,
     *,
-    with_marked: bool = True,
-) -> applying.ApplyResult:
+    include_uncommitted: bool = True,
+) -> applier.ApplyResult:
     """Carry on what dead processes left; Ok(True) if anything was done.
 
     Without with_marked only the plan in force is looked at: one small read,
     where the list of plans may be a megabyte.
     """
-    current = await world_module.read_current(store)
+    current = await fleet_state.read_current(store)
     if current.is_error():
         return Error(current.error)
     if not current.ok.confirmed.applied:
-        return await applying.apply_confirmed(store, current.ok)
-    if not with_marked:
+        return await applier.apply_confirmed(store, current.ok)
+    if not include_uncommitted:
         return Ok(False)
     listed = await plans.list()
     if listed.is_error():
@@ -44,7 +43,7 @@
 async def _drop_oldest(
     store: object_api.ObjectApi,
     kept: tuple[plan.Plan, ...],
-    confirmed: objects.Confirmed,
+    confirmed: objects.Confirmation,
 ) -> None:
     """Delete plans beyond the newest ones; the one in force stays.
 
@@ -61,7 +60,7 @@
             await store.delete(objects.PLANS, old.name, found.ok.version)
 
 
-def _was_left(marked: plan.Plan, confirmed: objects.Confirmed) -> bool:
+def _was_left(marked: plan.Plan, confirmed: objects.Confirmation) -> bool:
     return (
         marked.state == plan.PlanState.CONFIRMED
         and marked.name != confirmed.plan
--- a/redwingvalve/plans/tests/test_book.py
+++ b/redwingvalve/plans/tests/test_manager.py
@@ -7,7 +7,7 @@
 
 from redwingvalve.core import clock
 from redwingvalve.declaration import schema
-from redwingvalve.plans import book, finishing, objects, plan
+from redwingvalve.plans import manager, objects, plan, recovery
 from redwingvalve.platform_api import object_api, vm_list
 from redwingvalve.replicas import codec, shares
 from redwingvalve.replicas import domain as domain_module
@@ -56,13 +56,13 @@
         return await super()._before_write(body)
 
 
-def make_book(store):
-    return book.make_plan_book(store, FixedVms(), clock.ManualClock())
+def make_manager(store):
+    return manager.make_plan_manager(store, FixedVms(), clock.ManualClock())
 
 
 def test_a_plan_names_what_is_formed_and_what_has_no_place():
     async def scenario():
-        plans = make_book(memory_store.make_memory_object_api())
+        plans = make_manager(memory_store.make_memory_object_api())
         made = (await plans.propose(declared(replicas=5), 'ana')).ok
         changes = {
             (change.kind, change.subject): change.count
@@ -78,14 +78,14 @@
 def test_of_two_racing_operators_one_wins_and_the_other_is_told():
     async def scenario():
         store = memory_store.make_memory_object_api()
-        plans = make_book(store)
+        plans = make_manager(store)
         first = (await plans.propose(declared('1'), 'ana')).ok
         second = (await plans.propose(declared('2'), 'bo')).ok
         results = {}
         async with anyio.create_task_group() as group:
 
             async def confirm(name, operator):
-                results[operator] = await make_book(store).confirm(
+                results[operator] = await make_manager(store).confirm(
                     name, operator
                 )
 
@@ -122,7 +122,7 @@
 
     async def scenario():
         store = memory_store.make_memory_object_api()
-        plans = make_book(store)
+        plans = make_manager(store)
         made = (await plans.propose(declared(), 'ana')).ok
         await lose_vms(store, 1)
         assert (await plans.confirm(made.name, 'ana')).is_ok()
@@ -139,7 +139,7 @@
 
     async def scenario():
         store = memory_store.make_memory_object_api()
-        plans = make_book(store)
+        plans = make_manager(store)
         made = (await plans.propose(declared(), 'ana')).ok
         await lose_vms(store, 6)
         refused = (await plans.confirm(made.name, 'ana')).error
@@ -157,14 +157,14 @@
 def test_old_plans_are_dropped_but_never_the_one_in_force():
     async def scenario():
         store = memory_store.make_memory_object_api()
-        plans = make_book(store)
+        plans = make_manager(store)
         await plans.propose(declared(), 'ana', 'first')
         await plans.confirm('first', 'ana')
-        for index in range(finishing.KEPT_PLANS + 5):
+        for index in range(recovery.KEPT_PLANS + 5):
             await plans.propose(declared(), 'ana', f'later-{index}')
-        await finishing.finish_confirmations(store, plans)
+        await recovery.resume_confirmations(store, plans)
         names = {each.name for each in (await plans.list()).ok}
-        assert len(names) == finishing.KEPT_PLANS and 'first' in names
+        assert len(names) == recovery.KEPT_PLANS and 'first' in names
 
     anyio.run(scenario)
 
@@ -177,11 +177,11 @@
 
     async def scenario():
         store = memory_store.make_memory_object_api()
-        made = (await make_book(store).propose(declared(), 'ana')).ok
+        made = (await make_manager(store).propose(declared(), 'ana')).ok
         dying = DyingStore(store, writes)
-        await make_book(dying).confirm(made.name, 'ana')
+        await make_manager(dying).confirm(made.name, 'ana')
         for _ in range(3):
-            await finishing.finish_confirmations(store, make_book(store))
+            await recovery.resume_confirmations(store, make_manager(store))
         current = store.list_now(objects.DECLARATIONS).objects[0].body
         assert (current['plan'], current['applied']) == (made.name, True)
         (deployment,) = store.list_now(objects.DEPLOYMENTS).objects
@@ -198,7 +198,7 @@
 
     async def scenario():
         store = memory_store.make_memory_object_api()
-        plans = make_book(store)
+        plans = make_manager(store)
         made = (await plans.propose(declared(), 'ana')).ok
         store.faults.lose_answers = lost
         assert (await plans.confirm(made.name, 'ana')).is_ok()
@@ -217,7 +217,7 @@
 )
 def test_a_change_without_room_says_its_price(replicas, floor, accepts, said):
     async def scenario():
-        plans = make_book(memory_store.make_memory_object_api())
+        plans = make_manager(memory_store.make_memory_object_api())
         made = (await plans.propose(declared(replicas=replicas), 'ana')).ok
         assert (await plans.confirm(made.name, 'ana')).is_ok()
         wanted = declared('2', replicas)
@@ -243,7 +243,7 @@
 
     async def scenario():
         store = memory_store.make_memory_object_api()
-        plans = make_book(store)
+        plans = make_manager(store)
         made = (await plans.propose(declared(), 'ana')).ok
         assert (await plans.confirm(made.name, 'ana')).is_ok()
         late = (await plans.propose(declared('2'), 'ana')).ok
--- a/redwingvalve/process/control.py
+++ b/redwingvalve/process/control.py
@@ -17,7 +17,7 @@
 from redwingvalve.control import loop
 from redwingvalve.evidence import news_entry_reports
 from redwingvalve.observability import logs
-from redwingvalve.plans import book as plan_book
+from redwingvalve.plans import manager as plan_manager
 from redwingvalve.process import (
     duties,
     entry_drains,
@@ -99,7 +99,7 @@
         store_operations.Surroundings(
             store=parts.objects,
             vms=parts.vms,
-            book=plan_book.make_plan_book(
+            book=plan_manager.make_plan_manager(
                 parts.objects, parts.vms, parts.clock
             ),
             members=parts.node.members,
--- a/redwingvalve/soak/observing.py
+++ b/redwingvalve/soak/observing.py
@@ -88,7 +88,7 @@
         if objects.CURRENT not in named:
             return
         current = codec.from_body(
-            named[objects.CURRENT].body, objects.Confirmed
+            named[objects.CURRENT].body, objects.Confirmation
         )
         if self.generations and (
             current.generation <= self.generations[-1].number
@@ -107,7 +107,7 @@
             for stored in store.list_now(objects.DECLARATIONS).objects
             if stored.name == objects.CURRENT
         )
-        plan_name = codec.from_body(current.body, objects.Confirmed).plan
+        plan_name = codec.from_body(current.body, objects.Confirmation).plan
         plan = next(
             stored
             for stored in store.list_now(objects.PLANS).objects
