--- a/redwingvalve/administration/app.py
+++ b/redwingvalve/administration/app.py
@@ -82,13 +82,13 @@
     def __init__(
         self,
         doer: operations.Operations,
-        book: tokens.TokenBook,
+        token_cache: tokens.TokenCache,
         trail: audit.AuditTrail,
         time_source: clock.Clock,
     ) -> None:
         """Serve the operations of doer."""
         self._doer = doer
-        self._book = book
+        self._token_cache = token_cache
         self._trail = trail
         self._clock = time_source
 
@@ -99,7 +99,7 @@
         )
         if scheme.lower() != 'bearer':
             return None
-        return self._book.principal(bearer.strip(), self._clock.wall_s())
+        return self._token_cache.principal(bearer.strip(), self._clock.wall_s())
 
     async def run(
         self, action: actions.Action, call: operations.Call
--- a/redwingvalve/administration/store_operations.py
+++ b/redwingvalve/administration/store_operations.py
@@ -49,12 +49,12 @@
 
 
 @attrs.frozen
-class Surroundings:
+class Dependencies:
     """What the operations work with; in_force asks the live entries."""
 
     store: object_api.ObjectApi
     vms: vm_list.VmList
-    book: plan_manager.PlanManager
+    plans: plan_manager.PlanManager
     members: members.Members
     clock: clock.Clock
     in_force: InForceReader
@@ -64,7 +64,7 @@
 class StoreOperations(operations.Operations):
     """Does the actions; each returns JSON or why it was not done."""
 
-    def __init__(self, surroundings: Surroundings) -> None:
+    def __init__(self, surroundings: Dependencies) -> None:
         """Work with surroundings."""
         self._its = surroundings
         drainer = drain_operations.DrainOperations(
@@ -160,7 +160,7 @@
         return Ok(attrs.asdict(found.ok))
 
     async def _plans(self, call: operations.Call) -> Answer:
-        listed = await self._its.book.list()
+        listed = await self._its.plans.list()
         if listed.is_error():
             return _plan_problem(listed.error)
         return Ok({'plans': [codec.to_body(each) for each in listed.ok]})
@@ -180,27 +180,27 @@
         in_force = await fleet_state.read_current(self._its.store)
         if in_force.is_error():
             return _plan_problem(in_force.error)
-        made = await self._its.book.propose(declaration, call.principal.name)
+        made = await self._its.plans.propose(declaration, call.principal.name)
         if made.is_error():
             return _plan_problem(made.error)
         return Ok(codec.to_body(made.ok))
 
     async def _confirm(self, call: operations.Call) -> Answer:
         name = call.path['name']
-        proposed = await self._its.book.read(name)
+        proposed = await self._its.plans.read(name)
         if proposed.is_error():
             return _plan_problem(proposed.error)
         allowed = rights.check_scope(call.principal, changed_names(proposed.ok))
         if allowed.is_error():
             return Error(operations.missing_right(allowed.error))
-        confirmed = await self._its.book.confirm(name, call.principal.name)
+        confirmed = await self._its.plans.confirm(name, call.principal.name)
         if confirmed.is_error():
             return _plan_problem(confirmed.error)
         return Ok({'message': f'{name} is confirmed', 'plan': name})
 
     async def _discard(self, call: operations.Call) -> Answer:
         name = call.path['name']
-        discarded = await self._its.book.discard(name, call.principal.name)
+        discarded = await self._its.plans.discard(name, call.principal.name)
         if discarded.is_error():
             return _plan_problem(discarded.error)
         return Ok({'message': f'{name} is discarded', 'plan': name})
@@ -277,6 +277,6 @@
     return f'{error.plan} no longer holds: {error.reason}; plan again'
 
 
-def make_store_operations(surroundings: Surroundings) -> StoreOperations:
+def make_store_operations(surroundings: Dependencies) -> StoreOperations:
     """Return the operations behind the API."""
     return StoreOperations(surroundings)
--- a/redwingvalve/administration/tests/test_api.py
+++ b/redwingvalve/administration/tests/test_api.py
@@ -62,7 +62,7 @@
     def __init__(self):
         self.store = memory_store.make_memory_object_api()
         self.clock = clock.ManualClock(1000.0)
-        self.book = tokens.TokenBook()
+        self.token_cache = tokens.TokenCache()
         issued = {
             'viewer': tokens.issue('vera', 'depot', rights.Role.VIEWER),
             'operator': tokens.issue('olga', 'depot', rights.Role.OPERATOR),
@@ -74,15 +74,15 @@
             ),
         }
         self.bearers = {role: made.bearer for role, made in issued.items()}
-        self.book.replace(made.record for made in issued.values())
+        self.token_cache.replace(made.record for made in issued.values())
         plans = plan_manager.make_plan_manager(
             self.store, FixedVmList(), self.clock
         )
         doer = store_operations.make_store_operations(
-            store_operations.Surroundings(
+            store_operations.Dependencies(
                 store=self.store,
                 vms=FixedVmList(),
-                book=plans,
+                plans=plans,
                 members=OneMember(),
                 clock=self.clock,
                 in_force=nothing_missing,
@@ -90,7 +90,9 @@
             )
         )
         trail = audit.AuditTrail(self.store, self.clock)
-        self.app = app.make_api_app(app.Api(doer, self.book, trail, self.clock))
+        self.app = app.make_api_app(
+            app.Api(doer, self.token_cache, trail, self.clock)
+        )
 
     async def call(self, role, method, path, body=None, **extra):
         headers = {}
@@ -341,15 +343,15 @@
             {'name': 'ci', 'team': 'x', 'role': 'viewer'},
         )
         bench.bearers['ci'] = made.json()['bearer']
-        assert await bench.book.refresh(bench.store)
+        assert await bench.token_cache.refresh(bench.store)
         stored = bench.store.list_now('tokens').objects[0]
         assert bench.bearers['ci'].split('_')[2] not in str(stored.body)
         assert (await bench.call('ci', 'GET', '/status')).status_code == 200
         record = tokens.decode({**stored.body, 'revoked': True})
-        bench.book.replace([record])
+        bench.token_cache.replace([record])
         assert (await bench.call('ci', 'GET', '/status')).status_code == 401
         late = tokens.decode({**stored.body, 'expires_at_s': 999.0})
-        bench.book.replace([late])
+        bench.token_cache.replace([late])
         assert (await bench.call('ci', 'GET', '/status')).status_code == 401
 
     run(scenario)
--- a/redwingvalve/administration/tokens.py
+++ b/redwingvalve/administration/tokens.py
@@ -85,7 +85,7 @@
     return cattrs.structure(body, TokenRecord)
 
 
-class TokenBook:
+class TokenCache:
     """The tokens that this process knows, refreshed from the store.
 
     While the store is away the last known tokens stay valid, so that
--- a/redwingvalve/bench/control_cost.py
+++ b/redwingvalve/bench/control_cost.py
@@ -160,7 +160,7 @@
             changed = attrs.evolve(found.ok, body=body)
             written = await fleet.store.update(changed)
             # The process whose controller holds the domain's lease.
-            fleet.holder_in(body['region']).configuration.offer(written.ok)
+            fleet.holder_in(body['region']).configuration.observe(written.ok)
         await fleet.clock.sleep(measured_s / writes)
 
 
--- a/redwingvalve/configuration/source.py
+++ b/redwingvalve/configuration/source.py
@@ -96,7 +96,7 @@
         )
         self.watch.notify(self._changed, self._members.confirm_connectivity)
 
-    def offer(self, stored: object_api.StoredObject) -> None:
+    def observe(self, stored: object_api.StoredObject) -> None:
         """Take a fabric domain that this process has read or written.
 
         Controllers see each domain of their region at least each 2.5 s; what
--- a/redwingvalve/configuration/store_watch.py
+++ b/redwingvalve/configuration/store_watch.py
@@ -20,7 +20,7 @@
 # Each renewal of a lease, every 5 s, is an event of the whole domain (13.6 KB
 # at 64 VMs): 409 KB a second to each watcher at 150 domains. Up to so many
 # domains the events are small enough; above, controllers pass on what they read
-# and write (GossipConfiguration.offer), and a list now and then is there for
+# and write (GossipConfiguration.observe), and a list now and then is there for
 # regions whose controllers are all gone: 2 MB each 300 s.
 MOST_WATCHED_DOMAINS = 8
 DOMAIN_LIST_INTERVAL_S = 300.0
--- a/redwingvalve/configuration/tests/test_domains.py
+++ b/redwingvalve/configuration/tests/test_domains.py
@@ -14,7 +14,7 @@
     store_watch,
 )
 from redwingvalve.core import clock
-from redwingvalve.platform_api import object_api, seen_objects
+from redwingvalve.platform_api import object_api, observing_object_api
 from redwingvalve.standins import memory_store
 from redwingvalve.wire import messages, packing
 
@@ -178,7 +178,7 @@
 def test_what_a_controller_reads_and_writes_is_passed_on():
     async def scenario():
         process = _Process()
-        store = seen_objects.make_seen_objects(
+        store = observing_object_api.make_observing_object_api(
             memory_store.make_memory_object_api(), process.offer
         )
         kind = records.FABRIC_DOMAINS
--- a/redwingvalve/platform_api/seen_objects.py
+++ b/redwingvalve/platform_api/observing_object_api.py
@@ -15,7 +15,7 @@
 Seen = collections_abc.Callable[[Stored], None]
 
 
-class SeenObjects(object_api.ObjectApi):
+class ObservingObjectApi(object_api.ObjectApi):
     """Passes calls on, and each single object that an answer brings."""
 
     def __init__(self, objects: object_api.ObjectApi, seen: Seen) -> None:
@@ -67,8 +67,8 @@
         return answer
 
 
-def make_seen_objects(
+def make_observing_object_api(
     objects: object_api.ObjectApi, seen: Seen
 ) -> object_api.ObjectApi:
     """Return objects that tell seen of what they bring."""
-    return SeenObjects(objects, seen)
+    return ObservingObjectApi(objects, seen)
--- a/redwingvalve/process/control.py
+++ b/redwingvalve/process/control.py
@@ -45,8 +45,8 @@
         process_parts.open_process(settings, ROLE) as parts,
         anyio.create_task_group() as group,
     ):
-        book = tokens.TokenBook()
-        group.start_soon(_follow_tokens, parts, book)
+        token_cache = tokens.TokenCache()
+        group.start_soon(_follow_tokens, parts, token_cache)
         group.start_soon(key_votes.vote, parts)
         if tls.ok is not None:
             group.start_soon(tls.ok.follow, parts.clock)
@@ -58,7 +58,7 @@
             loops.start_soon(_run_duties, parts, reader)
             LOGGER.info('The controller is ready.')
             await server.serve_api(
-                _make_api(parts, book),
+                _make_api(parts, token_cache),
                 settings.node.host,
                 settings.listen.http_port,
                 stop.wait,
@@ -93,13 +93,13 @@
 
 
 def _make_api(
-    parts: process_parts.ProcessParts, book: tokens.TokenBook
+    parts: process_parts.ProcessParts, token_cache: tokens.TokenCache
 ) -> app.Api:
     doer = store_operations.make_store_operations(
-        store_operations.Surroundings(
+        store_operations.Dependencies(
             store=parts.objects,
             vms=parts.vms,
-            book=plan_manager.make_plan_manager(
+            plans=plan_manager.make_plan_manager(
                 parts.objects, parts.vms, parts.clock
             ),
             members=parts.node.members,
@@ -109,7 +109,7 @@
         )
     )
     trail = audit.AuditTrail(parts.objects, parts.clock)
-    return app.Api(doer, book, trail, parts.clock)
+    return app.Api(doer, token_cache, trail, parts.clock)
 
 
 async def _in_force(parts: process_parts.ProcessParts) -> in_force.InForce:
@@ -141,8 +141,8 @@
 
 
 async def _follow_tokens(
-    parts: process_parts.ProcessParts, book: tokens.TokenBook
+    parts: process_parts.ProcessParts, token_cache: tokens.TokenCache
 ) -> None:
     while True:
-        await book.refresh(parts.objects)
+        await token_cache.refresh(parts.objects)
         await parts.clock.sleep(tokens.REFRESH_INTERVAL_S)
--- a/redwingvalve/process/parts.py
+++ b/redwingvalve/process/parts.py
@@ -16,7 +16,7 @@
     http_vm_list,
     http_weight_store,
     object_api,
-    seen_objects,
+    observing_object_api,
     vm_list,
     weight_store,
 )
@@ -76,8 +76,8 @@
     parts = ProcessParts(
         settings=settings,
         clock=time_source,
-        objects=seen_objects.make_seen_objects(
-            objects, peer_node.configuration.offer
+        objects=observing_object_api.make_observing_object_api(
+            objects, peer_node.configuration.observe
         ),
         vms=http_vm_list.make_http_vm_list(
             platform.vm_list_url, platform.timeout_s
