--- a/redwingvalve/admission/lane.py
+++ b/redwingvalve/admission/lane.py
@@ -15,9 +15,9 @@
 
 from redwingvalve.admission import (
     account_queue,
+    fair_shares,
     messages,
     preference,
-    speed_shares,
 )
 
 # How long an unmet claim of an account is remembered.
@@ -38,7 +38,7 @@
         self._settings = settings
         self._active_weight = 0.0
         self._virtual_time = 0.0
-        self.shares = speed_shares.SpeedShares(settings)
+        self.shares = fair_shares.SpeedShares(settings)
         self._preferred_credit = 0.0
         self._credit_bound = 0.0
         self._fair: list[tuple[float, int, int]] = []
