--- a/redwingvalve/documents/binder.py
+++ b/redwingvalve/documents/binder.py
@@ -15,7 +15,7 @@
 from expression import Error, Ok, Result
 
 from redwingvalve.core import findings
-from redwingvalve.documents import mending
+from redwingvalve.documents import placeholders
 
 BoundType = typing.TypeVar('BoundType')
 PathParts = tuple[str | int, ...]
@@ -161,8 +161,8 @@
     found = [fault.finding for fault in faults]
     paths = tuple(fault.path for fault in faults)
     try:
-        mended = mending.mend(plain, target, paths)
-    except mending.UnmendableError:
+        mended = placeholders.mend(plain, target, paths)
+    except placeholders.UnmendableError:
         return None, found
     content = CONVERTER.structure(mended, target)
     return BoundDocument(content, places, paths), found
--- a/redwingvalve/platform_api/http_engine_orders.py
+++ b/redwingvalve/platform_api/http_engine_orders.py
@@ -14,7 +14,7 @@
 import cattrs
 from expression import Error, Ok, Result
 
-from redwingvalve.platform_api import answers, engine_orders
+from redwingvalve.platform_api import engine_orders, http_responses
 
 OrderAnswer = Result[engine_orders.EngineState, engine_orders.OrderError]
 StateAnswer = Result[engine_orders.EngineState, engine_orders.EngineUnreachable]
@@ -54,7 +54,7 @@
             return Error(_unreachable(error, surely_not_received=True))
         except BROKEN as error:
             return Error(_unreachable(error))
-        if answer.status == answers.STATUS_CONFLICT:
+        if answer.status == http_responses.STATUS_CONFLICT:
             return _refused(answer)
         return _state(answer)
 
@@ -95,7 +95,7 @@
 
 
 def _state(answer: _Answer) -> StateAnswer:
-    if answer.status >= answers.STATUS_BAD_REQUEST:
+    if answer.status >= http_responses.STATUS_BAD_REQUEST:
         return Error(
             engine_orders.EngineUnreachable(f'it answered {answer.status}')
         )
--- a/redwingvalve/platform_api/http_object_api.py
+++ b/redwingvalve/platform_api/http_object_api.py
@@ -13,7 +13,7 @@
 import httpx
 from expression import Error, Ok, Result
 
-from redwingvalve.platform_api import answers, object_api
+from redwingvalve.platform_api import http_responses, object_api
 
 GROUP_PATH = '/apis/redwingvalve.io/v1'
 API_VERSION = 'redwingvalve.io/v1'
@@ -128,7 +128,7 @@
             # The write may have reached the store before the connection
             # broke; only a read afterwards can tell.
             return Error(_no_answer(error, maybe_applied=written is not None))
-        if answer.status_code >= answers.STATUS_BAD_REQUEST:
+        if answer.status_code >= http_responses.STATUS_BAD_REQUEST:
             kind, name = written or ('', '')
             return Error(
                 _problem(answer, kind, name, written=written is not None)
@@ -151,7 +151,7 @@
 async def _events(
     answer: httpx.Response, kind: str
 ) -> collections_abc.AsyncIterator[Result[object_api.WatchEvent, ObjectError]]:
-    if answer.status_code >= answers.STATUS_BAD_REQUEST:
+    if answer.status_code >= http_responses.STATUS_BAD_REQUEST:
         await answer.aread()
         yield Error(_problem(answer, kind, '', written=False))
         return
@@ -217,7 +217,7 @@
 
 
 def _watch_problem(kind: str, status: object_api.Body) -> ObjectError:
-    if status.get('code') == answers.STATUS_GONE:
+    if status.get('code') == http_responses.STATUS_GONE:
         return object_api.Expired(kind)
     return object_api.Unavailable(
         str(status.get('message', status)), maybe_applied=False
@@ -228,19 +228,19 @@
     answer: httpx.Response, kind: str, name: str, *, written: bool
 ) -> ObjectError:
     message = answer.text[:200]
-    if answer.status_code == answers.STATUS_NOT_FOUND:
+    if answer.status_code == http_responses.STATUS_NOT_FOUND:
         return object_api.NotFound(kind, name)
-    if answer.status_code == answers.STATUS_CONFLICT:
+    if answer.status_code == http_responses.STATUS_CONFLICT:
         return object_api.Conflict(kind, name, message)
-    if answer.status_code == answers.STATUS_GONE:
+    if answer.status_code == http_responses.STATUS_GONE:
         return object_api.Expired(kind)
-    if answer.status_code == answers.STATUS_TOO_MANY:
+    if answer.status_code == http_responses.STATUS_TOO_MANY:
         return object_api.Unavailable(
             'the rate limit of the store is reached',
             maybe_applied=False,
-            retry_after_s=answers.retry_after_s(answer),
+            retry_after_s=http_responses.retry_after_s(answer),
         )
-    if answer.status_code >= answers.STATUS_SERVER_ERROR:
+    if answer.status_code >= http_responses.STATUS_SERVER_ERROR:
         # A gateway may answer 5xx after the store has taken the write.
         return object_api.Unavailable(message, maybe_applied=written)
     return object_api.Refused(message)
--- a/redwingvalve/platform_api/http_vm_list.py
+++ b/redwingvalve/platform_api/http_vm_list.py
@@ -4,7 +4,7 @@
 import httpx
 from expression import Error, Ok, Result
 
-from redwingvalve.platform_api import answers, object_api, vm_list
+from redwingvalve.platform_api import http_responses, object_api, vm_list
 
 
 class HttpVmList(vm_list.VmList):
@@ -25,7 +25,7 @@
             return Ok(
                 cattrs.structure(answer.json()['vms'], tuple[vm_list.Vm, ...])
             )
-        except answers.UNREADABLE as error:
+        except http_responses.UNREADABLE as error:
             return _unavailable(error)
 
 
--- a/redwingvalve/platform_api/http_weight_store.py
+++ b/redwingvalve/platform_api/http_weight_store.py
@@ -4,7 +4,7 @@
 from expression import Error, Ok, Result
 
 from redwingvalve.platform_api import (
-    answers,
+    http_responses,
     object_api,
     weight_store,
 )
@@ -26,7 +26,7 @@
         try:
             answer = await self._client.post(self._url, json=wanted)
             return _read(answer)
-        except answers.UNREADABLE as error:
+        except http_responses.UNREADABLE as error:
             return _unavailable(f'the weight store is away: {error!r}')
 
 
@@ -38,10 +38,10 @@
 def _read(
     answer: httpx.Response,
 ) -> Result[weight_store.LoadTicket, object_api.Unavailable]:
-    if answer.status_code == answers.STATUS_TOO_MANY:
+    if answer.status_code == http_responses.STATUS_TOO_MANY:
         return _unavailable(
             'the rate limit of the weight store is reached',
-            answers.retry_after_s(answer),
+            http_responses.retry_after_s(answer),
         )
     answer.raise_for_status()
     granted = answer.json()
@@ -54,7 +54,7 @@
 
 def _unavailable(
     message: str,
-    retry_after_s: float = answers.DEFAULT_RETRY_AFTER_S,
+    retry_after_s: float = http_responses.DEFAULT_RETRY_AFTER_S,
 ) -> Result[weight_store.LoadTicket, object_api.Unavailable]:
     return Error(
         object_api.Unavailable(
