--- a/redwingvalve/http1/client.py
+++ b/redwingvalve/http1/client.py
@@ -23,15 +23,15 @@
 _FIRST_FINAL_STATUS = 200
 
 
-class Exchange(abc.ABC):
+class ResponseHandler(abc.ABC):
     """What is done with the answer to one request."""
 
     @abc.abstractmethod
-    def accepts(self, head: messages.AnswerHead) -> bool:
+    def accepts(self, head: messages.ResponseHead) -> bool:
         """Return whether the head answers this request."""
 
     @abc.abstractmethod
-    def head_received(self, head: messages.AnswerHead) -> None:
+    def head_received(self, head: messages.ResponseHead) -> None:
         """Take the status and the headers."""
 
     @abc.abstractmethod
@@ -56,7 +56,7 @@
         self.idle_since_s = 0.0
         self.keep_alive_s: float | None = None
         self.used = False
-        self._exchange: Exchange | None = None
+        self._exchange: ResponseHandler | None = None
         self._parser: typing.Any = None
         self._headers: messages.Headers = []
         self._skipping = False
@@ -76,7 +76,7 @@
     def send(
         self,
         request: bytes,
-        exchange: Exchange,
+        exchange: ResponseHandler,
         on_idle: typing.Callable[['Connection'], None],
     ) -> None:
         """Send a request; on_idle is called if more may follow."""
@@ -151,7 +151,7 @@
         status = self._parser.get_status_code()
         if self._whole or status < _FIRST_FINAL_STATUS:
             return
-        head = messages.AnswerHead(
+        head = messages.ResponseHead(
             status, self._headers, self._parser.should_keep_alive()
         )
         exchange = self._exchange
@@ -206,7 +206,7 @@
         if exchange is not None:
             exchange.broken(reason)
 
-    def _read_keep_alive(self, head: messages.AnswerHead) -> None:
+    def _read_keep_alive(self, head: messages.ResponseHead) -> None:
         text = head.header(b'keep-alive') or b''
         for part in text.split(b','):
             name, _, seconds = part.strip().partition(b'=')
@@ -214,7 +214,7 @@
                 self.keep_alive_s = int(seconds) * KEEP_ALIVE_USED
 
 
-def _is_unframed(head: messages.AnswerHead) -> bool:
+def _is_unframed(head: messages.ResponseHead) -> bool:
     if head.status in _NO_BODY_STATUSES:
         return False
     if head.header(b'content-length') is not None:
--- a/redwingvalve/http1/messages.py
+++ b/redwingvalve/http1/messages.py
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen
-class AnswerHead:
+class ResponseHead:
     """Status and headers of an answer."""
 
     status: int
--- a/redwingvalve/http1/pool.py
+++ b/redwingvalve/http1/pool.py
@@ -75,7 +75,7 @@
             return kept
         return await self.connect(address)
 
-    def keeper(self, address: Address) -> 'Keeper':
+    def release_callback(self, address: Address) -> 'Keeper':
         """Return what takes back connections to this address."""
         return Keeper(self, address)
 
--- a/redwingvalve/http1/reading.py
+++ b/redwingvalve/http1/request_parser.py
@@ -24,7 +24,7 @@
     idle_timeout_s: float
 
 
-class RequestTaker(abc.ABC):
+class RequestHandler(abc.ABC):
     """What is told of requests on a connection."""
 
     @abc.abstractmethod
@@ -48,12 +48,12 @@
         """Send an interim answer."""
 
 
-class RequestReader:
+class RequestParser:
     """Parses requests; bounds are asked for anew at each."""
 
     def __init__(
         self,
-        taker: RequestTaker,
+        taker: RequestHandler,
         limits: typing.Callable[[], ServerLimits],
     ) -> None:
         """Tell the taker."""
--- a/redwingvalve/http1/server.py
+++ b/redwingvalve/http1/server.py
@@ -10,7 +10,7 @@
 import types
 import typing
 
-from redwingvalve.http1 import messages, reading
+from redwingvalve.http1 import messages, request_parser
 
 # Requests that a caller sent ahead; more are not read until some are answered.
 MAX_PIPELINED = 8
@@ -36,7 +36,7 @@
     """What answers the requests of all connections."""
 
     @abc.abstractmethod
-    def limits(self) -> reading.ServerLimits:
+    def limits(self) -> request_parser.ServerLimits:
         """Return the bounds in force."""
 
     @abc.abstractmethod
@@ -51,26 +51,26 @@
 class Responder:
     """The answer to one request."""
 
-    def __init__(self, connection: 'CallerConnection', keep: bool) -> None:
+    def __init__(self, connection: 'ServerConnection', keep: bool) -> None:
         """Answer on a connection that is kept afterwards if keep."""
-        self.on_gone: typing.Callable[[], None] | None = None
-        self.on_drained: typing.Callable[[], None] | None = None
+        self.on_disconnect: typing.Callable[[], None] | None = None
+        self.on_writable: typing.Callable[[], None] | None = None
         self.is_started = False
         self.is_done = False
         self.connection = connection
         self._keep = keep
 
     @property
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Return whether the caller has left."""
-        return self.connection.is_lost
+        return self.connection.is_closed
 
     @property
-    def is_full(self) -> bool:
+    def is_write_paused(self) -> bool:
         """Return whether the caller reads more slowly than we write."""
-        return self.connection.is_full
+        return self.connection.is_write_paused
 
-    def answer(
+    def send_response(
         self, status: int, headers: messages.Headers, body: bytes
     ) -> None:
         """Send a whole answer."""
@@ -106,7 +106,7 @@
         if self.is_done:
             return
         self.is_done = True
-        self.connection.break_off()
+        self.connection.abort()
 
     def _head(self, status: int, headers: messages.Headers) -> bytes:
         reason = _REASONS.get(status, b'Status')
@@ -120,21 +120,21 @@
 
     def _end(self) -> None:
         self.is_done = True
-        self.on_gone = None
+        self.on_disconnect = None
         self.connection.answered(self._keep)
 
 
-class CallerConnection(asyncio.Protocol, reading.RequestTaker):
+class ServerConnection(asyncio.Protocol, request_parser.RequestHandler):
     """One connection of a caller."""
 
     def __init__(self, application: Application) -> None:
         """Hand requests to the application."""
         self.application = application
-        self.is_lost = False
-        self.is_full = False
+        self.is_closed = False
+        self.is_write_paused = False
         self.is_idle = True
         self._transport: asyncio.Transport | None = None
-        self._reader = reading.RequestReader(self, application.limits)
+        self._reader = request_parser.RequestParser(self, application.limits)
         self._timer: asyncio.TimerHandle | None = None
         self._waiting: collections.deque[messages.Request] = collections.deque()
         self._current: Responder | None = None
@@ -146,13 +146,13 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Tell the request that is being answered."""
-        self.is_lost = True
+        self.is_closed = True
         self._stop_timer()
         self._waiting.clear()
         responder = self._current
         self._current = None
-        if responder is not None and responder.on_gone is not None:
-            responder.on_gone()
+        if responder is not None and responder.on_disconnect is not None:
+            responder.on_disconnect()
 
     def eof_received(self) -> bool:
         """Close; a caller that ends its side has left."""
@@ -160,14 +160,14 @@
 
     def pause_writing(self) -> None:
         """Note that the caller reads slowly."""
-        self.is_full = True
+        self.is_write_paused = True
 
     def resume_writing(self) -> None:
         """Note that the caller has caught up."""
-        self.is_full = False
+        self.is_write_paused = False
         current = self._current
-        if current is not None and current.on_drained is not None:
-            current.on_drained()
+        if current is not None and current.on_writable is not None:
+            current.on_writable()
 
     def data_received(self, data: bytes) -> None:
         """Parse what came."""
@@ -193,7 +193,7 @@
     def refused(self, status: int) -> None:
         """Answer a request that can't be read, and close."""
         if self._current is None:
-            Responder(self, keep=False).answer(status, [], b'')
+            Responder(self, keep=False).send_response(status, [], b'')
         elif self._transport is not None:
             self._transport.close()
 
@@ -202,7 +202,7 @@
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Reset the connection."""
         self._current = None
         if self._transport is not None:
--- a/redwingvalve/ingress/request_handler.py
+++ b/redwingvalve/ingress/request_handler.py
@@ -72,7 +72,7 @@
 
     async def run(self) -> None:
         """Handle the request until the response is complete."""
-        self._responder.on_gone = self._on_caller_gone
+        self._responder.on_disconnect = self._on_caller_gone
         admission = self._admit()
         if admission is None:
             return
@@ -91,7 +91,7 @@
         self._state.retry_budget(admission.service).record_request(
             self._times.started_s
         )
-        while not self._responder.is_gone:
+        while not self._responder.is_disconnected:
             wait_started_s = time.monotonic()
             reservation = await slot_requests.reserve_slot(
                 self._state, self._caller, admission, self._tried_endpoints
@@ -168,7 +168,7 @@
             self._connect_failures += 1
             self._state.targets.suspect(target.endpoint_id, str(error))
             return upstream.Outcome.NOT_RUN
-        if self._responder.is_gone:
+        if self._responder.is_disconnected:
             connections.keep(target.address, connection)
             return upstream.Outcome.CALLER_GONE
         self._sent_count += 1
--- a/redwingvalve/ingress/responses.py
+++ b/redwingvalve/ingress/responses.py
@@ -33,7 +33,7 @@
         responder.start(head.status, headers)
         responder.finish()
         return
-    responder.answer(head.status, headers, upstream_request.body)
+    responder.send_response(head.status, headers, upstream_request.body)
 
 
 def send_refusal(
@@ -53,7 +53,7 @@
         },
     )
     attempt = (names.ATTEMPT_ID_HEADER, caller.attempt_id)
-    responder.answer(
+    responder.send_response(
         refusal.status, [attempt, *refusal.headers()], refusal.body()
     )
 
--- a/redwingvalve/ingress/stream_forwarding.py
+++ b/redwingvalve/ingress/stream_forwarding.py
@@ -23,7 +23,7 @@
         self._responder = responder
         self._connection: client.Connection | None = None
         self._monitored_stream: stall_detection.MonitoredStream | None = None
-        responder.on_drained = self._resume
+        responder.on_writable = self._resume
 
     def attach(
         self,
@@ -60,7 +60,7 @@
                 messages.end_to_end(upstream_request.head.headers),
             )
         self._responder.write(event.raw)
-        if self._responder.is_full:
+        if self._responder.is_write_paused:
             self._pause()
 
     def _is_duplicate(self, event: events.Event) -> bool:
--- a/redwingvalve/ingress/upstream.py
+++ b/redwingvalve/ingress/upstream.py
@@ -31,14 +31,14 @@
     TIMEOUT = 'timeout'
 
 
-class UpstreamRequest(client.Exchange):
+class UpstreamRequest(client.ResponseHandler):
     """Collects one answer; the future ended holds the outcome."""
 
     def __init__(self, attempt_id: bytes) -> None:
         """Expect an answer that echoes the caller's attempt_id."""
         loop = asyncio.get_running_loop()
         self.ended: asyncio.Future[Outcome] = loop.create_future()
-        self.head: messages.AnswerHead | None = None
+        self.head: messages.ResponseHead | None = None
         self.reason = ''
         self._attempt_id = attempt_id
         self._body: list[bytes] = []
@@ -48,7 +48,7 @@
         """Return the body received so far."""
         return b''.join(self._body)
 
-    def accepts(self, head: messages.AnswerHead) -> bool:
+    def accepts(self, head: messages.ResponseHead) -> bool:
         """Return whether an answer belongs to this attempt."""
         echoed = head.header(names.ATTEMPT_ID_HEADER)
         if echoed is None:
@@ -59,7 +59,7 @@
             )
         return echoed == self._attempt_id
 
-    def head_received(self, head: messages.AnswerHead) -> None:
+    def head_received(self, head: messages.ResponseHead) -> None:
         """Store the response head."""
         self.head = head
 
@@ -118,7 +118,7 @@
         self._splitter = events.EventSplitter()
         self.is_stream = False
 
-    def head_received(self, head: messages.AnswerHead) -> None:
+    def head_received(self, head: messages.ResponseHead) -> None:
         """Distinguish a stream from an error response."""
         super().head_received(head)
         self.is_stream = self.classify() is Outcome.COMPLETE
@@ -142,6 +142,6 @@
         super().completed()
 
 
-def is_success(head: messages.AnswerHead) -> bool:
+def is_success(head: messages.ResponseHead) -> bool:
     """Return whether the status is a 2xx."""
     return _OK <= head.status < _REDIRECT
--- a/redwingvalve/node/front.py
+++ b/redwingvalve/node/front.py
@@ -3,7 +3,7 @@
 import asyncio
 import json
 
-from redwingvalve.http1 import messages, reading, server
+from redwingvalve.http1 import messages, request_parser, server
 from redwingvalve.ingress import request_handler, routes
 from redwingvalve.ingress import state as state_module
 from redwingvalve.node import front_selection
@@ -34,13 +34,13 @@
         self.running: set[asyncio.Task[None]] = set()
         self.has_served = False
 
-    def limits(self) -> reading.ServerLimits:
+    def limits(self) -> request_parser.ServerLimits:
         """Return the configured limits, or the defaults before those."""
         configuration = self._state.configuration
         limits = (
             configuration.limits if configuration else (routes.DEFAULT_LIMITS)
         )
-        return reading.ServerLimits(
+        return request_parser.ServerLimits(
             head_bytes=limits.head_bytes,
             body_bytes=limits.body_bytes,
             head_timeout_s=limits.head_timeout_ms / 1000,
@@ -76,7 +76,7 @@
             # The connection is aborted below: without any response the caller
             # would wait until its deadline.
             LOG.exception('request failed')
-        if not responder.is_done and not responder.is_gone:
+        if not responder.is_done and not responder.is_disconnected:
             responder.abort()
 
 
@@ -94,10 +94,10 @@
         self._peers = peers
         self._ttl_s = min(DIRECTORY_TTL_S, ttl_max_s)
 
-    def limits(self) -> reading.ServerLimits:
+    def limits(self) -> request_parser.ServerLimits:
         """Return default limits; bodies may be as large as heads only."""
         limits = routes.DEFAULT_LIMITS
-        return reading.ServerLimits(
+        return request_parser.ServerLimits(
             head_bytes=limits.head_bytes,
             body_bytes=limits.head_bytes,
             head_timeout_s=limits.head_timeout_ms / 1000,
@@ -115,15 +115,17 @@
         path = request.target.partition(b'?')[0].decode('latin-1')
         if path == names.READY_PATH:
             status = _OK if self.is_ready() else _UNAVAILABLE
-            responder.answer(status, [_JSON], b'{}')
+            responder.send_response(status, [_JSON], b'{}')
         elif path == METRICS_PATH:
             text = (b'content-type', b'text/plain; version=0.0.4')
             body = node_metrics.METRICS.render()
-            responder.answer(_OK, [text], body)
+            responder.send_response(_OK, [text], body)
         elif path == names.RESOLVE_PATH:
             self._resolve(request, responder)
         else:
-            responder.answer(_NOT_FOUND, [_JSON], b'{"error":"no such path"}')
+            responder.send_response(
+                _NOT_FOUND, [_JSON], b'{"error":"no such path"}'
+            )
 
     def is_ready(self) -> bool:
         """Return whether this node can serve callers."""
@@ -138,7 +140,9 @@
         if self.is_ready() and len(addresses) < front_selection.MAX_FRONTS:
             addresses.append(self._peers.local.front)
         if not addresses:
-            responder.answer(_UNAVAILABLE, [_JSON], b'{"error":"none ready"}')
+            responder.send_response(
+                _UNAVAILABLE, [_JSON], b'{"error":"none ready"}'
+            )
             return
         body = {'addresses': addresses, 'ttl_s': self._ttl_s}
-        responder.answer(_OK, [_JSON], json.dumps(body).encode())
+        responder.send_response(_OK, [_JSON], json.dumps(body).encode())
--- a/redwingvalve/node/listeners.py
+++ b/redwingvalve/node/listeners.py
@@ -14,7 +14,7 @@
     def __init__(self, application: server.Application) -> None:
         """Serve an application."""
         self._application = application
-        self._connections: list[server.CallerConnection] = []
+        self._connections: list[server.ServerConnection] = []
         self._server: asyncio.Server | None = None
 
     async def listen(self, listening: socket.socket) -> None:
@@ -29,17 +29,17 @@
         if self._server is not None:
             self._server.close()
         for connection in self._connections:
-            connection.break_off()
+            connection.abort()
 
     def close_idle(self) -> None:
         """Close connections without a pending request."""
         for connection in self._connections:
             connection.close_if_idle()
 
-    def _make_connection(self) -> server.CallerConnection:
-        connection = server.CallerConnection(self._application)
+    def _make_connection(self) -> server.ServerConnection:
+        connection = server.ServerConnection(self._application)
         self._connections = [
-            one for one in self._connections if not one.is_lost
+            one for one in self._connections if not one.is_closed
         ]
         self._connections.append(connection)
         return connection
--- a/redwingvalve/node/watch_sources.py
+++ b/redwingvalve/node/watch_sources.py
@@ -23,7 +23,7 @@
 
 import attrs
 
-from redwingvalve.http1 import messages, reading, server
+from redwingvalve.http1 import messages, request_parser, server
 from redwingvalve.ingress import routes
 from redwingvalve.node import hubs as hubs_module
 from redwingvalve.node import peers as peers_module
@@ -127,10 +127,10 @@
         # The last page of each kind, with the query that it answers.
         self._pages: dict[str, tuple[typing.Any, bytes]] = {}
 
-    def limits(self) -> reading.ServerLimits:
+    def limits(self) -> request_parser.ServerLimits:
         """Return limits that suffice for any query."""
         limits = routes.DEFAULT_LIMITS
-        return reading.ServerLimits(
+        return request_parser.ServerLimits(
             limits.head_bytes, limits.head_bytes, 3.0, 15.0
         )
 
@@ -145,7 +145,7 @@
         query = store_responses.parse_query(request.target.decode('latin-1'))
         cache = self._caches.get(query.kind) if query else None
         if query is None or cache is None:
-            responder.answer(_NOT_FOUND, [_JSON], b'{}')
+            responder.send_response(_NOT_FOUND, [_JSON], b'{}')
             return
         task = asyncio.get_running_loop().create_task(
             self._answer(cache, query, responder)
@@ -160,24 +160,24 @@
         responder: server.Responder,
     ) -> None:
         if not cache.is_current:
-            responder.answer(_UNAVAILABLE, [_JSON], b'{}')
+            responder.send_response(_UNAVAILABLE, [_JSON], b'{}')
             return
         if query.after_revision is None:
             page = store_responses.encode_listing(cache.listing())
-            responder.answer(_OK, list(store_responses.HEADERS), page)
+            responder.send_response(_OK, list(store_responses.HEADERS), page)
             return
         try:
             found = await cache.changes_after(
                 query.after_revision, query.wait_s
             )
         except store.HistoryGoneError:
-            responder.answer(_HISTORY_GONE, [_JSON], b'{}')
+            responder.send_response(_HISTORY_GONE, [_JSON], b'{}')
             return
         if not (found.changes or cache.is_current):
-            responder.answer(_UNAVAILABLE, [_JSON], b'{}')
+            responder.send_response(_UNAVAILABLE, [_JSON], b'{}')
             return
         page = self._page(query, found)
-        responder.answer(_OK, list(store_responses.HEADERS), page)
+        responder.send_response(_OK, list(store_responses.HEADERS), page)
 
     def _page(
         self, query: store_responses.StoreQuery, found: store.Changes
--- a/redwingvalve/platform/standins/endpoint.py
+++ b/redwingvalve/platform/standins/endpoint.py
@@ -12,10 +12,10 @@
 
 import attrs
 
-from redwingvalve.http1 import messages, reading, server
+from redwingvalve.http1 import messages, request_parser, server
 from redwingvalve.platform.standins import store as fake_store
 
-_LIMITS = reading.ServerLimits(65_536, 4_194_304, 10, 60)
+_LIMITS = request_parser.ServerLimits(65_536, 4_194_304, 10, 60)
 Document = dict[str, typing.Any]
 # Durations from the platform's specification, shortened for tests.
 JOIN_DURATION_S = 0.15
@@ -82,7 +82,7 @@
         self._epoch = 0
         self._born = 1000
         self._server: asyncio.Server | None = None
-        self._connections: list[server.CallerConnection] = []
+        self._connections: list[server.ServerConnection] = []
 
     async def start(self) -> None:
         """Listen on a free port and write the entry."""
@@ -106,13 +106,13 @@
         if self._server is not None:
             self._server.close()
         for connection in self._connections:
-            connection.break_off()
+            connection.abort()
         self._store.remove('servers', self.endpoint_id)
 
     def crash_and_restart(self) -> None:
         """Restart under the same id without any earlier state."""
         for connection in self._connections:
-            connection.break_off()
+            connection.abort()
         self.group = None
         self.members = []
         self._epoch = 0
@@ -133,7 +133,7 @@
             return
         self._store.put('servers', self.endpoint_id, self._entry())
 
-    def limits(self) -> reading.ServerLimits:
+    def limits(self) -> request_parser.ServerLimits:
         """Return limits that no test reaches."""
         return _LIMITS
 
@@ -149,7 +149,7 @@
             return
         expected = request.header(b'x-expect-instance')
         if expected is not None and expected.decode() != self.endpoint_id:
-            responder.answer(421, [], b'')
+            responder.send_response(421, [], b'')
         elif request.target == b'/redwingvalve/report':
             _answer_json(responder, 200, self._entry())
         elif request.target == b'/redwingvalve/order':
@@ -159,8 +159,8 @@
                 self._run(request, responder)
             )
 
-    def _make_connection(self) -> server.CallerConnection:
-        connection = server.CallerConnection(self)
+    def _make_connection(self) -> server.ServerConnection:
+        connection = server.ServerConnection(self)
         self._connections.append(connection)
         return connection
 
@@ -257,7 +257,7 @@
     ) -> None:
         attempt = request.header(b'x-attempt-id') or b''
         if self.faults.rejects_requests:
-            responder.answer(503, [(b'x-not-run', b'1')], b'')
+            responder.send_response(503, [(b'x-not-run', b'1')], b'')
             return
         last = request.header(b'last-event-id')
         self.runs.append(
@@ -268,13 +268,15 @@
                 int(last) if last else None,
             )
         )
-        responder.on_gone = lambda: self.cancelled_attempts.append(attempt)
+        responder.on_disconnect = lambda: self.cancelled_attempts.append(
+            attempt
+        )
         headers = [
             (b'x-attempt-id', attempt),
             (b'x-server-seal', self.endpoint_id.encode()),
         ]
         if self.faults.returns_server_error:
-            responder.answer(500, headers, b'failed')
+            responder.send_response(500, headers, b'failed')
         elif request.header(b'x-model'):
             await self._stream(responder, headers, int(last or 0))
         else:
@@ -289,7 +291,7 @@
     ) -> None:
         body = b'body of %b' % attempt
         connection = responder.connection
-        responder.answer(200, headers, body)
+        responder.send_response(200, headers, body)
         if self.faults.duplicates_response:
             extra = (b'content-length', b'%d' % len(body))
             head = messages.render_head(b'HTTP/1.1 200 OK', [*headers, extra])
@@ -320,7 +322,7 @@
 def _answer_json(
     responder: server.Responder, status: int, document: Document
 ) -> None:
-    responder.answer(
+    responder.send_response(
         status,
         [(b'content-type', b'application/json')],
         json.dumps(document).encode(),
--- a/redwingvalve/platform/standins/store.py
+++ b/redwingvalve/platform/standins/store.py
@@ -11,11 +11,11 @@
 
 import attrs
 
-from redwingvalve.http1 import messages, reading, server
+from redwingvalve.http1 import messages, request_parser, server
 
 Document = dict[str, typing.Any]
 PREFIX = '/redwingvalve/objects/'
-_LIMITS = reading.ServerLimits(65_536, 4_194_304, 10, 60)
+_LIMITS = request_parser.ServerLimits(65_536, 4_194_304, 10, 60)
 _JSON = ((b'content-type', b'application/json'),)
 
 
@@ -49,7 +49,7 @@
         self._events: list[_Event] = []
         self._changed = asyncio.Event()
 
-    def limits(self) -> reading.ServerLimits:
+    def limits(self) -> request_parser.ServerLimits:
         """Return limits that no test reaches."""
         return _LIMITS
 
@@ -201,4 +201,4 @@
 
 
 def _answer(responder: server.Responder, status: int, answer: Document) -> None:
-    responder.answer(status, list(_JSON), json.dumps(answer).encode())
+    responder.send_response(status, list(_JSON), json.dumps(answer).encode())
--- a/redwingvalve/platform/store.py
+++ b/redwingvalve/platform/store.py
@@ -94,7 +94,7 @@
     return int(stored['metadata']['revision'])
 
 
-class _Answer(client.Exchange):
+class _Answer(client.ResponseHandler):
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
         self.done: asyncio.Future[None] = loop.create_future()
@@ -102,10 +102,10 @@
         self.is_deflated = False
         self.body: list[bytes] = []
 
-    def accepts(self, head: messages.AnswerHead) -> bool:
+    def accepts(self, head: messages.ResponseHead) -> bool:
         return True
 
-    def head_received(self, head: messages.AnswerHead) -> None:
+    def head_received(self, head: messages.ResponseHead) -> None:
         self.status = head.status
         name, encoding = DEFLATE_HEADER
         self.is_deflated = head.header(name) == encoding
@@ -172,7 +172,7 @@
         connection.send(
             _render(address, start, body, headers),
             answer,
-            self._connections.keeper(address),
+            self._connections.release_callback(address),
         )
         try:
             async with asyncio.timeout(timeout_s):
--- a/redwingvalve/platform/tests/fleet_harness.py
+++ b/redwingvalve/platform/tests/fleet_harness.py
@@ -123,7 +123,7 @@
         ]
 
 
-class _ResponseReader(client.Exchange):
+class _ResponseReader(client.ResponseHandler):
     def __init__(self):
         self.done = asyncio.get_running_loop().create_future()
         self.head = None
@@ -284,7 +284,7 @@
     store = fake_store.FakeStore()
     loop = asyncio.get_running_loop()
     store_server = await loop.create_server(
-        lambda: server.CallerConnection(store), '127.0.0.1', 0
+        lambda: server.ServerConnection(store), '127.0.0.1', 0
     )
     port = store_server.sockets[0].getsockname()[1]
     fleet = Fleet(store, f'127.0.0.1:{port}', {})
--- a/tests/integration/node_world.py
+++ b/tests/integration/node_world.py
@@ -215,6 +215,6 @@
 async def _listen(application):
     loop = asyncio.get_running_loop()
     listening = await loop.create_server(
-        lambda: server.CallerConnection(application), '127.0.0.1', 0
+        lambda: server.ServerConnection(application), '127.0.0.1', 0
     )
     return f'127.0.0.1:{listening.sockets[0].getsockname()[1]}'
