--- a/redwingvalve/at_most_once/tests/test_thrift_peers.py
+++ b/redwingvalve/at_most_once/tests/test_thrift_peers.py
@@ -27,7 +27,7 @@
         handler = handlers.make_peer_handler()
         answers = thrift_peers.VoterHandler(own)
         handler.key_claim_handler = answers
-        handler.key_memory_handler = answers
+        handler.key_record_handler = answers
         listening = server.make_peer_server(handler)
         await listening.start('127.0.0.1', 0)
         caller = rpc.make_peer_caller(timers)
--- a/redwingvalve/at_most_once/thrift_peers.py
+++ b/redwingvalve/at_most_once/thrift_peers.py
@@ -83,7 +83,7 @@
         return Ok(called.ok)
 
 
-class VoterHandler(handlers.KeyClaimHandler, handlers.KeyMemoryHandler):
+class VoterHandler(handlers.KeyClaimHandler, handlers.KeyRecordHandler):
     """Answers other entries from this entry's voter."""
 
     def __init__(self, own_voter: voter.Voter) -> None:
--- a/redwingvalve/cli/daemons.py
+++ b/redwingvalve/cli/daemons.py
@@ -11,7 +11,7 @@
 from redwingvalve.core import environment, exit_status, http_server
 from redwingvalve.observability import logs
 from redwingvalve.process import control, entry
-from redwingvalve.process import parts as process_parts
+from redwingvalve.process import dependencies as process_dependencies
 from redwingvalve.settings import loader, schema
 
 LOGGER = logs.make_logger('process')
@@ -52,7 +52,10 @@
             group.start_soon(_set_on_signal, stop)
             await daemon(settings, stop)
             group.cancel_scope.cancel()
-    except* (process_parts.ProcessError, http_server.ListenError) as problems:
+    except* (
+        process_dependencies.ProcessError,
+        http_server.ListenError,
+    ) as problems:
         for problem in _leaves(problems):
             surroundings.stderr.write(f'{problem}\n')
         status = exit_status.ExitStatus.FAILURE
--- a/redwingvalve/process/control.py
+++ b/redwingvalve/process/control.py
@@ -18,14 +18,14 @@
 from redwingvalve.evidence import news_entry_reports
 from redwingvalve.observability import logs
 from redwingvalve.plans import manager as plan_manager
+from redwingvalve.process import dependencies as process_dependencies
 from redwingvalve.process import (
-    duties,
+    duty_assignment,
     entry_drains,
     key_votes,
     leaving_vms,
     waits,
 )
-from redwingvalve.process import parts as process_parts
 from redwingvalve.replicas import controller
 from redwingvalve.settings import schema
 from redwingvalve.tls import contexts
@@ -40,25 +40,25 @@
         settings.administration_tls, mutual=False
     )
     if tls.is_error():
-        raise process_parts.ProcessError(str(tls.error))
+        raise process_dependencies.ProcessError(str(tls.error))
     async with (
-        process_parts.open_process(settings, ROLE) as parts,
+        process_dependencies.open_process(settings, ROLE) as dependencies,
         anyio.create_task_group() as group,
     ):
         token_cache = tokens.TokenCache()
-        group.start_soon(_follow_tokens, parts, token_cache)
-        group.start_soon(key_votes.vote, parts)
+        group.start_soon(_follow_tokens, dependencies, token_cache)
+        group.start_soon(key_votes.vote, dependencies)
         if tls.ok is not None:
-            group.start_soon(tls.ok.follow, parts.clock)
+            group.start_soon(tls.ok.follow, dependencies.clock)
         async with anyio.create_task_group() as loops:
-            reader = drains.make_drain_reader(parts.objects)
-            control_loop = make_loop(parts, reader)
+            reader = drains.make_drain_reader(dependencies.objects)
+            control_loop = make_loop(dependencies, reader)
             loops.start_soon(control_loop.run)
-            loops.start_soon(waits.publish, control_loop, parts)
-            loops.start_soon(_run_duties, parts, reader)
+            loops.start_soon(waits.publish, control_loop, dependencies)
+            loops.start_soon(_run_duties, dependencies, reader)
             LOGGER.info('The controller is ready.')
             await server.serve_api(
-                _make_api(parts, token_cache),
+                _make_api(dependencies, token_cache),
                 settings.node.host,
                 settings.listen.http_port,
                 stop.wait,
@@ -72,49 +72,57 @@
 
 
 def make_loop(
-    parts: process_parts.ProcessParts, reader: drains.DrainReader
+    dependencies: process_dependencies.ProcessDependencies,
+    reader: drains.DrainReader,
 ) -> loop.ControlLoop:
     """Return the control loop of one process."""
-    me = parts.node.members.local_member()
+    me = dependencies.node.members.local_member()
     owner = f'{me.name}/{me.incarnation}'
     tools = controller.Dependencies(
-        objects=parts.objects,
-        orders=parts.orders,
-        weights=parts.weights,
-        clock=parts.clock,
+        objects=dependencies.objects,
+        orders=dependencies.orders,
+        weights=dependencies.weights,
+        clock=dependencies.clock,
         entries=news_entry_reports.make_news_entry_reports(
-            parts.node.members, parts.node.news, parts.node.configuration
+            dependencies.node.members,
+            dependencies.node.news,
+            dependencies.node.configuration,
         ),
         rng=random.Random(owner),
-        switches=parts.switches,
+        switches=dependencies.switches,
+    )
+    listed = drains.make_drained_vm_list(dependencies.vms, reader)
+    return loop.make_control_loop(
+        owner, tools, listed, dependencies.node.members
     )
-    listed = drains.make_drained_vm_list(parts.vms, reader)
-    return loop.make_control_loop(owner, tools, listed, parts.node.members)
 
 
 def _make_api(
-    parts: process_parts.ProcessParts, token_cache: tokens.TokenCache
+    dependencies: process_dependencies.ProcessDependencies,
+    token_cache: tokens.TokenCache,
 ) -> app.Api:
     doer = store_operations.make_store_operations(
         store_operations.Dependencies(
-            store=parts.objects,
-            vms=parts.vms,
+            store=dependencies.objects,
+            vms=dependencies.vms,
             plans=plan_manager.make_plan_manager(
-                parts.objects, parts.vms, parts.clock
+                dependencies.objects, dependencies.vms, dependencies.clock
             ),
-            members=parts.node.members,
-            clock=parts.clock,
-            in_force=lambda: _in_force(parts),
-            waits=lambda: waits.read(parts.node.news),
+            members=dependencies.node.members,
+            clock=dependencies.clock,
+            in_force=lambda: _in_force(dependencies),
+            waits=lambda: waits.read(dependencies.node.news),
         )
     )
-    trail = audit.AuditTrail(parts.objects, parts.clock)
-    return app.Api(doer, token_cache, trail, parts.clock)
+    trail = audit.AuditTrail(dependencies.objects, dependencies.clock)
+    return app.Api(doer, token_cache, trail, dependencies.clock)
 
 
-async def _in_force(parts: process_parts.ProcessParts) -> in_force.InForce:
+async def _in_force(
+    dependencies: process_dependencies.ProcessDependencies,
+) -> in_force.InForce:
     """Ask every region for each kind of configuration that changed."""
-    configuration = parts.node.configuration
+    configuration = dependencies.node.configuration
     versions = configuration.table.versions()
     answers = [
         await configuration.in_force(kind, versions[kind])
@@ -125,24 +133,30 @@
 
 
 async def _run_duties(
-    parts: process_parts.ProcessParts, reader: drains.DrainReader
+    dependencies: process_dependencies.ProcessDependencies,
+    reader: drains.DrainReader,
 ) -> None:
     """Run what a few controllers do for all, until cancelled."""
     async with anyio.create_task_group() as group:
-        group.start_soon(reader.follow, parts.clock)
-        group.start_soon(entry_drains.publish, parts, reader)
-        group.start_soon(leaving_vms.LeavingTeller(parts, reader).run)
-        group.start_soon(_sweep, parts)
+        group.start_soon(reader.follow, dependencies.clock)
+        group.start_soon(entry_drains.publish, dependencies, reader)
+        group.start_soon(leaving_vms.LeavingTeller(dependencies, reader).run)
+        group.start_soon(_sweep, dependencies)
 
 
-async def _sweep(parts: process_parts.ProcessParts) -> None:
-    sweeper = retention.Sweeper(parts.objects, parts.clock)
-    await sweeper.run(lambda: duties.is_mine(parts, 'sweep', holders=1))
+async def _sweep(
+    dependencies: process_dependencies.ProcessDependencies,
+) -> None:
+    sweeper = retention.Sweeper(dependencies.objects, dependencies.clock)
+    await sweeper.run(
+        lambda: duty_assignment.is_mine(dependencies, 'sweep', holders=1)
+    )
 
 
 async def _follow_tokens(
-    parts: process_parts.ProcessParts, token_cache: tokens.TokenCache
+    dependencies: process_dependencies.ProcessDependencies,
+    token_cache: tokens.TokenCache,
 ) -> None:
     while True:
-        await token_cache.refresh(parts.objects)
-        await parts.clock.sleep(tokens.REFRESH_INTERVAL_S)
+        await token_cache.refresh(dependencies.objects)
+        await dependencies.clock.sleep(tokens.REFRESH_INTERVAL_S)
--- a/redwingvalve/process/parts.py
+++ b/redwingvalve/process/dependencies.py
@@ -35,7 +35,7 @@
 
 
 @attrs.frozen
-class ProcessParts:
+class ProcessDependencies:
     """One process's share of everything."""
 
     settings: schema.Settings
@@ -53,7 +53,7 @@
 @contextlib.asynccontextmanager
 async def open_process(
     settings: schema.Settings, role: str
-) -> collections_abc.AsyncIterator[ProcessParts]:
+) -> collections_abc.AsyncIterator[ProcessDependencies]:
     """Open what a role needs and close it at the end of the block.
 
     ProcessError when an address is taken or a certificate is unusable.
@@ -73,7 +73,7 @@
     )
     orders = http_engine_orders.make_http_engine_orders()
     tracer = tracing.make_tracing(settings.tracing, settings.node.name)
-    parts = ProcessParts(
+    dependencies = ProcessDependencies(
         settings=settings,
         clock=time_source,
         objects=observing_object_api.make_observing_object_api(
@@ -95,18 +95,18 @@
         async with anyio.create_task_group() as group:
             group.start_soon(peer_node.run)
             _follow_certificates(group, tls_pair, time_source)
-            yield parts
+            yield dependencies
             group.cancel_scope.cancel()
     finally:
         with anyio.CancelScope(shield=True):
-            await _close(parts)
+            await _close(dependencies)
 
 
-async def _close(parts: ProcessParts) -> None:
-    await parts.node.aclose()
-    await parts.objects.aclose()
-    await parts.orders.aclose()
-    parts.tracing.shutdown()
+async def _close(dependencies: ProcessDependencies) -> None:
+    await dependencies.node.aclose()
+    await dependencies.objects.aclose()
+    await dependencies.orders.aclose()
+    dependencies.tracing.shutdown()
 
 
 async def _start_node(
--- a/redwingvalve/process/entry.py
+++ b/redwingvalve/process/entry.py
@@ -9,8 +9,8 @@
 from redwingvalve.entry import aiohttp_upstream, daemon
 from redwingvalve.entry import dependencies as entry_dependencies
 from redwingvalve.evidence import prober, serving_permits, table
+from redwingvalve.process import dependencies as process_dependencies
 from redwingvalve.process import entry_drains, key_votes, leaving_vms
-from redwingvalve.process import parts as process_parts
 from redwingvalve.settings import schema
 
 ROLE = 'entry'
@@ -19,60 +19,65 @@
 async def run_entry(settings: schema.Settings, stop: anyio.Event) -> None:
     """Run until stop is set and all requests in progress have ended."""
     async with (
-        process_parts.open_process(settings, ROLE) as parts,
+        process_dependencies.open_process(settings, ROLE) as dependencies,
         anyio.create_task_group() as group,
     ):
         evidence = table.EvidenceTable()
-        permits = serving_permits.make_serving_permits(evidence, parts.switches)
-        group.start_soon(_make_prober(parts, evidence).run)
-        group.start_soon(leaving_vms.follow, parts, permits)
-        group.start_soon(key_votes.keep_registered, parts)
-        group.start_soon(entry_drains.follow, parts, parts.node.members.leave)
+        permits = serving_permits.make_serving_permits(
+            evidence, dependencies.switches
+        )
+        group.start_soon(_make_prober(dependencies, evidence).run)
+        group.start_soon(leaving_vms.follow, dependencies, permits)
+        group.start_soon(key_votes.keep_registered, dependencies)
+        group.start_soon(
+            entry_drains.follow, dependencies, dependencies.node.members.leave
+        )
         await daemon.serve_entry(
             _make_entry_parts(
-                parts, permits, await key_votes.make_claims(parts)
+                dependencies, permits, await key_votes.make_claims(dependencies)
             ),
             settings,
             stop.wait,
-            parts.node.members.leave,
+            dependencies.node.members.leave,
         )
         group.cancel_scope.cancel()
 
 
 def _make_prober(
-    parts: process_parts.ProcessParts, evidence: table.EvidenceTable
+    dependencies: process_dependencies.ProcessDependencies,
+    evidence: table.EvidenceTable,
 ) -> prober.Prober:
     return prober.make_prober(
         evidence,
-        parts.node.configuration,
-        parts.node.members,
-        parts.node.news,
-        parts.orders,
-        parts.clock,
+        dependencies.node.configuration,
+        dependencies.node.members,
+        dependencies.node.news,
+        dependencies.orders,
+        dependencies.clock,
     )
 
 
 def _make_entry_parts(
-    parts: process_parts.ProcessParts,
+    dependencies: process_dependencies.ProcessDependencies,
     permits: serving_permits.EvidencePermits,
     key_claims: claims.KeyClaims,
 ) -> entry_dependencies.EntryDependencies:
     return entry_dependencies.EntryDependencies(
-        source=parts.node.configuration,
+        source=dependencies.node.configuration,
         permits=permits,
-        members=parts.node.members,
-        news=parts.node.news,
+        members=dependencies.node.members,
+        news=dependencies.node.news,
         upstream=aiohttp_upstream.make_aiohttp_upstream(),
-        clock=parts.clock,
-        settings=parts.settings.requests,
-        metrics=parts.metrics,
-        tracing=parts.tracing,
-        switches=parts.switches,
+        clock=dependencies.clock,
+        settings=dependencies.settings.requests,
+        metrics=dependencies.metrics,
+        tracing=dependencies.tracing,
+        switches=dependencies.switches,
         directory=balanced_directory.make_balanced_directory(
-            parts.node.members,
-            parts.node.news,
-            parts.settings.requests.discovery_keep_s,
-            random.Random(parts.settings.node.name),
+            dependencies.node.members,
+            dependencies.node.news,
+            dependencies.settings.requests.discovery_keep_s,
+            random.Random(dependencies.settings.node.name),
         ),
         key_claims=key_claims,
     )
--- a/redwingvalve/process/entry_drains.py
+++ b/redwingvalve/process/entry_drains.py
@@ -10,8 +10,8 @@
 from redwingvalve.administration import drains
 from redwingvalve.news import bus
 from redwingvalve.observability import logs
-from redwingvalve.process import duties
-from redwingvalve.process import parts as process_parts
+from redwingvalve.process import dependencies as process_dependencies
+from redwingvalve.process import duty_assignment
 
 TELL_EVERY_S = 2.0
 LISTEN_EVERY_S = 0.5
@@ -25,20 +25,21 @@
 
 
 async def publish(
-    parts: process_parts.ProcessParts, reader: drains.DrainReader
+    dependencies: process_dependencies.ProcessDependencies,
+    reader: drains.DrainReader,
 ) -> None:
     """Tell, until cancelled, which entries operators want drained."""
     told: set[str] = set()
     while True:
-        if duties.is_mine(parts, CHANNEL.name):
+        if duty_assignment.is_mine(dependencies, CHANNEL.name):
             wanted = reader.entries
             if wanted is not None:
-                told = _tell(parts.node.news, told, wanted)
-        await parts.clock.sleep(TELL_EVERY_S)
+                told = _tell(dependencies.node.news, told, wanted)
+        await dependencies.clock.sleep(TELL_EVERY_S)
 
 
 async def follow(
-    parts: process_parts.ProcessParts,
+    dependencies: process_dependencies.ProcessDependencies,
     leave: collections_abc.Callable[[], None],
 ) -> None:
     """Call leave once when this entry is to be drained.
@@ -46,9 +47,9 @@
     A member that has left does not come back under its incarnation, so that
     late news cannot make it look alive; it takes work again after a restart.
     """
-    mine = parts.settings.node.name
-    while not _is_wanted(parts.node.news, mine):
-        await parts.clock.sleep(LISTEN_EVERY_S)
+    mine = dependencies.settings.node.name
+    while not _is_wanted(dependencies.node.news, mine):
+        await dependencies.clock.sleep(LISTEN_EVERY_S)
     LOGGER.info('An operator drains this entry.')
     leave()
 
--- a/redwingvalve/process/leaving_vms.py
+++ b/redwingvalve/process/leaving_vms.py
@@ -7,8 +7,8 @@
 from redwingvalve.administration import drains
 from redwingvalve.evidence import leaving, serving_permits
 from redwingvalve.platform_api import vm_list
-from redwingvalve.process import duties
-from redwingvalve.process import parts as process_parts
+from redwingvalve.process import dependencies as process_dependencies
+from redwingvalve.process import duty_assignment
 
 LOOK_EVERY_S = 0.25
 DUTY = 'leaving-vms'
@@ -18,13 +18,15 @@
     """One controller's part in telling which VMs leave."""
 
     def __init__(
-        self, parts: process_parts.ProcessParts, reader: drains.DrainReader
+        self,
+        dependencies: process_dependencies.ProcessDependencies,
+        reader: drains.DrainReader,
     ) -> None:
         """Know of none; drains come from reader, which nobody waits for.
 
         A silent store must not hold up the platform's list.
         """
-        self._parts = parts
+        self._parts = dependencies
         self._reader = reader
         self._told: frozenset[str] = frozenset()
 
@@ -49,13 +51,14 @@
         )
 
     def _on_duty(self) -> bool:
-        return duties.is_mine(self._parts, DUTY)
+        return duty_assignment.is_mine(self._parts, DUTY)
 
 
 async def follow(
-    parts: process_parts.ProcessParts, permits: serving_permits.EvidencePermits
+    dependencies: process_dependencies.ProcessDependencies,
+    permits: serving_permits.EvidencePermits,
 ) -> None:
     """Keep an entry's permits up to date until cancelled."""
     while True:
-        permits.replace_leaving(leaving.read(parts.node.news))
-        await parts.clock.sleep(LOOK_EVERY_S)
+        permits.replace_leaving(leaving.read(dependencies.node.news))
+        await dependencies.clock.sleep(LOOK_EVERY_S)
--- a/redwingvalve/process/waits.py
+++ b/redwingvalve/process/waits.py
@@ -9,7 +9,7 @@
 
 from redwingvalve.control import loop
 from redwingvalve.news import bus
-from redwingvalve.process import parts as process_parts
+from redwingvalve.process import dependencies as process_dependencies
 
 PUBLISH_EVERY_S = 2.0
 CHANNEL = bus.Channel(
@@ -21,7 +21,8 @@
 
 
 async def publish(
-    control_loop: loop.ControlLoop, parts: process_parts.ProcessParts
+    control_loop: loop.ControlLoop,
+    dependencies: process_dependencies.ProcessDependencies,
 ) -> None:
     """Tell, until cancelled, what this controller's domains wait for."""
     told: set[str] = set()
@@ -32,11 +33,11 @@
             if status.waiting_for
         }
         for domain in told - set(waiting):
-            parts.node.news.publish(CHANNEL, domain, b'')
+            dependencies.node.news.publish(CHANNEL, domain, b'')
         for domain, reasons in waiting.items():
-            parts.node.news.publish(CHANNEL, domain, _encode(reasons))
+            dependencies.node.news.publish(CHANNEL, domain, _encode(reasons))
         told = set(waiting)
-        await parts.clock.sleep(PUBLISH_EVERY_S)
+        await dependencies.clock.sleep(PUBLISH_EVERY_S)
 
 
 def read(news: bus.NewsBus) -> list[str]:
--- a/redwingvalve/wire/handlers.py
+++ b/redwingvalve/wire/handlers.py
@@ -53,7 +53,7 @@
         """Say whether the claimant may run the request."""
 
 
-class KeyMemoryHandler(abc.ABC):
+class KeyRecordHandler(abc.ABC):
     """Keeps claims of request keys; implemented by at_most_once."""
 
     @abc.abstractmethod
@@ -75,7 +75,7 @@
         self.gossip_handler: GossipHandler | None = None
         self.configuration_handler: ConfigurationHandler | None = None
         self.key_claim_handler: KeyClaimHandler | None = None
-        self.key_memory_handler: KeyMemoryHandler | None = None
+        self.key_record_handler: KeyRecordHandler | None = None
 
     async def exchange(self, packed: bytes) -> bytes:
         """Exchange gossip."""
@@ -107,13 +107,13 @@
 
     async def report_key(self, report: messages.peer.KeyReport) -> bool:
         """Learn what became of a claimed request."""
-        return await _registered(self.key_memory_handler).report_key(report)
+        return await _registered(self.key_record_handler).report_key(report)
 
     async def copy_keys(
         self, request: messages.peer.KeyCopyRequest
     ) -> messages.peer.KeyCopy:
         """Hand out claims of request keys."""
-        return await _registered(self.key_memory_handler).copy_keys(request)
+        return await _registered(self.key_record_handler).copy_keys(request)
 
 
 HandlerType = typing.TypeVar('HandlerType')
