--- a/redwingvalve/bench/replicas_fleet.py
+++ b/redwingvalve/bench/replicas_fleet.py
@@ -24,7 +24,7 @@
     spares,
 )
 from redwingvalve.replicas import domain as domain_module
-from redwingvalve.standins import memory_fleet, memory_store
+from redwingvalve.standins import fake_fleet, memory_store
 
 DOMAINS = 6
 STEP_S = 0.5
@@ -73,7 +73,7 @@
 class EntriesSee(entry_reports.NoEntryReports):
     """Entries probe the serving replicas, as they do beside controllers."""
 
-    def __init__(self, fleet: memory_fleet.MemoryFleet) -> None:
+    def __init__(self, fleet: fake_fleet.FakeFleet) -> None:
         """See what is alive."""
         self._fleet = fleet
 
@@ -109,10 +109,10 @@
         self._read_at_write = 0
         self.step_s = STEP_S
         self.quiet_steps = QUIET_STEPS
-        self.fleet = memory_fleet.MemoryFleet(
+        self.fleet = fake_fleet.FakeFleet(
             self._vms(strategy), self.clock, deployment.load_time_s
         )
-        self.weights = memory_fleet.MemoryWeights(
+        self.weights = fake_fleet.FakeWeightStore(
             self.clock, LOADS_PER_S, LOAD_BURST
         )
         self.controllers = self._controllers(strategy, seed)
@@ -150,7 +150,7 @@
     ) -> dict[str, controller.DomainController]:
         tools = controller.Dependencies(
             objects=self.store,
-            orders=memory_fleet.MemoryOrders(self.fleet),
+            orders=fake_fleet.FakeEngineOrders(self.fleet),
             weights=self.weights,
             clock=self.clock,
             entries=EntriesSee(self.fleet),
@@ -339,7 +339,7 @@
 
 
 def _serves(
-    fleet: memory_fleet.MemoryFleet, replica: domain_module.DomainReplica
+    fleet: fake_fleet.FakeFleet, replica: domain_module.DomainReplica
 ) -> bool:
     engines = [fleet.engine(name) for name in replica.members]
     return replica.state == domain_module.ReplicaState.SERVING and all(
@@ -349,7 +349,7 @@
 
 
 def _is_quiet(
-    fleet: memory_fleet.MemoryFleet,
+    fleet: fake_fleet.FakeFleet,
     domain: domain_module.FabricDomain,
     replicas: int,
 ) -> bool:
--- a/redwingvalve/cli/demo.py
+++ b/redwingvalve/cli/demo.py
@@ -8,7 +8,7 @@
 
 from redwingvalve.cli import options
 from redwingvalve.core import environment, exit_status
-from redwingvalve.demo import story
+from redwingvalve.demo import walkthrough
 from redwingvalve.observability import logs
 
 
@@ -19,7 +19,9 @@
     logs.configure(arguments.log_level, surroundings.stderr, 'demo')
     return anyio.run(
         functools.partial(
-            story.tell, surroundings, pathlib.Path(arguments.declaration)
+            walkthrough.run_walkthrough,
+            surroundings,
+            pathlib.Path(arguments.declaration),
         )
     )
 
@@ -33,7 +35,7 @@
         options.Option(
             dest='declaration',
             flags=('--declaration',),
-            default=str(story.DECLARATION),
+            default=str(walkthrough.DECLARATION),
             help='the declaration to plan and confirm',
         ),
         options.Option(
--- a/redwingvalve/cli/tests/test_operate.py
+++ b/redwingvalve/cli/tests/test_operate.py
@@ -9,7 +9,7 @@
 
 from redwingvalve.cli import main
 from redwingvalve.core import clock, environment, exit_status
-from redwingvalve.demo import platform, story
+from redwingvalve.demo import platform, walkthrough
 from redwingvalve.process import control, entry
 
 Status = exit_status.ExitStatus
@@ -49,7 +49,7 @@
 @contextlib.asynccontextmanager
 async def running_fleet():
     async with platform.run_platform({'d-1': 5}) as small:
-        fleet = story.make_fleet(small)
+        fleet = walkthrough.make_fleet_settings(small)
         stop = anyio.Event()
         async with anyio.create_task_group() as group:
             group.start_soon(entry.run_entry, fleet.entries[0], stop)
@@ -74,13 +74,15 @@
 
     async def scenario():
         async with running_fleet() as (small, fleet):
-            text = story.DECLARATION.read_text()
-            text = text.replace(story.SERVICE_ADDRESS, small.service_address)
+            text = walkthrough.DECLARATION.read_text()
+            text = text.replace(
+                walkthrough.SERVICE_ADDRESS, small.service_address
+            )
             wanted.write_text(text.replace('replicas: 2', 'replicas: 1', 1))
             shell = Shell(
                 {
                     'REDWINGVALVE_API': 'http://'
-                    + story.http_address(fleet.control)
+                    + walkthrough.http_address(fleet.control)
                 }
             )
             await bootstrap(shell, small)
--- a/redwingvalve/control/tests/test_loop.py
+++ b/redwingvalve/control/tests/test_loop.py
@@ -11,7 +11,7 @@
 from redwingvalve.platform_api import vm_list
 from redwingvalve.replicas import controller
 from redwingvalve.replicas import domain as domain_module
-from redwingvalve.standins import memory_fleet, memory_store
+from redwingvalve.standins import fake_fleet, memory_store
 
 
 class Bench:
@@ -24,13 +24,13 @@
             vm_list.Vm(f'vm-{i}', f'10.0.0.{i}:80', 'nave-a', f'd{i % 2}')
             for i in range(18)
         )
-        self.fleet = memory_fleet.MemoryFleet(vms, self.clock, 20.0)
-        self.weights = memory_fleet.MemoryWeights(self.clock, 1.0, 4)
+        self.fleet = fake_fleet.FakeFleet(vms, self.clock, 20.0)
+        self.weights = fake_fleet.FakeWeightStore(self.clock, 1.0, 4)
 
     def loop(self, owner):
         tools = controller.Dependencies(
             self.store,
-            memory_fleet.MemoryOrders(self.fleet),
+            fake_fleet.FakeEngineOrders(self.fleet),
             self.weights,
             self.clock,
             rng=random.Random(3),
--- a/redwingvalve/control/tests/test_moves.py
+++ b/redwingvalve/control/tests/test_moves.py
@@ -187,7 +187,7 @@
         for turn in range(GUARD_STEPS):
             if bench.all_current():
                 break
-            bench.store.faults.lose_answers = 1
+            bench.store.faults.responses_to_drop = 1
             for _ in range(10):
                 await bench.run(5, loops[turn % 2])
                 assert bench.truly_serving() >= 5
--- a/redwingvalve/demo/caller.py
+++ b/redwingvalve/demo/completion_client.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class Streamed:
+class StreamedCompletion:
     """What a caller received; whole is true when the end was seen."""
 
     status: int
@@ -25,7 +25,7 @@
     request_id: str
 
 
-class DemoCaller:
+class DemoClient:
     """Calls with one credential; any of first_entries is asked first."""
 
     def __init__(self, first_entries: tuple[str, ...], credential: str) -> None:
@@ -46,7 +46,7 @@
 
     async def stream_chat(
         self, deployment: str, prompt: str, max_tokens: int
-    ) -> Streamed:
+    ) -> StreamedCompletion:
         """Stream one chat completion and check that it is whole."""
         address = await self.entry_address()
         body = {
@@ -75,7 +75,7 @@
 
 def _read_stream(
     answer: httpx.Response, address: str, lines: list[str]
-) -> Streamed:
+) -> StreamedCompletion:
     pieces = [
         json.loads(line.removeprefix('data: '))
         for line in lines
@@ -86,7 +86,7 @@
         for piece in pieces
         if piece.get('choices')
     ]
-    return Streamed(
+    return StreamedCompletion(
         answer.status_code,
         address,
         ''.join(contents),
--- a/redwingvalve/demo/tests/test_story.py
+++ b/redwingvalve/demo/tests/test_walkthrough.py
@@ -6,7 +6,7 @@
 import anyio
 
 from redwingvalve.core import clock, environment, exit_status
-from redwingvalve.demo import story
+from redwingvalve.demo import walkthrough
 
 
 def test_a_declaration_becomes_a_whole_streamed_answer():
@@ -17,7 +17,9 @@
         variables=types.MappingProxyType({}),
         clock=clock.make_system_clock(),
     )
-    status = anyio.run(story.tell, surroundings, story.DECLARATION)
+    status = anyio.run(
+        walkthrough.run_walkthrough, surroundings, walkthrough.DECLARATION
+    )
     told = surroundings.stdout.getvalue()
     assert status == exit_status.ExitStatus.SUCCESS, told
     assert 'nothing happens until: redwingvalve confirm plan-' in told
--- a/redwingvalve/demo/story.py
+++ b/redwingvalve/demo/walkthrough.py
@@ -10,7 +10,7 @@
 
 from redwingvalve.cli import operate, tables
 from redwingvalve.core import environment, exit_status
-from redwingvalve.demo import caller, operator, platform
+from redwingvalve.demo import completion_client, operator, platform
 from redwingvalve.process import control, entry
 from redwingvalve.settings import schema
 from redwingvalve.standins import ports as standin_ports
@@ -28,26 +28,26 @@
 
 
 @attrs.frozen
-class Fleet:
+class FleetSettings:
     """Settings of the daemons that the demo runs."""
 
     entries: tuple[schema.Settings, ...]
     control: schema.Settings
 
 
-async def tell(
+async def run_walkthrough(
     surroundings: environment.Environment, declaration_file: pathlib.Path
 ) -> exit_status.ExitStatus:
     """Run the whole story; success only if every answer was whole."""
     async with platform.run_platform(DOMAINS) as small:
-        fleet = make_fleet(small)
+        fleet = make_fleet_settings(small)
         async with _run_daemons(fleet):
             return await _act(small, fleet, surroundings, declaration_file)
 
 
 async def _act(
     small: platform.DemoPlatform,
-    fleet: Fleet,
+    fleet: FleetSettings,
     surroundings: environment.Environment,
     declaration_file: pathlib.Path,
 ) -> exit_status.ExitStatus:
@@ -64,7 +64,7 @@
     tables.print_line(confirmed['message'], surroundings)
     await acting.wait_until_serving(DEPLOYMENT, REPLICAS)
     operate.print_status(await acting.status(), surroundings)
-    calling = caller.DemoCaller(
+    calling = completion_client.DemoClient(
         tuple(http_address(settings) for settings in fleet.entries),
         CREDENTIAL,
     )
@@ -73,7 +73,9 @@
     return _account(streamed, fetched.status_code, small, surroundings)
 
 
-async def _stream_when_ready(calling: caller.DemoCaller) -> caller.Streamed:
+async def _stream_when_ready(
+    calling: completion_client.DemoClient,
+) -> completion_client.StreamedCompletion:
     # Entries learn of a confirmed declaration within seconds; until then they
     # refuse at once and say when to come back, as any caller would see.
     with anyio.fail_after(SERVE_TIMEOUT_S):
@@ -85,7 +87,7 @@
 
 
 def _account(
-    streamed: caller.Streamed,
+    streamed: completion_client.StreamedCompletion,
     service_status: int,
     small: platform.DemoPlatform,
     surroundings: environment.Environment,
@@ -115,7 +117,7 @@
 
 @contextlib.asynccontextmanager
 async def _run_daemons(
-    fleet: Fleet,
+    fleet: FleetSettings,
 ) -> collections_abc.AsyncIterator[None]:
     stop = anyio.Event()
     async with anyio.create_task_group() as group:
@@ -126,7 +128,7 @@
         stop.set()
 
 
-def make_fleet(small: platform.DemoPlatform) -> Fleet:
+def make_fleet_settings(small: platform.DemoPlatform) -> FleetSettings:
     """Return settings for the entries and a controller on free ports."""
     names = [f'entry-{number + 1}' for number in range(ENTRIES)]
     ports = standin_ports.free_ports(2 * (ENTRIES + 1))
@@ -135,7 +137,7 @@
         _settings(name, small, (ports.pop(), ports.pop()), contact)
         for name in ('control-1', *reversed(names))
     ]
-    return Fleet(tuple(reversed(made[1:])), made[0])
+    return FleetSettings(tuple(reversed(made[1:])), made[0])
 
 
 def _settings(
--- a/redwingvalve/documents/binder.py
+++ b/redwingvalve/documents/binder.py
@@ -145,7 +145,7 @@
         if check is not None:
             found.extend(_findings_on_intact(bound, check))
     if bound is None or found:
-        found.sort(key=lambda one: (one.place.line, one.place.column))
+        found.sort(key=lambda one: (one.location.line, one.location.column))
         return Error(findings.Findings(tuple(found)))
     return Ok(bound)
 
--- a/redwingvalve/evidence/tests/test_evidence.py
+++ b/redwingvalve/evidence/tests/test_evidence.py
@@ -20,7 +20,7 @@
 from redwingvalve.news import bus
 from redwingvalve.platform_api import engine_orders, vm_list
 from redwingvalve.replicas import domain as domain_module
-from redwingvalve.standins import memory_fleet
+from redwingvalve.standins import fake_fleet
 
 NAMES = ('e1', 'e2', 'e3', 'e4')
 REPLICA = snapshot.Replica(
@@ -88,7 +88,7 @@
         self.permits = serving_permits.make_serving_permits(
             self.evidence, invariants.SafeguardSwitches(disabled)
         )
-        self.orders = memory_fleet.MemoryOrders(bench.fleet)
+        self.orders = fake_fleet.FakeEngineOrders(bench.fleet)
         self.prober = prober.make_prober(
             self.evidence,
             bench.configuration,
@@ -104,7 +104,7 @@
         self.clock = clock.ManualClock(100.0)
         self.news = {}
         self.configuration = Configuration()
-        self.fleet = memory_fleet.MemoryFleet(
+        self.fleet = fake_fleet.FakeFleet(
             tuple(
                 vm_list.Vm(m.vm, m.address, 'nave-a', 'd')
                 for m in REPLICA.members
@@ -116,7 +116,7 @@
             order = engine_orders.EngineOrder(
                 engine.vm.name, 1, 'quotes-1', 4, 'm', '1', f'r{position}'
             )
-            engine.obey(order, 0.0, 0.0)
+            engine.apply(order, 0.0, 0.0)
         self.entries = {name: Entry(name, self, disabled) for name in NAMES}
 
     async def run(self, duration_s):
--- a/redwingvalve/evidence/tests/test_vouching.py
+++ b/redwingvalve/evidence/tests/test_vouching.py
@@ -8,14 +8,14 @@
 from redwingvalve.evidence import table
 from redwingvalve.evidence.tests import test_evidence
 from redwingvalve.platform_api import engine_orders
-from redwingvalve.standins import memory_fleet
+from redwingvalve.standins import fake_fleet
 
 REPLICA = test_evidence.REPLICA
 HEAD, *OTHERS = (member.vm for member in REPLICA.members)
 AGE_S = 0.1
 
 
-class _VouchingOrders(memory_fleet.MemoryOrders):
+class _VouchingOrders(fake_fleet.FakeEngineOrders):
     """The head says of each engine that lives when it saw it last."""
 
     def __init__(self, fleet):
--- a/redwingvalve/plans/tests/test_manager.py
+++ b/redwingvalve/plans/tests/test_manager.py
@@ -200,7 +200,7 @@
         store = memory_store.make_memory_object_api()
         plans = make_manager(store)
         made = (await plans.propose(declared(), 'ana')).ok
-        store.faults.lose_answers = lost
+        store.faults.responses_to_drop = lost
         assert (await plans.confirm(made.name, 'ana')).is_ok()
 
     anyio.run(scenario)
--- a/redwingvalve/process/tests/test_drains.py
+++ b/redwingvalve/process/tests/test_drains.py
@@ -3,7 +3,7 @@
 import anyio
 import httpx
 
-from redwingvalve.demo import caller, operator, platform, story
+from redwingvalve.demo import completion_client, operator, platform, walkthrough
 from redwingvalve.process import control, entry
 
 
@@ -23,7 +23,7 @@
 
     async def scenario():
         async with platform.run_platform({'d-1': 5, 'd-2': 4}) as small:
-            fleet = story.make_fleet(small)
+            fleet = walkthrough.make_fleet_settings(small)
             bearer = await operator.issue_first_token(small.store)
             stop = anyio.Event()
             async with anyio.create_task_group() as group:
@@ -33,7 +33,7 @@
                 await check(
                     fleet,
                     operator.DemoOperator(
-                        story.http_address(fleet.control), bearer
+                        walkthrough.http_address(fleet.control), bearer
                     ),
                     small,
                 )
@@ -42,8 +42,8 @@
     async def check(fleet, acting, small):
         await acting.wait_until_reachable()
         await acting.wait_until_listed(9)
-        text = story.DECLARATION.read_text().replace(
-            story.SERVICE_ADDRESS, small.service_address
+        text = walkthrough.DECLARATION.read_text().replace(
+            walkthrough.SERVICE_ADDRESS, small.service_address
         )
         plan = await acting.plan(text, 'demo.yaml')
         await acting.confirm(plan['name'])
@@ -61,8 +61,10 @@
             return len(serving) == 2 and drained not in members
 
         await until(vm_is_out)
-        entries = tuple(story.http_address(each) for each in fleet.entries)
-        calling = caller.DemoCaller(entries, story.CREDENTIAL)
+        entries = tuple(
+            walkthrough.http_address(each) for each in fleet.entries
+        )
+        calling = completion_client.DemoClient(entries, walkthrough.CREDENTIAL)
         await acting.drain('entry', 'entry-1')
 
         async def entry_is_not_named():
@@ -73,7 +75,7 @@
 
         await until(entry_is_not_named)
         calling.entry_address = lambda: first(entries)
-        kept = await calling.stream_chat('quotes', story.PROMPT, 5)
+        kept = await calling.stream_chat('quotes', walkthrough.PROMPT, 5)
         assert (kept.whole, kept.entry) == (True, entries[0])
 
     async def first(entries):
@@ -91,7 +93,7 @@
 
     async def scenario():
         async with platform.run_platform({'d-1': 4, 'd-2': 4}) as small:
-            fleet = story.make_fleet(small)
+            fleet = walkthrough.make_fleet_settings(small)
             bearer = await operator.issue_first_token(small.store)
             stop = anyio.Event()
             async with anyio.create_task_group() as group:
@@ -104,19 +106,21 @@
 
     async def serve(fleet, small, bearer):
         acting = operator.DemoOperator(
-            story.http_address(fleet.control), bearer
+            walkthrough.http_address(fleet.control), bearer
         )
         await acting.wait_until_reachable()
         await acting.wait_until_listed(8)
-        text = story.DECLARATION.read_text().replace(
-            story.SERVICE_ADDRESS, small.service_address
+        text = walkthrough.DECLARATION.read_text().replace(
+            walkthrough.SERVICE_ADDRESS, small.service_address
         )
         await acting.confirm((await acting.plan(text, 'demo.yaml'))['name'])
         await acting.wait_until_serving('quotes', 2)
 
     async def lose_store_and_vm(fleet, small):
-        entries = tuple(story.http_address(each) for each in fleet.entries)
-        calling = caller.DemoCaller(entries, story.CREDENTIAL)
+        entries = tuple(
+            walkthrough.http_address(each) for each in fleet.entries
+        )
+        calling = completion_client.DemoClient(entries, walkthrough.CREDENTIAL)
 
         async def used():
             """Return the domains whose heads ran one of twelve streams."""
@@ -140,7 +144,7 @@
 
         await until(both_are_used)
         small.store.set_outage(outage=True)
-        small.vms.mark('d-1-vm-2', 'leaving')
+        small.vms.set_state('d-1-vm-2', 'leaving')
         await until(only_one_is_used)
         assert await only_one_is_used()
 
--- a/redwingvalve/process/tests/test_tls.py
+++ b/redwingvalve/process/tests/test_tls.py
@@ -8,7 +8,7 @@
 import pytest
 
 from redwingvalve.core import clock
-from redwingvalve.demo import operator, platform, story
+from redwingvalve.demo import operator, platform, walkthrough
 from redwingvalve.process import control, entry
 from redwingvalve.settings import schema
 from redwingvalve.tls import contexts
@@ -51,7 +51,7 @@
 
     async def scenario():
         async with platform.run_platform({'d-1': 1}) as small:
-            fleet = story.make_fleet(small)
+            fleet = walkthrough.make_fleet_settings(small)
             node = with_tls(fleet.entries[0], tls)
             controller = with_tls(fleet.control, tls)
             bearer = await operator.issue_first_token(small.store)
@@ -92,7 +92,7 @@
     async def scenario():
         async with platform.run_platform({'d-1': 1}) as small:
             settings = with_tls(
-                story.make_fleet(small).control,
+                walkthrough.make_fleet_settings(small).control,
                 schema.TlsSettings('absent.pem', 'absent.pem', 'absent.pem'),
             )
             with pytest.raises(Exception, match='absent.pem'):
--- a/redwingvalve/replicas/tests/fixtures.py
+++ b/redwingvalve/replicas/tests/fixtures.py
@@ -9,7 +9,7 @@
 from redwingvalve.platform_api import vm_list
 from redwingvalve.replicas import controller, draft, entry_reports, view
 from redwingvalve.replicas import domain as domain_module
-from redwingvalve.standins import memory_fleet, memory_store
+from redwingvalve.standins import fake_fleet, memory_store
 
 STEP_S = 0.5
 LOAD_S = 20.0
@@ -28,7 +28,7 @@
     def __init__(self, vms=7, wanted=None, disabled=()):
         self.clock = clock.ManualClock(1000.0)
         self.store = memory_store.make_memory_object_api()
-        self.fleet = memory_fleet.MemoryFleet(
+        self.fleet = fake_fleet.FakeFleet(
             tuple(
                 vm_list.Vm(f'vm-{i}', f'10.0.0.{i}:80', 'nave-a', 'd')
                 for i in range(vms)
@@ -36,7 +36,7 @@
             self.clock,
             LOAD_S,
         )
-        self.weights = memory_fleet.MemoryWeights(self.clock, 1.0, 4)
+        self.weights = fake_fleet.FakeWeightStore(self.clock, 1.0, 4)
         self.wanted = wanted or (view.DesiredShare(deployment(), 2, 0),)
         self.disabled = disabled
         self.ways = {}
@@ -47,7 +47,7 @@
         return [self.controller(owner) for owner in owners]
 
     def controller(self, owner, store=None):
-        self.ways[owner] = memory_fleet.MemoryOrders(self.fleet)
+        self.ways[owner] = fake_fleet.FakeEngineOrders(self.fleet)
         tools = controller.Dependencies(
             store or self.store,
             self.ways[owner],
--- a/redwingvalve/replicas/tests/gated.py
+++ b/redwingvalve/replicas/tests/gated.py
@@ -13,7 +13,7 @@
 from redwingvalve.core import invariants
 from redwingvalve.platform_api import engine_orders, object_api
 from redwingvalve.replicas import controller, draft, entry_reports
-from redwingvalve.standins import memory_fleet
+from redwingvalve.standins import fake_fleet
 
 
 class Gate:
@@ -67,7 +67,7 @@
         raise NotImplementedError
 
 
-class GatedOrders(memory_fleet.MemoryOrders):
+class GatedOrders(fake_fleet.FakeEngineOrders):
     """One process's way to the engines; probes pass freely."""
 
     def __init__(self, fleet, gate):
@@ -138,14 +138,14 @@
 def check_engines(fleet):
     """What engines that ignore fencing would suffer from, and callers."""
     for engine in fleet.engines.values():
-        numbers = [order.fencing_number for order in engine.obeyed]
+        numbers = [order.fencing_number for order in engine.applied_orders]
         invariants.require(
             numbers == sorted(numbers),
             'no order of an old holder is obeyed after one of a newer holder',
             f'{engine.vm.name}: {numbers}',
         )
         invariants.require(
-            not engine.cut_off,
+            not engine.interrupted_requests,
             'a planned stop cuts off no request in progress',
             engine.vm.name,
         )
--- a/redwingvalve/replicas/tests/test_controller.py
+++ b/redwingvalve/replicas/tests/test_controller.py
@@ -139,7 +139,9 @@
             engine.state = attrs.evolve(engine.state, in_flight=0)
         await bench.run(3, one)
         assert bench.states() == ['forming', 'serving']
-        assert not any(e.cut_off for e in bench.fleet.engines.values())
+        assert not any(
+            e.interrupted_requests for e in bench.fleet.engines.values()
+        )
 
     anyio.run(scenario)
 
@@ -175,7 +177,7 @@
         )
         bench = fixtures.Bench(wanted=(view.DesiredShare(ignoring, 2),))
         for engine in bench.fleet.engines.values():
-            engine.refuses_old = False
+            engine.checks_fencing = False
         one, two = await bench.begin('one', 'two')
         await bench.run(2, one, two)
         await bench.run(60, two)
@@ -193,7 +195,7 @@
         bench = fixtures.Bench()
         (one,) = await bench.begin('one')
         for _ in range(5):
-            bench.store.faults.lose_answers = 1
+            bench.store.faults.responses_to_drop = 1
             await bench.run(5, one)
         bench.store.set_outage(outage=True)
         await bench.run(3600, one)
--- a/redwingvalve/replicas/tests/test_domain_machine.py
+++ b/redwingvalve/replicas/tests/test_domain_machine.py
@@ -39,7 +39,7 @@
         self.declare('1')
         ignores = trust == schema.EndpointTrust.IGNORES_FENCING
         for engine in self.bench.fleet.engines.values():
-            engine.refuses_old = not ignores
+            engine.checks_fencing = not ignores
         body = domain_module.to_body(domain_module.FabricDomain('d', 'nave-a'))
         self.runner.run(self.bench.store.create(domain_module.KIND, 'd', body))
         self.processes = {
@@ -85,7 +85,7 @@
 
     @stateful.rule(count=st.integers(0, 3))
     def answers_get_lost(self, count):
-        self.bench.store.faults.lose_answers = count
+        self.bench.store.faults.responses_to_drop = count
 
     @stateful.rule(name=st.sampled_from(NAMES), store=st.booleans())
     def partition(self, name, store):
@@ -93,8 +93,8 @@
         if store:
             process.gate.store_cut_off = not process.gate.store_cut_off
         else:
-            cut_off = set() if process.orders.cut_off_from else set(VMS[:3])
-            process.orders.cut_off_from = cut_off
+            cut_off = set() if process.orders.unreachable_vms else set(VMS[:3])
+            process.orders.unreachable_vms = cut_off
 
     @stateful.rule(version=st.sampled_from(('1', '2')))
     def version_is_declared(self, version):
--- a/redwingvalve/replicas/tests/test_lease_model.py
+++ b/redwingvalve/replicas/tests/test_lease_model.py
@@ -33,7 +33,7 @@
         )
         ignores = trust == schema.EndpointTrust.IGNORES_FENCING
         for engine in self.bench.fleet.engines.values():
-            engine.refuses_old = not ignores
+            engine.checks_fencing = not ignores
         body = domain_module.to_body(domain_module.FabricDomain('d', 'nave-a'))
         runner.run(self.bench.store.create(domain_module.KIND, 'd', body))
         self.processes = {
--- a/redwingvalve/soak/comparing.py
+++ b/redwingvalve/soak/comparing.py
@@ -12,7 +12,7 @@
 import attrs
 
 from redwingvalve.soak import breaches, operators, records, work
-from redwingvalve.standins import answers, ledger
+from redwingvalve.standins import generated_text, ledger
 
 Promise = breaches.Promise
 Found = collections_abc.Iterator[breaches.Breach]
@@ -116,7 +116,9 @@
         return attempt.text == asked.digest
     return any(
         attempt.text
-        == answers.whole_text(asked.prompt, model, version, asked.max_tokens)
+        == generated_text.full_text(
+            asked.prompt, model, version, asked.max_tokens
+        )
         for model, version in versions
     )
 
--- a/redwingvalve/soak/platform.py
+++ b/redwingvalve/soak/platform.py
@@ -70,7 +70,7 @@
         """Return the VMs of a fabric domain."""
         return tuple(
             row['name']
-            for row in self.listed.truth()
+            for row in self.listed.current_rows()
             if row['fabric_domain'] == domain
         )
 
@@ -107,7 +107,7 @@
         for each in (*self.engines.engines.values(), *self.services):
             each.faults = type(each.faults)()
         for service in self.services:
-            service.lose_answers = 0
+            service.responses_to_drop = 0
 
 
 async def _directly(address: str) -> str:
--- a/redwingvalve/soak/platform_faults.py
+++ b/redwingvalve/soak/platform_faults.py
@@ -26,7 +26,7 @@
     """Freeze a VM."""
     victim = hit.engine(fault)
     victim.faults.paused_until_s = time.monotonic() + fault.duration_s
-    victim.note_disturbance()
+    victim.record_fault()
     await anyio.sleep(fault.duration_s)
     return victim.options.vm
 
@@ -35,7 +35,7 @@
     """Lose every new request to a VM."""
     victim = hit.engine(fault)
     victim.faults.unreachable_until_s = time.monotonic() + fault.duration_s
-    victim.note_disturbance()
+    victim.record_fault()
     await anyio.sleep(fault.duration_s)
     return victim.options.vm
 
@@ -64,9 +64,9 @@
     vm = hit.engine(fault).options.vm
     listed = hit.platform.listed
     told_s = time.time() + listed.lag_s
-    listed.mark(vm, 'leaving')
+    listed.set_state(vm, 'leaving')
     await anyio.sleep(fault.duration_s + 2 * comparing.Bounds().leaving_s)
-    listed.mark(vm, 'live')
+    listed.set_state(vm, 'live')
     hit.leaving.append(comparing.ReleaseState(vm, told_s, time.time()))
     return vm
 
@@ -121,5 +121,5 @@
 async def service_loses(hit: targets.Targets, fault: schedule.Fault) -> str:
     """Lose answers of calls that a service has run."""
     victim = targets.pick(hit.platform.services, fault.where)
-    victim.lose_answers += LOST_CALLS
+    victim.responses_to_drop += LOST_CALLS
     return victim.name
--- a/redwingvalve/soak/tests/test_comparing.py
+++ b/redwingvalve/soak/tests/test_comparing.py
@@ -4,7 +4,7 @@
 import pytest
 
 from redwingvalve.soak import breaches, comparing, records, schedule, work
-from redwingvalve.standins import answers, ledger
+from redwingvalve.standins import generated_text, ledger
 
 TARGET = work.Target('quotes', '/records/', '/records/job-cards')
 QUOTE = work.make_work('w1', work.Kind.QUOTE, TARGET)
@@ -23,7 +23,9 @@
 
 
 def text_of(asked, version='1'):
-    return answers.whole_text(asked.prompt, 'm', version, asked.max_tokens)
+    return generated_text.full_text(
+        asked.prompt, 'm', version, asked.max_tokens
+    )
 
 
 CASES = [
--- a/redwingvalve/soak/work.py
+++ b/redwingvalve/soak/work.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from redwingvalve.standins import answers, plain_service
+from redwingvalve.standins import generated_text, plain_service
 
 CHAT_PATH = '/v1/chat/completions'
 PREFIX_LENGTH = 600
@@ -116,14 +116,14 @@
         'max_tokens': TOKENS[kind],
         'stream': kind is not Kind.QUOTE,
     }
-    prompt = answers.prompt_text(body)
+    prompt = generated_text.prompt_text(body)
     return Work(
         name,
         kind,
         'POST',
         CHAT_PATH,
         json.dumps(body).encode(),
-        answers.prompt_digest(prompt),
+        generated_text.prompt_digest(prompt),
         prompt,
         TOKENS[kind],
         bool(marker),
--- a/redwingvalve/standins/completions.py
+++ b/redwingvalve/standins/completions.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from redwingvalve.standins import answers
+from redwingvalve.standins import generated_text
 
 DONE = b'data: [DONE]\n\n'
 
@@ -27,13 +27,13 @@
     path: str, request_id: str, body: dict[str, typing.Any]
 ) -> CompletionRequest:
     """Return the request in a JSON body; ValueError when malformed."""
-    max_tokens = int(body.get('max_tokens', answers.DEFAULT_MAX_TOKENS))
+    max_tokens = int(body.get('max_tokens', generated_text.DEFAULT_MAX_TOKENS))
     if max_tokens < 1:
         raise ValueError('max_tokens is at least 1')
     resume = body.get('resume') or {}
     return CompletionRequest(
         request_id=request_id,
-        prompt=answers.prompt_text(body),
+        prompt=generated_text.prompt_text(body),
         max_tokens=max_tokens,
         priority=int(body.get('priority', 0)),
         stream=bool(body.get('stream', False)),
@@ -74,7 +74,7 @@
             choice['message'] = {'role': 'assistant', 'content': text}
         else:
             choice['text'] = text
-        prompt_tokens = answers.count_prompt_tokens(self.request.prompt)
+        prompt_tokens = generated_text.count_prompt_tokens(self.request.prompt)
         usage = {
             'prompt_tokens': prompt_tokens,
             'completion_tokens': self.request.max_tokens,
--- a/redwingvalve/standins/engine.py
+++ b/redwingvalve/standins/engine.py
@@ -17,9 +17,9 @@
 
 from redwingvalve.platform_api import engine_orders
 from redwingvalve.standins import (
-    answers,
     batching,
     faults,
+    generated_text,
     ledger,
     load_report,
     orders,
@@ -202,7 +202,7 @@
             prompt=prompt,
             priority=priority,
             arrival=next(self._arrivals),
-            prompt_tokens=answers.count_prompt_tokens(prompt) + done,
+            prompt_tokens=generated_text.count_prompt_tokens(prompt) + done,
             max_tokens=max_tokens,
             done=done,
         )
@@ -241,7 +241,7 @@
         self.faults.paused_until_s = 0.0
         self._disturbed_until_s = time.monotonic() + AFTERMATH_S
 
-    def note_disturbance(self) -> None:
+    def record_fault(self) -> None:
         """Remember that a pause or a cut begins now, if one does."""
         if self.paused():
             self._paused_since_s = time.monotonic()
@@ -291,7 +291,7 @@
                 self.die(self.faults.restart_after_s)
                 return
             held = self.cache.use(
-                answers.prefix_hashes(run.prompt), time.monotonic()
+                generated_text.prefix_hashes(run.prompt), time.monotonic()
             )
             run.prefilled = max(run.prefilled, _tokens_of(held))
             run.prefilled = min(run.prefilled, run.prompt_tokens - 1)
@@ -319,5 +319,5 @@
 
 
 def _tokens_of(blocks: int) -> int:
-    characters = blocks * answers.PREFIX_BLOCK_CHARACTERS
-    return characters // answers.CHARACTERS_PER_TOKEN
+    characters = blocks * generated_text.PREFIX_BLOCK_CHARACTERS
+    return characters // generated_text.CHARACTERS_PER_TOKEN
--- a/redwingvalve/standins/engine_app.py
+++ b/redwingvalve/standins/engine_app.py
@@ -8,11 +8,11 @@
 
 from redwingvalve.core import outcomes
 from redwingvalve.standins import (
-    answers,
     asgi,
     completions,
     engine,
     faults,
+    generated_text,
     ledger,
     orders,
 )
@@ -114,7 +114,7 @@
                     {
                         'request_id': request_id,
                         'tokens': run.prefilled + run.done,
-                        'digest': answers.prompt_digest(run.prompt),
+                        'digest': generated_text.prompt_digest(run.prompt),
                     },
                 )
                 return
@@ -130,7 +130,7 @@
             self._engine.orders.ignores_fencing = True
         else:
             faults.set_fault(self._engine.faults, wanted, time.monotonic())
-            self._engine.note_disturbance()
+            self._engine.record_fault()
         await exchange.answer(200, {})
 
     async def _clear_faults(self, exchange: asgi.Exchange) -> None:
@@ -194,7 +194,7 @@
             ledger.LedgerEntry(
                 request_id=request.request_id,
                 started=time.time(),
-                digest=answers.prompt_digest(request.prompt),
+                digest=generated_text.prompt_digest(request.prompt),
                 epoch=state.epoch,
                 replica=state.replica,
                 vm=state.vm,
@@ -298,7 +298,9 @@
 
     def _token(self, position: int) -> str:
         prompt = FOREIGN_PROMPT if self._crossed else self._request.prompt
-        return answers.token_text(prompt, self._model, self._version, position)
+        return generated_text.token_text(
+            prompt, self._model, self._version, position
+        )
 
     def _headers(self) -> dict[str, str]:
         told = self._shapes.request.request_id
--- a/redwingvalve/standins/memory_fleet.py
+++ b/redwingvalve/standins/fake_fleet.py
@@ -16,7 +16,7 @@
 
 
 @attrs.define
-class MemoryEngine:
+class FakeEngine:
     """One VM's engine; it loads for load_time_s after an order.
 
     cut_off counts requests that an order ended while the replica was whole;
@@ -24,14 +24,14 @@
     """
 
     vm: vm_list.Vm
-    refuses_old: bool = True
+    checks_fencing: bool = True
     alive: bool = True
     starts: int = 1
     state: EngineState = attrs.field(init=False)
     ready_at_s: float = 0.0
-    cut_off: int = 0
+    interrupted_requests: int = 0
     loads: int = 0
-    obeyed: list[engine_orders.EngineOrder] = attrs.field(factory=list)
+    applied_orders: list[engine_orders.EngineOrder] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
         """Start idle."""
@@ -43,17 +43,17 @@
         self.alive = True
         self.state = self._fresh_state()
 
-    def obey(
+    def apply(
         self, order: engine_orders.EngineOrder, now_s: float, load_time_s: float
     ) -> Result[EngineState, engine_orders.OrderError]:
         """Take an order; one for the state that it is in changes nothing."""
-        if self.refuses_old and (
+        if self.checks_fencing and (
             order.fencing_number < self.state.highest_fencing_number
         ):
             return Error(
                 engine_orders.OrderRefused(self.state.highest_fencing_number)
             )
-        self.obeyed = [*self.obeyed, order][-SEEN_ORDERS:]
+        self.applied_orders = [*self.applied_orders, order][-SEEN_ORDERS:]
         highest = max(order.fencing_number, self.state.highest_fencing_number)
         same = (order.replica, order.epoch) == (
             self.state.replica,
@@ -64,7 +64,7 @@
                 self.state, highest_fencing_number=highest
             )
             return Ok(self.state)
-        self.cut_off += self.state.in_flight
+        self.interrupted_requests += self.state.in_flight
         self.loads += bool(order.replica)
         self.ready_at_s = now_s + load_time_s * bool(order.replica)
         self.state = EngineState(
@@ -91,7 +91,7 @@
         return EngineState(self.vm.name, f'{self.vm.name}/{self.starts}', True)
 
 
-class MemoryFleet(vm_list.VmList):
+class FakeFleet(vm_list.VmList):
     """All VMs; list changes are seen at once, set lag by not calling."""
 
     def __init__(
@@ -101,7 +101,7 @@
         load_time_s: float,
     ) -> None:
         """Start with all engines idle."""
-        self.engines = {vm.address: MemoryEngine(vm) for vm in vms}
+        self.engines = {vm.address: FakeEngine(vm) for vm in vms}
         self._by_name = {
             engine.vm.name: engine for engine in self.engines.values()
         }
@@ -118,7 +118,7 @@
         """Return all VMs as the list shows them."""
         return tuple(engine.vm for engine in self.engines.values())
 
-    def engine(self, name: str) -> MemoryEngine:
+    def engine(self, name: str) -> FakeEngine:
         """Return the engine of a VM."""
         return self._by_name[name]
 
@@ -128,13 +128,13 @@
         engine.vm = attrs.evolve(engine.vm, state=vm_list.VmState.LEAVING)
 
 
-class MemoryOrders(engine_orders.EngineOrders):
+class FakeEngineOrders(engine_orders.EngineOrders):
     """One process's way to the engines; cut_off_from are unreachable."""
 
-    def __init__(self, fleet: MemoryFleet) -> None:
+    def __init__(self, fleet: FakeFleet) -> None:
         """Reach every engine."""
         self.fleet = fleet
-        self.cut_off_from: set[str] = set()
+        self.unreachable_vms: set[str] = set()
         self.probes = 0
         self.sent = 0
 
@@ -146,7 +146,7 @@
         engine = self._reach(address)
         if engine is None:
             return Error(engine_orders.EngineUnreachable('no answer'))
-        return engine.obey(
+        return engine.apply(
             order, self.fleet.clock.monotonic_s(), self.fleet.load_time_s
         )
 
@@ -160,14 +160,14 @@
             return Error(engine_orders.EngineUnreachable('no answer'))
         return Ok(engine.state_at(self.fleet.clock.monotonic_s()))
 
-    def _reach(self, address: str) -> MemoryEngine | None:
+    def _reach(self, address: str) -> FakeEngine | None:
         engine = self.fleet.engines.get(address)
         if engine is None or not engine.alive:
             return None
-        return None if engine.vm.name in self.cut_off_from else engine
+        return None if engine.vm.name in self.unreachable_vms else engine
 
 
-class MemoryWeights(weight_store.WeightStore):
+class FakeWeightStore(weight_store.WeightStore):
     """Grants loads_per_s loads, in a bucket of burst."""
 
     def __init__(
--- a/redwingvalve/standins/answers.py
+++ b/redwingvalve/standins/generated_text.py
@@ -21,7 +21,7 @@
     return f' t{position}-{digest[:6]}'
 
 
-def whole_text(prompt: str, model: str, version: str, count: int) -> str:
+def full_text(prompt: str, model: str, version: str, count: int) -> str:
     """Return the whole answer of count tokens."""
     return ''.join(
         token_text(prompt, model, version, position)
--- a/redwingvalve/standins/memory_store.py
+++ b/redwingvalve/standins/memory_store.py
@@ -27,7 +27,7 @@
     """Switches for the faults of the store; all off by default."""
 
     outage: bool = False
-    lose_answers: int = 0
+    responses_to_drop: int = 0
     delay_s: float = 0.0
 
 
@@ -186,9 +186,9 @@
     def _answer(
         self, answer: Result[object, ObjectError]
     ) -> Result[object, ObjectError]:
-        if not self.faults.lose_answers:
+        if not self.faults.responses_to_drop:
             return answer
-        self.faults.lose_answers -= 1
+        self.faults.responses_to_drop -= 1
         return _unavailable(maybe_applied=True)
 
     def _put(
--- a/redwingvalve/standins/object_api_app.py
+++ b/redwingvalve/standins/object_api_app.py
@@ -175,7 +175,7 @@
         if name == 'slow':
             self._store.faults.delay_s = float(wanted['delay_s'])
         elif name == 'lose-answers':
-            self._store.faults.lose_answers = int(wanted.get('count', 1))
+            self._store.faults.responses_to_drop = int(wanted.get('count', 1))
         elif name == 'rate':
             self._state.writes = rate_limit.TokenBucket(
                 float(wanted.get('writes_per_s', 0.0))
@@ -192,7 +192,7 @@
         self._state.silent = False
         self._state.outages += 1
         self._store.faults.delay_s = 0.0
-        self._store.faults.lose_answers = 0
+        self._store.faults.responses_to_drop = 0
         self._store.set_outage(outage=False)
 
     def _begin_outage(self, *, silent: bool) -> None:
--- a/redwingvalve/standins/plain_service.py
+++ b/redwingvalve/standins/plain_service.py
@@ -28,7 +28,7 @@
         factory=fault_switches.EngineFaults
     )
     ledger: ledgers.Ledger = attrs.field(factory=ledgers.Ledger)
-    lose_answers: int = 0
+    responses_to_drop: int = 0
     server: serving.StandinServer | None = None
 
     async def handle(self, exchange: asgi.Exchange) -> None:
@@ -46,12 +46,12 @@
     async def _fault(self, exchange: asgi.Exchange) -> None:
         if exchange.method == 'DELETE':
             self.faults = fault_switches.EngineFaults()
-            self.lose_answers = 0
+            self.responses_to_drop = 0
             await exchange.answer(200, {})
             return
         wanted = await exchange.json_body()
         if wanted['name'] == 'lose-answers':
-            self.lose_answers = int(wanted.get('count', 1))
+            self.responses_to_drop = int(wanted.get('count', 1))
         elif wanted['name'] != 'die':
             fault_switches.set_fault(self.faults, wanted, time.monotonic())
         await exchange.answer(200, {})
@@ -77,8 +77,8 @@
             self.server.abort()
         await anyio.sleep(self.latency_s * self.faults.straggle_factor)
         entry.finished = time.time()
-        if self.lose_answers:
-            self.lose_answers -= 1
+        if self.responses_to_drop:
+            self.responses_to_drop -= 1
             exchange.drop()
         if self.faults.take_truncate():
             await exchange.start(
--- a/redwingvalve/standins/tests/test_engine.py
+++ b/redwingvalve/standins/tests/test_engine.py
@@ -8,10 +8,10 @@
 import httpx
 
 from redwingvalve.standins import (
-    answers,
     batching,
     engine,
     engine_host,
+    generated_text,
     orders,
 )
 
@@ -64,7 +64,7 @@
     async def scenario(client, host):
         whole = await complete(client)
         stream = await complete(client, stream=True)
-        wanted = answers.whole_text('hello', 'm', 'v', 5)
+        wanted = generated_text.full_text('hello', 'm', 'v', 5)
         assert whole.json()['choices'][0]['text'] == wanted
         assert ''.join(texts_of(stream.text)) == wanted
         assert stream.text.endswith('data: [DONE]\n\n')
@@ -82,7 +82,7 @@
         resume = {'request_id': 'a', 'tokens': ['x', 'y']}
         stream = await complete(client, stream=True, resume=resume)
         assert texts_of(stream.text) == [
-            answers.token_text('hello', 'm', 'v', position)
+            generated_text.token_text('hello', 'm', 'v', position)
             for position in (2, 3, 4)
         ]
 
@@ -239,7 +239,7 @@
         host.engines['vm-0'].cache._lag_s = 0.0
         late = (await client.get('/cache-events?after=0')).json()['events']
         assert [event['prefix_hash'] for event in late] == list(
-            answers.prefix_hashes('x' * 600)
+            generated_text.prefix_hashes('x' * 600)
         )
 
     run_with_engine(
--- a/redwingvalve/standins/tests/test_memory_store.py
+++ b/redwingvalve/standins/tests/test_memory_store.py
@@ -22,7 +22,7 @@
 def test_a_lost_answer_hides_a_write_that_took_effect():
     async def scenario():
         store = memory_store.make_memory_object_api()
-        store.faults.lose_answers = 1
+        store.faults.responses_to_drop = 1
         lost = await store.create('plans', 'a', {})
         assert lost.error.maybe_applied
         assert (await store.get('plans', 'a')).is_ok()
--- a/redwingvalve/standins/vm_list.py
+++ b/redwingvalve/standins/vm_list.py
@@ -24,20 +24,20 @@
             since_s -= self.lag_s
         self._lists.append((since_s, [dict(vm) for vm in vms]))
 
-    def truth(self) -> list[VmRow]:
+    def current_rows(self) -> list[VmRow]:
         """Return the list without its lag."""
         return [dict(vm) for vm in self._lists[-1][1]] if self._lists else []
 
     def remove(self, name: str) -> None:
         """Take a VM off the list."""
-        self.set([vm for vm in self.truth() if vm['name'] != name])
+        self.set([vm for vm in self.current_rows() if vm['name'] != name])
 
-    def mark(self, name: str, state: str) -> None:
+    def set_state(self, name: str, state: str) -> None:
         """Set the state of a VM, such as leaving."""
         self.set(
             [
                 {**vm, 'state': state} if vm['name'] == name else vm
-                for vm in self.truth()
+                for vm in self.current_rows()
             ]
         )
 
--- a/tests/integration/promises.py
+++ b/tests/integration/promises.py
@@ -128,7 +128,7 @@
     lost with its endpoint, lets all of them through to a second run.
     """
     for service in stage.run.platform.services:
-        service.lose_answers = 3
+        service.responses_to_drop = 3
     await stage.ask(work.Kind.FLAG, 6, PATIENT_ATTEMPTS)
 
 
@@ -191,7 +191,7 @@
             if head is leaving:
                 continue
             head.faults.unreachable_until_s = time.monotonic() + OTHERS_GONE_S
-            head.note_disturbance()
+            head.record_fault()
         async with without_controllers(stage):
             leaving.faults.straggle_factor = 1.0
             await anyio.sleep(OTHERS_GONE_S)
--- a/tests/integration/test_whole_path.py
+++ b/tests/integration/test_whole_path.py
@@ -7,7 +7,7 @@
 import httpx
 import pytest
 
-from redwingvalve.demo import caller, operator
+from redwingvalve.demo import completion_client, operator
 from redwingvalve.platform_api import http_object_api
 from redwingvalve.standins import ports, vm_list
 from tests.integration import processes
@@ -149,9 +149,9 @@
         fleet = Fleet(children)
         fleet.start()
         await confirm(fleet)
-        leaving = caller.DemoCaller((fleet.entries[0],), 'secret')
+        leaving = completion_client.DemoClient((fleet.entries[0],), 'secret')
         leaving.entry_address = lambda: _always(fleet.entries[0])
-        staying = caller.DemoCaller((fleet.entries[1],), 'secret')
+        staying = completion_client.DemoClient((fleet.entries[1],), 'secret')
         await stream_until_whole(leaving)
         await stream_until_whole(staying)
         received = []
