--- a/redwingvalve/administration/feasibility.py
+++ b/redwingvalve/administration/feasibility.py
@@ -28,7 +28,7 @@
         largest = max(sizes.values(), default=0)
         if largest < deployment.vms_per_replica:
             yield findings.Finding(
-                bound.places.place('deployments', index, 'vms_per_replica'),
+                bound.locations.locate('deployments', index, 'vms_per_replica'),
                 f'no fabric domain has {deployment.vms_per_replica} VMs; '
                 f'the largest of its data centres has {largest}',
             )
@@ -43,6 +43,8 @@
     for place, name in enumerate(deployment.data_centres):
         if name not in known:
             yield findings.Finding(
-                bound.places.place('deployments', index, 'data_centres', place),
+                bound.locations.locate(
+                    'deployments', index, 'data_centres', place
+                ),
                 f'no VM is in the data centre {name!r}',
             )
--- a/redwingvalve/bench/experiment_file.py
+++ b/redwingvalve/bench/experiment_file.py
@@ -111,7 +111,9 @@
     bound: binder.BoundDocument[Experiment],
 ) -> list[findings.Finding]:
     return [
-        findings.Finding(bound.places.place(*path), f'{name!r} is not known')
+        findings.Finding(
+            bound.locations.locate(*path), f'{name!r} is not known'
+        )
         for name, known, path in _named(bound.content)
         if name not in known
     ]
--- a/redwingvalve/declaration/reader.py
+++ b/redwingvalve/declaration/reader.py
@@ -47,7 +47,7 @@
 def _check_names(bound: Bound, section: str) -> FoundIterator:
     seen: set[str] = set()
     for index, declared in enumerate(getattr(bound.content, section)):
-        place = bound.places.place(section, index, 'name')
+        place = bound.locations.locate(section, index, 'name')
         if not NAME_PATTERN.fullmatch(declared.name):
             yield findings.Finding(
                 place,
@@ -215,4 +215,4 @@
 
 
 def _finding(bound: Bound, message: str, *path: str | int) -> findings.Finding:
-    return findings.Finding(bound.places.place(*path), message)
+    return findings.Finding(bound.locations.locate(*path), message)
--- a/redwingvalve/documents/binder.py
+++ b/redwingvalve/documents/binder.py
@@ -31,7 +31,7 @@
     """A bound document that still knows where each part stands."""
 
     content: BoundType
-    places: 'DocumentPlaces'
+    locations: 'DocumentLocations'
     faulty: tuple[PathParts, ...] = ()
 
     def intact(self, *path: str | int) -> bool:
@@ -53,7 +53,7 @@
     finding: findings.Finding
 
 
-class DocumentPlaces:
+class DocumentLocations:
     """Finds the place of a path inside a parsed YAML document."""
 
     def __init__(self, file_name: str, root: yaml.Node | None) -> None:
@@ -61,7 +61,7 @@
         self._file_name = file_name
         self._root = root
 
-    def place(self, *path: str | int) -> findings.Location:
+    def locate(self, *path: str | int) -> findings.Location:
         """Return the place of the deepest part of path that exists."""
         node = self._root
         line, column = (1, 1)
@@ -76,13 +76,13 @@
             self._file_name, line, column, _dotted_path(path)
         )
 
-    def key_place(self, *path: str | int) -> findings.Location:
+    def locate_key(self, *path: str | int) -> findings.Location:
         """Return the place of the key itself, for unknown fields."""
         node = self._root
         for part in path[:-1]:
             node = _child(node, part)
         if not isinstance(node, yaml.MappingNode):
-            return self.place(*path)
+            return self.locate(*path)
         for key_node, _ in node.value:
             if key_node.value == path[-1]:
                 mark = key_node.start_mark
@@ -92,7 +92,7 @@
                     mark.column + 1,
                     _dotted_path(path),
                 )
-        return self.place(*path)
+        return self.locate(*path)
 
 
 Check = collections_abc.Callable[
@@ -119,25 +119,25 @@
         return Error(findings.Findings((_syntax_finding(file_name, error),)))
     except (yaml.YAMLError, ValueError, RecursionError) as error:
         return _single(file_name, f'this is not YAML: {error}')
-    places = DocumentPlaces(file_name, root)
+    locations = DocumentLocations(file_name, root)
     try:
         plain = yaml.safe_load(text)
     except (yaml.YAMLError, ValueError, RecursionError) as error:
         return _single(file_name, f'this is not YAML: {error}')
     if not isinstance(plain, dict):
         return _single(file_name, 'a mapping is wanted here')
-    twice = _duplicate_keys(root, (), places)
-    return _bind_whole(plain, places, target, twice, check)
+    twice = _duplicate_keys(root, (), locations)
+    return _bind_whole(plain, locations, target, twice, check)
 
 
 def _bind_whole(
     plain: dict[str, typing.Any],
-    places: DocumentPlaces,
+    locations: DocumentLocations,
     target: type[BoundType],
     twice: list[_Fault],
     check: Check | None,
 ) -> Result[BoundDocument[BoundType], findings.Findings]:
-    bound, found = _bind_plain(plain, places, target)
+    bound, found = _bind_plain(plain, locations, target)
     found.extend(fault.finding for fault in twice)
     if bound is not None:
         faulty = (*bound.faulty, *(fault.path for fault in twice))
@@ -152,14 +152,14 @@
 
 def _bind_plain(
     plain: dict[str, typing.Any],
-    places: DocumentPlaces,
+    locations: DocumentLocations,
     target: type[BoundType],
 ) -> tuple[BoundDocument[BoundType] | None, list[findings.Finding]]:
     """Bind what can be bound, and find what cannot."""
     try:
-        return BoundDocument(CONVERTER.structure(plain, target), places), []
+        return BoundDocument(CONVERTER.structure(plain, target), locations), []
     except Exception as error:  # noqa: BLE001 - reported with its place
-        faults = list(_walk(error, (), places))
+        faults = list(_walk(error, (), locations))
     found = [fault.finding for fault in faults]
     paths = tuple(fault.path for fault in faults)
     try:
@@ -167,7 +167,7 @@
     except placeholders.UnmendableError:
         return None, found
     content = CONVERTER.structure(mended, target)
-    return BoundDocument(content, places, paths), found
+    return BoundDocument(content, locations, paths), found
 
 
 def _findings_on_intact(
@@ -184,30 +184,30 @@
 
 
 def _walk(
-    error: Exception, path: PathParts, places: DocumentPlaces
+    error: Exception, path: PathParts, locations: DocumentLocations
 ) -> typing.Iterator[_Fault]:
     if isinstance(error, cattrs_errors.ForbiddenExtraKeysError):
         for name in sorted(map(str, error.extra_fields)):
             finding = findings.Finding(
-                places.key_place(*path, name), f'unknown field {name!r}'
+                locations.locate_key(*path, name), f'unknown field {name!r}'
             )
             yield _Fault((*path, name), finding)
         return
     if isinstance(error, cattrs_errors.ClassValidationError):
         noted, bare = error.group_exceptions()
         for inner, class_note in noted:
-            yield from _walk(inner, (*path, class_note.name), places)
+            yield from _walk(inner, (*path, class_note.name), locations)
         for inner in bare:
-            yield from _walk(inner, path, places)
+            yield from _walk(inner, path, locations)
         return
     if isinstance(error, cattrs_errors.IterableValidationError):
         noted, bare = error.group_exceptions()
         for inner, item_note in noted:
-            yield from _walk(inner, (*path, item_note.index), places)
+            yield from _walk(inner, (*path, item_note.index), locations)
         for inner in bare:
-            yield from _walk(inner, path, places)
+            yield from _walk(inner, path, locations)
         return
-    finding = findings.Finding(places.place(*path), _explain(error, path))
+    finding = findings.Finding(locations.locate(*path), _explain(error, path))
     yield _Fault(path, finding)
 
 
@@ -248,12 +248,12 @@
 
 
 def _duplicate_keys(
-    node: yaml.Node | None, path: PathParts, places: DocumentPlaces
+    node: yaml.Node | None, path: PathParts, locations: DocumentLocations
 ) -> list[_Fault]:
     found: list[_Fault] = []
     if isinstance(node, yaml.SequenceNode):
         for index, member in enumerate(node.value):
-            found.extend(_duplicate_keys(member, (*path, index), places))
+            found.extend(_duplicate_keys(member, (*path, index), locations))
         return found
     if not isinstance(node, yaml.MappingNode):
         return found
@@ -263,7 +263,7 @@
         if key in seen:
             mark = key_node.start_mark
             place = findings.Location(
-                places.place().file_name,
+                locations.locate().file_name,
                 mark.line + 1,
                 mark.column + 1,
                 _dotted_path((*path, key)),
@@ -271,7 +271,7 @@
             finding = findings.Finding(place, f'{key!r} stands twice')
             found.append(_Fault((*path, key), finding))
         seen.add(key)
-        found.extend(_duplicate_keys(value_node, (*path, key), places))
+        found.extend(_duplicate_keys(value_node, (*path, key), locations))
     return found
 
 
--- a/redwingvalve/settings/loader.py
+++ b/redwingvalve/settings/loader.py
@@ -138,4 +138,4 @@
 
 
 def _finding(bound: Bound, message: str, *path: str | int) -> findings.Finding:
-    return findings.Finding(bound.places.place(*path), message)
+    return findings.Finding(bound.locations.locate(*path), message)
