--- a/redwingvalve/control/moves.py
+++ b/redwingvalve/control/moves.py
@@ -13,10 +13,9 @@
 from expression import Error, Ok, Result
 
 from redwingvalve.core import clock
-from redwingvalve.plans import making
-from redwingvalve.plans import world as world_module
+from redwingvalve.plans import fleet_state, planner
 from redwingvalve.platform_api import object_api, vm_list
-from redwingvalve.replicas import codec, moving, shares
+from redwingvalve.replicas import codec, move_policy, shares
 from redwingvalve.replicas import domain as domain_module
 
 # A whole domain's controllers would list all domains at once without a wait.
@@ -38,7 +37,7 @@
 ]
 
 
-class Mover:
+class MoveReconciler:
     """Takes the steps of one domain, no more often than stated above."""
 
     def __init__(
@@ -59,8 +58,8 @@
 
     async def step(
         self,
-        place: moving.Place,
-        deployments: moving.Deployments,
+        domain_state: move_policy.DomainState,
+        deployments: move_policy.Deployments,
         agreed: shares.Allocation,
     ) -> bool:
         """Make one pass; tell whether moves changed.
@@ -70,11 +69,11 @@
         now_s = self._clock.monotonic_s()
         if now_s < self._look_from_s:
             return False
-        if not moving.concerns(place, agreed, deployments):
+        if not move_policy.concerns(domain_state, agreed, deployments):
             self.without_room = frozenset()
             return False
         done = await self._advance(
-            place, deployments, may_seek=now_s >= self._seek_from_s
+            domain_state, deployments, may_seek=now_s >= self._seek_from_s
         )
         jitter = self._chance.uniform(0.75, 1.25)
         self._look_from_s = now_s + LOOK_EVERY_S * jitter
@@ -85,17 +84,17 @@
 
     async def _advance(
         self,
-        place: moving.Place,
-        deployments: moving.Deployments,
+        domain_state: move_policy.DomainState,
+        deployments: move_policy.Deployments,
         *,
         may_seek: bool,
     ) -> Step:
         """Take one step; errors leave all to the next pass."""
-        agreed = await world_module.read_allocation(self._store)
+        agreed = await fleet_state.read_allocation(self._store)
         if agreed.is_error() or not agreed.ok[1]:
             return Step()
         before, version = agreed.ok
-        after = await self._ended(place, deployments, before)
+        after = await self._ended(domain_state, deployments, before)
         if after != before:
             return Step(changed=await self._write(after, version))
         if not may_seek:
@@ -104,42 +103,43 @@
         if listed.is_error():
             return Step()
         domains, capacities = listed.ok
-        if place.short:
-            after = moving.relief_moves(deployments, capacities, before)
+        if domain_state.short:
+            after = move_policy.relief_moves(deployments, capacities, before)
         else:
-            begun = moving.room_moves(
-                place, deployments, capacities, domains, before
+            begun = move_policy.room_moves(
+                domain_state, deployments, capacities, domains, before
             )
-            after = shares.with_moves(before, begun)
+            after = shares.start_moves(before, begun)
         return Step(
             changed=after != before and await self._write(after, version),
             listed=True,
-            without_room=moving.without_room(
-                place, deployments, capacities, after
+            without_room=move_policy.without_room(
+                domain_state, deployments, capacities, after
             ),
         )
 
     async def _ended(
         self,
-        place: moving.Place,
-        deployments: moving.Deployments,
+        domain_state: move_policy.DomainState,
+        deployments: move_policy.Deployments,
         before: shares.Allocation,
     ) -> shares.Allocation:
-        after = shares.without_moves(
-            before, moving.called_off(place, before, deployments)
+        after = shares.cancel_moves(
+            before, move_policy.called_off(domain_state, before, deployments)
         )
         for move in after.moves:
-            if move.from_domain == place.domain.name and await self._arrived(
-                move, after
+            if (
+                move.from_domain == domain_state.domain.name
+                and await self._arrived(move, after)
             ):
-                after = shares.after_moves(after, (move,))
+                after = shares.complete_moves(after, (move,))
         return after
 
     async def _arrived(
         self, move: shares.Move, agreed: shares.Allocation
     ) -> bool:
         found = await self._store.get(domain_module.KIND, move.to_domain)
-        return found.is_ok() and moving.holds_share(
+        return found.is_ok() and move_policy.holds_share(
             domain_module.from_stored(found.ok), agreed, move.deployment
         )
 
@@ -151,8 +151,8 @@
         if vms.is_error():
             return Error(vms.error)
         domains = tuple(map(domain_module.from_stored, stored.ok.objects))
-        world = making.World(domains=domains, vms=vms.ok)
-        return Ok((domains, making.capacities_of(world)))
+        state = planner.FleetState(domains=domains, vms=vms.ok)
+        return Ok((domains, planner.capacities_of(state)))
 
     async def _write(self, after: shares.Allocation, version: str) -> bool:
         # After a lost answer or a conflict the next pass reads what stands.
@@ -164,11 +164,11 @@
         return written.is_ok()
 
 
-def make_mover(
+def make_move_reconciler(
     store: object_api.ObjectApi,
     vms: vm_list.VmList,
     time_source: clock.Clock,
     chance: random.Random,
-) -> Mover:
+) -> MoveReconciler:
     """Return the mover of one domain."""
-    return Mover(store, vms, time_source, chance)
+    return MoveReconciler(store, vms, time_source, chance)
--- a/redwingvalve/entry/cache_watch.py
+++ b/redwingvalve/entry/cache_watch.py
@@ -2,7 +2,7 @@
 
 Each replica is read by one entry of its region, by rendezvous hashing, which
 tells the others on the board of news; what is told and believed is decided in
-routing.cache_follower and routing.cache_news.
+routing.cache_follower and routing.cache_summary.
 """
 
 import json
@@ -12,14 +12,14 @@
 import anyio
 
 from redwingvalve.configuration import snapshot
-from redwingvalve.entry import parts, replica_choice, upstream
-from redwingvalve.evidence import findings_wire
+from redwingvalve.entry import dependencies, replica_choice, upstream
+from redwingvalve.evidence import probe_reports
 from redwingvalve.membership import rendezvous
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.routing import (
     cache_follower,
-    cache_news,
-    cache_reader,
+    cache_summary,
+    cache_summary_reader,
     policy,
 )
 
@@ -33,9 +33,9 @@
 REPLICAS_PER_ITEM = 200
 ENTRY_ROLE = 'entry'
 EVENTS_PATH = '/cache-events'
-CHANNEL = board.Channel(
+CHANNEL = bus.Channel(
     name='cache',
-    reach=board.Reach.REGION,
+    scope=bus.Scope.REGION,
     max_age_s=25.0,
     max_item_bytes=8192,
 )
@@ -47,14 +47,14 @@
 
     def __init__(
         self,
-        entry_parts: parts.EntryParts,
+        entry_dependencies: dependencies.EntryDependencies,
         choice: replica_choice.ReplicaChoice,
     ) -> None:
         """Feed the policies of choice."""
-        self._parts = entry_parts
+        self._dependencies = entry_dependencies
         self._choice = choice
         self._follower = cache_follower.make_cache_follower()
-        self._reader = cache_reader.make_cache_reader()
+        self._reader = cache_summary_reader.make_summary_reader()
         self._replicas: dict[str, snapshot.Replica] = {}
         self._marks: dict[bytes, str] = {}
         self._mine: tuple[str, ...] = ()
@@ -68,16 +68,20 @@
         """Look until cancelled."""
         while True:
             await self.step()
-            await self._parts.clock.sleep(LOOK_EVERY_S)
+            await self._dependencies.clock.sleep(LOOK_EVERY_S)
 
     async def step(self) -> None:
         """Read what the budget allows, tell, and take in what is told."""
         self._sort_replicas()
-        fetch = self._follower.next_fetch(self._parts.clock.monotonic_s())
+        fetch = self._follower.next_fetch(
+            self._dependencies.clock.monotonic_s()
+        )
         while fetch is not None:
             await self._read(fetch)
-            fetch = self._follower.next_fetch(self._parts.clock.monotonic_s())
-        now_s = self._parts.clock.monotonic_s()
+            fetch = self._follower.next_fetch(
+                self._dependencies.clock.monotonic_s()
+            )
+        now_s = self._dependencies.clock.monotonic_s()
         if now_s - self._told_s >= TELL_EVERY_S:
             self._told_s = now_s
             self._tell(now_s)
@@ -91,13 +95,13 @@
         At 480 replicas and 72 entries a look at all pairs takes 30 ms, which
         twice a second would be five times what a node may spend.
         """
-        myself = self._parts.members.myself()
+        myself = self._dependencies.members.local_member()
         names = frozenset(
             member.name
-            for member in self._parts.members.alive(ENTRY_ROLE)
+            for member in self._dependencies.members.alive(ENTRY_ROLE)
             if member.region == myself.region
         ) | {myself.name}
-        current = self._parts.source.current()
+        current = self._dependencies.source.current()
         if self._sorted_for == (current.version, names):
             return
         self._sorted_for = (current.version, names)
@@ -107,13 +111,13 @@
             if replica.serving and self._in_region(replica)
         }
         self._marks = {
-            findings_wire.mark_of(replica): name
+            probe_reports.fingerprint_of(replica): name
             for name, replica in self._replicas.items()
         }
         self._mine = tuple(
             name
             for name in self._replicas
-            if rendezvous.holders(names, name, 1) == (myself.name,)
+            if rendezvous.select(names, name, 1) == (myself.name,)
         )
         self._follower.follow(
             {name: self._replicas[name].epoch for name in self._mine}
@@ -121,7 +125,7 @@
 
     async def _read(self, fetch: cache_follower.Fetch) -> None:
         replica = self._replicas[fetch.name]
-        now_s = self._parts.clock.monotonic_s()
+        now_s = self._dependencies.clock.monotonic_s()
         if not self._choice.may_serve(replica, now_s):
             self._follower.failed(fetch, now_s)
             return
@@ -132,14 +136,14 @@
             except BROKEN:
                 self._follower.failed(fetch, now_s)
                 return
-            self._follower.took(
+            self._follower.record_page(
                 fetch, events, len(body) + OVERHEAD_BYTES, now_s
             )
             return
         self._follower.failed(fetch, now_s)
 
     async def _fetch(self, replica: snapshot.Replica, after: int) -> bytes:
-        answer = await self._parts.upstream.send(
+        answer = await self._dependencies.upstream.send(
             upstream.UpstreamRequest(
                 address=replica.members[0].address,
                 method='GET',
@@ -154,12 +158,12 @@
             return b''.join([chunk async for chunk in answer.chunks])
         finally:
             with anyio.CancelScope(shield=True):
-                await self._parts.upstream.release(answer)
+                await self._dependencies.upstream.release(answer)
 
     def _tell(self, now_s: float) -> None:
         words = [
-            cache_news.make_word(
-                findings_wire.mark_of(self._replicas[name]),
+            cache_summary.make_summary(
+                probe_reports.fingerprint_of(self._replicas[name]),
                 self._follower,
                 name,
                 self._choice.asked,
@@ -168,7 +172,7 @@
             for name in self._mine
         ]
         items = {
-            str(start): cache_news.encode(
+            str(start): cache_summary.encode(
                 words[start : start + REPLICAS_PER_ITEM]
             )
             for start in range(0, len(words), REPLICAS_PER_ITEM)
@@ -180,20 +184,20 @@
 
     def _publish(self, items: dict[str, bytes], *, again: bool) -> None:
         for gone in self._told.keys() - items.keys():
-            self._parts.news.publish(CHANNEL, gone, b'')
+            self._dependencies.news.publish(CHANNEL, gone, b'')
         for key, body in items.items():
             if again or self._told.get(key) != body:
-                self._parts.news.publish(CHANNEL, key, body)
+                self._dependencies.news.publish(CHANNEL, key, body)
         self._told = items
 
     def _take_in(self) -> None:
         words = {
             self._marks[word.mark]: word
-            for news in self._parts.news.read(CHANNEL)
-            for word in cache_news.decode(news.body)
+            for news in self._dependencies.news.read(CHANNEL)
+            for word in cache_summary.decode(news.body)
             if word.mark in self._marks
         }
-        self._reader.take(words, self._routing_of)
+        self._reader.apply(words, self._routing_of)
 
     def _routing_of(self, name: str) -> policy.RoutingPolicy | None:
         replica = self._replicas.get(name)
@@ -202,7 +206,7 @@
         return self._choice.routing(replica.deployment)
 
     def _in_region(self, replica: snapshot.Replica) -> bool:
-        own = self._parts.members.myself().region
+        own = self._dependencies.members.local_member().region
         return not replica.region or replica.region == own
 
 
@@ -213,7 +217,7 @@
     return [
         cache_follower.CacheEvent(
             int(row['number']),
-            cache_news.short_name(str(row['prefix_hash'])),
+            cache_summary.short_hash(str(row['prefix_hash'])),
             row['type'] == 'stored',
         )
         for row in json.loads(body)['events']
@@ -221,7 +225,8 @@
 
 
 def make_cache_watch(
-    entry_parts: parts.EntryParts, choice: replica_choice.ReplicaChoice
+    entry_dependencies: dependencies.EntryDependencies,
+    choice: replica_choice.ReplicaChoice,
 ) -> CacheWatch:
     """Return the watch of one entry."""
-    return CacheWatch(entry_parts, choice)
+    return CacheWatch(entry_dependencies, choice)
--- a/redwingvalve/entry/tests/fakes.py
+++ b/redwingvalve/entry/tests/fakes.py
@@ -9,10 +9,10 @@
 from redwingvalve.configuration import snapshot
 from redwingvalve.core import clock, invariants
 from redwingvalve.declaration import schema
-from redwingvalve.entry import app, directory, parts, upstream
+from redwingvalve.entry import app, dependencies, directory, upstream
 from redwingvalve.evidence import permits
 from redwingvalve.membership import members
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.observability import metrics, tracing
 from redwingvalve.settings import schema as settings_schema
 
@@ -48,7 +48,7 @@
     others: tuple = ()
     me: members.Member = ENTRY
 
-    def myself(self):
+    def local_member(self):
         return self.me
 
     def known(self):
@@ -59,7 +59,7 @@
 
 
 @attrs.define
-class Board(board.NewsBoard):
+class Board(bus.NewsBus):
     """Every process that shares a board sees the others at once."""
 
     items: dict = attrs.field(factory=dict)
@@ -68,7 +68,7 @@
 
     def publish(self, channel, key, body):
         self.number += 1
-        self.items[channel.name, self.owner, key] = board.NewsItem(
+        self.items[channel.name, self.owner, key] = bus.NewsItem(
             channel.name, self.owner, 1, key, self.number, body, 0.0
         )
 
@@ -199,7 +199,7 @@
     return snapshot.Snapshot(**{**fields, **changes})
 
 
-def make_parts(engines, **changes):
+def make_dependencies(engines, **changes):
     known = changes.pop('members', Members())
     fields = {
         'source': Source(make_snapshot()),
@@ -216,7 +216,7 @@
         'switches': invariants.SafeguardSwitches(),
         'directory': directory.make_members_directory(known, 10.0),
     }
-    return parts.EntryParts(**{**fields, **changes})
+    return dependencies.EntryDependencies(**{**fields, **changes})
 
 
 @attrs.define
@@ -293,7 +293,7 @@
     """Run calls (dicts of arguments of call) one after the other."""
 
     async def main():
-        application = app.make_entry_app(make_parts(engines, **changes))
+        application = app.make_entry_app(make_dependencies(engines, **changes))
         return [await call(application, **arguments) for arguments in calls]
 
     return anyio.run(main)
--- a/redwingvalve/evidence/entry_witness.py
+++ b/redwingvalve/evidence/news_entry_reports.py
@@ -3,11 +3,11 @@
 import json
 
 from redwingvalve.configuration import snapshot
-from redwingvalve.evidence import findings_wire, prober, table
+from redwingvalve.evidence import probe_reports, prober, table
 from redwingvalve.membership import members as members_module
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.replicas import domain as domain_module
-from redwingvalve.replicas import witness
+from redwingvalve.replicas import entry_reports
 
 READ_EVERY_S = 0.5
 # Entries see a VM each second. After this age, a step of the controller (0.5 s)
@@ -15,20 +15,20 @@
 VOUCHED_AGE_S = 1.5
 
 
-class NewsWitness(witness.Witness):
+class NewsEntryReports(entry_reports.EntryReports):
     """Reads findings and stopped epochs; waits for a bound without them."""
 
     def __init__(
         self,
         members: members_module.Members,
-        news: board.NewsBoard,
+        news: bus.NewsBus,
         configuration: snapshot.ConfigurationSource,
     ) -> None:
         """Hear of the entries through news on the replicas in force."""
         self._members = members
         self._news = news
         self._configuration = configuration
-        self._bounded = witness.BoundedWitness()
+        self._bounded = entry_reports.NoEntryReports()
         self._evidence = table.EvidenceTable()
         self._read_s: float | None = None
 
@@ -38,11 +38,11 @@
         seen = self._evidence.fresh(vm, now_s)
         return seen.seen_s if seen is not None else None
 
-    def cut_off(self) -> bool:
+    def is_isolated(self) -> bool:
         """Tell whether this process has heard from nobody for too long."""
         return self._members.isolated()
 
-    def shows(
+    def confirms_ready(
         self, vm: str, replica: domain_module.DomainReplica, now_s: float
     ) -> bool:
         """Tell whether an entry saw the VM ready in this epoch just now.
@@ -62,7 +62,7 @@
         if self._read_s is None or now_s - self._read_s >= READ_EVERY_S:
             self._take_in(now_s)
 
-    def all_stopped(
+    def senders_stopped(
         self,
         replica: domain_module.DomainReplica,
         draining_since_s: float,
@@ -74,12 +74,12 @@
         has ended or it is out of discovery, and the engine's count of work in
         flight still guards the stop.
         """
-        if self._bounded.all_stopped(replica, draining_since_s, now_s):
+        if self._bounded.senders_stopped(replica, draining_since_s, now_s):
             return True
         entries = {
             member.name
             for member in self._members.alive(prober.ENTRY_ROLE)
-            if member.region == self._members.myself().region
+            if member.region == self._members.local_member().region
         }
         return bool(entries) and entries <= self._stopped(replica)
 
@@ -94,8 +94,8 @@
     def _take_in(self, now_s: float) -> None:
         self._read_s = now_s
         self._evidence.forget_old(now_s)
-        found = findings_wire.sightings(
-            self._news.read(findings_wire.CHANNEL),
+        found = probe_reports.sightings(
+            self._news.read(probe_reports.CHANNEL),
             self._configuration.current().replicas,
             now_s,
         )
@@ -110,10 +110,10 @@
         return []
 
 
-def make_news_witness(
+def make_news_entry_reports(
     members: members_module.Members,
-    news: board.NewsBoard,
+    news: bus.NewsBus,
     configuration: snapshot.ConfigurationSource,
-) -> witness.Witness:
+) -> entry_reports.EntryReports:
     """Return the witness of one controller."""
-    return NewsWitness(members, news, configuration)
+    return NewsEntryReports(members, news, configuration)
--- a/redwingvalve/replicas/tests/fixtures.py
+++ b/redwingvalve/replicas/tests/fixtures.py
@@ -7,7 +7,7 @@
 from redwingvalve.core import clock, invariants
 from redwingvalve.declaration import schema
 from redwingvalve.platform_api import vm_list
-from redwingvalve.replicas import controller, draft, view, witness
+from redwingvalve.replicas import controller, draft, entry_reports, view
 from redwingvalve.replicas import domain as domain_module
 from redwingvalve.standins import memory_fleet, memory_store
 
@@ -37,7 +37,7 @@
             LOAD_S,
         )
         self.weights = memory_fleet.MemoryWeights(self.clock, 1.0, 4)
-        self.wanted = wanted or (view.Wanted(deployment(), 2, 0),)
+        self.wanted = wanted or (view.DesiredShare(deployment(), 2, 0),)
         self.disabled = disabled
         self.ways = {}
 
@@ -48,25 +48,25 @@
 
     def controller(self, owner, store=None):
         self.ways[owner] = memory_fleet.MemoryOrders(self.fleet)
-        tools = controller.Tools(
+        tools = controller.Dependencies(
             store or self.store,
             self.ways[owner],
             self.weights,
             self.clock,
-            witness.BoundedWitness(),
+            entry_reports.NoEntryReports(),
             random.Random(owner),
             invariants.SafeguardSwitches(self.disabled),
-            draft.Policy(),
+            draft.PlacementPolicy(),
         )
         return controller.make_domain_controller('d', owner, tools)
 
-    def surroundings(self):
-        return controller.Surroundings(self.fleet.vms(), self.wanted)
+    def inputs(self):
+        return controller.ControllerInputs(self.fleet.vms(), self.wanted)
 
     async def run(self, duration_s, *controllers):
         for _ in range(int(duration_s / STEP_S)):
             for each in controllers:
-                await each.step(self.surroundings())
+                await each.step(self.inputs())
             self.clock.advance(STEP_S)
 
     def domain(self):
--- a/redwingvalve/replicas/tests/gated.py
+++ b/redwingvalve/replicas/tests/gated.py
@@ -12,7 +12,7 @@
 
 from redwingvalve.core import invariants
 from redwingvalve.platform_api import engine_orders, object_api
-from redwingvalve.replicas import controller, draft, witness
+from redwingvalve.replicas import controller, draft, entry_reports
 from redwingvalve.standins import memory_fleet
 
 
@@ -82,7 +82,7 @@
         return await super().send(address, order, timeout_s)
 
 
-class EntriesSee(witness.BoundedWitness):
+class EntriesSee(entry_reports.NoEntryReports):
     """Entries see every VM that is alive."""
 
     def __init__(self, fleet):
@@ -99,7 +99,7 @@
         self.gate = Gate()
         self.bench = bench
         self.orders = GatedOrders(bench.fleet, self.gate)
-        tools = controller.Tools(
+        tools = controller.Dependencies(
             GatedStore(bench.store, self.gate),
             self.orders,
             bench.weights,
@@ -107,14 +107,14 @@
             EntriesSee(bench.fleet),
             random.Random(name),
             invariants.SafeguardSwitches(bench.disabled),
-            draft.Policy(),
+            draft.PlacementPolicy(),
         )
         self.controller = controller.make_domain_controller('d', name, tools)
         self.task = runner.get_loop().create_task(self._run())
 
     async def _run(self):
         while True:
-            await self.controller.step(self.bench.surroundings())
+            await self.controller.step(self.bench.inputs())
             await self.gate.wait()
 
     def check(self):
--- a/tests/integration/test_fuzz.py
+++ b/tests/integration/test_fuzz.py
@@ -90,7 +90,7 @@
     )
 
     async def scenario():
-        application = app.make_entry_app(fakes.make_parts(engines))
+        application = app.make_entry_app(fakes.make_dependencies(engines))
         with anyio.fail_after(20):
             return await fakes.call(
                 application, path, body, headers=headers, method=method
@@ -193,4 +193,4 @@
 
 
 def decode_domain(stored):
-    return domain.replicas_of(domain.from_stored(stored))
+    return domain.to_snapshot_replicas(domain.from_stored(stored))
