--- a/redwingvalve/entry/account_gate.py
+++ b/redwingvalve/entry/account_limiter.py
@@ -18,23 +18,23 @@
 from redwingvalve.membership import members
 from redwingvalve.news import board
 
-UPDATE_EVERY_S = 0.5
+UPDATE_INTERVAL_S = 0.5
 # Less often than shares are worked out; a report counts for 3 s.
-PUBLISH_EVERY_S = 1.0
+PUBLISH_INTERVAL_S = 1.0
 ENTRY_ROLE = 'entry'
 TOKENS_KEY = 'tokens'
 REQUESTS_KEY = 'requests'
 
 
 @attrs.frozen
-class _Said:
+class _PublishedReport:
     """When a report was published last, and whether it held nothing."""
 
     at_s: float = -math.inf
     empty: bool = True
 
 
-class AccountGate:
+class AccountLimiter:
     """Asks an account's share here; needs no call to anybody."""
 
     def __init__(
@@ -45,15 +45,15 @@
         time_source: clock.Clock,
     ) -> None:
         """Limit the accounts of source in shares among the entries."""
-        me = present.myself().name
+        local_name = present.myself().name
         self._source = source
         self._members = present
         self._news = news
         self._clock = time_source
         self._version = -1
-        self._said: dict[str, _Said] = {}
+        self._published: dict[str, _PublishedReport] = {}
         self._limits = {
-            key: account_limits.make_account_limits(me)
+            key: account_limits.make_account_limits(local_name)
             for key in (TOKENS_KEY, REQUESTS_KEY)
         }
         self._update()
@@ -62,27 +62,27 @@
         """Follow configuration and news until cancelled."""
         while True:
             self._update()
-            await self._clock.sleep(UPDATE_EVERY_S)
+            await self._clock.sleep(UPDATE_INTERVAL_S)
 
-    def refuse_request(
+    def check_request(
         self, account: schema.ClientAccount
     ) -> outcomes.ErrorAnswer | None:
         """Count one request, or return the refusal."""
-        return self._ask(REQUESTS_KEY, account, 1.0)
+        return self._check(REQUESTS_KEY, account, 1.0)
 
-    def refuse_tokens(
+    def check_tokens(
         self, account: schema.ClientAccount, estimated_tokens: float
     ) -> outcomes.ErrorAnswer | None:
         """Count what a request may use, or return the refusal."""
-        return self._ask(TOKENS_KEY, account, estimated_tokens)
+        return self._check(TOKENS_KEY, account, estimated_tokens)
 
-    def correct_tokens(
+    def adjust_tokens(
         self, account: schema.ClientAccount, change_tokens: float
     ) -> None:
         """Charge what was used beyond the estimate, or give back."""
         self._limits[TOKENS_KEY].correct(account.name, change_tokens)
 
-    def _ask(
+    def _check(
         self, key: str, account: schema.ClientAccount, amount: float
     ) -> outcomes.ErrorAnswer | None:
         now_s = self._clock.monotonic_s()
@@ -107,13 +107,13 @@
             )
         )
         now_s = self._clock.monotonic_s()
-        heard = self._news.read(reports.SHARES)
-        me = self._members.myself().name
+        items = self._news.read(reports.SHARES)
+        local_name = self._members.myself().name
         for key, limits in self._limits.items():
             bodies = [
                 (item.owner, item.body, item.age_s)
-                for item in heard
-                if item.key == key and item.owner != me
+                for item in items
+                if item.key == key and item.owner != local_name
             ]
             self._publish(key, limits.update(entries, bodies, now_s), now_s)
 
@@ -123,12 +123,12 @@
         What is lent counts as lent from each update on, said or not, so that
         saying it less often can only leave a part of the limit unused.
         """
-        said = self._said.get(key, _Said())
-        if not body and said.empty:
+        last = self._published.get(key, _PublishedReport())
+        if not body and last.empty:
             return
-        if now_s - said.at_s < PUBLISH_EVERY_S:
+        if now_s - last.at_s < PUBLISH_INTERVAL_S:
             return
-        self._said[key] = _Said(now_s, not body)
+        self._published[key] = _PublishedReport(now_s, not body)
         self._news.publish(reports.SHARES, key, body)
 
     def _follow_configuration(self) -> None:
@@ -137,18 +137,24 @@
             return
         self._version = current.version
         self._limits[TOKENS_KEY].replace_limits(
-            {each.name: each.tokens_per_s for each in current.client_accounts}
+            {
+                account.name: account.tokens_per_s
+                for account in current.client_accounts
+            }
         )
         self._limits[REQUESTS_KEY].replace_limits(
-            {each.name: each.requests_per_s for each in current.client_accounts}
+            {
+                account.name: account.requests_per_s
+                for account in current.client_accounts
+            }
         )
 
 
-def make_account_gate(
+def make_account_limiter(
     entry_dependencies: dependencies.EntryDependencies,
-) -> AccountGate:
+) -> AccountLimiter:
     """Return the gate of one entry; run it beside the application."""
-    return AccountGate(
+    return AccountLimiter(
         entry_dependencies.source,
         entry_dependencies.members,
         entry_dependencies.news,
--- a/redwingvalve/entry/accounts.py
+++ b/redwingvalve/entry/accounts.py
@@ -7,10 +7,10 @@
 from redwingvalve.configuration import snapshot
 from redwingvalve.core import outcomes
 from redwingvalve.declaration import schema
-from redwingvalve.entry import caller
+from redwingvalve.entry import caller_request
 
 
-class AccountBook:
+class AccountAuthenticator:
     """Accounts by the SHA-256 of their credential, rebuilt when changed."""
 
     def __init__(self, source: snapshot.ConfigurationSource) -> None:
@@ -20,7 +20,7 @@
         self._by_credential: dict[str, schema.ClientAccount] = {}
 
     def authenticate(
-        self, head: caller.CallerHead
+        self, head: caller_request.RequestHead
     ) -> Result[schema.ClientAccount, outcomes.ErrorAnswer]:
         """Return the account that the credential belongs to."""
         current = self._source.current()
@@ -34,11 +34,11 @@
         account = self._by_credential.get(digest)
         if not head.credential or account is None:
             return Error(
-                _refused(401, 'unknown-credential', 'no account has it', head)
+                _refusal(401, 'unknown-credential', 'no account has it', head)
             )
         if head.priority is not None and head.priority > account.priority:
             return Error(
-                _refused(
+                _refusal(
                     403,
                     'priority-not-allowed',
                     f'the account may ask for at most {account.priority}',
@@ -51,12 +51,12 @@
 def check_deployment(
     account: schema.ClientAccount,
     deployment: schema.ModelDeployment,
-    head: caller.CallerHead,
+    head: caller_request.RequestHead,
 ) -> outcomes.ErrorAnswer | None:
     """Return a refusal unless the account may use the deployment."""
     if not account.deployments or deployment.name in account.deployments:
         return None
-    return _refused(
+    return _refusal(
         403,
         'deployment-not-allowed',
         f'the account may not use {deployment.name!r}',
@@ -64,8 +64,8 @@
     )
 
 
-def _refused(
-    status: int, code: str, message: str, head: caller.CallerHead
+def _refusal(
+    status: int, code: str, message: str, head: caller_request.RequestHead
 ) -> outcomes.ErrorAnswer:
     return outcomes.ErrorAnswer(
         status=status,
--- a/redwingvalve/entry/waiting_room.py
+++ b/redwingvalve/entry/admission_queues.py
@@ -24,7 +24,7 @@
 # Decode takes the time of an engine, a prompt token a tenth of that.
 PROMPT_TOKEN_SHARE = 0.1
 
-Asked = messages.AdmissionRequest
+AdmissionRequest = messages.AdmissionRequest
 
 
 @attrs.define(eq=False)
@@ -32,87 +32,91 @@
     """A caller that waits for its turn; refused once it can't be in time."""
 
     woken: anyio.Event = attrs.field(factory=anyio.Event)
-    called: bool = False
+    done: bool = False
     refused: messages.RefusedNow | None = None
 
     def call(self, refused: messages.RefusedNow | None = None) -> None:
         """End the wait with a turn or a refusal."""
-        self.called = True
+        self.done = True
         self.refused = refused
         self.woken.set()
 
 
 @attrs.define(eq=False)
-class Turn:
+class Admission:
     """Leave to be sent; tells the queue what became of it."""
 
-    room: queue.AdmissionQueue
+    admission_queue: queue.AdmissionQueue
     request_id: str
-    turn_clock: clock.Clock
+    time_source: clock.Clock
     used_tokens: float = 0.0
 
     def first_token(self) -> None:
         """Tell that the first token has come."""
-        self.room.first_token(self.request_id, self.turn_clock.monotonic_s())
+        self.admission_queue.first_token(
+            self.request_id, self.time_source.monotonic_s()
+        )
 
 
-class WaitingRoom:
+class AdmissionQueues:
     """The queues of all deployments, or of all services, at this entry."""
 
     def __init__(
         self,
-        known: members.Members,
-        room_clock: clock.Clock,
+        membership: members.Members,
+        time_source: clock.Clock,
         settings: messages.AdmissionSettings | None = None,
     ) -> None:
         """Share deployments with the entries of known."""
-        self._members = known
-        self._clock = room_clock
+        self._members = membership
+        self._clock = time_source
         self._settings = settings
         self._queues: dict[str, queue.AdmissionQueue] = {}
         self._waiters: dict[str, _Waiter] = {}
         self._sweeper: _Waiter | None = None
 
     @contextlib.asynccontextmanager
-    async def admitted(
-        self, name: str, usable: messages.Capacity, asked: Asked
-    ) -> collections_abc.AsyncIterator[Result[Turn, outcomes.ErrorAnswer]]:
+    async def admit(
+        self, name: str, usable: messages.Capacity, request: AdmissionRequest
+    ) -> collections_abc.AsyncIterator[Result[Admission, outcomes.ErrorAnswer]]:
         """Wait for a turn at what is named; it is free again with the block.
 
         usable is what this entry may use of it now.
         """
-        room = self._room(name, usable)
-        refused = await self._wait(room, asked)
+        admission_queue = self._get_queue(name, usable)
+        refused = await self._wait(admission_queue, request)
         if refused is not None:
             yield Error(_refusal(refused))
             return
-        turn = Turn(room, asked.request_id, self._clock)
+        admission = Admission(admission_queue, request.request_id, self._clock)
         try:
-            yield Ok(turn)
+            yield Ok(admission)
         finally:
-            room.finished(
-                asked.request_id, turn.used_tokens, self._clock.monotonic_s()
+            admission_queue.finished(
+                request.request_id,
+                admission.used_tokens,
+                self._clock.monotonic_s(),
             )
-            self._call_next(room)
+            self._admit_next(admission_queue)
 
     async def _wait(
-        self, room: queue.AdmissionQueue, asked: Asked
+        self, admission_queue: queue.AdmissionQueue, request: AdmissionRequest
     ) -> messages.RefusedNow | None:
-        decision = room.offer(asked, self._clock.monotonic_s())
+        decision = admission_queue.offer(request, self._clock.monotonic_s())
         if isinstance(decision, messages.Admitted):
             return None
         if isinstance(decision, messages.RefusedNow):
             return decision
         waiter = _Waiter()
-        self._waiters[asked.request_id] = waiter
+        self._waiters[request.request_id] = waiter
         try:
-            while not waiter.called:
+            while not waiter.done:
                 await self._wait_once(waiter)
         finally:
-            self._waiters.pop(asked.request_id, None)
-            self._hand_over(waiter)
-            if not waiter.called:
-                self._hung_up(room, asked)
+            self._waiters.pop(request.request_id, None)
+            self._hand_over_sweep(waiter)
+            if not waiter.done:
+                self._withdraw(admission_queue, request)
         return waiter.refused
 
     async def _wait_once(self, waiter: _Waiter) -> None:
@@ -127,55 +131,59 @@
         waiter.woken = anyio.Event()
         with anyio.move_on_after(SWEEP_INTERVAL_S):
             await waiter.woken.wait()
-        for room in self._queues.values():
-            self._sweep(room)
+        for admission_queue in self._queues.values():
+            self._sweep(admission_queue)
 
-    def _hand_over(self, waiter: _Waiter) -> None:
+    def _hand_over_sweep(self, waiter: _Waiter) -> None:
         if self._sweeper is waiter:
             self._sweeper = None
             for successor in self._waiters.values():
                 successor.woken.set()
                 return
 
-    def _hung_up(
+    def _withdraw(
         self,
-        room: queue.AdmissionQueue,
-        asked: Asked,
+        admission_queue: queue.AdmissionQueue,
+        request: AdmissionRequest,
     ) -> None:
-        if room.withdraw(asked.request_id):
+        if admission_queue.withdraw(request.request_id):
             return
         # Its turn had come already and nobody is left to use it.
-        room.finished(asked.request_id, 0.0, self._clock.monotonic_s())
-        self._call_next(room)
+        admission_queue.finished(
+            request.request_id, 0.0, self._clock.monotonic_s()
+        )
+        self._admit_next(admission_queue)
 
-    def _sweep(self, room: queue.AdmissionQueue) -> None:
-        for refused in room.expired(self._clock.monotonic_s()):
+    def _sweep(self, admission_queue: queue.AdmissionQueue) -> None:
+        for refused in admission_queue.expired(self._clock.monotonic_s()):
             waiter = self._waiters.get(refused.request_id)
             if waiter is not None:
                 waiter.call(refused)
-        self._call_next(room)
+        self._admit_next(admission_queue)
 
-    def _call_next(self, room: queue.AdmissionQueue) -> None:
-        ready = room.next_ready(self._clock.monotonic_s())
+    def _admit_next(self, admission_queue: queue.AdmissionQueue) -> None:
+        ready = admission_queue.next_ready(self._clock.monotonic_s())
         while ready is not None:
             waiter = self._waiters.get(ready.request_id)
             if waiter is not None:
                 waiter.call()
-            ready = room.next_ready(self._clock.monotonic_s())
+            ready = admission_queue.next_ready(self._clock.monotonic_s())
 
-    def part(self) -> float:
+    def share(self) -> float:
         """Return this entry's share of what all entries use."""
         return 1 / max(len(self._members.alive()), 1)
 
-    def _room(
+    def _get_queue(
         self, name: str, usable: messages.Capacity
     ) -> queue.AdmissionQueue:
-        room = self._queues.get(name)
-        if room is None:
-            room = fair_queue.make_admission_queue(usable, self._settings)
-            self._queues[name] = room
-        room.resize(usable, self._clock.monotonic_s())
-        return room
+        admission_queue = self._queues.get(name)
+        if admission_queue is None:
+            admission_queue = fair_queue.make_admission_queue(
+                usable, self._settings
+            )
+            self._queues[name] = admission_queue
+        admission_queue.resize(usable, self._clock.monotonic_s())
+        return admission_queue
 
 
 def estimated_tokens(request: model_request.ModelRequest) -> float:
@@ -186,7 +194,7 @@
 
 def admission_request(
     request: model_request.ModelRequest, job_id: str
-) -> Asked:
+) -> AdmissionRequest:
     """Return what the queue needs to know of a request for a model."""
     target_s = (
         request.account.first_token_target_s
--- a/redwingvalve/entry/aiohttp_upstream.py
+++ b/redwingvalve/entry/aiohttp_upstream.py
@@ -17,8 +17,8 @@
 
 CONNECT_TIMEOUT_S = 1.0
 MAX_CONNECTIONS = 4096
-IDLE_CONNECTION_S = 20.0
-BROKEN = (aiohttp.ClientError, OSError, asyncio.TimeoutError)
+IDLE_CONNECTION_TIMEOUT_S = 20.0
+CONNECTION_ERRORS = (aiohttp.ClientError, OSError, asyncio.TimeoutError)
 
 
 class AiohttpUpstream(upstream.Upstream):
@@ -31,17 +31,17 @@
     def __init__(self) -> None:
         """Open nothing yet; a session belongs to a running loop."""
         self._session: aiohttp.ClientSession | None = None
-        self._open: dict[int, aiohttp.ClientResponse] = {}
+        self._open_responses: dict[int, aiohttp.ClientResponse] = {}
 
     async def send(
         self, request: upstream.UpstreamRequest
-    ) -> upstream.UpstreamAnswer:
+    ) -> upstream.UpstreamResponse:
         """Return the head of the answer; UpstreamError when none comes."""
         if self._session is None:
             self._session = _make_session()
         try:
             with anyio.fail_after(request.timeout_s):
-                response = await self._session.request(
+                raw_response = await self._session.request(
                     request.method,
                     yarl.URL(
                         f'http://{request.address}{request.path}', encoded=True
@@ -55,27 +55,28 @@
             aiohttp.ConnectionTimeoutError,
         ) as error:
             raise upstream.UpstreamError(
-                _describe(error), surely_not_run=True
+                _describe(error), not_sent=True
             ) from error
-        except BROKEN as error:
+        except CONNECTION_ERRORS as error:
             raise upstream.UpstreamError(
-                _describe(error), surely_not_run=False
+                _describe(error), not_sent=False
             ) from error
-        answer = upstream.UpstreamAnswer(
-            status=response.status,
+        response = upstream.UpstreamResponse(
+            status=raw_response.status,
             headers=tuple(
-                (name.lower(), text) for name, text in response.headers.items()
+                (name.lower(), text)
+                for name, text in raw_response.headers.items()
             ),
-            chunks=_Chunks(response),
+            chunks=_Chunks(raw_response),
         )
-        self._open[id(answer)] = response
-        return answer
+        self._open_responses[id(response)] = raw_response
+        return response
 
-    async def release(self, answer: upstream.UpstreamAnswer) -> None:
+    async def release(self, response: upstream.UpstreamResponse) -> None:
         """Reuse the connection after a whole answer, close it otherwise."""
-        response = self._open.pop(id(answer), None)
-        if response is not None:
-            response.close()
+        raw_response = self._open_responses.pop(id(response), None)
+        if raw_response is not None:
+            raw_response.close()
 
     async def aclose(self) -> None:
         """Close all connections."""
@@ -86,15 +87,15 @@
 class _Chunks(collections_abc.AsyncIterator[bytes]):
     """The body as it arrives; a generator would cost more than the read."""
 
-    def __init__(self, response: aiohttp.ClientResponse) -> None:
-        self._read = response.content.readany
+    def __init__(self, raw_response: aiohttp.ClientResponse) -> None:
+        self._read = raw_response.content.readany
 
     async def __anext__(self) -> bytes:
         try:
             chunk = await self._read()
-        except BROKEN as error:
+        except CONNECTION_ERRORS as error:
             raise upstream.UpstreamError(
-                _describe(error), surely_not_run=False
+                _describe(error), not_sent=False
             ) from error
         if chunk:
             return chunk
@@ -109,7 +110,7 @@
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(
             limit=MAX_CONNECTIONS,
-            keepalive_timeout=IDLE_CONNECTION_S,
+            keepalive_timeout=IDLE_CONNECTION_TIMEOUT_S,
             use_dns_cache=False,
         ),
         timeout=aiohttp.ClientTimeout(
--- a/redwingvalve/entry/app.py
+++ b/redwingvalve/entry/app.py
@@ -11,17 +11,17 @@
 from redwingvalve.core import invariants, outcomes
 from redwingvalve.declaration import schema
 from redwingvalve.entry import (
-    account_gate,
+    account_limiter,
     accounts,
-    cache_watch,
-    caller,
+    caller_request,
     dependencies,
-    load_watch,
+    load_forwarder,
     model_request,
-    once,
+    prefix_cache_sync,
     relay,
+    request_keys,
     request_metrics,
-    responder,
+    response_writer,
     services,
 )
 from redwingvalve.observability import logs
@@ -40,28 +40,34 @@
     ) -> None:
         """Answer requests with entry_dependencies."""
         self._dependencies = entry_dependencies
-        self._accounts = accounts.AccountBook(entry_dependencies.source)
-        self.gate = account_gate.make_account_gate(entry_dependencies)
-        self._models = relay.ModelRelay(entry_dependencies, self.gate)
-        self.loads = load_watch.make_load_watch(
+        self._authenticator = accounts.AccountAuthenticator(
+            entry_dependencies.source
+        )
+        self.account_limiter = account_limiter.make_account_limiter(
+            entry_dependencies
+        )
+        self._models = relay.ModelRelay(
+            entry_dependencies, self.account_limiter
+        )
+        self.loads = load_forwarder.make_load_forwarder(
             entry_dependencies.source,
             entry_dependencies.permits,
-            self._models.choice,
+            self._models.selector,
             entry_dependencies.clock,
         )
-        self.stalls = self._models.stalls
-        self.caches = cache_watch.make_cache_watch(
-            entry_dependencies, self._models.choice
+        self.stall_monitor = self._models.stall_monitor
+        self.cache_sync = prefix_cache_sync.make_prefix_cache_sync(
+            entry_dependencies, self._models.selector
         )
         self._services = services.ServiceRelay(entry_dependencies)
-        self._once = _make_once(entry_dependencies)
+        self._request_keys = _make_request_key_guard(entry_dependencies)
         self.in_progress = 0
 
     async def __call__(
         self,
-        scope: caller.Scope,
-        receive: caller.Receive,
-        send: responder.Send,
+        scope: caller_request.Scope,
+        receive: caller_request.Receive,
+        send: response_writer.Send,
     ) -> None:
         """Serve one request, or take part in the server's lifespan."""
         if scope['type'] == 'lifespan':
@@ -69,46 +75,46 @@
             return
         if scope['type'] != 'http':
             return
-        responds = responder.Responder('', send)
-        with self._counted(responds):
-            await self._answer(scope, receive, responds)
+        writer = response_writer.ResponseWriter('', send)
+        with self._recorded(writer):
+            await self._handle(scope, receive, writer)
 
     @contextlib.contextmanager
-    def _counted(
-        self, responds: responder.Responder
+    def _recorded(
+        self, writer: response_writer.ResponseWriter
     ) -> collections_abc.Iterator[None]:
         began_s = self._dependencies.clock.monotonic_s()
-        self._count_in_progress(1)
+        self._add_in_progress(1)
         try:
             yield
         finally:
-            self._count_in_progress(-1)
+            self._add_in_progress(-1)
             took_s = self._dependencies.clock.monotonic_s() - began_s
-            request_metrics.tell(self._dependencies.metrics, responds, took_s)
+            request_metrics.record(self._dependencies.metrics, writer, took_s)
 
-    def _count_in_progress(self, change: int) -> None:
+    def _add_in_progress(self, change: int) -> None:
         self.in_progress += change
         self._dependencies.metrics.gauge(
             request_metrics.IN_PROGRESS, self.in_progress
         )
 
-    async def _answer(
+    async def _handle(
         self,
-        scope: caller.Scope,
-        receive: caller.Receive,
-        responds: responder.Responder,
+        scope: caller_request.Scope,
+        receive: caller_request.Receive,
+        writer: response_writer.ResponseWriter,
     ) -> None:
-        read = caller.read_head(
+        read = caller_request.read_head(
             scope,
             self._dependencies.settings,
             self._dependencies.clock.monotonic_s(),
         )
         if read.is_error():
-            responds.request_id = read.error.request_id
-            await responds.send_error(read.error)
+            writer.request_id = read.error.request_id
+            await writer.send_error(read.error)
             return
         head = read.ok
-        responds.request_id = head.request_id
+        writer.request_id = head.request_id
         span = self._dependencies.tracing.start_span(
             'entry request',
             head.headers,
@@ -120,91 +126,94 @@
         )
         try:
             with invariants.breaches_alone():
-                await self._serve(head, receive, responds, span)
-        except caller.CallerGoneError:
+                await self._serve(head, receive, writer, span)
+        except caller_request.CallerDisconnectedError:
             span.add_event('caller gone')
         except invariants.InvariantBreachError:
             LOGGER.exception('an invariant was broken')
             raise
         except Exception:
             LOGGER.exception('a request failed inside the entry')
-            await responds.send_error(_failed_inside(responds.outcome))
+            await writer.send_error(_internal_error(writer.outcome))
         finally:
             span.end()
 
     async def _serve(
         self,
-        head: caller.CallerHead,
-        receive: caller.Receive,
-        responds: responder.Responder,
+        head: caller_request.RequestHead,
+        receive: caller_request.Receive,
+        writer: response_writer.ResponseWriter,
         span: trace.Span,
     ) -> None:
         if head.path == ENTRIES_PATH and head.method == 'GET':
-            await self._answer_entries(responds)
+            await self._list_entries(writer)
             return
-        found = self._accounts.authenticate(head)
-        if found.is_error():
-            await responds.send_error(found.error)
+        authenticated = self._authenticator.authenticate(head)
+        if authenticated.is_error():
+            await writer.send_error(authenticated.error)
             return
         if head.path == KEYS_PATH and head.method == 'POST':
-            await self._answer_key(responds)
+            await self._issue_key(writer)
             return
         if head.path == MODELS_PATH and head.method == 'GET':
-            await self._answer_models(responds)
+            await self._list_models(writer)
             return
-        read = await caller.read_body(
+        read = await caller_request.read_body(
             receive, head, self._dependencies.settings.max_body_bytes
         )
         if read.is_error():
-            await responds.send_error(read.error)
+            await writer.send_error(read.error)
             return
-        work = self._find_work(head, found.ok, read.ok)
-        if isinstance(work, outcomes.ErrorAnswer):
-            await responds.send_error(work)
+        routed = self._route(head, authenticated.ok, read.ok)
+        if isinstance(routed, outcomes.ErrorAnswer):
+            await writer.send_error(routed)
             return
         async with anyio.create_task_group() as group:
             group.start_soon(
-                _cancel_when_gone, receive, group.cancel_scope, responds, span
+                _cancel_on_disconnect, receive, group.cancel_scope, writer, span
             )
-            await self._run_work(work, responds, span)
+            await self._run_routed(routed, writer, span)
             group.cancel_scope.cancel()
 
-    async def _run_work(
-        self, work: 'Work', responds: responder.Responder, span: trace.Span
+    async def _run_routed(
+        self,
+        routed: 'RoutedRequest',
+        writer: response_writer.ResponseWriter,
+        span: trace.Span,
     ) -> None:
         """Run work, under a claim of its key if it may run only once."""
-        refusal = self.gate.refuse_request(work.account)
+        refusal = self.account_limiter.check_request(routed.account)
         if refusal is not None:
             span.set_attribute('redwingvalve.refused', refusal.code)
-            await responds.send_error(refusal)
+            await writer.send_error(refusal)
             return
-        if self._once is None or work.request.idempotent:
-            await work.run(work.request, responds, span, None)
+        if self._request_keys is None or routed.request.idempotent:
+            await routed.run(routed.request, writer, span, None)
             return
-        claimed = await self._once.claim(
-            work.request.head, work.account, work.body
+        claimed = await self._request_keys.claim(
+            routed.request.head, routed.account, routed.body
         )
         if claimed.is_error():
             span.set_attribute('redwingvalve.refused', claimed.error.code)
-            await responds.send_error(claimed.error)
+            await writer.send_error(claimed.error)
             return
         grant = claimed.ok
         try:
-            await work.run(
-                work.request,
-                responds,
+            await routed.run(
+                routed.request,
+                writer,
                 span,
-                lambda: self._once.check(grant),
+                lambda: self._request_keys.check(grant),
             )
         finally:
-            await self._once.report(grant, responds.outcome)
+            await self._request_keys.report(grant, writer.outcome)
 
-    def _find_work(
+    def _route(
         self,
-        head: caller.CallerHead,
+        head: caller_request.RequestHead,
         account: schema.ClientAccount,
         body: bytes,
-    ) -> 'Work | outcomes.ErrorAnswer':
+    ) -> 'RoutedRequest | outcomes.ErrorAnswer':
         current = self._dependencies.source.current()
         if head.path in model_request.PROMPT_FIELDS and head.method == 'POST':
             read = model_request.read_model_request(
@@ -215,7 +224,9 @@
             refusal = accounts.check_deployment(
                 account, read.ok.deployment, head
             )
-            return refusal or Work(self._models.run, read.ok, account, body)
+            return refusal or RoutedRequest(
+                self._models.run, read.ok, account, body
+            )
         service = services.find_service(head.path, current.services)
         if service is None:
             return outcomes.ErrorAnswer(
@@ -224,30 +235,34 @@
                 message=f'nothing answers {head.method} {head.path}',
                 outcome=outcomes.Outcome.NOT_RUN,
             )
-        return Work(
+        return RoutedRequest(
             self._services.run,
             services.ServiceRequest(head, account, service, body),
             account,
             body,
         )
 
-    async def _answer_key(self, responds: responder.Responder) -> None:
-        if self._once is None:
-            await responds.send_error(_no_keys())
+    async def _issue_key(self, writer: response_writer.ResponseWriter) -> None:
+        if self._request_keys is None:
+            await writer.send_error(_keys_unavailable())
             return
-        await responds.send_json(200, {'key': self._once.issue()})
+        await writer.send_json(200, {'key': self._request_keys.issue()})
 
-    async def _answer_entries(self, responds: responder.Responder) -> None:
+    async def _list_entries(
+        self, writer: response_writer.ResponseWriter
+    ) -> None:
         listed = self._dependencies.directory.entries()
-        await responds.send_json(200, attrs.asdict(listed))
+        await writer.send_json(200, attrs.asdict(listed))
 
-    async def _answer_models(self, responds: responder.Responder) -> None:
+    async def _list_models(
+        self, writer: response_writer.ResponseWriter
+    ) -> None:
         names = [
             name
             for deployment in self._dependencies.source.current().deployments
             for name in (deployment.name, *deployment.adapters)
         ]
-        await responds.send_json(
+        await writer.send_json(
             200,
             {
                 'object': 'list',
@@ -260,7 +275,7 @@
 
 
 @attrs.frozen
-class Work:
+class RoutedRequest:
     """A request and the relay that runs it."""
 
     run: collections_abc.Callable[..., collections_abc.Awaitable[None]]
@@ -269,10 +284,10 @@
     body: bytes
 
 
-async def _cancel_when_gone(
-    receive: caller.Receive,
+async def _cancel_on_disconnect(
+    receive: caller_request.Receive,
     scope: anyio.CancelScope,
-    responds: responder.Responder,
+    writer: response_writer.ResponseWriter,
     span: trace.Span,
 ) -> None:
     """Cancel the work of a caller that hangs up, and free its tokens.
@@ -283,13 +298,15 @@
     message = await receive()
     while message['type'] != 'http.disconnect':
         message = await receive()
-    if responds.finished:
+    if writer.finished:
         return
     span.add_event('caller gone')
     scope.cancel()
 
 
-async def _lifespan(receive: caller.Receive, send: responder.Send) -> None:
+async def _lifespan(
+    receive: caller_request.Receive, send: response_writer.Send
+) -> None:
     while True:
         message = await receive()
         if message['type'] == 'lifespan.startup':
@@ -299,17 +316,17 @@
             return
 
 
-def _make_once(
+def _make_request_key_guard(
     entry_dependencies: dependencies.EntryDependencies,
-) -> once.OnceGuard | None:
+) -> request_keys.RequestKeyGuard | None:
     if entry_dependencies.key_claims is None:
         return None
-    return once.OnceGuard(
+    return request_keys.RequestKeyGuard(
         entry_dependencies.key_claims, entry_dependencies.members.myself()
     )
 
 
-def _failed_inside(outcome: outcomes.Outcome) -> outcomes.ErrorAnswer:
+def _internal_error(outcome: outcomes.Outcome) -> outcomes.ErrorAnswer:
     """Return the answer to a request that met a fault of our own."""
     return outcomes.ErrorAnswer(
         status=500,
@@ -319,7 +336,7 @@
     )
 
 
-def _no_keys() -> outcomes.ErrorAnswer:
+def _keys_unavailable() -> outcomes.ErrorAnswer:
     return outcomes.ErrorAnswer(
         status=503,
         code='no-request-keys',
--- a/redwingvalve/entry/caller.py
+++ b/redwingvalve/entry/caller_request.py
@@ -19,13 +19,13 @@
 
 REQUEST_ID_PATTERN = re.compile('[A-Za-z0-9._-]{1,128}')
 REQUEST_KEY_PATTERN = re.compile('[!-~]{1,255}')
-TRUE_WORDS = frozenset(('true', '1'))
-FALSE_WORDS = frozenset(('false', '0'))
+TRUE_VALUES = frozenset(('true', '1'))
+FALSE_VALUES = frozenset(('false', '0'))
 MS_PER_S = 1000
 
 
 @attrs.frozen
-class CallerHead:
+class RequestHead:
     """Everything of a request but its body; deadline_s counts from arrival.
 
     priority and idempotent are None where the caller says nothing.
@@ -48,13 +48,13 @@
         return self.arrived_s + self.deadline_s - now_s
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller hung up before its whole request had arrived."""
 
 
 def read_head(
     scope: Scope, settings: settings_schema.RequestSettings, now_s: float
-) -> Result[CallerHead, outcomes.ErrorAnswer]:
+) -> Result[RequestHead, outcomes.ErrorAnswer]:
     """Read and check the request line and headers."""
     headers = {
         name.decode('latin1').lower(): text.decode('latin1')
@@ -62,7 +62,7 @@
     }
     problems: list[str] = []
     request_id = _request_id(headers, problems)
-    head = CallerHead(
+    head = RequestHead(
         method=scope['method'],
         path=scope['path'],
         query=scope.get('query_string', b'').decode('latin1'),
@@ -82,23 +82,23 @@
 
 async def read_body(
     receive: Receive,
-    head: CallerHead,
+    head: RequestHead,
     max_body_bytes: int,
 ) -> Result[bytes, outcomes.ErrorAnswer]:
     """Read the body up to its bound; CallerGoneError when the caller goes."""
     announced = head.headers.get('content-length', '')
     if announced.isdigit() and int(announced) > max_body_bytes:
-        return Error(_too_large(max_body_bytes, head.request_id))
+        return Error(_body_too_large(max_body_bytes, head.request_id))
     parts: list[bytes] = []
     size_bytes = 0
     while True:
         message = await receive()
         if message['type'] == 'http.disconnect':
-            raise CallerGoneError(head.request_id)
+            raise CallerDisconnectedError(head.request_id)
         part = message.get('body', b'')
         size_bytes += len(part)
         if size_bytes > max_body_bytes:
-            return Error(_too_large(max_body_bytes, head.request_id))
+            return Error(_body_too_large(max_body_bytes, head.request_id))
         parts.append(part)
         if not message.get('more_body', False):
             return Ok(b''.join(parts))
@@ -131,7 +131,9 @@
     )
 
 
-def _too_large(max_body_bytes: int, request_id: str) -> outcomes.ErrorAnswer:
+def _body_too_large(
+    max_body_bytes: int, request_id: str
+) -> outcomes.ErrorAnswer:
     return outcomes.ErrorAnswer(
         status=413,
         code='body-too-large',
@@ -142,11 +144,11 @@
 
 
 def _request_id(headers: dict[str, str], problems: list[str]) -> str:
-    given = headers.get(outcomes.REQUEST_ID_HEADER, '')
-    if not given:
+    value = headers.get(outcomes.REQUEST_ID_HEADER, '')
+    if not value:
         return uuid.uuid4().hex
-    if REQUEST_ID_PATTERN.fullmatch(given):
-        return given
+    if REQUEST_ID_PATTERN.fullmatch(value):
+        return value
     problems.append(
         f'header {outcomes.REQUEST_ID_HEADER}: 1 to 128 letters, digits, '
         'dots, hyphens or underscores'
@@ -164,46 +166,46 @@
     settings: settings_schema.RequestSettings,
     problems: list[str],
 ) -> float:
-    given = headers.get(outcomes.DEADLINE_HEADER, '')
-    if not given:
+    value = headers.get(outcomes.DEADLINE_HEADER, '')
+    if not value:
         return settings.default_deadline_s
-    if not given.isascii() or not given.isdigit() or int(given) == 0:
+    if not value.isascii() or not value.isdigit() or int(value) == 0:
         problems.append(
             f'header {outcomes.DEADLINE_HEADER}: a whole number of '
             'milliseconds above zero'
         )
         return settings.default_deadline_s
-    return min(int(given) / MS_PER_S, settings.max_deadline_s)
+    return min(int(value) / MS_PER_S, settings.max_deadline_s)
 
 
 def _priority(headers: dict[str, str], problems: list[str]) -> int | None:
-    given = headers.get(outcomes.PRIORITY_HEADER, '')
-    if not given:
+    value = headers.get(outcomes.PRIORITY_HEADER, '')
+    if not value:
         return None
-    if len(given) == 1 and given.isascii() and given.isdigit():
-        return int(given)
+    if len(value) == 1 and value.isascii() and value.isdigit():
+        return int(value)
     problems.append(f'header {outcomes.PRIORITY_HEADER}: a digit from 0 to 9')
     return None
 
 
 def _idempotent(headers: dict[str, str], problems: list[str]) -> bool | None:
-    given = headers.get(outcomes.IDEMPOTENT_HEADER, '').lower()
-    if not given:
+    value = headers.get(outcomes.IDEMPOTENT_HEADER, '').lower()
+    if not value:
         return None
-    if given in TRUE_WORDS:
+    if value in TRUE_VALUES:
         return True
-    if given in FALSE_WORDS:
+    if value in FALSE_VALUES:
         return False
     problems.append(f'header {outcomes.IDEMPOTENT_HEADER}: true or false')
     return None
 
 
 def _request_key(headers: dict[str, str], problems: list[str]) -> str:
-    given = headers.get(outcomes.REQUEST_KEY_HEADER, '')
-    if given and not REQUEST_KEY_PATTERN.fullmatch(given):
+    value = headers.get(outcomes.REQUEST_KEY_HEADER, '')
+    if value and not REQUEST_KEY_PATTERN.fullmatch(value):
         problems.append(
             f'header {outcomes.REQUEST_KEY_HEADER}: 1 to 255 printable '
             'characters without spaces'
         )
         return ''
-    return given
+    return value
--- a/redwingvalve/entry/daemon.py
+++ b/redwingvalve/entry/daemon.py
@@ -11,7 +11,7 @@
 
 LOGGER = logs.make_logger('entry')
 # Other entries hear of a leaving one within this time; see news and gossip.
-LEAVING_SPREADS_S = 3.0
+LEAVE_PROPAGATION_S = 3.0
 
 
 async def serve_entry(
@@ -28,10 +28,10 @@
     bind = f'{settings.node.host}:{settings.listen.http_port}'
     LOGGER.info('the entry listens', extra={'address': bind})
     async with anyio.create_task_group() as group:
-        group.start_soon(application.gate.run)
+        group.start_soon(application.account_limiter.run)
         group.start_soon(application.loads.run)
-        group.start_soon(application.stalls.run)
-        group.start_soon(application.caches.run)
+        group.start_soon(application.stall_monitor.run)
+        group.start_soon(application.cache_sync.run)
         if entry_dependencies.key_claims is not None:
             group.start_soon(entry_dependencies.key_claims.keep_looking)
         await serving.serve(
@@ -65,7 +65,7 @@
         'the entry leaves', extra={'in_progress': application.in_progress}
     )
     await entry_dependencies.clock.sleep(
-        entry_dependencies.settings.discovery_keep_s + LEAVING_SPREADS_S
+        entry_dependencies.settings.discovery_keep_s + LEAVE_PROPAGATION_S
     )
     LOGGER.info(
         'the entry takes no more connections',
--- a/redwingvalve/entry/delivered.py
+++ b/redwingvalve/entry/delivered_events.py
@@ -5,13 +5,13 @@
 
 import attrs
 
-from redwingvalve.entry import answer_check
+from redwingvalve.entry import response_check
 
 DATA_FIELD = b'data:'
 
 
 @attrs.define
-class Delivered:
+class DeliveredEvents:
     """The events that were written to the caller, over all sends.
 
     They are kept as bytes and parsed only when a stream breaks: a parse of
@@ -19,22 +19,22 @@
     that are never resumed, whose events are only counted.
     """
 
-    kept: bool
+    recorded: bool
     count: int = 0
     _events: bytearray = attrs.field(factory=bytearray)
 
     def add(self, events: list[bytes]) -> None:
         """Count events as delivered."""
         self.count += len(events)
-        if self.kept:
+        if self.recorded:
             for event in events:
                 self._events += event
 
-    def read(self) -> 'DeliveredText':
+    def parse(self) -> 'DeliveredText':
         """Return the tokens delivered, and whether the answer had ended."""
         tokens: list[str] = []
         ended = False
-        for event in bytes(self._events).split(answer_check.EVENT_END):
+        for event in bytes(self._events).split(response_check.EVENT_END):
             if not event:
                 continue
             choice = _choice(json.loads(event[len(DATA_FIELD) :]))
--- a/redwingvalve/entry/directory.py
+++ b/redwingvalve/entry/directory.py
@@ -34,9 +34,9 @@
 class MembersDirectory(EntryDirectory):
     """Every entry that membership believes alive."""
 
-    def __init__(self, known: members.Members, keep_s: float) -> None:
+    def __init__(self, membership: members.Members, keep_s: float) -> None:
         """Name the entries of known for keep_s."""
-        self._members = known
+        self._members = membership
         self._keep_s = keep_s
 
     def entries(self) -> EntryList:
@@ -53,7 +53,7 @@
 
 
 def make_members_directory(
-    known: members.Members, keep_s: float
+    membership: members.Members, keep_s: float
 ) -> EntryDirectory:
     """Return a directory that follows membership alone."""
-    return MembersDirectory(known, keep_s)
+    return MembersDirectory(membership, keep_s)
--- a/redwingvalve/entry/httpx_upstream.py
+++ b/redwingvalve/entry/httpx_upstream.py
@@ -11,7 +11,7 @@
 CONNECT_TIMEOUT_S = 1.0
 MAX_CONNECTIONS = 4096
 MAX_IDLE_CONNECTIONS = 512
-IDLE_CONNECTION_S = 20.0
+IDLE_CONNECTION_TIMEOUT_S = 20.0
 # Nothing of the request has left this process when one of these is raised.
 NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
 
@@ -22,11 +22,11 @@
     def __init__(self, client: httpx.AsyncClient) -> None:
         """Send through client, which this object closes."""
         self._client = client
-        self._open: dict[int, httpx.Response] = {}
+        self._open_responses: dict[int, httpx.Response] = {}
 
     async def send(
         self, request: upstream.UpstreamRequest
-    ) -> upstream.UpstreamAnswer:
+    ) -> upstream.UpstreamResponse:
         """Return the head of the answer; UpstreamError when none comes."""
         built = self._client.build_request(
             request.method,
@@ -36,33 +36,33 @@
             timeout=httpx.Timeout(request.timeout_s, connect=CONNECT_TIMEOUT_S),
         )
         try:
-            response = await self._client.send(built, stream=True)
+            raw_response = await self._client.send(built, stream=True)
         except NOT_SENT_ERRORS as error:
             raise upstream.UpstreamError(
-                _describe(error), surely_not_run=True
+                _describe(error), not_sent=True
             ) from error
         except (httpx.HTTPError, httpx.InvalidURL, ssl.SSLError) as error:
             raise upstream.UpstreamError(
-                _describe(error), surely_not_run=False
+                _describe(error), not_sent=False
             ) from error
-        answer = upstream.UpstreamAnswer(
-            status=response.status_code,
+        response = upstream.UpstreamResponse(
+            status=raw_response.status_code,
             headers=tuple(
                 (name.lower(), text)
-                for name, text in response.headers.multi_items()
+                for name, text in raw_response.headers.multi_items()
             ),
-            chunks=_chunks(response),
+            chunks=_chunks(raw_response),
         )
-        self._open[id(answer)] = response
-        return answer
+        self._open_responses[id(response)] = raw_response
+        return response
 
-    async def release(self, answer: upstream.UpstreamAnswer) -> None:
+    async def release(self, response: upstream.UpstreamResponse) -> None:
         """Close or reuse the connection; cancels an unfinished answer."""
-        response = self._open.pop(id(answer), None)
-        if response is None:
+        raw_response = self._open_responses.pop(id(response), None)
+        if raw_response is None:
             return
         with anyio.CancelScope(shield=True):
-            await response.aclose()
+            await raw_response.aclose()
 
     async def aclose(self) -> None:
         """Close all connections."""
@@ -70,14 +70,14 @@
 
 
 async def _chunks(
-    response: httpx.Response,
+    raw_response: httpx.Response,
 ) -> collections_abc.AsyncIterator[bytes]:
     try:
-        async for chunk in response.aiter_raw():
+        async for chunk in raw_response.aiter_raw():
             yield chunk
     except (httpx.HTTPError, httpx.StreamError) as error:
         raise upstream.UpstreamError(
-            _describe(error), surely_not_run=False
+            _describe(error), not_sent=False
         ) from error
 
 
@@ -90,7 +90,7 @@
     limits = httpx.Limits(
         max_connections=MAX_CONNECTIONS,
         max_keepalive_connections=MAX_IDLE_CONNECTIONS,
-        keepalive_expiry=IDLE_CONNECTION_S,
+        keepalive_expiry=IDLE_CONNECTION_TIMEOUT_S,
     )
     return HttpxUpstream(
         httpx.AsyncClient(
--- a/redwingvalve/entry/load_watch.py
+++ b/redwingvalve/entry/load_forwarder.py
@@ -8,66 +8,66 @@
 
 from redwingvalve.configuration import snapshot
 from redwingvalve.core import clock
-from redwingvalve.entry import replica_choice
+from redwingvalve.entry import replica_selection
 from redwingvalve.evidence import permits
 from redwingvalve.routing import messages
 
 # Probes come each 0.7 s; looking more often would find nothing new.
-LOOK_EVERY_S = 0.5
+POLL_INTERVAL_S = 0.5
 
 
-class LoadWatch:
+class LoadForwarder:
     """Passes reported loads on to routing, each report once."""
 
     def __init__(
         self,
         source: snapshot.ConfigurationSource,
         serving_permits: permits.ServingPermits,
-        choice: replica_choice.ReplicaChoice,
+        selector: replica_selection.ReplicaSelector,
         time_source: clock.Clock,
     ) -> None:
         """Tell choice what serving_permits report of the replicas."""
         self._source = source
         self._permits = serving_permits
-        self._choice = choice
+        self._selector = selector
         self._clock = time_source
-        self._told_s: dict[str, float] = {}
+        self._forwarded_s: dict[str, float] = {}
 
     async def run(self) -> None:
         """Look until cancelled."""
         while True:
-            self.look()
-            await self._clock.sleep(LOOK_EVERY_S)
+            self.poll()
+            await self._clock.sleep(POLL_INTERVAL_S)
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Tell every report that is newer than the last one."""
         now_s = self._clock.monotonic_s()
-        told_s: dict[str, float] = {}
+        forwarded_s: dict[str, float] = {}
         for replica in self._source.current().replicas:
             load = self._permits.reported_load(replica, now_s)
             if load is None:
                 continue
-            told_s[replica.name] = load.seen_s
-            if load.seen_s > self._told_s.get(replica.name, -1.0):
-                self._tell(replica, load, now_s)
-        self._told_s = told_s
+            forwarded_s[replica.name] = load.seen_s
+            if load.seen_s > self._forwarded_s.get(replica.name, -1.0):
+                self._forward(replica, load, now_s)
+        self._forwarded_s = forwarded_s
 
-    def _tell(
+    def _forward(
         self,
         replica: snapshot.Replica,
         load: permits.ReportedLoad,
         now_s: float,
     ) -> None:
         report = messages.LoadReport(load.in_flight, 0, load.seen_s)
-        routing = self._choice.routing(replica.deployment)
+        routing = self._selector.routing(replica.deployment)
         routing.load_reported(replica.name, report, now_s)
 
 
-def make_load_watch(
+def make_load_forwarder(
     source: snapshot.ConfigurationSource,
     serving_permits: permits.ServingPermits,
-    choice: replica_choice.ReplicaChoice,
+    selector: replica_selection.ReplicaSelector,
     time_source: clock.Clock,
-) -> LoadWatch:
+) -> LoadForwarder:
     """Return the watch of one entry; run it beside the application."""
-    return LoadWatch(source, serving_permits, choice, time_source)
+    return LoadForwarder(source, serving_permits, selector, time_source)
--- a/redwingvalve/entry/sends.py
+++ b/redwingvalve/entry/model_attempts.py
@@ -13,14 +13,14 @@
 from redwingvalve.configuration import snapshot
 from redwingvalve.core import invariants, outcomes
 from redwingvalve.entry import (
-    answer_check,
-    delivered,
+    admission_queues,
+    delivered_events,
     dependencies,
     model_request,
-    responder,
-    stall_watch,
+    response_check,
+    response_writer,
+    stall_monitor,
     upstream,
-    waiting_room,
 )
 
 OK_STATUS = 200
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen
-class SendFailure:
+class AttemptFailure:
     """A send that brought no whole answer; outcome is of this send alone.
 
     retriable tells whether another replica could do better; status is the
@@ -47,26 +47,26 @@
     message: str
     retriable: bool = True
     status: int = 0
-    blames_endpoint: bool = False
-    died: bool = False
+    endpoint_fault: bool = False
+    connection_lost: bool = False
     stalled: bool = False
 
 
 @attrs.define
-class Journey:
+class RequestProgress:
     """One request on its way: what its sends have brought so far."""
 
     request: model_request.ModelRequest
-    responds: responder.Responder
+    writer: response_writer.ResponseWriter
     span: trace.Span
-    delivered: delivered.Delivered
-    turn: waiting_room.Turn | None = None
-    sends: int = 0
+    delivered: delivered_events.DeliveredEvents
+    admission: admission_queues.Admission | None = None
+    attempts: int = 0
     resume_tokens: tuple[str, ...] = ()
     last_endpoint_id: str = ''
-    begun: snapshot.Replica | None = None
+    first_replica: snapshot.Replica | None = None
     # The retry budget has paid for going on elsewhere.
-    paid: bool = False
+    retry_prepaid: bool = False
 
 
 class StalledError(Exception):
@@ -77,12 +77,12 @@
 class _Exchange:
     """An answer under way; ended once the endpoint has nothing left of it."""
 
-    watched: stall_watch.Watched
-    answer: upstream.UpstreamAnswer | None = None
+    monitored: stall_monitor.MonitoredAttempt
+    response: upstream.UpstreamResponse | None = None
     ended: bool = False
 
 
-class Sender:
+class AttemptSender:
     """Sends model requests to replicas and passes their answers on."""
 
     def __init__(
@@ -96,10 +96,10 @@
 
     def next_identity(
         self, request: model_request.ModelRequest
-    ) -> answer_check.AnswerIdentity:
+    ) -> response_check.ResponseIdentity:
         """Return the identity of a send that is about to begin."""
-        return answer_check.AnswerIdentity(
-            endpoint_id=answer_check.make_endpoint_id(
+        return response_check.ResponseIdentity(
+            endpoint_id=response_check.make_endpoint_id(
                 request.head.request_id, self._entry, next(self._numbers)
             ),
             caller_id=request.head.request_id,
@@ -107,100 +107,102 @@
 
     async def send(
         self,
-        journey: Journey,
+        progress: RequestProgress,
         replica: snapshot.Replica,
-        identity: answer_check.AnswerIdentity,
-        watched: stall_watch.Watched,
+        identity: response_check.ResponseIdentity,
+        monitored: stall_monitor.MonitoredAttempt,
         on_first_token: collections_abc.Callable[[], None],
-    ) -> SendFailure | None:
+    ) -> AttemptFailure | None:
         """Send once; None when the caller has the whole answer.
 
         The stream is given up when the scope of watched is cancelled.
         """
         span = self._dependencies.tracing.start_span(
             'endpoint request',
-            parent=journey.span,
+            parent=progress.span,
             attributes={
                 'redwingvalve.replica': replica.name,
                 'redwingvalve.endpoint_request_id': identity.endpoint_id,
-                'redwingvalve.resumed_tokens': len(journey.resume_tokens),
+                'redwingvalve.resumed_tokens': len(progress.resume_tokens),
             },
         )
-        outgoing = self._build(journey, replica, identity, span)
-        journey.sends += 1
-        journey.last_endpoint_id = identity.endpoint_id
-        before = journey.responds.outcome
-        if before == outcomes.Outcome.NOT_RUN:
-            journey.responds.outcome = outcomes.Outcome.UNKNOWN
-        with contextlib.closing(_Ending(span)):
-            failure = await self._try(
-                journey, outgoing, identity, watched, on_first_token
+        outgoing = self._build(progress, replica, identity, span)
+        progress.attempts += 1
+        progress.last_endpoint_id = identity.endpoint_id
+        outcome_before = progress.writer.outcome
+        if outcome_before == outcomes.Outcome.NOT_RUN:
+            progress.writer.outcome = outcomes.Outcome.UNKNOWN
+        with contextlib.closing(_SpanCloser(span)):
+            failure = await self._run(
+                progress, outgoing, identity, monitored, on_first_token
             )
             if failure is not None:
                 span.set_attribute('redwingvalve.failure', failure.message)
         if failure is not None and failure.outcome == outcomes.Outcome.NOT_RUN:
-            journey.responds.outcome = before
+            progress.writer.outcome = outcome_before
         return failure
 
-    async def _try(
+    async def _run(
         self,
-        journey: Journey,
+        progress: RequestProgress,
         outgoing: upstream.UpstreamRequest,
-        identity: answer_check.AnswerIdentity,
-        watched: stall_watch.Watched,
+        identity: response_check.ResponseIdentity,
+        monitored: stall_monitor.MonitoredAttempt,
         on_first_token: collections_abc.Callable[[], None],
-    ) -> SendFailure | None:
+    ) -> AttemptFailure | None:
         try:
-            with watched.scope, contextlib.suppress(StalledError):
+            with monitored.scope, contextlib.suppress(StalledError):
                 return await self._exchange_once(
-                    journey, outgoing, identity, watched, on_first_token
+                    progress, outgoing, identity, monitored, on_first_token
                 )
         except upstream.UpstreamError as error:
-            return self._failed_send(error)
-        except answer_check.WrongAnswerError as error:
-            return SendFailure(outcomes.Outcome.UNKNOWN, str(error))
-        except answer_check.IncompleteAnswerError as error:
-            return SendFailure(
-                outcomes.Outcome.UNKNOWN, str(error), blames_endpoint=True
+            return self._connection_failure(error)
+        except response_check.ResponseMismatchError as error:
+            return AttemptFailure(outcomes.Outcome.UNKNOWN, str(error))
+        except response_check.IncompleteResponseError as error:
+            return AttemptFailure(
+                outcomes.Outcome.UNKNOWN, str(error), endpoint_fault=True
             )
-        return _stalled()
+        return _stall_failure()
 
     async def _exchange_once(
         self,
-        journey: Journey,
+        progress: RequestProgress,
         outgoing: upstream.UpstreamRequest,
-        identity: answer_check.AnswerIdentity,
-        watched: stall_watch.Watched,
+        identity: response_check.ResponseIdentity,
+        monitored: stall_monitor.MonitoredAttempt,
         on_first_token: collections_abc.Callable[[], None],
-    ) -> SendFailure | None:
-        async with self._exchange(outgoing, watched) as exchange:
+    ) -> AttemptFailure | None:
+        async with self._exchange(outgoing, monitored) as exchange:
             return await self._receive(
-                exchange, journey, identity, on_first_token
+                exchange, progress, identity, on_first_token
             )
 
     @contextlib.asynccontextmanager
     async def _exchange(
-        self, outgoing: upstream.UpstreamRequest, watched: stall_watch.Watched
+        self,
+        outgoing: upstream.UpstreamRequest,
+        monitored: stall_monitor.MonitoredAttempt,
     ) -> collections_abc.AsyncIterator['_Exchange']:
         """Open an answer; on leaving early, cancel it and free its tokens."""
-        exchange = _Exchange(watched)
+        exchange = _Exchange(monitored)
         try:
-            exchange.answer = await self._dependencies.upstream.send(outgoing)
+            exchange.response = await self._dependencies.upstream.send(outgoing)
             yield exchange
         except upstream.UpstreamError as error:
-            exchange.ended = error.surely_not_run
+            exchange.ended = error.not_sent
             raise
         finally:
-            await self._tidy(exchange, outgoing)
+            await self._clean_up(exchange, outgoing)
 
     def _build(
         self,
-        journey: Journey,
+        progress: RequestProgress,
         replica: snapshot.Replica,
-        identity: answer_check.AnswerIdentity,
+        identity: response_check.ResponseIdentity,
         span: trace.Span,
     ) -> upstream.UpstreamRequest:
-        request = journey.request
+        request = progress.request
         remaining_s = max(
             request.head.remaining_s(self._dependencies.clock.monotonic_s()),
             0.001,
@@ -210,13 +212,13 @@
             model=model_request.engine_model(request),
             priority=request.priority,
         )
-        if journey.resume_tokens:
+        if progress.resume_tokens:
             fields['resume'] = {
-                'request_id': journey.last_endpoint_id,
-                'tokens': list(journey.resume_tokens),
+                'request_id': progress.last_endpoint_id,
+                'tokens': list(progress.resume_tokens),
             }
         headers = {
-            'content-type': responder.JSON_TYPE,
+            'content-type': response_writer.JSON_TYPE,
             outcomes.REQUEST_ID_HEADER: identity.endpoint_id,
             outcomes.PRIORITY_HEADER: str(request.priority),
             outcomes.DEADLINE_HEADER: str(int(remaining_s * MS_PER_S)),
@@ -237,100 +239,102 @@
     async def _receive(
         self,
         exchange: '_Exchange',
-        journey: Journey,
-        identity: answer_check.AnswerIdentity,
+        progress: RequestProgress,
+        identity: response_check.ResponseIdentity,
         on_first_token: collections_abc.Callable[[], None],
-    ) -> SendFailure | None:
-        answer = exchange.answer
-        if answer.status != OK_STATUS:
-            refusal = await _read_refusal(answer)
+    ) -> AttemptFailure | None:
+        response = exchange.response
+        if response.status != OK_STATUS:
+            refusal = await _read_refusal(response)
             exchange.ended = True
             return refusal
-        answer_check.check_head(
-            answer.headers, identity, self._dependencies.switches
+        response_check.check_headers(
+            response.headers, identity, self._dependencies.switches
         )
-        if journey.request.stream:
+        if progress.request.stream:
             await self._relay_stream(
-                exchange, identity, journey, on_first_token
+                exchange, identity, progress, on_first_token
             )
             exchange.ended = True
             return None
-        body = b''.join([chunk async for chunk in answer.chunks])
+        body = b''.join([chunk async for chunk in response.chunks])
         exchange.ended = True
         on_first_token()
-        whole = answer_check.check_whole_json(
+        whole = response_check.check_json_body(
             body, identity, self._dependencies.switches
         )
-        await journey.responds.send_json(OK_STATUS, whole, outcomes.Outcome.RAN)
+        await progress.writer.send_json(OK_STATUS, whole, outcomes.Outcome.RAN)
         return None
 
     async def _relay_stream(
         self,
         exchange: '_Exchange',
-        identity: answer_check.AnswerIdentity,
-        journey: Journey,
+        identity: response_check.ResponseIdentity,
+        progress: RequestProgress,
         on_first_token: collections_abc.Callable[[], None],
     ) -> None:
-        checker = answer_check.StreamChecker(
+        validator = response_check.StreamValidator(
             identity, self._dependencies.switches
         )
-        responds = journey.responds
-        pulse = exchange.watched.pulse
-        told = False
-        async for chunk in exchange.answer.chunks:
+        writer = progress.writer
+        pulse = exchange.monitored.pulse
+        notified = False
+        async for chunk in exchange.response.chunks:
             if pulse.stalled:
                 # The chunk came with the cancellation. Delivering would be
                 # cut off after counting; the next replica makes it again.
                 raise StalledError
-            events = checker.feed(chunk)
+            events = validator.feed(chunk)
             if not events:
                 continue
             pulse.held = True
-            if not told:
-                told = True
+            if not notified:
+                notified = True
                 on_first_token()
-                await _start_once(responds)
+                await _ensure_started(writer)
             # Counted before they are written: a caller that hangs up in
             # between gets no second answer, so nothing can be sent twice.
-            journey.delivered.add(events)
+            progress.delivered.add(events)
             pulse.tokens += len(events)
-            await responds.write(b''.join(events))
+            await writer.write(b''.join(events))
             pulse.held = False
         pulse.held = True
-        complete = checker.done or not self._dependencies.switches.enabled(
+        complete = validator.done or not self._dependencies.switches.enabled(
             invariants.Safeguard.ANSWER_COMPLETENESS
         )
         if not complete:
-            raise answer_check.IncompleteAnswerError('no [DONE] was seen')
-        await finish_stream(responds)
+            raise response_check.IncompleteResponseError('no [DONE] was seen')
+        await finish_stream(writer)
 
-    def _failed_send(self, error: upstream.UpstreamError) -> SendFailure:
+    def _connection_failure(
+        self, error: upstream.UpstreamError
+    ) -> AttemptFailure:
         # Only a connection that never stood proves that nothing ran. After
         # the first byte the endpoint may have run all of it and died.
-        not_run = error.surely_not_run
+        not_run = error.not_sent
         if not self._dependencies.switches.enabled(
             invariants.Safeguard.TRUTHFUL_NOT_RUN
         ):
             not_run = True
-        return SendFailure(
+        return AttemptFailure(
             outcomes.Outcome.NOT_RUN if not_run else outcomes.Outcome.UNKNOWN,
             str(error),
-            blames_endpoint=True,
-            died=not error.surely_not_run,
+            endpoint_fault=True,
+            connection_lost=not error.not_sent,
         )
 
-    async def _tidy(
+    async def _clean_up(
         self, exchange: '_Exchange', outgoing: upstream.UpstreamRequest
     ) -> None:
         with anyio.CancelScope(shield=True):
-            if exchange.answer is not None:
-                await self._dependencies.upstream.release(exchange.answer)
+            if exchange.response is not None:
+                await self._dependencies.upstream.release(exchange.response)
             if not exchange.ended:
                 timeout_s = CANCEL_TIMEOUT_S
-                if exchange.watched.pulse.stalled:
+                if exchange.monitored.pulse.stalled:
                     timeout_s = STALL_CANCEL_TIMEOUT_S
                 reached = await self._cancel(outgoing, timeout_s)
-                exchange.watched.endpoint_gone = not reached
+                exchange.monitored.endpoint_unreachable = not reached
 
     async def _cancel(
         self, outgoing: upstream.UpstreamRequest, timeout_s: float
@@ -347,15 +351,15 @@
         )
         with anyio.move_on_after(timeout_s):
             try:
-                answer = await self._dependencies.upstream.send(cancel)
+                response = await self._dependencies.upstream.send(cancel)
             except upstream.UpstreamError:
                 return False
-            await self._dependencies.upstream.release(answer)
+            await self._dependencies.upstream.release(response)
         return True
 
 
 @attrs.frozen
-class _Ending:
+class _SpanCloser:
     """Ends a span on every way out."""
 
     span: trace.Span
@@ -365,38 +369,39 @@
         self.span.end()
 
 
-def _stalled() -> SendFailure:
+def _stall_failure() -> AttemptFailure:
     # Easing the replica off is routing's part: it hangs, and isn't gone.
-    return SendFailure(
+    return AttemptFailure(
         outcomes.Outcome.UNKNOWN, 'the stream stood still', stalled=True
     )
 
 
-async def finish_stream(responds: responder.Responder) -> None:
+async def finish_stream(writer: response_writer.ResponseWriter) -> None:
     """End a stream that is whole."""
-    await _start_once(responds)
-    await responds.finish(answer_check.DONE_EVENT)
+    await _ensure_started(writer)
+    await writer.finish(response_check.DONE_EVENT)
 
 
-async def _start_once(responds: responder.Responder) -> None:
-    if not responds.started:
-        await responds.start(
-            OK_STATUS, responder.SSE_TYPE, outcomes.Outcome.RAN
+async def _ensure_started(writer: response_writer.ResponseWriter) -> None:
+    if not writer.started:
+        await writer.start(
+            OK_STATUS, response_writer.SSE_TYPE, outcomes.Outcome.RAN
         )
 
 
-async def _read_refusal(answer: upstream.UpstreamAnswer) -> SendFailure:
+async def _read_refusal(response: upstream.UpstreamResponse) -> AttemptFailure:
     """Understand an answer that isn't a success."""
-    drained = [len(chunk) async for chunk in answer.chunks]
-    said = dict(answer.headers).get(outcomes.OUTCOME_HEADER, '')
-    not_run = said == outcomes.Outcome.NOT_RUN
-    ran = said == outcomes.Outcome.RAN
+    chunk_sizes = [len(chunk) async for chunk in response.chunks]
+    stated = dict(response.headers).get(outcomes.OUTCOME_HEADER, '')
+    not_run = stated == outcomes.Outcome.NOT_RUN
+    ran = stated == outcomes.Outcome.RAN
     outcome = outcomes.Outcome.UNKNOWN
     if not_run or ran:
-        outcome = outcomes.Outcome(said)
-    return SendFailure(
+        outcome = outcomes.Outcome(stated)
+    return AttemptFailure(
         outcome=outcome,
-        message=f'the endpoint answered {answer.status}, {sum(drained)} bytes',
-        retriable=not_run or answer.status >= FIRST_SERVER_ERROR,
-        status=answer.status,
+        message=f'the endpoint answered {response.status}, '
+        f'{sum(chunk_sizes)} bytes',
+        retriable=not_run or response.status >= FIRST_SERVER_ERROR,
+        status=response.status,
     )
--- a/redwingvalve/entry/model_request.py
+++ b/redwingvalve/entry/model_request.py
@@ -9,7 +9,7 @@
 from redwingvalve.configuration import snapshot
 from redwingvalve.core import outcomes
 from redwingvalve.declaration import schema
-from redwingvalve.entry import caller
+from redwingvalve.entry import caller_request
 
 CHAT_PATH = '/v1/chat/completions'
 TEXT_PATH = '/v1/completions'
@@ -23,7 +23,7 @@
 class ModelRequest:
     """What the caller wants of a model; fields is the body as sent."""
 
-    head: caller.CallerHead
+    head: caller_request.RequestHead
     account: schema.ClientAccount
     deployment: schema.ModelDeployment
     fields: dict[str, typing.Any]
@@ -45,19 +45,21 @@
 
 
 def read_model_request(
-    head: caller.CallerHead,
+    head: caller_request.RequestHead,
     account: schema.ClientAccount,
     body: bytes,
     current: snapshot.Snapshot,
 ) -> Result[ModelRequest, outcomes.ErrorAnswer]:
     """Check the body and find the deployment it asks for."""
-    parsed = caller.parse_json_object(body, head.request_id)
+    parsed = caller_request.parse_json_object(body, head.request_id)
     if parsed.is_error():
         return Error(parsed.error)
     fields = parsed.ok
     problems = _problems(fields, PROMPT_FIELDS[head.path])
     if problems:
-        return Error(caller.malformed('; '.join(problems), head.request_id))
+        return Error(
+            caller_request.malformed('; '.join(problems), head.request_id)
+        )
     deployment = _find_deployment(fields['model'], current)
     if deployment is None:
         return Error(
@@ -108,25 +110,25 @@
     return isinstance(prompt, (str, list)) and bool(prompt)
 
 
-def _is_count(given: typing.Any) -> bool:
-    return isinstance(given, int) and not isinstance(given, bool) and given > 0
+def _is_count(value: typing.Any) -> bool:
+    return isinstance(value, int) and not isinstance(value, bool) and value > 0
 
 
 def _find_deployment(
-    wanted: str, current: snapshot.Snapshot
+    model_name: str, current: snapshot.Snapshot
 ) -> schema.ModelDeployment | None:
     for deployment in current.deployments:
-        if deployment.name == wanted:
+        if deployment.name == model_name:
             return deployment
     for deployment in current.deployments:
-        if wanted == deployment.model or wanted in deployment.adapters:
+        if model_name == deployment.model or model_name in deployment.adapters:
             return deployment
     return None
 
 
 def engine_model(request: ModelRequest) -> str:
     """Return the name under which the engine knows what is asked for."""
-    wanted = request.fields['model']
-    if wanted in request.deployment.adapters:
-        return wanted
+    model_name = request.fields['model']
+    if model_name in request.deployment.adapters:
+        return model_name
     return request.deployment.model
--- a/redwingvalve/entry/cache_watch.py
+++ b/redwingvalve/entry/prefix_cache_sync.py
@@ -12,7 +12,7 @@
 import anyio
 
 from redwingvalve.configuration import snapshot
-from redwingvalve.entry import dependencies, replica_choice, upstream
+from redwingvalve.entry import dependencies, replica_selection, upstream
 from redwingvalve.evidence import findings_wire
 from redwingvalve.membership import rendezvous
 from redwingvalve.news import board
@@ -23,10 +23,10 @@
     policy,
 )
 
-LOOK_EVERY_S = 0.5
-TAKE_IN_EVERY_S = 2.0
-TELL_EVERY_S = 5.0
-TELL_AGAIN_S = 10.0
+POLL_INTERVAL_S = 0.5
+MERGE_INTERVAL_S = 2.0
+PUBLISH_INTERVAL_S = 5.0
+REPUBLISH_INTERVAL_S = 10.0
 FETCH_TIMEOUT_S = 0.5
 # The request line and the headers of both sides, about.
 OVERHEAD_BYTES = 400
@@ -39,101 +39,101 @@
     max_age_s=25.0,
     max_item_bytes=8192,
 )
-BROKEN = (upstream.UpstreamError, ValueError, LookupError, TypeError)
+FETCH_ERRORS = (upstream.UpstreamError, ValueError, LookupError, TypeError)
 
 
-class CacheWatch:
+class PrefixCacheSync:
     """One entry's reading and telling; run it beside the application."""
 
     def __init__(
         self,
         entry_dependencies: dependencies.EntryDependencies,
-        choice: replica_choice.ReplicaChoice,
+        selector: replica_selection.ReplicaSelector,
     ) -> None:
         """Feed the policies of choice."""
         self._dependencies = entry_dependencies
-        self._choice = choice
+        self._selector = selector
         self._follower = cache_follower.make_cache_follower()
         self._reader = cache_reader.make_cache_reader()
         self._replicas: dict[str, snapshot.Replica] = {}
         self._marks: dict[bytes, str] = {}
-        self._mine: tuple[str, ...] = ()
-        self._sorted_for: tuple[object, ...] = ()
-        self._taken_in_s = -math.inf
-        self._told: dict[str, bytes] = {}
-        self._told_s = -math.inf
-        self._told_anew_s = -math.inf
+        self._own_replicas: tuple[str, ...] = ()
+        self._assigned_for: tuple[object, ...] = ()
+        self._merged_s = -math.inf
+        self._published: dict[str, bytes] = {}
+        self._published_s = -math.inf
+        self._republished_s = -math.inf
 
     async def run(self) -> None:
         """Look until cancelled."""
         while True:
             await self.step()
-            await self._dependencies.clock.sleep(LOOK_EVERY_S)
+            await self._dependencies.clock.sleep(POLL_INTERVAL_S)
 
     async def step(self) -> None:
         """Read what the budget allows, tell, and take in what is told."""
-        self._sort_replicas()
+        self._assign_replicas()
         fetch = self._follower.next_fetch(
             self._dependencies.clock.monotonic_s()
         )
         while fetch is not None:
-            await self._read(fetch)
+            await self._read_replica(fetch)
             fetch = self._follower.next_fetch(
                 self._dependencies.clock.monotonic_s()
             )
         now_s = self._dependencies.clock.monotonic_s()
-        if now_s - self._told_s >= TELL_EVERY_S:
-            self._told_s = now_s
-            self._tell(now_s)
-        if now_s - self._taken_in_s >= TAKE_IN_EVERY_S:
-            self._taken_in_s = now_s
-            self._take_in()
-
-    def _sort_replicas(self) -> None:
+        if now_s - self._published_s >= PUBLISH_INTERVAL_S:
+            self._published_s = now_s
+            self._publish_summaries(now_s)
+        if now_s - self._merged_s >= MERGE_INTERVAL_S:
+            self._merged_s = now_s
+            self._merge_news()
+
+    def _assign_replicas(self) -> None:
         """Find the replicas that fall to this entry, after any change.
 
         At 480 replicas and 72 entries a look at all pairs takes 30 ms, which
         twice a second would be five times what a node may spend.
         """
-        myself = self._dependencies.members.myself()
+        local_member = self._dependencies.members.myself()
         names = frozenset(
             member.name
             for member in self._dependencies.members.alive(ENTRY_ROLE)
-            if member.region == myself.region
-        ) | {myself.name}
+            if member.region == local_member.region
+        ) | {local_member.name}
         current = self._dependencies.source.current()
-        if self._sorted_for == (current.version, names):
+        if self._assigned_for == (current.version, names):
             return
-        self._sorted_for = (current.version, names)
+        self._assigned_for = (current.version, names)
         self._replicas = {
             replica.name: replica
             for replica in current.replicas
-            if replica.serving and self._in_region(replica)
+            if replica.serving and self._is_in_region(replica)
         }
         self._marks = {
             findings_wire.mark_of(replica): name
             for name, replica in self._replicas.items()
         }
-        self._mine = tuple(
+        self._own_replicas = tuple(
             name
             for name in self._replicas
-            if rendezvous.holders(names, name, 1) == (myself.name,)
+            if rendezvous.holders(names, name, 1) == (local_member.name,)
         )
         self._follower.follow(
-            {name: self._replicas[name].epoch for name in self._mine}
+            {name: self._replicas[name].epoch for name in self._own_replicas}
         )
 
-    async def _read(self, fetch: cache_follower.Fetch) -> None:
+    async def _read_replica(self, fetch: cache_follower.Fetch) -> None:
         replica = self._replicas[fetch.name]
         now_s = self._dependencies.clock.monotonic_s()
-        if not self._choice.may_serve(replica, now_s):
+        if not self._selector.may_serve(replica, now_s):
             self._follower.failed(fetch, now_s)
             return
         with anyio.move_on_after(FETCH_TIMEOUT_S):
             try:
                 body = await self._fetch(replica, fetch.after)
                 events = read_events(body)
-            except BROKEN:
+            except FETCH_ERRORS:
                 self._follower.failed(fetch, now_s)
                 return
             self._follower.took(
@@ -143,7 +143,7 @@
         self._follower.failed(fetch, now_s)
 
     async def _fetch(self, replica: snapshot.Replica, after: int) -> bytes:
-        answer = await self._dependencies.upstream.send(
+        response = await self._dependencies.upstream.send(
             upstream.UpstreamRequest(
                 address=replica.members[0].address,
                 method='GET',
@@ -155,59 +155,61 @@
             )
         )
         try:
-            return b''.join([chunk async for chunk in answer.chunks])
+            return b''.join([chunk async for chunk in response.chunks])
         finally:
             with anyio.CancelScope(shield=True):
-                await self._dependencies.upstream.release(answer)
+                await self._dependencies.upstream.release(response)
 
-    def _tell(self, now_s: float) -> None:
-        words = [
+    def _publish_summaries(self, now_s: float) -> None:
+        summaries = [
             cache_news.make_word(
                 findings_wire.mark_of(self._replicas[name]),
                 self._follower,
                 name,
-                self._choice.asked,
+                self._selector.requested_prefixes,
                 now_s,
             )
-            for name in self._mine
+            for name in self._own_replicas
         ]
         items = {
             str(start): cache_news.encode(
-                words[start : start + REPLICAS_PER_ITEM]
+                summaries[start : start + REPLICAS_PER_ITEM]
             )
-            for start in range(0, len(words), REPLICAS_PER_ITEM)
+            for start in range(0, len(summaries), REPLICAS_PER_ITEM)
         }
-        again = now_s - self._told_anew_s >= TELL_AGAIN_S
-        if again:
-            self._told_anew_s = now_s
-        self._publish(items, again=again)
-
-    def _publish(self, items: dict[str, bytes], *, again: bool) -> None:
-        for gone in self._told.keys() - items.keys():
-            self._dependencies.news.publish(CHANNEL, gone, b'')
+        republish = now_s - self._republished_s >= REPUBLISH_INTERVAL_S
+        if republish:
+            self._republished_s = now_s
+        self._publish_items(items, republish=republish)
+
+    def _publish_items(
+        self, items: dict[str, bytes], *, republish: bool
+    ) -> None:
+        for removed in self._published.keys() - items.keys():
+            self._dependencies.news.publish(CHANNEL, removed, b'')
         for key, body in items.items():
-            if again or self._told.get(key) != body:
+            if republish or self._published.get(key) != body:
                 self._dependencies.news.publish(CHANNEL, key, body)
-        self._told = items
+        self._published = items
 
-    def _take_in(self) -> None:
-        words = {
+    def _merge_news(self) -> None:
+        summaries = {
             self._marks[word.mark]: word
             for news in self._dependencies.news.read(CHANNEL)
             for word in cache_news.decode(news.body)
             if word.mark in self._marks
         }
-        self._reader.take(words, self._routing_of)
+        self._reader.take(summaries, self._routing_policy)
 
-    def _routing_of(self, name: str) -> policy.RoutingPolicy | None:
+    def _routing_policy(self, name: str) -> policy.RoutingPolicy | None:
         replica = self._replicas.get(name)
         if replica is None:
             return None
-        return self._choice.routing(replica.deployment)
+        return self._selector.routing(replica.deployment)
 
-    def _in_region(self, replica: snapshot.Replica) -> bool:
-        own = self._dependencies.members.myself().region
-        return not replica.region or replica.region == own
+    def _is_in_region(self, replica: snapshot.Replica) -> bool:
+        local_region = self._dependencies.members.myself().region
+        return not replica.region or replica.region == local_region
 
 
 def read_events(
@@ -224,9 +226,9 @@
     ]
 
 
-def make_cache_watch(
+def make_prefix_cache_sync(
     entry_dependencies: dependencies.EntryDependencies,
-    choice: replica_choice.ReplicaChoice,
-) -> CacheWatch:
+    selector: replica_selection.ReplicaSelector,
+) -> PrefixCacheSync:
     """Return the watch of one entry."""
-    return CacheWatch(entry_dependencies, choice)
+    return PrefixCacheSync(entry_dependencies, selector)
--- a/redwingvalve/entry/relay.py
+++ b/redwingvalve/entry/relay.py
@@ -11,19 +11,19 @@
 from redwingvalve.configuration import snapshot
 from redwingvalve.core import outcomes
 from redwingvalve.entry import (
-    account_gate,
-    delivered,
+    account_limiter,
+    admission_queues,
+    delivered_events,
     dependencies,
+    model_attempts,
     model_request,
     relay_refusals,
     relay_retries,
-    replica_choice,
+    replica_selection,
     request_metrics,
-    responder,
-    sends,
-    stall_watch,
+    response_writer,
+    stall_monitor,
     suspects,
-    waiting_room,
 )
 from redwingvalve.observability import logs
 from redwingvalve.retries import decisions, stalls
@@ -48,35 +48,37 @@
     def __init__(
         self,
         entry_dependencies: dependencies.EntryDependencies,
-        gate: account_gate.AccountGate,
+        limiter: account_limiter.AccountLimiter,
     ) -> None:
         """Carry requests with entry_dependencies, within the limits of gate."""
         self._dependencies = entry_dependencies
-        self._gate = gate
-        self._sender = sends.Sender(entry_dependencies)
-        self.choice = replica_choice.ReplicaChoice(
+        self._account_limiter = limiter
+        self._sender = model_attempts.AttemptSender(entry_dependencies)
+        self.selector = replica_selection.ReplicaSelector(
             entry_dependencies.source,
             entry_dependencies.permits,
             entry_dependencies.members.myself(),
             entry_dependencies.clock,
             entry_dependencies.switches,
         )
-        self._suspects = suspects.SuspectGate(
+        self._suspects = suspects.SuspectTracker(
             entry_dependencies.members,
             entry_dependencies.news,
             entry_dependencies.clock,
             entry_dependencies.switches,
         )
-        self._room = waiting_room.WaitingRoom(
+        self._admission_queues = admission_queues.AdmissionQueues(
             entry_dependencies.members, entry_dependencies.clock
         )
         self._retries = relay_retries.RelayRetries(entry_dependencies.clock)
-        self.stalls = stall_watch.make_stall_watch(entry_dependencies.clock)
+        self.stall_monitor = stall_monitor.make_stall_monitor(
+            entry_dependencies.clock
+        )
 
     async def run(
         self,
         request: model_request.ModelRequest,
-        responds: responder.Responder,
+        writer: response_writer.ResponseWriter,
         span: trace.Span,
         may_send: dependencies.MaySend | None,
     ) -> None:
@@ -84,172 +86,181 @@
         remaining_s = request.head.remaining_s(
             self._dependencies.clock.monotonic_s()
         )
-        journey = sends.Journey(
+        progress = model_attempts.RequestProgress(
             request,
-            responds,
+            writer,
             span,
-            delivered.Delivered(
-                kept=request.idempotent
+            delivered_events.DeliveredEvents(
+                recorded=request.idempotent
                 and request.stream
-                and delivered.is_resumable(request.fields)
+                and delivered_events.is_resumable(request.fields)
             ),
         )
         refusal: outcomes.ErrorAnswer | None = None
         scope = anyio.move_on_after(max(remaining_s, 0))
         with scope:
-            refusal = await self._carry(journey, may_send)
-        if responds.finished:
+            refusal = await self._process(progress, may_send)
+        if writer.finished:
             return
         if scope.cancelled_caught:
-            refusal = relay_refusals.deadline_passed(responds.outcome)
+            refusal = relay_refusals.deadline_passed(writer.outcome)
         if refusal is not None:
             span.set_attribute('redwingvalve.refused', refusal.code)
-            await responds.send_error(refusal)
+            await writer.send_error(refusal)
 
-    async def _carry(
-        self, journey: sends.Journey, may_send: dependencies.MaySend | None
+    async def _process(
+        self,
+        progress: model_attempts.RequestProgress,
+        may_send: dependencies.MaySend | None,
     ) -> outcomes.ErrorAnswer | None:
         """Send until the caller has its answer; return a refusal otherwise."""
-        digest = self._suspects.digest(journey.request)
+        digest = self._suspects.digest(progress.request)
         refusal = self._suspects.refusal(digest)
-        serving = self.choice.serving(journey.request.deployment.name)
+        serving = self.selector.serving(progress.request.deployment.name)
         if refusal is not None:
             return refusal
         if not serving:
-            return relay_refusals.no_replica(journey, None)
-        account = journey.request.account
-        estimated = waiting_room.estimated_tokens(journey.request)
-        refusal = self._gate.refuse_tokens(account, estimated)
+            return relay_refusals.no_replica(progress, None)
+        account = progress.request.account
+        estimated = admission_queues.estimated_tokens(progress.request)
+        refusal = self._account_limiter.check_tokens(account, estimated)
         if refusal is not None:
             return refusal
         try:
-            return await self._carry_admitted(journey, digest, may_send)
+            return await self._process_admitted(progress, digest, may_send)
         finally:
             # Only streams are counted token by token; an answer in one piece
             # is charged as estimated.
-            if journey.request.stream:
-                used = journey.delivered.count
+            if progress.request.stream:
+                used = progress.delivered.count
                 self._dependencies.metrics.count(request_metrics.TOKENS, used)
-                self._gate.correct_tokens(account, used - estimated)
+                self._account_limiter.adjust_tokens(account, used - estimated)
 
-    async def _carry_admitted(
+    async def _process_admitted(
         self,
-        journey: sends.Journey,
+        progress: model_attempts.RequestProgress,
         digest: bytes,
         may_send: dependencies.MaySend | None,
     ) -> outcomes.ErrorAnswer | None:
-        serving = self.choice.serving(journey.request.deployment.name)
-        job_id = self._sender.next_identity(journey.request).endpoint_id
-        deployment = journey.request.deployment
-        async with self._room.admitted(
+        serving = self.selector.serving(progress.request.deployment.name)
+        job_id = self._sender.next_identity(progress.request).endpoint_id
+        deployment = progress.request.deployment
+        async with self._admission_queues.admit(
             deployment.name,
             capacity.make_model_capacity(
-                deployment, len(serving), self._room.part()
+                deployment, len(serving), self._admission_queues.share()
             ),
-            waiting_room.admission_request(journey.request, job_id),
-        ) as turn:
-            if turn.is_error():
-                return turn.error
-            journey.turn = turn.ok
-            refusal = await self._send_until_whole(journey, digest, may_send)
-            self._suspects.gave_up(digest)
-            turn.ok.used_tokens = float(journey.delivered.count)
+            admission_queues.admission_request(progress.request, job_id),
+        ) as admission:
+            if admission.is_error():
+                return admission.error
+            progress.admission = admission.ok
+            refusal = await self._attempt_until_complete(
+                progress, digest, may_send
+            )
+            self._suspects.abandon(digest)
+            admission.ok.used_tokens = float(progress.delivered.count)
         return refusal
 
-    async def _send_until_whole(
+    async def _attempt_until_complete(
         self,
-        journey: sends.Journey,
+        progress: model_attempts.RequestProgress,
         digest: bytes,
         may_send: dependencies.MaySend | None,
     ) -> outcomes.ErrorAnswer | None:
         refusal: outcomes.ErrorAnswer | None = None
         tried: set[str] = set()
-        failure: sends.SendFailure | None = None
+        failure: model_attempts.AttemptFailure | None = None
         while refusal is None:
-            attempt = self._choose(journey, digest, frozenset(tried))
+            attempt = self._next_attempt(progress, digest, frozenset(tried))
             if attempt is None:
-                return relay_refusals.no_replica(journey, failure)
+                return relay_refusals.no_replica(progress, failure)
             if may_send is not None and not may_send():
                 return dependencies.grant_expired()
             tried.add(attempt.replica.name)
-            failure = await self._send(
-                journey, attempt, digest, frozenset(tried)
+            failure = await self._run_attempt(
+                progress, attempt, digest, frozenset(tried)
             )
-            if journey.delivered.count and journey.begun is None:
-                journey.begun = attempt.replica
+            if progress.delivered.count and progress.first_replica is None:
+                progress.first_replica = attempt.replica
             if failure is None:
-                self._retries.succeeded(journey.request.deployment.name)
+                self._retries.succeeded(progress.request.deployment.name)
                 return None
-            refusal = await self._after(journey, failure, digest)
-        return refusal if not journey.responds.finished else None
+            refusal = await self._after_failure(progress, failure, digest)
+        return refusal if not progress.writer.finished else None
 
-    def _choose(
+    def _next_attempt(
         self,
-        journey: sends.Journey,
+        progress: model_attempts.RequestProgress,
         digest: bytes,
         tried: frozenset[str],
     ) -> _Attempt | None:
-        request = journey.request
+        request = progress.request
         identity = self._sender.next_identity(request)
-        route = self.choice.route_request(
+        route = self.selector.route_request(
             request,
             identity.endpoint_id,
-            tried | self.choice.of_other_versions(journey.begun),
-            len(journey.resume_tokens),
+            tried
+            | self.selector.replicas_of_other_versions(progress.first_replica),
+            len(progress.resume_tokens),
         )
         only = self._suspects.allowed(
-            digest, self.choice.serving(request.deployment.name)
+            digest, self.selector.serving(request.deployment.name)
         )
-        replica = self.choice.choose(request, route, journey.span, only)
+        replica = self.selector.choose(request, route, progress.span, only)
         return None if replica is None else _Attempt(replica, route)
 
-    async def _send(
+    async def _run_attempt(
         self,
-        journey: sends.Journey,
+        progress: model_attempts.RequestProgress,
         attempt: _Attempt,
         digest: bytes,
         tried: frozenset[str],
-    ) -> sends.SendFailure | None:
-        policy = self.choice.routing(journey.request.deployment.name)
-        identity = sends.answer_check.AnswerIdentity(
-            attempt.route.request_id, journey.request.head.request_id
+    ) -> model_attempts.AttemptFailure | None:
+        policy = self.selector.routing(progress.request.deployment.name)
+        identity = model_attempts.response_check.ResponseIdentity(
+            attempt.route.request_id, progress.request.head.request_id
         )
 
         def on_first_token() -> None:
             now_s = self._dependencies.clock.monotonic_s()
-            journey.turn.first_token()
+            progress.admission.first_token()
             policy.first_token(identity.endpoint_id, now_s)
-            if not journey.delivered.count:
-                waited_s = now_s - journey.request.head.arrived_s
+            if not progress.delivered.count:
+                waited_s = now_s - progress.request.head.arrived_s
                 self._dependencies.metrics.timing(
                     request_metrics.FIRST_TOKEN_TIME,
                     waited_s * request_metrics.MS_PER_S,
                 )
 
-        watched = stall_watch.Watched(
+        monitored = stall_monitor.MonitoredAttempt(
             stalls.Pulse(attempt.replica.name, attempt.route.prompt_tokens),
             identity.endpoint_id,
-            journey.request.deployment.name,
+            progress.request.deployment.name,
             policy,
-            lambda: self._may_stop(journey, attempt, watched.pulse, tried),
+            lambda: self._may_abort(progress, attempt, monitored.pulse, tried),
         )
         with (
-            self._counted(journey, attempt, digest),
-            self._watched(journey, watched),
+            self._tracked(progress, attempt, digest),
+            self._monitored(progress, monitored),
         ):
             try:
                 failure = await self._sender.send(
-                    journey, attempt.replica, identity, watched, on_first_token
+                    progress,
+                    attempt.replica,
+                    identity,
+                    monitored,
+                    on_first_token,
                 )
             finally:
                 # A send that ends early for another reason, as by a wrong
                 # answer or a caller that leaves, hides the death of its
                 # endpoint: sent again, a poison request would have one more.
-                if watched.endpoint_gone:
+                if monitored.endpoint_unreachable:
                     self._suspects.endpoint_died(attempt.replica)
             attempt.whole = failure is None
-            if failure is not None and failure.blames_endpoint:
-                self._blame(attempt.replica, failure)
+            if failure is not None and failure.endpoint_fault:
+                self._report_failure(attempt.replica, failure)
             if failure is not None and failure.stalled:
                 LOGGER.warning(
                     'a stream stood still',
@@ -258,17 +269,19 @@
                 self._dependencies.metrics.count('entry.stalled')
         return failure
 
-    def _watched(
-        self, journey: sends.Journey, watched: stall_watch.Watched
+    def _monitored(
+        self,
+        progress: model_attempts.RequestProgress,
+        monitored: stall_monitor.MonitoredAttempt,
     ) -> contextlib.AbstractContextManager[None]:
-        if journey.request.stream:
-            return self.stalls.watching(watched)
+        if progress.request.stream:
+            return self.stall_monitor.monitor(monitored)
         # An answer in one piece shows nothing until it is whole.
         return contextlib.nullcontext()
 
-    def _may_stop(
+    def _may_abort(
         self,
-        journey: sends.Journey,
+        progress: model_attempts.RequestProgress,
         attempt: _Attempt,
         pulse: stalls.Pulse,
         tried: frozenset[str],
@@ -279,30 +292,35 @@
         but only once it has begun: before, a long prompt looks the same, and
         the answer of what may run only once is worth the wait.
         """
-        if not relay_retries.may_repeat(journey):
+        if not relay_retries.may_repeat(progress):
             return bool(pulse.tokens)
         # Asked at each look for each stream that waits on: cheap ones first.
-        if not self._retries.any_left(journey.request.deployment.name):
+        if not self._retries.has_retry(progress.request.deployment.name):
             return False
-        begun = attempt.replica if pulse.tokens else journey.begun
-        if not self.choice.has_other(
-            journey.request.deployment.name,
-            tried | self.choice.of_other_versions(begun),
+        first_replica = (
+            attempt.replica if pulse.tokens else progress.first_replica
+        )
+        if not self.selector.has_other(
+            progress.request.deployment.name,
+            tried | self.selector.replicas_of_other_versions(first_replica),
         ):
             return False
-        return self._retries.pay_ahead(journey)
+        return self._retries.prepay(progress)
 
     @contextlib.contextmanager
-    def _counted(
-        self, journey: sends.Journey, attempt: _Attempt, digest: bytes
+    def _tracked(
+        self,
+        progress: model_attempts.RequestProgress,
+        attempt: _Attempt,
+        digest: bytes,
     ) -> collections_abc.Iterator[None]:
-        policy = self.choice.routing(journey.request.deployment.name)
+        policy = self.selector.routing(progress.request.deployment.name)
         policy.sent(
             attempt.route,
             attempt.replica.name,
             self._dependencies.clock.monotonic_s(),
         )
-        self._suspects.began(digest, attempt.replica)
+        self._suspects.attempt_started(digest, attempt.replica)
         try:
             yield
         finally:
@@ -311,8 +329,8 @@
                 attempt.route.request_id, self._dependencies.clock.monotonic_s()
             )
 
-    def _blame(
-        self, replica: snapshot.Replica, failure: sends.SendFailure
+    def _report_failure(
+        self, replica: snapshot.Replica, failure: model_attempts.AttemptFailure
     ) -> None:
         LOGGER.warning(
             'a send failed',
@@ -324,30 +342,32 @@
             replica.members[0].vm,
             self._dependencies.clock.monotonic_s(),
         )
-        if failure.died:
+        if failure.connection_lost:
             self._suspects.endpoint_died(replica)
 
-    async def _after(
+    async def _after_failure(
         self,
-        journey: sends.Journey,
-        failure: sends.SendFailure,
+        progress: model_attempts.RequestProgress,
+        failure: model_attempts.AttemptFailure,
         digest: bytes,
     ) -> outcomes.ErrorAnswer | None:
         """Prepare the next send, or return the refusal that ends it."""
         if not failure.retriable:
-            return relay_refusals.refused_by_endpoint(failure, journey)
-        suspected = self._suspects.refusal_after_death(digest)
-        if suspected is not None:
-            return attrs.evolve(suspected, outcome=journey.responds.outcome)
-        had = delivered.DeliveredText((), ended=False)
-        if journey.delivered.kept and journey.delivered.count:
-            had = journey.delivered.read()
-        if had.ended:
+            return relay_refusals.refused_by_endpoint(failure, progress)
+        suspect_refusal = self._suspects.refusal_after_death(digest)
+        if suspect_refusal is not None:
+            return attrs.evolve(
+                suspect_refusal, outcome=progress.writer.outcome
+            )
+        delivered_text = delivered_events.DeliveredText((), ended=False)
+        if progress.delivered.recorded and progress.delivered.count:
+            delivered_text = progress.delivered.parse()
+        if delivered_text.ended:
             # Only the end mark was lost: the caller has every token.
-            await sends.finish_stream(journey.responds)
+            await model_attempts.finish_stream(progress.writer)
             return relay_refusals.failed(failure, outcomes.Outcome.RAN)
-        decision = self._retries.decide(journey, failure)
-        journey.span.add_event(
+        decision = self._retries.decide(progress, failure)
+        progress.span.add_event(
             'after failure',
             {
                 'why': failure.message,
@@ -358,9 +378,9 @@
         if decision.step == NextStep.GIVE_UP:
             if failure.stalled:
                 # It began, and may stand still or run on to its end.
-                journey.responds.outcome = outcomes.Outcome.UNKNOWN
+                progress.writer.outcome = outcomes.Outcome.UNKNOWN
                 return relay_refusals.failed(failure, outcomes.Outcome.UNKNOWN)
             return relay_refusals.failed(failure, decision.outcome)
         self._dependencies.metrics.count(f'entry.{decision.step.value}')
-        journey.resume_tokens = had.tokens
+        progress.resume_tokens = delivered_text.tokens
         return None
--- a/redwingvalve/entry/relay_refusals.py
+++ b/redwingvalve/entry/relay_refusals.py
@@ -1,40 +1,42 @@
 """The refusals and failures with which a model request ends."""
 
 from redwingvalve.core import outcomes
-from redwingvalve.entry import sends
+from redwingvalve.entry import model_attempts
 
 RETRY_AFTER_S = 1.0
 
 
 def no_replica(
-    journey: sends.Journey, failure: sends.SendFailure | None
+    progress: model_attempts.RequestProgress,
+    failure: model_attempts.AttemptFailure | None,
 ) -> outcomes.ErrorAnswer:
     """Return the refusal when no replica is left to send to."""
     if failure is not None:
-        return failed(failure, journey.responds.outcome)
+        return failed(failure, progress.writer.outcome)
     return outcomes.ErrorAnswer(
         status=503,
         code='no-replica',
         message='no replica may serve this model now',
-        outcome=journey.responds.outcome,
+        outcome=progress.writer.outcome,
         retry_after_s=RETRY_AFTER_S,
     )
 
 
 def refused_by_endpoint(
-    failure: sends.SendFailure, journey: sends.Journey
+    failure: model_attempts.AttemptFailure,
+    progress: model_attempts.RequestProgress,
 ) -> outcomes.ErrorAnswer:
     """Pass on an endpoint's own refusal."""
     return outcomes.ErrorAnswer(
         status=failure.status,
         code='endpoint-refused',
         message=failure.message,
-        outcome=journey.responds.outcome,
+        outcome=progress.writer.outcome,
     )
 
 
 def failed(
-    failure: sends.SendFailure, outcome: outcomes.Outcome
+    failure: model_attempts.AttemptFailure, outcome: outcomes.Outcome
 ) -> outcomes.ErrorAnswer:
     """Return the end of a request whose last send failed."""
     return outcomes.ErrorAnswer(
--- a/redwingvalve/entry/relay_retries.py
+++ b/redwingvalve/entry/relay_retries.py
@@ -5,20 +5,22 @@
 import attrs
 
 from redwingvalve.core import clock, outcomes
-from redwingvalve.entry import sends
+from redwingvalve.entry import model_attempts
 from redwingvalve.retries import budget, decisions
 
 
 @attrs.define
-class _Retries:
+class _DeploymentRetries:
     """The retry budget of one deployment and the policy that spends it."""
 
-    spending: budget.RetryBudget = attrs.field(factory=budget.make_retry_budget)
+    retry_budget: budget.RetryBudget = attrs.field(
+        factory=budget.make_retry_budget
+    )
     policy: decisions.RetryPolicy = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Spend from the own budget."""
-        self.policy = decisions.make_retry_policy(self.spending)
+        self.policy = decisions.make_retry_policy(self.retry_budget)
 
 
 class RelayRetries:
@@ -27,60 +29,64 @@
     def __init__(self, time_source: clock.Clock) -> None:
         """Start with full reserves."""
         self._clock = time_source
-        self._retries: dict[str, _Retries] = collections.defaultdict(_Retries)
+        self._retries: dict[str, _DeploymentRetries] = collections.defaultdict(
+            _DeploymentRetries
+        )
 
     def succeeded(self, deployment: str) -> None:
         """Count a whole answer, which earns a share of a retry."""
-        self._retries[deployment].spending.succeeded()
+        self._retries[deployment].retry_budget.succeeded()
 
-    def any_left(self, deployment: str) -> bool:
+    def has_retry(self, deployment: str) -> bool:
         """Tell whether the budget holds a retry now."""
         now_s = self._clock.monotonic_s()
-        return self._retries[deployment].spending.available(now_s) >= 1
+        return self._retries[deployment].retry_budget.available(now_s) >= 1
 
-    def pay_ahead(self, journey: sends.Journey) -> bool:
+    def prepay(self, progress: model_attempts.RequestProgress) -> bool:
         """Pay for the send that follows a stalled one, if it may be paid."""
-        retries = self._retries[journey.request.deployment.name]
-        journey.paid = retries.policy.pay_ahead(
-            _failed_attempt(journey, repeatable=True, not_run=False),
+        retries = self._retries[progress.request.deployment.name]
+        progress.retry_prepaid = retries.policy.pay_ahead(
+            _failed_attempt(progress, repeatable=True, not_run=False),
             self._clock.monotonic_s(),
         )
-        return journey.paid
+        return progress.retry_prepaid
 
     def decide(
-        self, journey: sends.Journey, failure: sends.SendFailure
+        self,
+        progress: model_attempts.RequestProgress,
+        failure: model_attempts.AttemptFailure,
     ) -> decisions.RetryDecision:
         """Return what follows a failed send."""
-        retries = self._retries[journey.request.deployment.name]
+        retries = self._retries[progress.request.deployment.name]
         decision = retries.policy.after_failure(
             _failed_attempt(
-                journey,
-                repeatable=may_repeat(journey),
+                progress,
+                repeatable=may_repeat(progress),
                 not_run=failure.outcome == outcomes.Outcome.NOT_RUN,
             ),
             self._clock.monotonic_s(),
         )
-        journey.paid = False
+        progress.retry_prepaid = False
         return decision
 
 
-def may_repeat(journey: sends.Journey) -> bool:
+def may_repeat(progress: model_attempts.RequestProgress) -> bool:
     """Tell whether the rest of the answer may come from another send."""
-    return journey.request.idempotent and (
-        journey.delivered.kept or not journey.delivered.count
+    return progress.request.idempotent and (
+        progress.delivered.recorded or not progress.delivered.count
     )
 
 
 def _failed_attempt(
-    journey: sends.Journey, *, repeatable: bool, not_run: bool
+    progress: model_attempts.RequestProgress, *, repeatable: bool, not_run: bool
 ) -> decisions.FailedAttempt:
-    head = journey.request.head
+    head = progress.request.head
     return decisions.FailedAttempt(
         idempotent=repeatable,
         surely_not_run=not_run,
-        attempts=journey.sends,
-        delivered_tokens=journey.delivered.count,
-        earlier_unknown=journey.responds.outcome != outcomes.Outcome.NOT_RUN,
+        attempts=progress.attempts,
+        delivered_tokens=progress.delivered.count,
+        earlier_unknown=progress.writer.outcome != outcomes.Outcome.NOT_RUN,
         deadline_s=head.arrived_s + head.deadline_s,
-        paid=journey.paid,
+        paid=progress.retry_prepaid,
     )
--- a/redwingvalve/entry/replica_choice.py
+++ b/redwingvalve/entry/replica_selection.py
@@ -15,8 +15,8 @@
 
 # Without a measured delay: a data centre of the own region is near, another
 # region is far enough that only a region without room sends there.
-NEAR_DELAY_S = 0.001
-FAR_DELAY_S = 0.05
+SAME_REGION_DELAY_S = 0.001
+OTHER_REGION_DELAY_S = 0.05
 # Prompts are alike at their beginning: instructions first, then the case.
 # Blocks of an engine's cache after which a beginning is looked up.
 PREFIX_BLOCKS = (2, 8, 32)
@@ -24,33 +24,35 @@
 DRAW_BITS = 64
 
 
-class ReplicaChoice:
+class ReplicaSelector:
     """One routing policy for each deployment, fed with the configuration."""
 
     def __init__(
         self,
         source: snapshot.ConfigurationSource,
         serving_permits: permits.ServingPermits,
-        myself: members.Member,
-        choice_clock: clock.Clock,
+        local_member: members.Member,
+        time_source: clock.Clock,
         switches: invariants.SafeguardSwitches,
     ) -> None:
         """Choose from source what serving_permits permits."""
         self._source = source
         self._permits = serving_permits
-        self._myself = myself
-        self._clock = choice_clock
+        self._local_member = local_member
+        self._clock = time_source
         self._switches = switches
-        self._random = random.Random(f'{myself.name}-{myself.incarnation}')
+        self._rng = random.Random(
+            f'{local_member.name}-{local_member.incarnation}'
+        )
         self._version = -1
         self._replicas: dict[str, snapshot.Replica] = {}
         self._policies: dict[str, policy.RoutingPolicy] = {}
         self._regions: dict[str, str] = {}
-        self.asked = cache_news.AskedPrefixes()
+        self.requested_prefixes = cache_news.AskedPrefixes()
 
     def routing(self, deployment: str) -> policy.RoutingPolicy:
         """Return the policy of a deployment in the configuration in force."""
-        self._follow()
+        self._refresh()
         if deployment not in self._policies:
             self._policies[deployment] = self._make_policy(deployment)
         return self._policies[deployment]
@@ -65,10 +67,10 @@
         """Return what routing needs to know of one send."""
         text = prefix_hashes.prompt_text(request.prompt)
         prefixes = _prefixes(text)
-        self.asked.asked(prefix.prefix_hash for prefix in prefixes)
+        self.requested_prefixes.asked(prefix.prefix_hash for prefix in prefixes)
         return routing_messages.RouteRequest(
             request_id=send_id,
-            draw=self._random.getrandbits(DRAW_BITS),
+            draw=self._rng.getrandbits(DRAW_BITS),
             prompt_tokens=len(text) / CHARACTERS_PER_TOKEN + delivered_tokens,
             output_tokens=max(request.max_tokens - delivered_tokens, 1),
             prefixes=prefixes,
@@ -104,7 +106,7 @@
 
     def has_other(self, deployment: str, excluded: frozenset[str]) -> bool:
         """Tell whether a replica outside excluded may be sent to now."""
-        self._follow()
+        self._refresh()
         now_s = self._clock.monotonic_s()
         return any(
             replica.deployment == deployment
@@ -121,17 +123,17 @@
             return True
         return self._permits.permitted(replica, now_s)
 
-    def of_other_versions(
-        self, begun: snapshot.Replica | None
+    def replicas_of_other_versions(
+        self, first_replica: snapshot.Replica | None
     ) -> frozenset[str]:
         """Return the replicas that may not go on with an answer.
 
         During a rolling change two versions serve at once. An answer that one
         began and the other ended is neither's, and the caller could not tell.
         """
-        if begun is None:
+        if first_replica is None:
             return frozenset()
-        weights = (begun.model, begun.version)
+        weights = (first_replica.model, first_replica.version)
         return frozenset(
             name
             for name, replica in self._replicas.items()
@@ -140,7 +142,7 @@
 
     def serving(self, deployment: str) -> tuple[str, ...]:
         """Return the names of the replicas that may get new work."""
-        self._follow()
+        self._refresh()
         now_s = self._clock.monotonic_s()
         return tuple(
             name
@@ -152,7 +154,7 @@
     def _leaving_excluded(self) -> bool:
         return self._switches.enabled(invariants.Safeguard.LEAVING_EXCLUDED)
 
-    def _follow(self) -> None:
+    def _refresh(self) -> None:
         current = self._source.current()
         if current.version == self._version:
             return
@@ -165,13 +167,13 @@
             self._replace_candidates(deployment)
 
     def _make_policy(self, deployment: str) -> policy.RoutingPolicy:
-        made = scored.make_routing_policy(self._distance_s)
-        self._policies[deployment] = made
+        routing_policy = scored.make_routing_policy(self._distance_s)
+        self._policies[deployment] = routing_policy
         self._replace_candidates(deployment)
-        return made
+        return routing_policy
 
     def _replace_candidates(self, deployment: str) -> None:
-        speeds = {
+        tokens_per_s = {
             declared.name: declared.tokens_per_s_per_replica
             for declared in self._source.current().deployments
         }
@@ -181,7 +183,7 @@
                     name=replica.name,
                     data_centre=replica.data_centre,
                     epoch=replica.epoch,
-                    tokens_per_s=speeds.get(deployment, 1.0),
+                    tokens_per_s=tokens_per_s.get(deployment, 1.0),
                 )
                 for replica in self._replicas.values()
                 if replica.deployment == deployment
@@ -191,21 +193,21 @@
         )
 
     def _distance_s(self, data_centre: str) -> float:
-        if data_centre == self._myself.data_centre:
+        if data_centre == self._local_member.data_centre:
             return 0.0
-        if self._regions.get(data_centre) == self._myself.region:
-            return NEAR_DELAY_S
-        return FAR_DELAY_S
+        if self._regions.get(data_centre) == self._local_member.region:
+            return SAME_REGION_DELAY_S
+        return OTHER_REGION_DELAY_S
 
 
 def _prefixes(text: str) -> tuple[routing_messages.Prefix, ...]:
     """Return the beginnings to look up, the longest first."""
     hashes = prefix_hashes.prefix_hashes(text, PREFIX_BLOCKS)
-    known = zip(hashes, PREFIX_BLOCKS, strict=False)
+    lookups = zip(hashes, PREFIX_BLOCKS, strict=False)
     return tuple(
         routing_messages.Prefix(
             cache_news.short_name(prefix_hash),
             blocks * prefix_hashes.BLOCK_CHARACTERS / CHARACTERS_PER_TOKEN,
         )
-        for prefix_hash, blocks in reversed(tuple(known))
+        for prefix_hash, blocks in reversed(tuple(lookups))
     )
--- a/redwingvalve/entry/once.py
+++ b/redwingvalve/entry/request_keys.py
@@ -8,25 +8,25 @@
 from redwingvalve.at_most_once import claims, messages
 from redwingvalve.core import invariants, outcomes
 from redwingvalve.declaration import schema
-from redwingvalve.entry import caller
+from redwingvalve.entry import caller_request
 from redwingvalve.membership import members
 
-CALLERS_ID_PREFIX = 'id:'
-RETRY_AFTER_S = 1.0
+REQUEST_ID_KEY_PREFIX = 'id:'
+MIN_RETRY_AFTER_S = 1.0
 # A lost majority may last an hour; it ends sooner when a voter comes back that
 # still remembers, such as after a partition.
-MOST_RETRY_AFTER_S = 30.0
+MAX_RETRY_AFTER_S = 30.0
 
 
-class OnceGuard:
+class RequestKeyGuard:
     """Claims the key of each non-idempotent request before it is sent."""
 
     def __init__(
-        self, key_claims: claims.KeyClaims, myself: members.Member
+        self, key_claims: claims.KeyClaims, local_member: members.Member
     ) -> None:
         """Claim through key_claims in the name of myself."""
         self._claims = key_claims
-        self._myself = myself
+        self._member = local_member
         self._numbers = itertools.count(1)
 
     def issue(self) -> str:
@@ -35,22 +35,22 @@
 
     async def claim(
         self,
-        head: caller.CallerHead,
+        head: caller_request.RequestHead,
         account: schema.ClientAccount,
         body: bytes,
     ) -> Result['claims.Grant | None', outcomes.ErrorAnswer]:
         """Return leave to send, None for a request that nobody can repeat."""
-        key = _key_of(head)
+        key = _request_key(head)
         if not key:
             return Ok(None)
         claimed = await self._claims.claim(
             messages.Claim(
                 account=account.name,
                 request_key=key,
-                entry=self._myself.name,
-                incarnation=self._myself.incarnation,
+                entry=self._member.name,
+                incarnation=self._member.incarnation,
                 send_id=(
-                    f'{self._myself.name}-{self._myself.incarnation}'
+                    f'{self._member.name}-{self._member.incarnation}'
                     f'-{next(self._numbers)}'
                 ),
                 digest=hashlib.sha256(
@@ -78,7 +78,7 @@
         await self._claims.report(grant.claim, outcome)
 
 
-def _key_of(head: caller.CallerHead) -> str:
+def _request_key(head: caller_request.RequestHead) -> str:
     """Return the request's key: its own, or the id that the caller chose.
 
     A caller that sends a non-idempotent request again under its old request
@@ -87,12 +87,12 @@
     if head.request_key:
         return head.request_key
     if outcomes.REQUEST_ID_HEADER in head.headers:
-        return f'{CALLERS_ID_PREFIX}{head.request_id}'
+        return f'{REQUEST_ID_KEY_PREFIX}{head.request_id}'
     return ''
 
 
 def _refusal(
-    refused: claims.ClaimRefused, head: caller.CallerHead
+    refused: claims.ClaimRefused, head: caller_request.RequestHead
 ) -> outcomes.ErrorAnswer:
     if refused.duplicate:
         return outcomes.ErrorAnswer(
@@ -110,6 +110,6 @@
         outcome=refused.outcome,
         request_id=head.request_id,
         retry_after_s=min(
-            max(refused.wait_s, RETRY_AFTER_S), MOST_RETRY_AFTER_S
+            max(refused.wait_s, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S
         ),
     )
--- a/redwingvalve/entry/request_metrics.py
+++ b/redwingvalve/entry/request_metrics.py
@@ -1,6 +1,6 @@
 """What metrics say of each request; docs/operating/watching.md lists them."""
 
-from redwingvalve.entry import responder
+from redwingvalve.entry import response_writer
 from redwingvalve.observability import metrics
 
 MS_PER_S = 1000
@@ -13,18 +13,18 @@
 CUT_OFF = 'entry.cut_off'
 
 
-def tell(
-    sink: metrics.Metrics, responds: responder.Responder, took_s: float
+def record(
+    sink: metrics.Metrics, writer: response_writer.ResponseWriter, took_s: float
 ) -> None:
     """Count one request that has ended, with how and after how long."""
     sink.count(REQUESTS)
     sink.timing(REQUEST_TIME, took_s * MS_PER_S)
-    if not responds.started:
+    if not writer.started:
         sink.count(CALLERS_GONE)
         return
-    sink.count(f'entry.status.{responds.status}')
-    sink.count(f'entry.outcome.{responds.outcome.value}')
-    if responds.error_code:
-        sink.count(f'entry.error.{responds.error_code}')
-    if not responds.finished:
+    sink.count(f'entry.status.{writer.status}')
+    sink.count(f'entry.outcome.{writer.outcome.value}')
+    if writer.error_code:
+        sink.count(f'entry.error.{writer.error_code}')
+    if not writer.finished:
         sink.count(CUT_OFF)
--- a/redwingvalve/entry/answer_check.py
+++ b/redwingvalve/entry/response_check.py
@@ -25,16 +25,16 @@
 ID_FIRST_PATTERN = re.compile(rb'data: *\{ *"id" *: *')
 
 
-class WrongAnswerError(Exception):
+class ResponseMismatchError(Exception):
     """The endpoint sent an answer that isn't the one of this request."""
 
 
-class IncompleteAnswerError(Exception):
+class IncompleteResponseError(Exception):
     """The endpoint's answer ended before its announced end."""
 
 
 @attrs.frozen
-class AnswerIdentity:
+class ResponseIdentity:
     """The id that the endpoint must repeat and the one the caller sees."""
 
     endpoint_id: str
@@ -51,22 +51,22 @@
     return f'{caller_id}{ID_SEPARATOR}{entry}-{send_number}'
 
 
-def check_head(
+def check_headers(
     headers: collections_abc.Iterable[tuple[str, str]],
-    identity: AnswerIdentity,
+    identity: ResponseIdentity,
     switches: invariants.SafeguardSwitches,
 ) -> None:
     """Raise WrongAnswerError unless the header repeats the endpoint id."""
     if not switches.enabled(invariants.Safeguard.ANSWER_IDENTITY):
         return
-    echoed = dict(headers).get(outcomes.REQUEST_ID_HEADER, '')
-    if echoed != identity.endpoint_id:
-        raise WrongAnswerError(
-            f'header names {echoed!r}, not {identity.endpoint_id!r}'
+    repeated_id = dict(headers).get(outcomes.REQUEST_ID_HEADER, '')
+    if repeated_id != identity.endpoint_id:
+        raise ResponseMismatchError(
+            f'header names {repeated_id!r}, not {identity.endpoint_id!r}'
         )
 
 
-class StreamChecker:
+class StreamValidator:
     """Cuts a stream into events, checks each and puts the caller's id in.
 
     Chunks of one answer begin alike up to and with their id. The first is
@@ -76,84 +76,92 @@
 
     def __init__(
         self,
-        identity: AnswerIdentity,
+        identity: ResponseIdentity,
         switches: invariants.SafeguardSwitches,
     ) -> None:
         """Expect the answer of identity."""
         self.done = False
         self._identity = identity
-        self._check = switches.enabled(invariants.Safeguard.ANSWER_IDENTITY)
+        self._check_identity = switches.enabled(
+            invariants.Safeguard.ANSWER_IDENTITY
+        )
         self._pending = b''
-        self._expected = b''
-        self._replacement = b''
+        self._expected_prefix = b''
+        self._replacement_prefix = b''
 
     def feed(self, chunk: bytes) -> list[bytes]:
         """Return the events that are complete, each with its empty line."""
-        if self._is_one_usual_event(chunk):
-            return [self._replacement + chunk[len(self._expected) :]]
+        if self._is_single_token_event(chunk):
+            return [
+                self._replacement_prefix + chunk[len(self._expected_prefix) :]
+            ]
         received = self._pending + chunk if self._pending else chunk
         if b'\r' in received:
             received = received.replace(b'\r\n', b'\n')
         events = received.split(EVENT_END)
         self._pending = events.pop()
         return [
-            passed for event in events if (passed := self._pass_event(event))
+            rewritten
+            for event in events
+            if (rewritten := self._rewrite_event(event))
         ]
 
-    def _is_one_usual_event(self, chunk: bytes) -> bool:
+    def _is_single_token_event(self, chunk: bytes) -> bool:
         """Tell whether chunk is just one token, as nearly all chunks are."""
-        if self._pending or not self._expected or b'\r' in chunk:
+        if self._pending or not self._expected_prefix or b'\r' in chunk:
             return False
-        one = chunk.find(EVENT_END) == len(chunk) - len(EVENT_END)
-        return one and chunk.startswith(self._expected)
+        is_single = chunk.find(EVENT_END) == len(chunk) - len(EVENT_END)
+        return is_single and chunk.startswith(self._expected_prefix)
 
-    def _pass_event(self, event: bytes) -> bytes:
-        expected = self._expected
-        if expected and event.startswith(expected):
-            rest = event[len(expected) :]
-            return b'%b%b\n\n' % (self._replacement, rest)
-        return self._pass_unusual(event)
+    def _rewrite_event(self, event: bytes) -> bytes:
+        expected_prefix = self._expected_prefix
+        if expected_prefix and event.startswith(expected_prefix):
+            rest = event[len(expected_prefix) :]
+            return b'%b%b\n\n' % (self._replacement_prefix, rest)
+        return self._parse_event(event)
 
-    def _pass_unusual(self, event: bytes) -> bytes:
+    def _parse_event(self, event: bytes) -> bytes:
         if not event.startswith(DATA_FIELD):
-            return self._pass_other_field(event)
+            return self._handle_other_field(event)
         text = event[len(DATA_FIELD) :].strip()
         if text == DONE_TEXT:
             self.done = True
             return b''
         parsed = _parse_chunk(text)
-        answered = str(parsed.get('id', ''))
-        kind, _, request_id = answered.partition('-')
-        if self._check and request_id != self._identity.endpoint_id:
-            raise WrongAnswerError(
+        response_id = str(parsed.get('id', ''))
+        kind, _, request_id = response_id.partition('-')
+        if self._check_identity and request_id != self._identity.endpoint_id:
+            raise ResponseMismatchError(
                 f'chunk names {request_id!r}, '
                 f'not {self._identity.endpoint_id!r}'
             )
-        self._learn_beginning(event, answered)
+        self._learn_prefix(event, response_id)
         parsed['id'] = f'{kind}-{self._identity.caller_id}'
         return b'data: %b\n\n' % json.dumps(parsed).encode()
 
-    def _pass_other_field(self, event: bytes) -> bytes:
+    def _handle_other_field(self, event: bytes) -> bytes:
         if event.startswith(b'event: error'):
-            raise IncompleteAnswerError('the endpoint reports an error')
+            raise IncompleteResponseError('the endpoint reports an error')
         # Comments keep a connection alive; they are for us alone.
         return b''
 
-    def _learn_beginning(self, event: bytes, answered: str) -> None:
-        marker = json.dumps(answered).encode()
-        head, found, _ = event.partition(marker)
+    def _learn_prefix(self, event: bytes, response_id: str) -> None:
+        marker = json.dumps(response_id).encode()
+        head, marker_found, _ = event.partition(marker)
         # Only an id in first place: nothing before it can hold another one.
-        if not found or not ID_FIRST_PATTERN.fullmatch(head):
+        if not marker_found or not ID_FIRST_PATTERN.fullmatch(head):
             return
-        kind = answered.partition('-')[0]
-        shown = json.dumps(f'{kind}-{self._identity.caller_id}').encode()
-        self._expected = head + marker
-        self._replacement = head + shown
+        kind = response_id.partition('-')[0]
+        caller_visible_id = json.dumps(
+            f'{kind}-{self._identity.caller_id}'
+        ).encode()
+        self._expected_prefix = head + marker
+        self._replacement_prefix = head + caller_visible_id
 
 
-def check_whole_json(
+def check_json_body(
     body: bytes,
-    identity: AnswerIdentity,
+    identity: ResponseIdentity,
     switches: invariants.SafeguardSwitches,
 ) -> dict[str, typing.Any]:
     """Return the parsed answer with the caller's id in it."""
@@ -161,7 +169,7 @@
     kind, _, request_id = str(parsed.get('id', '')).partition('-')
     checked = switches.enabled(invariants.Safeguard.ANSWER_IDENTITY)
     if checked and request_id != identity.endpoint_id:
-        raise WrongAnswerError(
+        raise ResponseMismatchError(
             f'body names {request_id!r}, not {identity.endpoint_id!r}'
         )
     parsed['id'] = f'{kind}-{identity.caller_id}'
@@ -172,9 +180,9 @@
     try:
         parsed = json.loads(text)
     except ValueError as error:
-        raise IncompleteAnswerError(f'not JSON: {error}') from error
+        raise IncompleteResponseError(f'not JSON: {error}') from error
     if not isinstance(parsed, dict):
-        raise IncompleteAnswerError('not a JSON object')
+        raise IncompleteResponseError('not a JSON object')
     if 'error' in parsed:
-        raise IncompleteAnswerError('the endpoint reports an error')
+        raise IncompleteResponseError('the endpoint reports an error')
     return parsed
--- a/redwingvalve/entry/responder.py
+++ b/redwingvalve/entry/response_writer.py
@@ -17,7 +17,7 @@
 
 
 @attrs.define
-class Responder:
+class ResponseWriter:
     """The answer to one request; started once its head has been sent."""
 
     request_id: str
@@ -71,7 +71,7 @@
             {'type': 'http.response.body', 'body': body, 'more_body': False}
         )
 
-    async def send_whole(
+    async def send_response(
         self,
         status: int,
         content_type: str,
@@ -94,7 +94,7 @@
     ) -> None:
         """Send a JSON object that the entry made itself."""
         body = json.dumps(parsed).encode()
-        await self.send_whole(status, JSON_TYPE, body, outcome)
+        await self.send_response(status, JSON_TYPE, body, outcome)
 
     async def send_error(self, answer: outcomes.ErrorAnswer) -> None:
         """Send an error, inside the stream when it has begun.
@@ -114,6 +114,6 @@
         if answer.retry_after_s is not None:
             retry_after = max(1, math.ceil(answer.retry_after_s))
             extra = (('retry-after', str(retry_after)),)
-        await self.send_whole(
+        await self.send_response(
             answer.status, JSON_TYPE, body.encode(), answer.outcome, extra
         )
--- a/redwingvalve/entry/service_queue.py
+++ b/redwingvalve/entry/service_admission.py
@@ -9,50 +9,52 @@
 from redwingvalve.admission import capacity, messages, service_calls
 from redwingvalve.core import clock, outcomes
 from redwingvalve.declaration import schema
-from redwingvalve.entry import caller, waiting_room
+from redwingvalve.entry import admission_queues, caller_request
 from redwingvalve.membership import members
 
-Waited = Result[waiting_room.Turn, outcomes.ErrorAnswer]
+AdmissionResult = Result[admission_queues.Admission, outcomes.ErrorAnswer]
 
 
-class ServiceQueue:
+class ServiceAdmission:
     """One queue for each service, with the call times that it learned."""
 
     def __init__(
-        self, known: members.Members, time_source: clock.Clock
+        self, membership: members.Members, time_source: clock.Clock
     ) -> None:
         """Start with nothing known of any call."""
         self._clock = time_source
         self._times = service_calls.CallTimes()
         self._numbers = itertools.count(1)
-        self._room = waiting_room.WaitingRoom(
-            known, time_source, service_calls.SETTINGS
+        self._queues = admission_queues.AdmissionQueues(
+            membership, time_source, service_calls.SETTINGS
         )
 
     @contextlib.asynccontextmanager
-    async def turn(
+    async def admit(
         self,
-        head: caller.CallerHead,
+        head: caller_request.RequestHead,
         account: schema.ClientAccount,
         service: schema.PlainService,
-    ) -> collections_abc.AsyncIterator[Waited]:
+    ) -> collections_abc.AsyncIterator[AdmissionResult]:
         """Wait for a turn, and learn from the block how long a call takes."""
-        asked = self._request(head, account, service)
+        request = self._admission_request(head, account, service)
         usable = capacity.make_service_capacity(service)
-        async with self._room.admitted(service.name, usable, asked) as turn:
-            began_s = self._clock.monotonic_s()
-            yield turn
-            if turn.is_ok():
-                spent_s = self._clock.monotonic_s() - began_s
+        async with self._queues.admit(
+            service.name, usable, request
+        ) as admission:
+            started_s = self._clock.monotonic_s()
+            yield admission
+            if admission.is_ok():
+                spent_s = self._clock.monotonic_s() - started_s
                 spent_ms = spent_s * service_calls.MS_PER_S
-                turn.ok.used_tokens = spent_ms
+                admission.ok.used_tokens = spent_ms
                 self._times.learn(
                     service.name, head.method, head.path, spent_ms
                 )
 
-    def _request(
+    def _admission_request(
         self,
-        head: caller.CallerHead,
+        head: caller_request.RequestHead,
         account: schema.ClientAccount,
         service: schema.PlainService,
     ) -> messages.AdmissionRequest:
@@ -77,8 +79,8 @@
         )
 
 
-def make_service_queue(
-    known: members.Members, time_source: clock.Clock
-) -> ServiceQueue:
+def make_service_admission(
+    membership: members.Members, time_source: clock.Clock
+) -> ServiceAdmission:
     """Return the queue of one entry."""
-    return ServiceQueue(known, time_source)
+    return ServiceAdmission(membership, time_source)
--- a/redwingvalve/entry/service_suspects.py
+++ b/redwingvalve/entry/service_suspects.py
@@ -18,31 +18,31 @@
 ]
 
 
-class AnsweredError(upstream.UpstreamError):
+class EndpointAliveError(upstream.UpstreamError):
     """The instance lives, but its answer is wrong or comes too late."""
 
 
-class WatchedCall:
+class TrackedCall:
     """One request for a service, as the suspects' gate sees it."""
 
     def __init__(
         self,
-        gate: suspects.SuspectGate,
+        tracker: suspects.SuspectTracker,
         digest: bytes,
         addresses: tuple[str, ...],
     ) -> None:
         """Watch a request for a service at addresses."""
-        self._gate = gate
+        self._tracker = tracker
         self._digest = digest
         self._addresses = addresses
 
     def refusal(self) -> outcomes.ErrorAnswer | None:
         """Return why the request is not run at all, if so."""
-        return self._gate.refusal(self._digest, self._addresses)
+        return self._tracker.refusal(self._digest, self._addresses)
 
-    def allowed(self) -> frozenset[str]:
+    def allowed_addresses(self) -> frozenset[str]:
         """Return the addresses where it may go now."""
-        only = self._gate.allowed(self._digest, self._addresses)
+        only = self._tracker.allowed(self._digest, self._addresses)
         return frozenset(self._addresses) if only is None else only
 
     async def send(
@@ -50,41 +50,41 @@
     ) -> upstream.UpstreamError | None:
         """Send once; a connection that breaks counts as a death."""
         endpoint = suspects.ServiceAddress(address)
-        self._gate.began(self._digest, endpoint)
+        self._tracker.attempt_started(self._digest, endpoint)
         whole = False
         try:
             failure = await exchange()
             whole = failure is None
-            if failure is not None and _broke(failure):
-                self._gate.endpoint_died(endpoint)
+            if failure is not None and _is_crash(failure):
+                self._tracker.endpoint_died(endpoint)
         finally:
-            self._gate.ended(self._digest, endpoint, whole=whole)
+            self._tracker.ended(self._digest, endpoint, whole=whole)
         return failure
 
-    def refusal_after(
+    def refusal_after_failure(
         self, outcome: outcomes.Outcome
     ) -> outcomes.ErrorAnswer | None:
         """Return why it isn't sent again; outcome is that of its sends."""
-        refusal = self._gate.refusal_after_death(self._digest)
+        refusal = self._tracker.refusal_after_death(self._digest)
         return refusal and attrs.evolve(refusal, outcome=outcome)
 
     def close(self) -> None:
         """Leave a suspect that ends unanswered to its home."""
-        self._gate.gave_up(self._digest)
+        self._tracker.abandon(self._digest)
 
 
-def _broke(failure: upstream.UpstreamError) -> bool:
+def _is_crash(failure: upstream.UpstreamError) -> bool:
     """Tell a broken connection from a slow, a wrong or no answer."""
     cause = failure.__cause__
-    if failure.surely_not_run or isinstance(failure, AnsweredError):
+    if failure.not_sent or isinstance(failure, EndpointAliveError):
         return False
     return not isinstance(cause, TimeoutError)
 
 
-def make_watched_call(
-    gate: suspects.SuspectGate,
+def make_tracked_call(
+    tracker: suspects.SuspectTracker,
     addresses: tuple[str, ...],
     *request_parts: bytes,
-) -> WatchedCall:
+) -> TrackedCall:
     """Return the watch of a request; its parts stay the same in a resend."""
-    return WatchedCall(gate, facts.make_digest(*request_parts), addresses)
+    return TrackedCall(tracker, facts.make_digest(*request_parts), addresses)
--- a/redwingvalve/entry/services.py
+++ b/redwingvalve/entry/services.py
@@ -12,11 +12,11 @@
 from redwingvalve.core import outcomes
 from redwingvalve.declaration import schema
 from redwingvalve.entry import (
-    answer_check,
-    caller,
+    caller_request,
     dependencies,
-    responder,
-    service_queue,
+    response_check,
+    response_writer,
+    service_admission,
     service_suspects,
     suspects,
     upstream,
@@ -27,7 +27,7 @@
 IDEMPOTENT_METHODS = frozenset(('GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE'))
 NO_BODY_STATUSES = frozenset((204, 304))
 # RFC 9110, section 7.6.1, and what this hop sets by itself.
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         'connection',
         'keep-alive',
@@ -57,7 +57,7 @@
 class ServiceRequest:
     """A request for a plain service."""
 
-    head: caller.CallerHead
+    head: caller_request.RequestHead
     account: schema.ClientAccount
     service: schema.PlainService
     body: bytes
@@ -82,14 +82,14 @@
     path: str, services: tuple[schema.PlainService, ...]
 ) -> schema.PlainService | None:
     """Return the service with the longest prefix of path."""
-    fitting = [
+    matching = [
         service
         for service in services
         if path == service.path_prefix
         or path.startswith(f'{service.path_prefix.rstrip("/")}/')
     ]
     return max(
-        fitting, key=lambda service: len(service.path_prefix), default=None
+        matching, key=lambda service: len(service.path_prefix), default=None
     )
 
 
@@ -100,7 +100,7 @@
         self, entry_dependencies: dependencies.EntryDependencies
     ) -> None:
         """Carry requests with entry_dependencies."""
-        self._suspects = suspects.SuspectGate(
+        self._suspects = suspects.SuspectTracker(
             entry_dependencies.members,
             entry_dependencies.news,
             entry_dependencies.clock,
@@ -112,76 +112,76 @@
         self._in_flight: dict[str, int] = {}
         myself = entry_dependencies.members.myself()
         self._entry = f'{myself.name}-{myself.incarnation}-s'
-        self._queue = service_queue.make_service_queue(
+        self._admission = service_admission.make_service_admission(
             entry_dependencies.members, entry_dependencies.clock
         )
 
     async def run(
         self,
         request: ServiceRequest,
-        responds: responder.Responder,
+        writer: response_writer.ResponseWriter,
         span: trace.Span,
         may_send: dependencies.MaySend | None,
     ) -> None:
         """Answer the request by its deadline, or refuse it early."""
-        async with self._queue.turn(
+        async with self._admission.admit(
             request.head, request.account, request.service
-        ) as turn:
-            refusal = turn.error if turn.is_error() else None
+        ) as admission:
+            refusal = admission.error if admission.is_error() else None
             if refusal is None:
-                refusal = await self._send_watched(
-                    request, responds, span, may_send or _always
+                refusal = await self._send_tracked(
+                    request, writer, span, may_send or _always_allowed
                 )
         if refusal is not None:
             span.set_attribute('redwingvalve.refused', refusal.code)
-            await responds.send_error(refusal)
+            await writer.send_error(refusal)
 
-    async def _send_watched(
+    async def _send_tracked(
         self,
         request: ServiceRequest,
-        responds: responder.Responder,
+        writer: response_writer.ResponseWriter,
         span: trace.Span,
         may_send: dependencies.MaySend,
     ) -> outcomes.ErrorAnswer | None:
         # Asked after the wait for a turn: what waited may have become suspect
         # meanwhile.
-        with contextlib.closing(self._watch(request)) as watched:
-            return watched.refusal() or await self._send_until_whole(
-                request, responds, span, may_send, watched
+        with contextlib.closing(self._track(request)) as tracked_call:
+            return tracked_call.refusal() or await self._send_until_complete(
+                request, writer, span, may_send, tracked_call
             )
 
-    async def _send_until_whole(
+    async def _send_until_complete(
         self,
         request: ServiceRequest,
-        responds: responder.Responder,
+        writer: response_writer.ResponseWriter,
         span: trace.Span,
         may_send: dependencies.MaySend,
-        watched: service_suspects.WatchedCall,
+        tracked_call: service_suspects.TrackedCall,
     ) -> outcomes.ErrorAnswer | None:
         tried: set[str] = set()
-        refusal = _busy()
-        address = self._choose(request.service, tried, watched)
+        refusal = _service_busy()
+        address = self._choose(request.service, tried, tracked_call)
         while address is not None and may_send():
             tried.add(address)
-            failure = await watched.send(
+            failure = await tracked_call.send(
                 address,
-                functools.partial(self._send, request, address, responds, span),
+                functools.partial(self._send, request, address, writer, span),
             )
             if failure is None:
                 return None
             span.add_event('send failed', {'why': str(failure)})
-            suspected = watched.refusal_after(responds.outcome)
-            if suspected is not None:
-                return suspected
+            suspect_refusal = tracked_call.refusal_after_failure(writer.outcome)
+            if suspect_refusal is not None:
+                return suspect_refusal
             refusal = _failed(failure, refusal)
             address = None
-            if failure.surely_not_run or request.idempotent:
-                address = self._choose(request.service, tried, watched)
+            if failure.not_sent or request.idempotent:
+                address = self._choose(request.service, tried, tracked_call)
         return refusal
 
-    def _watch(self, request: ServiceRequest) -> service_suspects.WatchedCall:
+    def _track(self, request: ServiceRequest) -> service_suspects.TrackedCall:
         head = request.head
-        return service_suspects.make_watched_call(
+        return service_suspects.make_tracked_call(
             self._suspects,
             request.service.addresses,
             request.service.name.encode(),
@@ -195,10 +195,10 @@
         self,
         service: schema.PlainService,
         tried: set[str],
-        watched: service_suspects.WatchedCall,
+        tracked_call: service_suspects.TrackedCall,
     ) -> str | None:
-        allowed = watched.allowed()
-        free = [
+        allowed = tracked_call.allowed_addresses()
+        candidates = [
             address
             for address in service.addresses
             if address not in tried
@@ -207,7 +207,7 @@
             < service.max_in_flight_per_address
         ]
         return min(
-            free,
+            candidates,
             key=lambda address: self._in_flight.get(address, 0),
             default=None,
         )
@@ -216,27 +216,27 @@
         self,
         request: ServiceRequest,
         address: str,
-        responds: responder.Responder,
+        writer: response_writer.ResponseWriter,
         span: trace.Span,
     ) -> upstream.UpstreamError | None:
-        before = responds.outcome
-        responds.outcome = outcomes.Outcome.UNKNOWN
-        hop = self._start_hop(request, address, span)
+        previous = writer.outcome
+        writer.outcome = outcomes.Outcome.UNKNOWN
+        attempt_span = self._start_attempt_span(request, address, span)
         self._in_flight[address] = self._in_flight.get(address, 0) + 1
         try:
-            await self._exchange(request, address, responds, hop)
+            await self._exchange(request, address, writer, attempt_span)
         except upstream.UpstreamError as error:
-            if error.surely_not_run:
-                responds.outcome = before
-            hop.set_attribute('redwingvalve.failure', str(error))
+            if error.not_sent:
+                writer.outcome = previous
+            attempt_span.set_attribute('redwingvalve.failure', str(error))
             self._dependencies.metrics.count('entry.service_send_failed')
             return error
         finally:
             self._in_flight[address] -= 1
-            hop.end()
+            attempt_span.end()
         return None
 
-    def _start_hop(
+    def _start_attempt_span(
         self, request: ServiceRequest, address: str, span: trace.Span
     ) -> trace.Span:
         """Start the span of one send; each send has its own."""
@@ -253,48 +253,52 @@
         self,
         request: ServiceRequest,
         address: str,
-        responds: responder.Responder,
-        hop: trace.Span,
+        writer: response_writer.ResponseWriter,
+        attempt_span: trace.Span,
     ) -> None:
-        outgoing = self._build(request, address, hop)
+        outgoing = self._build(request, address, attempt_span)
         with anyio.move_on_after(outgoing.timeout_s):
-            answer, body = await self._fetch(outgoing)
-            hop.set_attribute('http.response.status_code', answer.status)
-            await responds.send_whole(
-                answer.status,
-                dict(answer.headers).get('content-type', ''),
+            response, body = await self._fetch(outgoing)
+            attempt_span.set_attribute(
+                'http.response.status_code', response.status
+            )
+            await writer.send_response(
+                response.status,
+                dict(response.headers).get('content-type', ''),
                 body,
                 outcomes.Outcome.RAN,
-                _passed_headers(answer.headers, ('content-type',)),
+                _forwarded_headers(response.headers, ('content-type',)),
             )
             return
-        raise service_suspects.AnsweredError(
-            'no answer by the timeout', surely_not_run=False
+        raise service_suspects.EndpointAliveError(
+            'no answer by the timeout', not_sent=False
         )
 
     async def _fetch(
         self, outgoing: upstream.UpstreamRequest
-    ) -> tuple[upstream.UpstreamAnswer, bytes]:
-        answer = await self._dependencies.upstream.send(outgoing)
+    ) -> tuple[upstream.UpstreamResponse, bytes]:
+        response = await self._dependencies.upstream.send(outgoing)
         try:
-            body = await self._read(answer, outgoing)
+            body = await self._read(response, outgoing)
         except BaseException:
-            await self._dependencies.upstream.release(answer)
+            await self._dependencies.upstream.release(response)
             raise
-        await self._dependencies.upstream.release(answer)
-        return answer, body
+        await self._dependencies.upstream.release(response)
+        return response, body
 
     def _build(
-        self, request: ServiceRequest, address: str, hop: trace.Span
+        self, request: ServiceRequest, address: str, attempt_span: trace.Span
     ) -> upstream.UpstreamRequest:
         head = request.head
-        endpoint_id = answer_check.make_endpoint_id(
+        endpoint_id = response_check.make_endpoint_id(
             head.request_id, self._entry, next(self._numbers)
         )
-        hop.set_attribute('redwingvalve.endpoint_request_id', endpoint_id)
+        attempt_span.set_attribute(
+            'redwingvalve.endpoint_request_id', endpoint_id
+        )
         own = {
             outcomes.REQUEST_ID_HEADER: endpoint_id,
-            **self._dependencies.tracing.headers(hop),
+            **self._dependencies.tracing.headers(attempt_span),
         }
         query = f'?{head.query}' if head.query else ''
         remaining_s = head.remaining_s(self._dependencies.clock.monotonic_s())
@@ -302,7 +306,7 @@
             address=address,
             method=head.method,
             path=f'{head.path}{query}',
-            headers=(*_passed_headers(head.headers.items()), *own.items()),
+            headers=(*_forwarded_headers(head.headers.items()), *own.items()),
             body=request.body,
             request_id=endpoint_id,
             timeout_s=max(min(remaining_s, request.service.timeout_s), 0.001),
@@ -310,37 +314,37 @@
 
     async def _read(
         self,
-        answer: upstream.UpstreamAnswer,
+        response: upstream.UpstreamResponse,
         outgoing: upstream.UpstreamRequest,
     ) -> bytes:
-        identity = answer_check.AnswerIdentity(outgoing.request_id, '')
+        identity = response_check.ResponseIdentity(outgoing.request_id, '')
         try:
-            answer_check.check_head(
-                answer.headers, identity, self._dependencies.switches
+            response_check.check_headers(
+                response.headers, identity, self._dependencies.switches
             )
-        except answer_check.WrongAnswerError as error:
-            raise service_suspects.AnsweredError(
-                str(error), surely_not_run=False
+        except response_check.ResponseMismatchError as error:
+            raise service_suspects.EndpointAliveError(
+                str(error), not_sent=False
             ) from error
-        body = b''.join([chunk async for chunk in answer.chunks])
-        framed = {'content-length', 'transfer-encoding'}
+        body = b''.join([chunk async for chunk in response.chunks])
+        length_headers = {'content-length', 'transfer-encoding'}
         if (
-            answer.status not in NO_BODY_STATUSES
+            response.status not in NO_BODY_STATUSES
             and outgoing.method != 'HEAD'
-            and framed.isdisjoint(dict(answer.headers))
+            and length_headers.isdisjoint(dict(response.headers))
         ):
             # Without a length, a body that was cut off ends like a whole one.
-            raise service_suspects.AnsweredError(
-                'the end of the body cannot be told', surely_not_run=False
+            raise service_suspects.EndpointAliveError(
+                'the end of the body cannot be told', not_sent=False
             )
         return body
 
 
-def _always() -> bool:
+def _always_allowed() -> bool:
     return True
 
 
-def _busy() -> outcomes.ErrorAnswer:
+def _service_busy() -> outcomes.ErrorAnswer:
     return outcomes.ErrorAnswer(
         status=503,
         code='service-busy',
@@ -351,10 +355,10 @@
 
 
 def _failed(
-    failure: upstream.UpstreamError, before: outcomes.ErrorAnswer
+    failure: upstream.UpstreamError, previous: outcomes.ErrorAnswer
 ) -> outcomes.ErrorAnswer:
-    outcome = before.outcome
-    if not failure.surely_not_run:
+    outcome = previous.outcome
+    if not failure.not_sent:
         outcome = outcomes.Outcome.UNKNOWN
     return outcomes.ErrorAnswer(
         status=502,
@@ -365,12 +369,12 @@
     )
 
 
-def _passed_headers(
+def _forwarded_headers(
     headers: collections_abc.Iterable[tuple[str, str]],
-    but: tuple[str, ...] = (),
+    exclude: tuple[str, ...] = (),
 ) -> tuple[tuple[str, str], ...]:
     return tuple(
         (name, text)
         for name, text in headers
-        if name not in HOP_HEADERS and name not in but
+        if name not in HOP_BY_HOP_HEADERS and name not in exclude
     )
--- a/redwingvalve/entry/stall_watch.py
+++ b/redwingvalve/entry/stall_monitor.py
@@ -17,11 +17,11 @@
 from redwingvalve.routing import policy
 
 # Routing hears of each stream about once a second.
-LOOKS_PER_PROGRESS = 4
+CHECKS_PER_PROGRESS_REPORT = 4
 
 
 @attrs.define(eq=False)
-class Watched:
+class MonitoredAttempt:
     """A send under way; scope ends it, may_stop says whether that helps.
 
     endpoint_gone says that nobody was there to be told of its early end.
@@ -31,13 +31,13 @@
     request_id: str
     deployment: str
     routing: policy.RoutingPolicy
-    may_stop: collections_abc.Callable[[], bool]
+    may_abort: collections_abc.Callable[[], bool]
     scope: anyio.CancelScope = attrs.field(factory=anyio.CancelScope)
-    read_slowly: bool = False
-    endpoint_gone: bool = False
+    slow_reader: bool = False
+    endpoint_unreachable: bool = False
 
 
-class StallWatch:
+class StallMonitor:
     """Watches the streams of one entry; run it beside the application."""
 
     def __init__(self, time_source: clock.Clock) -> None:
@@ -46,58 +46,60 @@
         self._detectors: dict[str, stalls.StallDetector] = (
             collections.defaultdict(stalls.make_stall_detector)
         )
-        self._watched: dict[int, Watched] = {}
-        self._looks = 0
+        self._monitored: dict[int, MonitoredAttempt] = {}
+        self._checks = 0
 
     @contextlib.contextmanager
-    def watching(self, watched: Watched) -> collections_abc.Iterator[None]:
+    def monitor(
+        self, monitored: MonitoredAttempt
+    ) -> collections_abc.Iterator[None]:
         """Look at a send while the block runs."""
-        self._watched[id(watched.pulse)] = watched
-        self._detectors[watched.deployment].begin(watched.pulse)
+        self._monitored[id(monitored.pulse)] = monitored
+        self._detectors[monitored.deployment].begin(monitored.pulse)
         try:
             yield
         finally:
-            self._detectors[watched.deployment].end(watched.pulse)
-            self._watched.pop(id(watched.pulse))
+            self._detectors[monitored.deployment].end(monitored.pulse)
+            self._monitored.pop(id(monitored.pulse))
 
     async def run(self) -> None:
         """Look until cancelled."""
         while True:
-            self.look()
+            self.check()
             await self._clock.sleep(stalls.LOOK_EVERY_S)
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Stop what has stalled, where something better can be done."""
         now_s = self._clock.monotonic_s()
-        self._looks += 1
+        self._checks += 1
         for detector in self._detectors.values():
             for pulse in detector.look(now_s):
-                self._stop(self._watched[id(pulse)], now_s)
-        for watched in self._watched.values():
-            watched.read_slowly |= watched.pulse.held
-        if not self._looks % LOOKS_PER_PROGRESS:
-            self._tell_progress(now_s)
-
-    def _stop(self, watched: Watched, now_s: float) -> None:
-        if watched.pulse.stalled:
+                self._handle_stall(self._monitored[id(pulse)], now_s)
+        for monitored in self._monitored.values():
+            monitored.slow_reader |= monitored.pulse.held
+        if not self._checks % CHECKS_PER_PROGRESS_REPORT:
+            self._report_progress(now_s)
+
+    def _handle_stall(self, monitored: MonitoredAttempt, now_s: float) -> None:
+        if monitored.pulse.stalled:
             return
-        watched.routing.stalled(watched.request_id, now_s)
-        if watched.may_stop():
+        monitored.routing.stalled(monitored.request_id, now_s)
+        if monitored.may_abort():
             # In one step: whoever sees the flag must deliver nothing more,
             # and the cancellation may come at the next await only.
-            watched.pulse.stalled = True
-            watched.scope.cancel()
+            monitored.pulse.stalled = True
+            monitored.scope.cancel()
 
-    def _tell_progress(self, now_s: float) -> None:
-        for watched in self._watched.values():
+    def _report_progress(self, now_s: float) -> None:
+        for monitored in self._monitored.values():
             # A caller that reads slowly would make its replica look slow.
-            if not watched.read_slowly:
-                watched.routing.progressed(
-                    watched.request_id, watched.pulse.tokens, now_s
+            if not monitored.slow_reader:
+                monitored.routing.progressed(
+                    monitored.request_id, monitored.pulse.tokens, now_s
                 )
-            watched.read_slowly = False
+            monitored.slow_reader = False
 
 
-def make_stall_watch(time_source: clock.Clock) -> StallWatch:
+def make_stall_monitor(time_source: clock.Clock) -> StallMonitor:
     """Return the watch of one entry."""
-    return StallWatch(time_source)
+    return StallMonitor(time_source)
--- a/redwingvalve/entry/suspects.py
+++ b/redwingvalve/entry/suspects.py
@@ -26,30 +26,30 @@
 Endpoint = snapshot.Replica | ServiceAddress
 
 
-class SuspectGate:
+class SuspectTracker:
     """What this entry runs where, and the suspects of all entries."""
 
     def __init__(
         self,
-        known: members.Members,
+        membership: members.Members,
         news: board.NewsBoard,
-        gate_clock: clock.Clock,
+        time_source: clock.Clock,
         switches: invariants.SafeguardSwitches,
         key: str = channel.KEY,
     ) -> None:
         """Tell and hear of suspects through news under a key."""
         self._key = key
-        self._members = known
+        self._members = membership
         self._news = news
-        self._clock = gate_clock
-        self._myself = known.myself().name
+        self._clock = time_source
+        self._local_name = membership.myself().name
         self._ledger = ledger.make_suspect_ledger(
-            self._myself,
+            self._local_name,
             safeguards=switches,
-            incarnation=known.myself().incarnation,
+            incarnation=membership.myself().incarnation,
         )
         self._merged: dict[str, tuple[int, int]] = {}
-        self._told_revision = 0
+        self._published_revision = 0
         self._on_endpoint: dict[str, list[bytes]] = {}
 
     def digest(self, request: model_request.ModelRequest) -> bytes:
@@ -68,7 +68,7 @@
         Give the addresses where endpoints are few: most entries may then put
         suspects nowhere, so that the home must be one that may.
         """
-        self._hear()
+        self._merge_news()
         now_s = self._clock.monotonic_s()
         if self._ledger.judge_again(digest, now_s) == ledger.Verdict.FREE:
             return None
@@ -82,23 +82,23 @@
 
     def refusal_after_death(self, digest: bytes) -> outcomes.ErrorAnswer | None:
         """Return why a request that failed here is not sent again, if so."""
-        self._hear()
+        self._merge_news()
         now_s = self._clock.monotonic_s()
         verdict = self._ledger.judge_again(digest, now_s)
         if verdict == ledger.Verdict.ISOLATE:
             # Claimed before another entry may try it; see ledger.intends.
             self._ledger.intends(digest, now_s)
-            self._tell()
+            self._publish()
         if verdict == ledger.Verdict.REFUSE:
             return _poison(outcomes.Outcome.UNKNOWN)
         if verdict == ledger.Verdict.WAIT:
             return _wait('another entry', outcomes.Outcome.UNKNOWN)
         return None
 
-    def gave_up(self, digest: bytes) -> None:
+    def abandon(self, digest: bytes) -> None:
         """Leave a suspect that is not sent again to its home."""
         self._ledger.gave_up(digest, self._clock.monotonic_s())
-        self._tell()
+        self._publish()
 
     def allowed(
         self, digest: bytes, serving: collections_abc.Iterable[str]
@@ -110,19 +110,19 @@
             return None
         if verdict == ledger.Verdict.WAIT:
             return frozenset()
-        own = ledger.own_share(self._myself, self._entries(), serving)
+        own = ledger.own_share(self._local_name, self._entries(), serving)
         busy = {name for name, running in self._on_endpoint.items() if running}
         free = self._ledger.free_endpoints(own, now_s)
         return (free - busy) or free
 
-    def began(self, digest: bytes, replica: Endpoint) -> bool:
+    def attempt_started(self, digest: bytes, replica: Endpoint) -> bool:
         """Count a send; True when it is one of a suspect."""
         self._on_endpoint.setdefault(replica.name, []).append(digest)
         now_s = self._clock.monotonic_s()
         suspect = self._ledger.judge_again(digest, now_s) != ledger.Verdict.FREE
         if suspect and not self._ledger.running(digest):
             self._ledger.started(digest, replica.name, now_s)
-            self._tell()
+            self._publish()
         return suspect
 
     def ended(self, digest: bytes, replica: Endpoint, *, whole: bool) -> None:
@@ -134,7 +134,7 @@
             self._on_endpoint.pop(replica.name, None)
         now_s = self._clock.monotonic_s()
         self._ledger.ended(digest, replica.name, now_s, whole=whole)
-        self._tell()
+        self._publish()
 
     def endpoint_died(self, replica: Endpoint) -> None:
         """Suspect all that ran there, and tell the others at once."""
@@ -144,7 +144,7 @@
             self._ledger.endpoint_died(
                 ledger.Death(replica.name, replica.epoch, running), now_s
             )
-            self._tell()
+            self._publish()
 
     def _home(
         self, digest: bytes, addresses: collections_abc.Collection[str]
@@ -158,7 +158,7 @@
     def _entries(self) -> tuple[str, ...]:
         return tuple(member.name for member in self._members.alive())
 
-    def _hear(self) -> None:
+    def _merge_news(self) -> None:
         now_s = self._clock.monotonic_s()
         for item in self._news.read(channel.SUSPECTS):
             if item.key != self._key:
@@ -168,9 +168,9 @@
                 self._merged[item.owner] = seen
                 self._ledger.merge(item.body, now_s)
 
-    def _tell(self) -> None:
-        if self._ledger.revision != self._told_revision:
-            self._told_revision = self._ledger.revision
+    def _publish(self) -> None:
+        if self._ledger.revision != self._published_revision:
+            self._published_revision = self._ledger.revision
             self._news.publish(
                 channel.SUSPECTS, self._key, self._ledger.encode()
             )
--- a/redwingvalve/entry/tests/fakes.py
+++ b/redwingvalve/entry/tests/fakes.py
@@ -91,10 +91,10 @@
 
     async def send(self, request):
         if request.path == '/v1/cancel' and request.address in self.gone:
-            raise upstream.UpstreamError('refused', surely_not_run=True)
+            raise upstream.UpstreamError('refused', not_sent=True)
         if request.path == '/v1/cancel':
             self.cancelled.append(json.loads(request.body)['request_id'])
-            return upstream.UpstreamAnswer(200, (), chunks_of(()))
+            return upstream.UpstreamResponse(200, (), chunks_of(()))
         self.sent.append(request)
         return await self.scripts[request.address](request)
 
@@ -114,7 +114,7 @@
 
 
 def broken(message='reset'):
-    return upstream.UpstreamError(message, surely_not_run=False)
+    return upstream.UpstreamError(message, not_sent=False)
 
 
 def event(request_id, text, finish=None):
@@ -146,7 +146,7 @@
             error = broken()
         elif done:
             chunks.append(b'data: [DONE]\n\n')
-        return upstream.UpstreamAnswer(
+        return upstream.UpstreamResponse(
             200, (('x-request-id', request_id),), chunks_of(chunks, error)
         )
 
@@ -167,7 +167,7 @@
             ('content-length', str(len(body))),
             *headers,
         )
-        return upstream.UpstreamAnswer(status, given, chunks_of((body,)))
+        return upstream.UpstreamResponse(status, given, chunks_of((body,)))
 
     return script
 
--- a/redwingvalve/entry/tests/test_account_gate.py
+++ b/redwingvalve/entry/tests/test_account_limiter.py
@@ -1,7 +1,7 @@
 """Limits of accounts hold over all entries, and refuse at once."""
 
 from redwingvalve.core import clock
-from redwingvalve.entry import account_gate
+from redwingvalve.entry import account_limiter
 from redwingvalve.entry.tests import fakes
 from redwingvalve.membership import members
 from redwingvalve.news import board
@@ -46,7 +46,7 @@
     account = fakes.account(tokens_per_s=LIMIT_PER_S)
     source = fakes.Source(fakes.make_snapshot(client_accounts=(account,)))
     gates = [
-        account_gate.AccountGate(
+        account_limiter.AccountLimiter(
             source,
             Present(name, names),
             SharedBoard(name, shared, name in cut),
@@ -65,7 +65,7 @@
             gate._update()
         for gate in busy:
             for _ in range(10):
-                passed += gate.refuse_tokens(account, 5.0) is None and 5.0
+                passed += gate.check_tokens(account, 5.0) is None and 5.0
         time_source.advance(0.1)
     return passed
 
@@ -119,4 +119,4 @@
     time_source = clock.ManualClock(0.0)
     gates, _ = make_gates(time_source, {})
     free = fakes.account('free')
-    assert all(gate.refuse_tokens(free, 1e9) is None for gate in gates)
+    assert all(gate.check_tokens(free, 1e9) is None for gate in gates)
--- a/redwingvalve/entry/tests/test_app.py
+++ b/redwingvalve/entry/tests/test_app.py
@@ -104,7 +104,7 @@
     The connection to the first replica is refused, so no byte of the request
     reached it; sending to the second is safe even for what may run only once.
     """
-    gone = upstream.UpstreamError('refused', surely_not_run=True)
+    gone = upstream.UpstreamError('refused', not_sent=True)
     engines = fakes.Engines(
         {'r1:1': fakes.failing(gone), 'r2:1': fakes.streaming()}
     )
--- a/redwingvalve/entry/tests/test_caller_server.py
+++ b/redwingvalve/entry/tests/test_caller_server.py
@@ -132,7 +132,7 @@
             yield fakes.event(request.request_id, ' t1')
             await anyio.sleep_forever()
 
-        return upstream.UpstreamAnswer(
+        return upstream.UpstreamResponse(
             200, (('x-request-id', request.request_id),), chunks()
         )
 
--- a/redwingvalve/entry/tests/test_load_watch.py
+++ b/redwingvalve/entry/tests/test_load_forwarder.py
@@ -3,7 +3,7 @@
 import attrs
 
 from redwingvalve.core import clock, invariants
-from redwingvalve.entry import load_watch, replica_choice
+from redwingvalve.entry import load_forwarder, replica_selection
 from redwingvalve.entry.tests import fakes
 from redwingvalve.evidence import permits
 from redwingvalve.routing import messages
@@ -17,21 +17,23 @@
         return permits.ReportedLoad(in_flight, now_s - 0.2)
 
 
-def choose(watched):
+def choose(forwarded):
     """Return how often r1 is chosen in 50 draws."""
     time_source = clock.ManualClock(100.0)
     source = fakes.Source(fakes.make_snapshot())
     serving = Reporting()
-    choice = replica_choice.ReplicaChoice(
+    choice = replica_selection.ReplicaSelector(
         source,
         serving,
         fakes.Members().myself(),
         time_source,
         invariants.SafeguardSwitches(),
     )
-    watch = load_watch.make_load_watch(source, serving, choice, time_source)
-    for _ in range(10 if watched else 0):
-        watch.look()
+    forwarder = load_forwarder.make_load_forwarder(
+        source, serving, choice, time_source
+    )
+    for _ in range(10 if forwarded else 0):
+        forwarder.poll()
         time_source.advance(0.7)
     routing = choice.routing('quotes')
     plain = messages.RouteRequest(
@@ -59,5 +61,5 @@
     This entry itself has sent nothing; the count came with the evidence.
     Without the watch both replicas look alike.
     """
-    assert choose(watched=False) > 10
-    assert choose(watched=True) == 0
+    assert choose(forwarded=False) > 10
+    assert choose(forwarded=True) == 0
--- a/redwingvalve/entry/tests/test_observed.py
+++ b/redwingvalve/entry/tests/test_observability.py
@@ -51,7 +51,7 @@
     Each send has a span under the entry's, the service is told of that span,
     and the entry's own span stands under the caller's.
     """
-    refused = upstream.UpstreamError('refused', surely_not_run=True)
+    refused = upstream.UpstreamError('refused', not_sent=True)
     engines = fakes.Engines(
         {'pay:1': fakes.failing(refused), 'pay:2': fakes.answering(200)}
     )
@@ -122,7 +122,7 @@
         {'r1:1': fakes.streaming(cut_after=1), 'r2:1': fakes.streaming()}
     )
     received = statsd_lines(engines, {}, {}, {'path': '/nowhere'})
-    sends = len(engines.sent)
+    attempts = len(engines.sent)
     assert received['fleet.entry.requests'] == ['1|c'] * 3
     assert received['fleet.entry.in_progress'] == ['1|g', '0|g'] * 3
     assert received['fleet.entry.status.200'] == ['1|c'] * 2
@@ -131,8 +131,8 @@
     assert received['fleet.entry.outcome.not-run'] == ['1|c']
     assert received['fleet.entry.error.unknown-path'] == ['1|c']
     assert received['fleet.entry.tokens'] == ['3|c'] * 2
-    assert received['fleet.entry.send_failed'] == ['1|c'] * (sends - 2)
-    assert received['fleet.entry.resume'] == ['1|c'] * (sends - 2)
+    assert received['fleet.entry.send_failed'] == ['1|c'] * (attempts - 2)
+    assert received['fleet.entry.resume'] == ['1|c'] * (attempts - 2)
     for name in ('request_time', 'first_token_time'):
         timings = received[f'fleet.entry.{name}']
         assert all(0 <= float(text.removesuffix('|ms')) for text in timings)
--- a/redwingvalve/entry/tests/test_over_http.py
+++ b/redwingvalve/entry/tests/test_over_http.py
@@ -145,6 +145,6 @@
         with pytest.raises(upstream.UpstreamError) as refused:
             await sender.send(request)
         await sender.aclose()
-        return cut.value.surely_not_run, refused.value.surely_not_run
+        return cut.value.not_sent, refused.value.not_sent
 
     assert anyio.run(scenario) == (False, True)
--- a/redwingvalve/entry/tests/test_cache_watch.py
+++ b/redwingvalve/entry/tests/test_prefix_cache_sync.py
@@ -38,7 +38,9 @@
             if row['number'] > after
         ]
         body = json.dumps({'events': rows, 'first': 1}).encode()
-        return fakes.upstream.UpstreamAnswer(200, (), fakes.chunks_of((body,)))
+        return fakes.upstream.UpstreamResponse(
+            200, (), fakes.chunks_of((body,))
+        )
 
 
 class Region:
@@ -73,7 +75,7 @@
         for _ in range(2):
             self.clock.advance(6.0)
             for entry in self.entries:
-                await entry.caches.step()
+                await entry.cache_sync.step()
 
     def publish(self, address, number, event_type):
         hashes = prefix_hashes.prefix_hashes(f'user: {PROMPT}', (2,))
--- a/redwingvalve/entry/tests/test_relay.py
+++ b/redwingvalve/entry/tests/test_relay.py
@@ -124,7 +124,7 @@
                 await anyio.sleep_forever()
 
             head = (('x-request-id', request.request_id),)
-            return fakes.upstream.UpstreamAnswer(200, head, chunks())
+            return fakes.upstream.UpstreamResponse(200, head, chunks())
 
         engines = fakes.Engines({'r1:1': endless, 'r2:1': endless})
         application = app.make_entry_app(fakes.make_dependencies(engines))
--- a/redwingvalve/entry/tests/test_stalls.py
+++ b/redwingvalve/entry/tests/test_stalls.py
@@ -24,7 +24,7 @@
 
     async def __call__(self, request):
         head = (('x-request-id', request.request_id),)
-        return fakes.upstream.UpstreamAnswer(200, head, self._chunks(request))
+        return fakes.upstream.UpstreamResponse(200, head, self._chunks(request))
 
     async def _chunks(self, request):
         texts = fakes.tokens_after(request, 6)
@@ -66,7 +66,7 @@
     async def look(self, times):
         for _ in range(times):
             self.clock.advance(stalls.LOOK_EVERY_S)
-            self.application.stalls.look()
+            self.application.stall_monitor.check()
             await anyio.wait_all_tasks_blocked()
 
     def run(self, hanging, play, **options):
@@ -109,7 +109,7 @@
         for _ in range(4):
             scene.clock.advance(stalls.LOOK_EVERY_S)
             hanging.released.set()
-            scene.application.stalls.look()
+            scene.application.stall_monitor.check()
         await scene.look(1)
 
     scene.run(hanging, play)
--- a/redwingvalve/entry/upstream.py
+++ b/redwingvalve/entry/upstream.py
@@ -22,14 +22,14 @@
 class UpstreamError(Exception):
     """A send failed; surely_not_run says that no byte reached the endpoint."""
 
-    def __init__(self, message: str, *, surely_not_run: bool) -> None:
+    def __init__(self, message: str, *, not_sent: bool) -> None:
         """Keep what is known of the failure."""
         super().__init__(message)
-        self.surely_not_run = surely_not_run
+        self.not_sent = not_sent
 
 
 @attrs.define
-class UpstreamAnswer:
+class UpstreamResponse:
     """The head of an answer and its body, chunk by chunk as it arrives.
 
     Iterating raises UpstreamError when the connection breaks before the
@@ -45,11 +45,11 @@
     """Sends a request and streams its answer."""
 
     @abc.abstractmethod
-    async def send(self, request: UpstreamRequest) -> UpstreamAnswer:
+    async def send(self, request: UpstreamRequest) -> UpstreamResponse:
         """Return the head of the answer; UpstreamError when none comes."""
 
     @abc.abstractmethod
-    async def release(self, answer: UpstreamAnswer) -> None:
+    async def release(self, response: UpstreamResponse) -> None:
         """Close or reuse the connection; cancels an unfinished answer."""
 
     @abc.abstractmethod
--- a/redwingvalve/entry/uvicorn_protocol.py
+++ b/redwingvalve/entry/uvicorn_protocol.py
@@ -22,7 +22,7 @@
 # hypercorn and most proxies take 16 KB; trace state and credentials fit.
 MAX_HEAD_BYTES = 16_384
 MALFORMED_STATUS = 400
-TOO_LARGE_STATUS = 431
+HEAD_TOO_LARGE_STATUS = 431
 
 
 class CallerProtocol(httptools_impl.HttpToolsProtocol):
@@ -61,7 +61,7 @@
                 MALFORMED_STATUS, 'malformed-request', f'no HTTP: {error}'
             )
             return
-        self._bound_wait(data)
+        self._enforce_head_limits(data)
 
     def on_message_begin(self) -> None:
         """Count the bytes of a new head."""
@@ -84,7 +84,7 @@
         return self.cycle is None or self.cycle.response_complete
 
     @property
-    def _still_reading(self) -> bool:
+    def _receiving_body(self) -> bool:
         """Tell whether the only request has not arrived, so cannot run."""
         return (
             not self.pipeline
@@ -92,7 +92,7 @@
             and not self.cycle.response_started
         )
 
-    def _bound_wait(self, data: bytes) -> None:
+    def _enforce_head_limits(self, data: bytes) -> None:
         if self.transport.is_closing():
             return
         if self._in_head:
@@ -100,7 +100,7 @@
             self._start_head_timer()
             if self._head_bytes > MAX_HEAD_BYTES:
                 self._refuse(
-                    TOO_LARGE_STATUS,
+                    HEAD_TOO_LARGE_STATUS,
                     'head-too-large',
                     f'head: at most {MAX_HEAD_BYTES} bytes are taken',
                 )
@@ -116,14 +116,14 @@
         Bytes written into a body in progress would be taken for a part of
         it; closing without the body's end shows the caller that it is cut.
         """
-        if self._idle or self._still_reading:
-            self.transport.write(_whole_answer(status, code, message))
+        if self._idle or self._receiving_body:
+            self.transport.write(_error_response(status, code, message))
         self.transport.close()
 
     def _start_head_timer(self) -> None:
         if self._head_timer is None:
             self._head_timer = self.loop.call_later(
-                self.head_timeout_s, self._head_is_late
+                self.head_timeout_s, self._on_head_timeout
             )
 
     def _stop_head_timer(self) -> None:
@@ -131,23 +131,23 @@
             self._head_timer.cancel()
             self._head_timer = None
 
-    def _head_is_late(self) -> None:
+    def _on_head_timeout(self) -> None:
         self._head_timer = None
         if self._idle:
             self.transport.close()
 
 
-def _whole_answer(status: int, code: str, message: str) -> bytes:
-    answer = outcomes.ErrorAnswer(
+def _error_response(status: int, code: str, message: str) -> bytes:
+    error = outcomes.ErrorAnswer(
         status=status,
         code=code,
         message=message,
         outcome=outcomes.Outcome.NOT_RUN,
     )
-    body = json.dumps(answer.body()).encode()
+    body = json.dumps(error.body()).encode()
     head = (
         f'content-type: application/json\r\ncontent-length: {len(body)}\r\n'
-        f'{outcomes.OUTCOME_HEADER}: {answer.outcome.value}\r\n'
+        f'{outcomes.OUTCOME_HEADER}: {error.outcome.value}\r\n'
         'connection: close\r\n\r\n'
     )
     return httptools_impl.STATUS_LINE[status] + head.encode() + body
--- a/redwingvalve/entry/uvicorn_server.py
+++ b/redwingvalve/entry/uvicorn_server.py
@@ -18,10 +18,10 @@
 KEEP_ALIVE_S = 75.0
 BACKLOG = 2048
 # Cancelled requests still tell their engines to stop; see sends.py.
-LAST_WORD_S = 3.0
+CANCELLATION_TIMEOUT_S = 3.0
 
 
-class _QuietServer(uvicorn.Server):
+class _SignalFreeServer(uvicorn.Server):
     """Leaves signals to the process, which stops all of its parts in turn."""
 
     @contextlib.contextmanager
@@ -45,13 +45,13 @@
         stop: caller_server.Stop,
     ) -> None:
         """Serve until stop returns, then let requests in progress finish."""
-        server = _QuietServer(_make_config(application, self._protocol))
+        server = _SignalFreeServer(_make_config(application, self._protocol))
         async with anyio.create_task_group() as group:
             group.start_soon(_exit_after, server, stop, graceful_timeout_s)
             try:
                 await server.serve(sockets=[listener])
             finally:
-                await _end_leftovers(server, listener)
+                await _abort_remaining(server, listener)
             group.cancel_scope.cancel()
 
 
@@ -89,7 +89,7 @@
     server.force_exit = True
 
 
-async def _end_leftovers(
+async def _abort_remaining(
     server: uvicorn.Server, listener: socket.socket
 ) -> None:
     """Break what outlived its time, then cancel the work behind it.
@@ -98,8 +98,8 @@
     requests still write, with tracebacks in its log. The connections go first:
     uvicorn answers a cancelled request by itself, which callers would read.
     """
-    for listening in getattr(server, 'servers', ()):
-        listening.close()
+    for asyncio_server in getattr(server, 'servers', ()):
+        asyncio_server.close()
     listener.close()
     state = server.server_state
     with anyio.CancelScope(shield=True):
@@ -112,7 +112,7 @@
         for task in tasks:
             task.cancel()
         if tasks:
-            await asyncio.wait(tasks, timeout=LAST_WORD_S)
+            await asyncio.wait(tasks, timeout=CANCELLATION_TIMEOUT_S)
 
 
 def make_uvicorn_server(
