--- a/redwingvalve/entry/__init__.py
+++ b/redwingvalve/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The request path: discovery, admission, routing, relay, outcome."""
+"""The request path of an entry: admission, routing, relay and outcome."""
--- a/redwingvalve/entry/account_limiter.py
+++ b/redwingvalve/entry/account_limiter.py
@@ -1,9 +1,10 @@
-"""Fleet-wide limits of client accounts in front of the request path.
+"""Enforces the fleet-wide rate limits of client accounts.
 
-The decision stands in limits; this follows the configuration and the news. The
-list of entries is every member that is not forgotten, dead ones included: in a
-partition the others look dead and still use their shares, so that the sum stays
-within the limit for the two hours that members are remembered.
+The shares are computed in the limits package; this module supplies the
+configuration and the reports of other entries. Every known member counts as
+an entry, dead ones included: in a partition the others look dead but still use
+their shares. That way the sum stays within the limit for the two hours that
+members are remembered.
 """
 
 import math
@@ -19,7 +20,7 @@
 from redwingvalve.news import board
 
 UPDATE_INTERVAL_S = 0.5
-# Less often than shares are worked out; a report counts for 3 s.
+# Longer than the update interval; a report is valid for 3 s.
 PUBLISH_INTERVAL_S = 1.0
 ENTRY_ROLE = 'entry'
 TOKENS_KEY = 'tokens'
@@ -28,14 +29,14 @@
 
 @attrs.frozen
 class _PublishedReport:
-    """When a report was published last, and whether it held nothing."""
+    """When a report was last published, and whether it was empty."""
 
     at_s: float = -math.inf
     empty: bool = True
 
 
 class AccountLimiter:
-    """Asks an account's share here; needs no call to anybody."""
+    """Checks accounts against this entry's share, without remote calls."""
 
     def __init__(
         self,
@@ -44,7 +45,7 @@
         news: board.NewsBoard,
         time_source: clock.Clock,
     ) -> None:
-        """Limit the accounts of source in shares among the entries."""
+        """Divide the limits of the accounts of source among the entries."""
         local_name = present.myself().name
         self._source = source
         self._members = present
@@ -59,7 +60,7 @@
         self._update()
 
     async def run(self) -> None:
-        """Follow configuration and news until cancelled."""
+        """Apply configuration changes and reports until cancelled."""
         while True:
             self._update()
             await self._clock.sleep(UPDATE_INTERVAL_S)
@@ -67,19 +68,19 @@
     def check_request(
         self, account: schema.ClientAccount
     ) -> outcomes.ErrorAnswer | None:
-        """Count one request, or return the refusal."""
+        """Count one request, or return the refusal if over the limit."""
         return self._check(REQUESTS_KEY, account, 1.0)
 
     def check_tokens(
         self, account: schema.ClientAccount, estimated_tokens: float
     ) -> outcomes.ErrorAnswer | None:
-        """Count what a request may use, or return the refusal."""
+        """Count estimated tokens, or return the refusal if over the limit."""
         return self._check(TOKENS_KEY, account, estimated_tokens)
 
     def adjust_tokens(
         self, account: schema.ClientAccount, change_tokens: float
     ) -> None:
-        """Charge what was used beyond the estimate, or give back."""
+        """Charge tokens used beyond the estimate, or refund unused ones."""
         self._limits[TOKENS_KEY].correct(account.name, change_tokens)
 
     def _check(
@@ -92,7 +93,7 @@
         return outcomes.ErrorAnswer(
             status=429,
             code='account-limit',
-            message=f'the account {account.name} is above its {key} a second',
+            message=f'account {account.name} exceeds its {key} per second',
             outcome=outcomes.Outcome.NOT_RUN,
             retry_after_s=wait_s,
         )
@@ -118,10 +119,10 @@
             self._publish(key, limits.update(entries, bodies, now_s), now_s)
 
     def _publish(self, key: str, body: bytes, now_s: float) -> None:
-        """Say what this entry lends and lacks; nothing while that is nothing.
+        """Publish what this entry lends and lacks, unless both are empty.
 
-        What is lent counts as lent from each update on, said or not, so that
-        saying it less often can only leave a part of the limit unused.
+        Lent shares are deducted at each update, whether published or not, so
+        publishing less often can only leave a part of the limit unused.
         """
         last = self._published.get(key, _PublishedReport())
         if not body and last.empty:
@@ -153,7 +154,7 @@
 def make_account_limiter(
     entry_dependencies: dependencies.EntryDependencies,
 ) -> AccountLimiter:
-    """Return the gate of one entry; run it beside the application."""
+    """Return the limiter of one entry; its run must be started as a task."""
     return AccountLimiter(
         entry_dependencies.source,
         entry_dependencies.members,
--- a/redwingvalve/entry/accounts.py
+++ b/redwingvalve/entry/accounts.py
@@ -1,4 +1,4 @@
-"""Finds the client account of a credential in the configuration in force."""
+"""Authenticates callers against the client accounts of the configuration."""
 
 import hashlib
 
@@ -11,10 +11,13 @@
 
 
 class AccountAuthenticator:
-    """Accounts by the SHA-256 of their credential, rebuilt when changed."""
+    """Finds accounts by the SHA-256 of their credential.
+
+    The index is rebuilt when the configuration version changes.
+    """
 
     def __init__(self, source: snapshot.ConfigurationSource) -> None:
-        """Read accounts from source."""
+        """Read the accounts of the configuration of source."""
         self._source = source
         self._version = -1
         self._by_credential: dict[str, schema.ClientAccount] = {}
@@ -22,7 +25,7 @@
     def authenticate(
         self, head: caller_request.RequestHead
     ) -> Result[schema.ClientAccount, outcomes.ErrorAnswer]:
-        """Return the account that the credential belongs to."""
+        """Return the account of the credential, or the refusal."""
         current = self._source.current()
         if current.version != self._version:
             self._version = current.version
@@ -34,14 +37,14 @@
         account = self._by_credential.get(digest)
         if not head.credential or account is None:
             return Error(
-                _refusal(401, 'unknown-credential', 'no account has it', head)
+                _refusal(401, 'unknown-credential', 'unknown credential', head)
             )
         if head.priority is not None and head.priority > account.priority:
             return Error(
                 _refusal(
                     403,
                     'priority-not-allowed',
-                    f'the account may ask for at most {account.priority}',
+                    f'highest priority of the account: {account.priority}',
                     head,
                 )
             )
@@ -53,7 +56,7 @@
     deployment: schema.ModelDeployment,
     head: caller_request.RequestHead,
 ) -> outcomes.ErrorAnswer | None:
-    """Return a refusal unless the account may use the deployment."""
+    """Return the refusal if the account may not use the deployment."""
     if not account.deployments or deployment.name in account.deployments:
         return None
     return _refusal(
--- a/redwingvalve/entry/app.py
+++ b/redwingvalve/entry/app.py
@@ -1,4 +1,4 @@
-"""The ASGI application of an entry: routes requests to what answers them."""
+"""The ASGI application of an entry: authenticates and routes requests."""
 
 import contextlib
 import typing
@@ -33,12 +33,12 @@
 
 
 class EntryApp:
-    """One entry; an ASGI 3 application."""
+    """The ASGI 3 application of one entry."""
 
     def __init__(
         self, entry_dependencies: dependencies.EntryDependencies
     ) -> None:
-        """Answer requests with entry_dependencies."""
+        """Serve requests through entry_dependencies."""
         self._dependencies = entry_dependencies
         self._authenticator = accounts.AccountAuthenticator(
             entry_dependencies.source
@@ -69,7 +69,7 @@
         receive: caller_request.Receive,
         send: response_writer.Send,
     ) -> None:
-        """Serve one request, or take part in the server's lifespan."""
+        """Serve one request, or handle the server's lifespan events."""
         if scope['type'] == 'lifespan':
             await _lifespan(receive, send)
             return
@@ -130,10 +130,10 @@
         except caller_request.CallerDisconnectedError:
             span.add_event('caller gone')
         except invariants.InvariantBreachError:
-            LOGGER.exception('an invariant was broken')
+            LOGGER.exception('invariant violated')
             raise
         except Exception:
-            LOGGER.exception('a request failed inside the entry')
+            LOGGER.exception('internal error while serving a request')
             await writer.send_error(_internal_error(writer.outcome))
         finally:
             span.end()
@@ -181,7 +181,7 @@
         writer: response_writer.ResponseWriter,
         span: trace.Span,
     ) -> None:
-        """Run work, under a claim of its key if it may run only once."""
+        """Run a request; claim its key first unless it is idempotent."""
         refusal = self.account_limiter.check_request(routed.account)
         if refusal is not None:
             span.set_attribute('redwingvalve.refused', refusal.code)
@@ -232,7 +232,7 @@
             return outcomes.ErrorAnswer(
                 status=404,
                 code='unknown-path',
-                message=f'nothing answers {head.method} {head.path}',
+                message=f'no route for {head.method} {head.path}',
                 outcome=outcomes.Outcome.NOT_RUN,
             )
         return RoutedRequest(
@@ -276,7 +276,7 @@
 
 @attrs.frozen
 class RoutedRequest:
-    """A request and the relay that runs it."""
+    """A request with the relay method that runs it."""
 
     run: collections_abc.Callable[..., collections_abc.Awaitable[None]]
     request: typing.Any
@@ -290,10 +290,10 @@
     writer: response_writer.ResponseWriter,
     span: trace.Span,
 ) -> None:
-    """Cancel the work of a caller that hangs up, and free its tokens.
+    """Cancel the request of a caller that disconnects; frees its tokens.
 
-    Servers say the same at the end of an answer. Its caller has not gone, and
-    what is done after the answer must not be cut off.
+    ASGI servers also send a disconnect after a complete response. It is
+    ignored then: the work that follows the response must not be cancelled.
     """
     message = await receive()
     while message['type'] != 'http.disconnect':
@@ -327,11 +327,11 @@
 
 
 def _internal_error(outcome: outcomes.Outcome) -> outcomes.ErrorAnswer:
-    """Return the answer to a request that met a fault of our own."""
+    """Return the error for a request that failed inside the entry."""
     return outcomes.ErrorAnswer(
         status=500,
         code='internal',
-        message='the entry failed on this request; its log says why',
+        message='internal error in the entry; see its log',
         outcome=outcome,
     )
 
@@ -340,7 +340,7 @@
     return outcomes.ErrorAnswer(
         status=503,
         code='no-request-keys',
-        message='this entry issues no request keys',
+        message='this entry does not issue request keys',
         outcome=outcomes.Outcome.NOT_RUN,
     )
 
@@ -348,5 +348,5 @@
 def make_entry_app(
     entry_dependencies: dependencies.EntryDependencies,
 ) -> EntryApp:
-    """Return the application of one entry."""
+    """Return the ASGI application of one entry."""
     return EntryApp(entry_dependencies)
--- a/redwingvalve/entry/caller_request.py
+++ b/redwingvalve/entry/caller_request.py
@@ -1,4 +1,4 @@
-"""A caller's request as the entry reads it from ASGI, checked as a whole."""
+"""Reads and validates callers' requests from ASGI."""
 
 import json
 import re
@@ -26,9 +26,9 @@
 
 @attrs.frozen
 class RequestHead:
-    """Everything of a request but its body; deadline_s counts from arrival.
+    """A request without its body; deadline_s counts from arrived_s.
 
-    priority and idempotent are None where the caller says nothing.
+    priority and idempotent are None if the caller didn't set them.
     """
 
     method: str
@@ -44,18 +44,18 @@
     request_key: str = ''
 
     def remaining_s(self, now_s: float) -> float:
-        """Return the seconds until the deadline; negative once it passed."""
+        """Return the time until the deadline; negative after it."""
         return self.arrived_s + self.deadline_s - now_s
 
 
 class CallerDisconnectedError(Exception):
-    """The caller hung up before its whole request had arrived."""
+    """The caller disconnected before its request had arrived completely."""
 
 
 def read_head(
     scope: Scope, settings: settings_schema.RequestSettings, now_s: float
 ) -> Result[RequestHead, outcomes.ErrorAnswer]:
-    """Read and check the request line and headers."""
+    """Read and validate the request line and headers."""
     headers = {
         name.decode('latin1').lower(): text.decode('latin1')
         for name, text in scope['headers']
@@ -85,7 +85,10 @@
     head: RequestHead,
     max_body_bytes: int,
 ) -> Result[bytes, outcomes.ErrorAnswer]:
-    """Read the body up to its bound; CallerGoneError when the caller goes."""
+    """Read the body up to max_body_bytes.
+
+    Raises CallerDisconnectedError if the caller disconnects.
+    """
     announced = head.headers.get('content-length', '')
     if announced.isdigit() and int(announced) > max_body_bytes:
         return Error(_body_too_large(max_body_bytes, head.request_id))
@@ -107,7 +110,7 @@
 def parse_json_object(
     body: bytes, request_id: str
 ) -> Result[dict[str, typing.Any], outcomes.ErrorAnswer]:
-    """Parse a body that must be a JSON object; the error names its place."""
+    """Parse a body that must be a JSON object; errors give the position."""
     try:
         parsed = json.loads(body)
     except json.JSONDecodeError as error:
@@ -116,12 +119,12 @@
     except (UnicodeDecodeError, RecursionError) as error:
         return Error(malformed(f'body:1:1: {error}', request_id))
     if not isinstance(parsed, dict):
-        return Error(malformed('body:1:1: a JSON object is wanted', request_id))
+        return Error(malformed('body:1:1: must be a JSON object', request_id))
     return Ok(parsed)
 
 
 def malformed(message: str, request_id: str) -> outcomes.ErrorAnswer:
-    """Return the answer to a request that cannot be understood."""
+    """Return the error for an invalid request."""
     return outcomes.ErrorAnswer(
         status=400,
         code='malformed-request',
@@ -137,7 +140,7 @@
     return outcomes.ErrorAnswer(
         status=413,
         code='body-too-large',
-        message=f'body: at most {max_body_bytes} bytes are taken',
+        message=f'request body exceeds {max_body_bytes} bytes',
         outcome=outcomes.Outcome.NOT_RUN,
         request_id=request_id,
     )
@@ -150,8 +153,8 @@
     if REQUEST_ID_PATTERN.fullmatch(value):
         return value
     problems.append(
-        f'header {outcomes.REQUEST_ID_HEADER}: 1 to 128 letters, digits, '
-        'dots, hyphens or underscores'
+        f'header {outcomes.REQUEST_ID_HEADER}: must be 1 to 128 letters, '
+        'digits, dots, hyphens or underscores'
     )
     return ''
 
@@ -171,8 +174,8 @@
         return settings.default_deadline_s
     if not value.isascii() or not value.isdigit() or int(value) == 0:
         problems.append(
-            f'header {outcomes.DEADLINE_HEADER}: a whole number of '
-            'milliseconds above zero'
+            f'header {outcomes.DEADLINE_HEADER}: must be a positive integer '
+            'number of milliseconds'
         )
         return settings.default_deadline_s
     return min(int(value) / MS_PER_S, settings.max_deadline_s)
@@ -184,7 +187,9 @@
         return None
     if len(value) == 1 and value.isascii() and value.isdigit():
         return int(value)
-    problems.append(f'header {outcomes.PRIORITY_HEADER}: a digit from 0 to 9')
+    problems.append(
+        f'header {outcomes.PRIORITY_HEADER}: must be a digit from 0 to 9'
+    )
     return None
 
 
@@ -196,7 +201,9 @@
         return True
     if value in FALSE_VALUES:
         return False
-    problems.append(f'header {outcomes.IDEMPOTENT_HEADER}: true or false')
+    problems.append(
+        f'header {outcomes.IDEMPOTENT_HEADER}: must be true or false'
+    )
     return None
 
 
@@ -204,8 +211,8 @@
     value = headers.get(outcomes.REQUEST_KEY_HEADER, '')
     if value and not REQUEST_KEY_PATTERN.fullmatch(value):
         problems.append(
-            f'header {outcomes.REQUEST_KEY_HEADER}: 1 to 255 printable '
-            'characters without spaces'
+            f'header {outcomes.REQUEST_KEY_HEADER}: must be 1 to 255 '
+            'printable characters without spaces'
         )
         return ''
     return value
--- a/redwingvalve/entry/caller_server.py
+++ b/redwingvalve/entry/caller_server.py
@@ -1,4 +1,4 @@
-"""The server that carries callers' traffic, behind one abstract base class."""
+"""The interface of the HTTP servers that accept callers' connections."""
 
 import abc
 import socket
@@ -22,6 +22,6 @@
     ) -> None:
         """Serve until stop returns, then let requests in progress finish.
 
-        What is still in progress after graceful_timeout_s is cancelled. The
+        Requests still in progress after graceful_timeout_s are cancelled. The
         listener is closed as soon as stop returns.
         """
--- a/redwingvalve/entry/daemon.py
+++ b/redwingvalve/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The entry process: one application served until it is told to stop."""
+"""Runs the application of an entry and its background tasks."""
 
 import functools
 from collections import abc as collections_abc
@@ -10,7 +10,7 @@
 from redwingvalve.settings import schema as settings_schema
 
 LOGGER = logs.make_logger('entry')
-# Other entries hear of a leaving one within this time; see news and gossip.
+# Other entries learn within this time that one leaves; see the news package.
 LEAVE_PROPAGATION_S = 3.0
 
 
@@ -22,11 +22,12 @@
 ) -> None:
     """Serve one entry until stop returns and its requests have ended.
 
-    leave tells the other entries, so that discovery no longer names this one.
+    leave notifies the other entries, so that discovery no longer lists this
+    one.
     """
     application = app.make_entry_app(entry_dependencies)
     bind = f'{settings.node.host}:{settings.listen.http_port}'
-    LOGGER.info('the entry listens', extra={'address': bind})
+    LOGGER.info('listening', extra={'address': bind})
     async with anyio.create_task_group() as group:
         group.start_soon(application.account_limiter.run)
         group.start_soon(application.loads.run)
@@ -44,7 +45,7 @@
         )
         group.cancel_scope.cancel()
     await entry_dependencies.upstream.aclose()
-    LOGGER.info('the entry has ended')
+    LOGGER.info('entry stopped')
 
 
 async def _drain(
@@ -53,21 +54,21 @@
     stop: collections_abc.Callable[[], collections_abc.Awaitable[None]],
     leave: collections_abc.Callable[[], None],
 ) -> None:
-    """Wait for stop, then serve on while callers may still come.
+    """Wait for stop, then keep serving while callers may still connect.
 
-    A caller keeps an answer of discovery for a while and connects without
-    asking again. Without the wait it would meet a closed port; the server
-    itself lets the requests in progress finish afterwards.
+    Callers cache a discovery response and connect without asking again.
+    Without the wait their connections would be refused. The server itself lets
+    requests in progress finish afterwards.
     """
     await stop()
     leave()
     LOGGER.info(
-        'the entry leaves', extra={'in_progress': application.in_progress}
+        'entry draining', extra={'in_progress': application.in_progress}
     )
     await entry_dependencies.clock.sleep(
         entry_dependencies.settings.discovery_keep_s + LEAVE_PROPAGATION_S
     )
     LOGGER.info(
-        'the entry takes no more connections',
+        'entry closing its listener',
         extra={'in_progress': application.in_progress},
     )
--- a/redwingvalve/entry/dependencies.py
+++ b/redwingvalve/entry/dependencies.py
@@ -1,4 +1,4 @@
-"""What the request path is built from; each part is an abstract base class."""
+"""The dependencies of the request path, mostly abstract base classes."""
 
 from collections import abc as collections_abc
 
@@ -14,13 +14,13 @@
 from redwingvalve.observability import metrics, tracing
 from redwingvalve.settings import schema as settings_schema
 
-# Asked right before each send of a request that may run only once.
+# Called immediately before each attempt of a non-idempotent request.
 MaySend = collections_abc.Callable[[], bool]
 
 
 @attrs.frozen
 class EntryDependencies:
-    """Everything that the request path asks or tells."""
+    """Everything that the request path reads from or writes to."""
 
     source: snapshot.ConfigurationSource
     permits: permits.ServingPermits
@@ -37,15 +37,15 @@
 
 
 def grant_expired() -> outcomes.ErrorAnswer:
-    """Return the answer to a request whose leave to be sent has run out.
+    """Return the error for a request whose grant to send has expired.
 
-    Its voters may forget the claim before a send that is this late; nothing
-    was sent under it.
+    The voters may forget its claim before an attempt this late arrives, so
+    nothing was sent under it.
     """
     return outcomes.ErrorAnswer(
         status=503,
         code='request-key-expired',
-        message='the entry was held up; send again with the same key',
+        message='the grant for this key expired; retry with the same key',
         outcome=outcomes.Outcome.NOT_RUN,
         retry_after_s=1.0,
     )
--- a/redwingvalve/entry/directory.py
+++ b/redwingvalve/entry/directory.py
@@ -1,4 +1,4 @@
-"""Which entries a caller may connect to, as GET /v1/entries answers it."""
+"""The entries that callers may connect to, for GET /v1/entries."""
 
 import abc
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class EntryAddress:
-    """An entry that takes new callers; address is host:port."""
+    """An entry that accepts new connections; address is host:port."""
 
     address: str
     data_centre: str
@@ -17,25 +17,25 @@
 
 @attrs.frozen
 class EntryList:
-    """Addresses in the order of preference; they may be kept keep_s."""
+    """Addresses in order of preference, valid for keep_s seconds."""
 
     entries: tuple[EntryAddress, ...]
     keep_s: float
 
 
 class EntryDirectory(abc.ABC):
-    """Names the entries; the discovery slice decides which."""
+    """Lists the entries; the discovery package decides which."""
 
     @abc.abstractmethod
     def entries(self) -> EntryList:
-        """Return the entries to name now."""
+        """Return the entries to list now."""
 
 
 class MembersDirectory(EntryDirectory):
-    """Every entry that membership believes alive."""
+    """Lists every entry that membership considers alive."""
 
     def __init__(self, membership: members.Members, keep_s: float) -> None:
-        """Name the entries of known for keep_s."""
+        """List the entries of membership, valid for keep_s."""
         self._members = membership
         self._keep_s = keep_s
 
@@ -55,5 +55,5 @@
 def make_members_directory(
     membership: members.Members, keep_s: float
 ) -> EntryDirectory:
-    """Return a directory that follows membership alone."""
+    """Return a directory that uses only membership."""
     return MembersDirectory(membership, keep_s)
--- a/redwingvalve/entry/hypercorn_server.py
+++ b/redwingvalve/entry/hypercorn_server.py
@@ -1,4 +1,4 @@
-"""Carries callers' traffic with hypercorn; the measure for the other one."""
+"""Serves callers with hypercorn; the baseline for uvicorn_server."""
 
 import socket
 
@@ -12,7 +12,7 @@
 
 
 class HypercornServer(caller_server.CallerServer):
-    """hypercorn with quiet logs; the application keeps its own."""
+    """hypercorn without its own logs; the application logs instead."""
 
     async def serve(
         self,
@@ -34,5 +34,5 @@
 
 
 def make_hypercorn_server() -> caller_server.CallerServer:
-    """Return hypercorn for callers' traffic."""
+    """Return a server that uses hypercorn."""
     return HypercornServer()
--- a/redwingvalve/entry/model_request.py
+++ b/redwingvalve/entry/model_request.py
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class ModelRequest:
-    """What the caller wants of a model; fields is the body as sent."""
+    """A parsed model request; fields is the JSON body as sent."""
 
     head: caller_request.RequestHead
     account: schema.ClientAccount
@@ -33,7 +33,7 @@
 
     @property
     def priority(self) -> int:
-        """Return the priority asked for, or the account's own."""
+        """Return the requested priority, or else the account's."""
         if self.head.priority is None:
             return self.account.priority
         return self.head.priority
@@ -50,7 +50,7 @@
     body: bytes,
     current: snapshot.Snapshot,
 ) -> Result[ModelRequest, outcomes.ErrorAnswer]:
-    """Check the body and find the deployment it asks for."""
+    """Validate the body and find the requested deployment."""
     parsed = caller_request.parse_json_object(body, head.request_id)
     if parsed.is_error():
         return Error(parsed.error)
@@ -66,7 +66,7 @@
             outcomes.ErrorAnswer(
                 status=404,
                 code='unknown-model',
-                message=f'no model is named {fields["model"]!r}',
+                message=f'unknown model {fields["model"]!r}',
                 outcome=outcomes.Outcome.NOT_RUN,
                 request_id=head.request_id,
             )
@@ -87,16 +87,16 @@
 def _problems(fields: dict[str, typing.Any], prompt_field: str) -> list[str]:
     problems: list[str] = []
     if not isinstance(fields.get('model'), str):
-        problems.append('body $.model: a string is wanted')
+        problems.append('body $.model: must be a string')
     if not _is_prompt(fields.get(prompt_field), prompt_field):
-        problems.append(f'body $.{prompt_field}: missing or of another shape')
+        problems.append(f'body $.{prompt_field}: missing or of the wrong type')
     if not isinstance(fields.get('stream', False), bool):
-        problems.append('body $.stream: true or false is wanted')
+        problems.append('body $.stream: must be true or false')
     max_tokens = fields.get('max_tokens')
     if max_tokens is not None and not _is_count(max_tokens):
-        problems.append('body $.max_tokens: a whole number above 0 is wanted')
+        problems.append('body $.max_tokens: must be a positive integer')
     if 'resume' in fields:
-        problems.append('body $.resume: only entries may set it')
+        problems.append('body $.resume: reserved for entries')
     return problems
 
 
@@ -127,7 +127,7 @@
 
 
 def engine_model(request: ModelRequest) -> str:
-    """Return the name under which the engine knows what is asked for."""
+    """Return the name of the requested model or adapter at the engine."""
     model_name = request.fields['model']
     if model_name in request.deployment.adapters:
         return model_name
--- a/redwingvalve/entry/request_keys.py
+++ b/redwingvalve/entry/request_keys.py
@@ -1,4 +1,4 @@
-"""Lets a non-idempotent request run at most once, whoever sends it again."""
+"""Runs a non-idempotent request at most once, even if it is resent."""
 
 import hashlib
 import itertools
@@ -13,8 +13,8 @@
 
 REQUEST_ID_KEY_PREFIX = 'id:'
 MIN_RETRY_AFTER_S = 1.0
-# A lost majority may last an hour; it ends sooner when a voter comes back that
-# still remembers, such as after a partition.
+# A lost majority of voters may last an hour. It ends earlier if a voter that
+# still has its claims returns, for example after a partition.
 MAX_RETRY_AFTER_S = 30.0
 
 
@@ -24,13 +24,13 @@
     def __init__(
         self, key_claims: claims.KeyClaims, local_member: members.Member
     ) -> None:
-        """Claim through key_claims in the name of myself."""
+        """Claim through key_claims on behalf of local_member."""
         self._claims = key_claims
         self._member = local_member
         self._numbers = itertools.count(1)
 
     def issue(self) -> str:
-        """Return a new key that this entry alone decides about."""
+        """Return a new key that only this entry decides on."""
         return str(self._claims.voter.issue())
 
     async def claim(
@@ -39,7 +39,10 @@
         account: schema.ClientAccount,
         body: bytes,
     ) -> Result['claims.Grant | None', outcomes.ErrorAnswer]:
-        """Return leave to send, None for a request that nobody can repeat."""
+        """Return the grant to send; None for a request without any key.
+
+        A request without a key can't be recognized if it is sent again.
+        """
         key = _request_key(head)
         if not key:
             return Ok(None)
@@ -69,7 +72,7 @@
     async def report(
         self, grant: claims.Grant | None, outcome: outcomes.Outcome
     ) -> None:
-        """Tell the voters how the request ended."""
+        """Report the outcome of the request to the voters."""
         if grant is None:
             return
         invariants.require(
@@ -79,10 +82,10 @@
 
 
 def _request_key(head: caller_request.RequestHead) -> str:
-    """Return the request's key: its own, or the id that the caller chose.
+    """Return the request's key, or else a key from the caller's request id.
 
-    A caller that sends a non-idempotent request again under its old request
-    id means the same request, also where it knows of no keys.
+    A caller that resends a non-idempotent request with the same request id
+    means the same request, even if it doesn't use keys.
     """
     if head.request_key:
         return head.request_key
@@ -105,8 +108,8 @@
     return outcomes.ErrorAnswer(
         status=503,
         code='request-key-undecided',
-        message='this send was not run, but an earlier one with the key may '
-        f'have been: {refused.reason}; send again with the same key',
+        message='this request was not run, but an earlier one with this key '
+        f'may have run: {refused.reason}; retry with the same key',
         outcome=refused.outcome,
         request_id=head.request_id,
         retry_after_s=min(
--- a/redwingvalve/entry/request_metrics.py
+++ b/redwingvalve/entry/request_metrics.py
@@ -1,4 +1,4 @@
-"""What metrics say of each request; docs/operating/watching.md lists them."""
+"""Metrics of each request; docs/operating/watching.md lists them."""
 
 from redwingvalve.entry import response_writer
 from redwingvalve.observability import metrics
@@ -16,7 +16,7 @@
 def record(
     sink: metrics.Metrics, writer: response_writer.ResponseWriter, took_s: float
 ) -> None:
-    """Count one request that has ended, with how and after how long."""
+    """Record the result and the duration of a finished request."""
     sink.count(REQUESTS)
     sink.timing(REQUEST_TIME, took_s * MS_PER_S)
     if not writer.started:
--- a/redwingvalve/entry/response_writer.py
+++ b/redwingvalve/entry/response_writer.py
@@ -1,4 +1,4 @@
-"""Writes one answer to one caller over ASGI, truthfully and only once."""
+"""Writes the response of one request over ASGI."""
 
 import json
 import math
@@ -18,16 +18,16 @@
 
 @attrs.define
 class ResponseWriter:
-    """The answer to one request; started once its head has been sent."""
+    """Response to one request; started is set once its head was sent."""
 
     request_id: str
     send: Send
     started: bool = False
     finished: bool = False
-    # What metrics tell of the answer; empty and 0 until there is one.
+    # For metrics; 0 and empty until the response has started.
     status: int = 0
     error_code: str = ''
-    # What is known if the answer is cut off; sends set it as they begin.
+    # Reported if the response is cut off; each attempt updates it.
     outcome: outcomes.Outcome = outcomes.Outcome.NOT_RUN
 
     async def start(
@@ -37,7 +37,7 @@
         outcome: outcomes.Outcome,
         extra_headers: tuple[tuple[str, str], ...] = (),
     ) -> None:
-        """Send the head."""
+        """Send status and headers."""
         self.started = True
         self.status = status
         self.outcome = outcome
@@ -59,13 +59,13 @@
         )
 
     async def write(self, body: bytes) -> None:
-        """Send a part of the body."""
+        """Send a chunk of the body."""
         await self.send(
             {'type': 'http.response.body', 'body': body, 'more_body': True}
         )
 
     async def finish(self, body: bytes = b'') -> None:
-        """Send the last part of the body and the clean end."""
+        """Send the last chunk and end the body cleanly."""
         self.finished = True
         await self.send(
             {'type': 'http.response.body', 'body': body, 'more_body': False}
@@ -79,7 +79,7 @@
         outcome: outcomes.Outcome,
         extra_headers: tuple[tuple[str, str], ...] = (),
     ) -> None:
-        """Send an answer whose body is at hand."""
+        """Send a response whose whole body is available."""
         length = ('content-length', str(len(body)))
         await self.start(
             status, content_type, outcome, (length, *extra_headers)
@@ -92,17 +92,17 @@
         parsed: collections_abc.Mapping[str, typing.Any],
         outcome: outcomes.Outcome = outcomes.Outcome.NOT_RUN,
     ) -> None:
-        """Send a JSON object that the entry made itself."""
+        """Send a JSON object."""
         body = json.dumps(parsed).encode()
         await self.send_response(status, JSON_TYPE, body, outcome)
 
     async def send_error(self, answer: outcomes.ErrorAnswer) -> None:
-        """Send an error, inside the stream when it has begun.
+        """Send an error, as an event if the stream has already started.
 
-        Once a stream has begun its status can't be taken back. The error goes
-        into the stream as an event of its own, and the HTTP body is left
-        without its end: a caller that reads only up to the end of the body
-        would otherwise take half an answer for a whole one.
+        The status of a started stream can't be changed. The error is sent as a
+        separate event and the HTTP body is left unterminated: a caller that
+        only looks for the end of the body would otherwise take a truncated
+        answer for a complete one.
         """
         self.error_code = answer.code
         answer = attrs.evolve(answer, request_id=self.request_id)
--- a/redwingvalve/entry/serving.py
+++ b/redwingvalve/entry/serving.py
@@ -1,4 +1,4 @@
-"""Serves callers on one address until told to stop."""
+"""Opens a listener and serves an application on it."""
 
 import socket
 
@@ -17,7 +17,7 @@
 ) -> None:
     """Serve until stop returns, then let requests in progress finish.
 
-    bind is host:port or fd://N; ListenError when the address is taken.
+    bind is host:port or fd://N; raises ListenError if the address is in use.
     """
     chosen = server or uvicorn_server.make_uvicorn_server()
     await chosen.serve(
@@ -26,7 +26,7 @@
 
 
 def bind_socket(host: str, port: int = 0) -> socket.socket:
-    """Return a listening socket; port 0 takes a free one."""
+    """Return a listening socket; port 0 selects a free port."""
     return http_server.open_listener(host, port)
 
 
--- a/redwingvalve/entry/uvicorn_protocol.py
+++ b/redwingvalve/entry/uvicorn_protocol.py
@@ -1,10 +1,10 @@
-"""One caller's connection: uvicorn's protocol with bounds on the head.
+"""uvicorn's HTTP protocol with limits on the request head.
 
-uvicorn sets no bound on the time or the size of a request's head. Symptom
-without these: callers that connect and say nothing, or dribble one header for
-ever, hold a connection each until the entry has no descriptors left. A timer
-from the first byte to the end of the head and a bound on its size suffice,
-since a body is bounded by the application and paused while it isn't read.
+uvicorn limits neither the time nor the size of a request head. Without limits,
+callers that connect and send nothing, or send a header byte by byte, hold a
+connection each until the entry runs out of file descriptors. A timer from the
+first byte to the end of the head and a size limit are enough: the application
+limits the body, and reading is paused while nobody reads it.
 """
 
 import asyncio
@@ -16,67 +16,67 @@
 
 from redwingvalve.core import outcomes
 
-# A head crosses any network in far less; it is also the time that a new
-# connection may stay silent, which pools that connect ahead use.
+# Far more than a head needs on any network. Also the time that a new connection
+# may stay idle; connection pools that open connections in advance need it.
 HEAD_TIMEOUT_S = 30.0
-# hypercorn and most proxies take 16 KB; trace state and credentials fit.
+# The limit of hypercorn and most proxies; trace state and credentials fit.
 MAX_HEAD_BYTES = 16_384
 MALFORMED_STATUS = 400
 HEAD_TOO_LARGE_STATUS = 431
 
 
 class CallerProtocol(httptools_impl.HttpToolsProtocol):
-    """Closes slow heads, refuses large ones and answers errors as JSON."""
+    """Closes slow connections, rejects large heads, sends errors as JSON."""
 
     head_timeout_s = HEAD_TIMEOUT_S
 
     def __init__(self, *args: typing.Any, **named: typing.Any) -> None:
-        """Expect a head first."""
+        """Start in the state before a request head."""
         super().__init__(*args, **named)
         self._in_head = True
         self._head_bytes = 0
         self._head_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Start the time of the first head."""
+        """Start the timer of the first head."""
         super().connection_made(transport)
         self._start_head_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the timers; a lost connection needs none."""
+        """Cancel the timers."""
         self._stop_head_timer()
         super().connection_lost(exc)
         self._unset_keepalive_if_required()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came; bound a head that has not ended with it."""
+        """Parse data, then apply the limits to an incomplete head."""
         self._unset_keepalive_if_required()
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # The request is answered plainly; what follows is not read.
+            # The request gets a normal response; later bytes aren't read.
             return
         except httptools.HttpParserError as error:
             self._refuse(
-                MALFORMED_STATUS, 'malformed-request', f'no HTTP: {error}'
+                MALFORMED_STATUS, 'malformed-request', f'invalid HTTP: {error}'
             )
             return
         self._enforce_head_limits(data)
 
     def on_message_begin(self) -> None:
-        """Count the bytes of a new head."""
+        """Start to count the bytes of a new head."""
         super().on_message_begin()
         self._in_head = True
         self._head_bytes = 0
 
     def on_headers_complete(self) -> None:
-        """Hand the request on; no other protocol is ever upgraded to."""
+        """Pass the request to the application; upgrades are ignored."""
         self._in_head = False
         self._stop_head_timer()
         super().on_headers_complete()
         if self.parser.should_upgrade():
-            # The parser stops after such a request, and the next one on this
-            # connection would never be answered.
+            # The parser stops after an upgrade request; the next request on
+            # this connection would never be answered.
             self.cycle.keep_alive = False
 
     @property
@@ -85,7 +85,7 @@
 
     @property
     def _receiving_body(self) -> bool:
-        """Tell whether the only request has not arrived, so cannot run."""
+        """Return whether the only request is incomplete, so can't run yet."""
         return (
             not self.pipeline
             and self.cycle.more_body
@@ -102,19 +102,21 @@
                 self._refuse(
                     HEAD_TOO_LARGE_STATUS,
                     'head-too-large',
-                    f'head: at most {MAX_HEAD_BYTES} bytes are taken',
+                    f'request head exceeds {MAX_HEAD_BYTES} bytes',
                 )
         elif self._idle and self.timeout_keep_alive_task is None:
-            # Empty lines between requests are no head and end no wait.
+            # Empty lines between requests start no head; the keep-alive
+            # timeout goes on.
             self.timeout_keep_alive_task = self.loop.call_later(
                 self.timeout_keep_alive, self.timeout_keep_alive_handler
             )
 
     def _refuse(self, status: int, code: str, message: str) -> None:
-        """Answer and close, or break the answer that is under way.
+        """Send an error and close, or cut off a response in progress.
 
-        Bytes written into a body in progress would be taken for a part of
-        it; closing without the body's end shows the caller that it is cut.
+        Bytes written into a body in progress would be read as part of it.
+        Closing without the end of the body shows the caller that the response
+        is incomplete.
         """
         if self._idle or self._receiving_body:
             self.transport.write(_error_response(status, code, message))
--- a/redwingvalve/entry/uvicorn_server.py
+++ b/redwingvalve/entry/uvicorn_server.py
@@ -1,8 +1,8 @@
-"""Carries callers' traffic with uvicorn and httptools.
+"""Serves callers with uvicorn and httptools.
 
-hypercorn is the rule of the house and serves everything else. Its send path
-takes more processor time for a token than all the rest of the relay; see
-docs/design/0032-relay-cost.md for the profile and the ways weighed.
+Everything else in this project is served by hypercorn. Its send path takes
+more processor time per token than the rest of the relay together; see
+docs/design/0032-relay-cost.md for the profile and the alternatives.
 """
 
 import asyncio
@@ -17,24 +17,25 @@
 
 KEEP_ALIVE_S = 75.0
 BACKLOG = 2048
-# Cancelled requests still tell their engines to stop; see sends.py.
+# Cancelled requests still send a cancellation to their engines; see
+# model_attempts.py.
 CANCELLATION_TIMEOUT_S = 3.0
 
 
 class _SignalFreeServer(uvicorn.Server):
-    """Leaves signals to the process, which stops all of its parts in turn."""
+    """Leaves signals to the process, which stops its components in order."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> collections_abc.Iterator[None]:
-        """Take no signal."""
+        """Install no signal handlers."""
         yield
 
 
 class UvicornServer(caller_server.CallerServer):
-    """uvicorn with quiet logs; the application keeps its own."""
+    """uvicorn without its own logs; the application logs instead."""
 
     def __init__(self, protocol: type[uvicorn_protocol.CallerProtocol]) -> None:
-        """Speak protocol on each connection."""
+        """Use protocol for each connection."""
         self._protocol = protocol
 
     async def serve(
@@ -66,8 +67,8 @@
         ws='none',
         lifespan='off',
         interface='asgi3',
-        # Its loggers know neither our format nor our prefixes; the
-        # application logs what failed.
+        # uvicorn's loggers use neither our format nor our prefixes; the
+        # application logs failures.
         log_config=None,
         log_level='critical',
         access_log=False,
@@ -83,8 +84,8 @@
 ) -> None:
     await stop()
     server.should_exit = True
-    # uvicorn's own timeout cancels requests, which it then answers with a
-    # text of its own, without an outcome. Told to hurry, it leaves them to us.
+    # uvicorn's own timeout cancels requests and answers them with its own text,
+    # without an outcome. With force_exit it leaves them to _abort_remaining.
     await anyio.sleep(graceful_timeout_s)
     server.force_exit = True
 
@@ -92,11 +93,12 @@
 async def _abort_remaining(
     server: uvicorn.Server, listener: socket.socket
 ) -> None:
-    """Break what outlived its time, then cancel the work behind it.
+    """Abort remaining connections, then cancel their request tasks.
 
-    uvicorn leaves both as they are. Symptom without this: the entry ends while
-    requests still write, with tracebacks in its log. The connections go first:
-    uvicorn answers a cancelled request by itself, which callers would read.
+    uvicorn does neither after force_exit. Without this the entry exits while
+    requests still write, with tracebacks in its log. Connections are aborted
+    first: uvicorn writes its own response to a cancelled request, which the
+    callers would receive.
     """
     for asyncio_server in getattr(server, 'servers', ()):
         asyncio_server.close()
@@ -105,7 +107,7 @@
     with anyio.CancelScope(shield=True):
         for connection in tuple(state.connections):
             connection.transport.abort()
-        # The loop tells a connection of its end in its next round.
+        # The event loop calls connection_lost in its next iteration.
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         tasks = tuple(state.tasks)
@@ -120,5 +122,5 @@
         uvicorn_protocol.CallerProtocol
     ] = uvicorn_protocol.CallerProtocol,
 ) -> caller_server.CallerServer:
-    """Return uvicorn for callers' traffic."""
+    """Return a server that uses uvicorn."""
     return UvicornServer(protocol)
