--- a/redwingvalve/entry/admission_queues.py
+++ b/redwingvalve/entry/admission_queues.py
@@ -1,7 +1,7 @@
-"""Admission in front of a relay: one queue for each deployment or service.
+"""Admission in front of a relay: one queue per deployment or service.
 
-The policy stands in admission; here callers wait for its word. A caller that
-cannot be served in time is told so at once, with when to come back.
+The policy is in the admission package; here requests wait for its decision. A
+request that can't be served in time is refused at once, with a retry-after.
 """
 
 import contextlib
@@ -16,12 +16,12 @@
 from redwingvalve.entry import model_request
 from redwingvalve.membership import members
 
-# Expired requests are answered within this time; see admission.queue.
+# Expired requests are refused within this time; see admission.queue.
 SWEEP_INTERVAL_S = 0.05
-# Jobs beyond this many tokens hold their place for half a minute or more.
+# Jobs above this many tokens occupy their slot for half a minute or more.
 LONG_JOB_TOKENS = 1024
 CHARACTERS_PER_TOKEN = 4
-# Decode takes the time of an engine, a prompt token a tenth of that.
+# Decoding dominates engine time; a prompt token takes a tenth of that.
 PROMPT_TOKEN_SHARE = 0.1
 
 AdmissionRequest = messages.AdmissionRequest
@@ -29,14 +29,14 @@
 
 @attrs.define(eq=False)
 class _Waiter:
-    """A caller that waits for its turn; refused once it can't be in time."""
+    """A waiting request; refused is set if it can't be served in time."""
 
     woken: anyio.Event = attrs.field(factory=anyio.Event)
     done: bool = False
     refused: messages.RefusedNow | None = None
 
     def call(self, refused: messages.RefusedNow | None = None) -> None:
-        """End the wait with a turn or a refusal."""
+        """End the wait with an admission or a refusal."""
         self.done = True
         self.refused = refused
         self.woken.set()
@@ -44,7 +44,7 @@
 
 @attrs.define(eq=False)
 class Admission:
-    """Leave to be sent; tells the queue what became of it."""
+    """An admitted request; reports its progress to the queue."""
 
     admission_queue: queue.AdmissionQueue
     request_id: str
@@ -52,14 +52,14 @@
     used_tokens: float = 0.0
 
     def first_token(self) -> None:
-        """Tell that the first token has come."""
+        """Report the first token."""
         self.admission_queue.first_token(
             self.request_id, self.time_source.monotonic_s()
         )
 
 
 class AdmissionQueues:
-    """The queues of all deployments, or of all services, at this entry."""
+    """The queues of all deployments or all services at this entry."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         time_source: clock.Clock,
         settings: messages.AdmissionSettings | None = None,
     ) -> None:
-        """Share deployments with the entries of known."""
+        """Share capacity with the entries of membership."""
         self._members = membership
         self._clock = time_source
         self._settings = settings
@@ -79,9 +79,10 @@
     async def admit(
         self, name: str, usable: messages.Capacity, request: AdmissionRequest
     ) -> collections_abc.AsyncIterator[Result[Admission, outcomes.ErrorAnswer]]:
-        """Wait for a turn at what is named; it is free again with the block.
+        """Wait for admission to a deployment or service by its name.
 
-        usable is what this entry may use of it now.
+        Leaving the block frees the capacity. usable is the capacity that this
+        entry may use now.
         """
         admission_queue = self._get_queue(name, usable)
         refused = await self._wait(admission_queue, request)
@@ -120,9 +121,10 @@
         return waiter.refused
 
     async def _wait_once(self, waiter: _Waiter) -> None:
-        """Wait; one of all waiters looks for expired requests meanwhile.
+        """Wait; one of all waiters also checks for expired requests.
 
-        A timer for each would cost more than all else with a thousand waiting.
+        With a thousand requests waiting, a timer for each would cost more than
+        everything else.
         """
         if self._sweeper not in (None, waiter):
             await waiter.woken.wait()
@@ -148,7 +150,7 @@
     ) -> None:
         if admission_queue.withdraw(request.request_id):
             return
-        # Its turn had come already and nobody is left to use it.
+        # It was already admitted, but its caller has disconnected.
         admission_queue.finished(
             request.request_id, 0.0, self._clock.monotonic_s()
         )
@@ -170,7 +172,7 @@
             ready = admission_queue.next_ready(self._clock.monotonic_s())
 
     def share(self) -> float:
-        """Return this entry's share of what all entries use."""
+        """Return this entry's share of the capacity of all entries."""
         return 1 / max(len(self._members.alive()), 1)
 
     def _get_queue(
@@ -187,7 +189,7 @@
 
 
 def estimated_tokens(request: model_request.ModelRequest) -> float:
-    """Return what a request may cost, in generated tokens."""
+    """Return the estimated cost of a request in generated tokens."""
     prompt_tokens = len(str(request.prompt)) / CHARACTERS_PER_TOKEN
     return request.max_tokens + prompt_tokens * PROMPT_TOKEN_SHARE
 
@@ -195,7 +197,7 @@
 def admission_request(
     request: model_request.ModelRequest, job_id: str
 ) -> AdmissionRequest:
-    """Return what the queue needs to know of a request for a model."""
+    """Return the admission request of a model request."""
     target_s = (
         request.account.first_token_target_s
         or request.deployment.first_token_target_s
@@ -221,7 +223,7 @@
     return outcomes.ErrorAnswer(
         status=429 if refused.reason != 'no-capacity' else 503,
         code=refused.reason.value,
-        message='the request could not have been answered in time',
+        message='the request could not be served in time',
         outcome=outcomes.Outcome.NOT_RUN,
         retry_after_s=refused.retry_after_s,
     )
--- a/redwingvalve/entry/load_forwarder.py
+++ b/redwingvalve/entry/load_forwarder.py
@@ -1,9 +1,10 @@
-"""Tells routing how busy replicas are with the work of other entries.
+"""Forwards the load that replicas report to the routing policies.
 
-Load pattern: each of seven entries sees a seventh of the requests. One that
-counts its own alone sends the next request to a replica that the others have
-filled. The probes that bring evidence also bring the head's count of requests
-in flight, so that the news costs two bytes a replica and no call of its own.
+Load pattern: each of seven entries gets a seventh of the requests. An entry
+that counts only its own requests sends the next one to a replica that the
+others have filled. The probes that collect evidence also return the head's
+count of requests in flight, so the load costs two bytes per replica in the news
+and no extra request.
 """
 
 from redwingvalve.configuration import snapshot
@@ -12,12 +13,12 @@
 from redwingvalve.evidence import permits
 from redwingvalve.routing import messages
 
-# Probes come each 0.7 s; looking more often would find nothing new.
+# Probes run every 0.7 s; polling more often would find nothing new.
 POLL_INTERVAL_S = 0.5
 
 
 class LoadForwarder:
-    """Passes reported loads on to routing, each report once."""
+    """Forwards load reports to routing, each report once."""
 
     def __init__(
         self,
@@ -26,7 +27,7 @@
         selector: replica_selection.ReplicaSelector,
         time_source: clock.Clock,
     ) -> None:
-        """Tell choice what serving_permits report of the replicas."""
+        """Forward the loads of serving_permits to the policies of selector."""
         self._source = source
         self._permits = serving_permits
         self._selector = selector
@@ -34,13 +35,13 @@
         self._forwarded_s: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Poll until cancelled."""
         while True:
             self.poll()
             await self._clock.sleep(POLL_INTERVAL_S)
 
     def poll(self) -> None:
-        """Tell every report that is newer than the last one."""
+        """Forward each report that is newer than the previous one."""
         now_s = self._clock.monotonic_s()
         forwarded_s: dict[str, float] = {}
         for replica in self._source.current().replicas:
@@ -69,5 +70,5 @@
     selector: replica_selection.ReplicaSelector,
     time_source: clock.Clock,
 ) -> LoadForwarder:
-    """Return the watch of one entry; run it beside the application."""
+    """Return the forwarder of one entry; start run as a background task."""
     return LoadForwarder(source, serving_permits, selector, time_source)
--- a/redwingvalve/entry/prefix_cache_sync.py
+++ b/redwingvalve/entry/prefix_cache_sync.py
@@ -1,8 +1,9 @@
-"""Feeds routing with what engines say of their prefix caches.
+"""Supplies routing with the contents of the engines' prefix caches.
 
-Each replica is read by one entry of its region, by rendezvous hashing, which
-tells the others on the board of news; what is told and believed is decided in
-routing.cache_follower and routing.cache_news.
+Rendezvous hashing assigns each replica to one entry of its region, which reads
+its cache events and publishes a summary on the news board. Which events are
+read and what is published is decided in routing.cache_follower and
+routing.cache_news.
 """
 
 import json
@@ -28,7 +29,7 @@
 PUBLISH_INTERVAL_S = 5.0
 REPUBLISH_INTERVAL_S = 10.0
 FETCH_TIMEOUT_S = 0.5
-# The request line and the headers of both sides, about.
+# Approximate size of the request and the response head.
 OVERHEAD_BYTES = 400
 REPLICAS_PER_ITEM = 200
 ENTRY_ROLE = 'entry'
@@ -43,14 +44,14 @@
 
 
 class PrefixCacheSync:
-    """One entry's reading and telling; run it beside the application."""
+    """Reads and publishes cache contents; start run as a background task."""
 
     def __init__(
         self,
         entry_dependencies: dependencies.EntryDependencies,
         selector: replica_selection.ReplicaSelector,
     ) -> None:
-        """Feed the policies of choice."""
+        """Update the routing policies of selector."""
         self._dependencies = entry_dependencies
         self._selector = selector
         self._follower = cache_follower.make_cache_follower()
@@ -65,13 +66,13 @@
         self._republished_s = -math.inf
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Run a step periodically until cancelled."""
         while True:
             await self.step()
             await self._dependencies.clock.sleep(POLL_INTERVAL_S)
 
     async def step(self) -> None:
-        """Read what the budget allows, tell, and take in what is told."""
+        """Read events within the budget, publish, and merge other entries'."""
         self._assign_replicas()
         fetch = self._follower.next_fetch(
             self._dependencies.clock.monotonic_s()
@@ -90,10 +91,11 @@
             self._merge_news()
 
     def _assign_replicas(self) -> None:
-        """Find the replicas that fall to this entry, after any change.
+        """Recompute the replicas assigned to this entry, but only on changes.
 
-        At 480 replicas and 72 entries a look at all pairs takes 30 ms, which
-        twice a second would be five times what a node may spend.
+        With 480 replicas and 72 entries, hashing all pairs takes 30 ms. Twice
+        a second, that would be five times the processor time that a node may
+        use.
         """
         local_member = self._dependencies.members.myself()
         names = frozenset(
@@ -215,7 +217,10 @@
 def read_events(
     body: bytes,
 ) -> collections_abc.Sequence[cache_follower.CacheEvent]:
-    """Return the events of an engine's answer; ValueError if malformed."""
+    """Return the events of an engine's response.
+
+    Raises ValueError, LookupError or TypeError if it is malformed.
+    """
     return [
         cache_follower.CacheEvent(
             int(row['number']),
@@ -230,5 +235,5 @@
     entry_dependencies: dependencies.EntryDependencies,
     selector: replica_selection.ReplicaSelector,
 ) -> PrefixCacheSync:
-    """Return the watch of one entry."""
+    """Return the cache synchronization of one entry."""
     return PrefixCacheSync(entry_dependencies, selector)
--- a/redwingvalve/entry/service_admission.py
+++ b/redwingvalve/entry/service_admission.py
@@ -1,4 +1,4 @@
-"""The waiting line before each plain service; admission decides."""
+"""Admission in front of plain services."""
 
 import contextlib
 import itertools
@@ -16,12 +16,12 @@
 
 
 class ServiceAdmission:
-    """One queue for each service, with the call times that it learned."""
+    """One queue per service, with observed call durations."""
 
     def __init__(
         self, membership: members.Members, time_source: clock.Clock
     ) -> None:
-        """Start with nothing known of any call."""
+        """Start without observed durations."""
         self._clock = time_source
         self._times = service_calls.CallTimes()
         self._numbers = itertools.count(1)
@@ -36,7 +36,7 @@
         account: schema.ClientAccount,
         service: schema.PlainService,
     ) -> collections_abc.AsyncIterator[AdmissionResult]:
-        """Wait for a turn, and learn from the block how long a call takes."""
+        """Wait for admission, then measure the block as the call's duration."""
         request = self._admission_request(head, account, service)
         usable = capacity.make_service_capacity(service)
         async with self._queues.admit(
@@ -68,7 +68,7 @@
             account=account.name,
             estimated_tokens=expected_ms,
             arrived_s=head.arrived_s,
-            # The moment by which it must begin, to be answered in time.
+            # The latest start that still allows a response in time.
             deadline_s=head.arrived_s + allowed_s - min(expected_s, allowed_s),
             priority=account.priority
             if head.priority is None
@@ -82,5 +82,5 @@
 def make_service_admission(
     membership: members.Members, time_source: clock.Clock
 ) -> ServiceAdmission:
-    """Return the queue of one entry."""
+    """Return the service admission of one entry."""
     return ServiceAdmission(membership, time_source)
--- a/redwingvalve/entry/service_suspects.py
+++ b/redwingvalve/entry/service_suspects.py
@@ -1,8 +1,8 @@
-"""Keeps requests that crash plain services from crashing them all.
+"""Limits how many instances of a plain service a poison request can crash.
 
-A service has few addresses and restarts at the same one. A suspect is run at
-the entry that may use one of them, see SuspectGate.refusal; the rules are those
-for model requests.
+A service has few addresses, and an instance restarts at the same one. A suspect
+request is run by the entry that may use one of them, see
+SuspectTracker.refusal; otherwise the rules are those for model requests.
 """
 
 from collections import abc as collections_abc
@@ -19,11 +19,11 @@
 
 
 class EndpointAliveError(upstream.UpstreamError):
-    """The instance lives, but its answer is wrong or comes too late."""
+    """The response is invalid or late, but the instance has not crashed."""
 
 
 class TrackedCall:
-    """One request for a service, as the suspects' gate sees it."""
+    """One service request whose attempts are reported to the tracker."""
 
     def __init__(
         self,
@@ -31,24 +31,24 @@
         digest: bytes,
         addresses: tuple[str, ...],
     ) -> None:
-        """Watch a request for a service at addresses."""
+        """Track a request for a service at addresses."""
         self._tracker = tracker
         self._digest = digest
         self._addresses = addresses
 
     def refusal(self) -> outcomes.ErrorAnswer | None:
-        """Return why the request is not run at all, if so."""
+        """Return the error if the request must not be run."""
         return self._tracker.refusal(self._digest, self._addresses)
 
     def allowed_addresses(self) -> frozenset[str]:
-        """Return the addresses where it may go now."""
+        """Return the addresses that it may be sent to now."""
         only = self._tracker.allowed(self._digest, self._addresses)
         return frozenset(self._addresses) if only is None else only
 
     async def send(
         self, address: str, exchange: Exchange
     ) -> upstream.UpstreamError | None:
-        """Send once; a connection that breaks counts as a death."""
+        """Run one attempt; a connection that breaks counts as a crash."""
         endpoint = suspects.ServiceAddress(address)
         self._tracker.attempt_started(self._digest, endpoint)
         whole = False
@@ -64,17 +64,20 @@
     def refusal_after_failure(
         self, outcome: outcomes.Outcome
     ) -> outcomes.ErrorAnswer | None:
-        """Return why it isn't sent again; outcome is that of its sends."""
+        """Return the error if it must not be retried, with outcome."""
         refusal = self._tracker.refusal_after_death(self._digest)
         return refusal and attrs.evolve(refusal, outcome=outcome)
 
     def close(self) -> None:
-        """Leave a suspect that ends unanswered to its home."""
+        """Leave an unanswered suspect request to its home entry."""
         self._tracker.abandon(self._digest)
 
 
 def _is_crash(failure: upstream.UpstreamError) -> bool:
-    """Tell a broken connection from a slow, a wrong or no answer."""
+    """Return whether a failure is a broken connection.
+
+    Timeouts, invalid responses and refused connections are not crashes.
+    """
     cause = failure.__cause__
     if failure.not_sent or isinstance(failure, EndpointAliveError):
         return False
@@ -86,5 +89,5 @@
     addresses: tuple[str, ...],
     *request_parts: bytes,
 ) -> TrackedCall:
-    """Return the watch of a request; its parts stay the same in a resend."""
+    """Return a tracked call; request_parts must be the same in a resend."""
     return TrackedCall(tracker, facts.make_digest(*request_parts), addresses)
--- a/redwingvalve/entry/services.py
+++ b/redwingvalve/entry/services.py
@@ -1,4 +1,4 @@
-"""Carries requests to plain services."""
+"""Relays requests to plain services."""
 
 import contextlib
 import functools
@@ -23,10 +23,10 @@
 )
 from redwingvalve.poison import channel
 
-# RFC 9110, section 9.2.2; a POST is idempotent only if the caller says so.
+# RFC 9110, section 9.2.2; a POST is idempotent only if the caller states it.
 IDEMPOTENT_METHODS = frozenset(('GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE'))
 NO_BODY_STATUSES = frozenset((204, 304))
-# RFC 9110, section 7.6.1, and what this hop sets by itself.
+# RFC 9110, section 7.6.1, and the headers that this hop sets itself.
 HOP_BY_HOP_HEADERS = frozenset(
     (
         'connection',
@@ -64,7 +64,7 @@
 
     @property
     def idempotent(self) -> bool:
-        """Tell whether it may run twice; a declared path never may."""
+        """Return whether it may run twice; never on a non-idempotent path."""
         if self.head.request_key:
             return False
         path = self.head.path
@@ -81,7 +81,7 @@
 def find_service(
     path: str, services: tuple[schema.PlainService, ...]
 ) -> schema.PlainService | None:
-    """Return the service with the longest prefix of path."""
+    """Return the service with the longest path prefix that matches."""
     matching = [
         service
         for service in services
@@ -94,12 +94,12 @@
 
 
 class ServiceRelay:
-    """Sends to the address with the fewest own requests in flight."""
+    """Sends to the address with the fewest requests of this entry."""
 
     def __init__(
         self, entry_dependencies: dependencies.EntryDependencies
     ) -> None:
-        """Carry requests with entry_dependencies."""
+        """Relay requests through entry_dependencies."""
         self._suspects = suspects.SuspectTracker(
             entry_dependencies.members,
             entry_dependencies.news,
@@ -123,7 +123,7 @@
         span: trace.Span,
         may_send: dependencies.MaySend | None,
     ) -> None:
-        """Answer the request by its deadline, or refuse it early."""
+        """Respond to the request by its deadline, or refuse it early."""
         async with self._admission.admit(
             request.head, request.account, request.service
         ) as admission:
@@ -143,8 +143,8 @@
         span: trace.Span,
         may_send: dependencies.MaySend,
     ) -> outcomes.ErrorAnswer | None:
-        # Asked after the wait for a turn: what waited may have become suspect
-        # meanwhile.
+        # Checked after admission: the request may have become suspect while it
+        # waited.
         with contextlib.closing(self._track(request)) as tracked_call:
             return tracked_call.refusal() or await self._send_until_complete(
                 request, writer, span, may_send, tracked_call
@@ -239,7 +239,7 @@
     def _start_attempt_span(
         self, request: ServiceRequest, address: str, span: trace.Span
     ) -> trace.Span:
-        """Start the span of one send; each send has its own."""
+        """Start the span of one attempt."""
         return self._dependencies.tracing.start_span(
             'service request',
             parent=span,
@@ -271,7 +271,7 @@
             )
             return
         raise service_suspects.EndpointAliveError(
-            'no answer by the timeout', not_sent=False
+            'no response before the timeout', not_sent=False
         )
 
     async def _fetch(
@@ -333,9 +333,11 @@
             and outgoing.method != 'HEAD'
             and length_headers.isdisjoint(dict(response.headers))
         ):
-            # Without a length, a body that was cut off ends like a whole one.
+            # Without a length, a truncated body can't be told from a complete
+            # one.
             raise service_suspects.EndpointAliveError(
-                'the end of the body cannot be told', not_sent=False
+                'response without content-length or transfer-encoding',
+                not_sent=False,
             )
         return body
 
@@ -348,7 +350,7 @@
     return outcomes.ErrorAnswer(
         status=503,
         code='service-busy',
-        message='every address of the service is busy',
+        message='all addresses of the service are busy',
         outcome=outcomes.Outcome.NOT_RUN,
         retry_after_s=RETRY_AFTER_S,
     )
--- a/redwingvalve/entry/stall_monitor.py
+++ b/redwingvalve/entry/stall_monitor.py
@@ -1,8 +1,8 @@
-"""Ends sends whose stream has stalled; the bound stands in retries.stalls.
+"""Aborts attempts whose stream has stalled; see retries.stalls for the limit.
 
-One task looks at all streams four times a second. A timer for each stream
-would have to be moved on with each token, and would ring for all of them at
-once when this process was paused.
+One task checks all streams four times a second. A timer per stream would have
+to be reset with each token, and after a pause of this process the timers of all
+streams would fire at once.
 """
 
 import collections
@@ -16,15 +16,16 @@
 from redwingvalve.retries import stalls
 from redwingvalve.routing import policy
 
-# Routing hears of each stream about once a second.
+# Progress of each stream is reported to routing about once a second.
 CHECKS_PER_PROGRESS_REPORT = 4
 
 
 @attrs.define(eq=False)
 class MonitoredAttempt:
-    """A send under way; scope ends it, may_stop says whether that helps.
+    """An attempt in progress.
 
-    endpoint_gone says that nobody was there to be told of its early end.
+    Cancelling scope aborts it; may_abort returns whether that helps its caller.
+    endpoint_unreachable means that the cancellation didn't reach the endpoint.
     """
 
     pulse: stalls.Pulse
@@ -38,7 +39,7 @@
 
 
 class StallMonitor:
-    """Watches the streams of one entry; run it beside the application."""
+    """Monitors the streams of one entry; start run as a background task."""
 
     def __init__(self, time_source: clock.Clock) -> None:
         """Start without streams."""
@@ -53,7 +54,7 @@
     def monitor(
         self, monitored: MonitoredAttempt
     ) -> collections_abc.Iterator[None]:
-        """Look at a send while the block runs."""
+        """Monitor an attempt while the block runs."""
         self._monitored[id(monitored.pulse)] = monitored
         self._detectors[monitored.deployment].begin(monitored.pulse)
         try:
@@ -63,13 +64,13 @@
             self._monitored.pop(id(monitored.pulse))
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Check periodically until cancelled."""
         while True:
             self.check()
             await self._clock.sleep(stalls.LOOK_EVERY_S)
 
     def check(self) -> None:
-        """Stop what has stalled, where something better can be done."""
+        """Abort stalled attempts where that helps the caller."""
         now_s = self._clock.monotonic_s()
         self._checks += 1
         for detector in self._detectors.values():
@@ -85,14 +86,14 @@
             return
         monitored.routing.stalled(monitored.request_id, now_s)
         if monitored.may_abort():
-            # In one step: whoever sees the flag must deliver nothing more,
-            # and the cancellation may come at the next await only.
+            # Set together: the attempt must deliver nothing more once the flag
+            # is set, and the cancellation takes effect only at its next await.
             monitored.pulse.stalled = True
             monitored.scope.cancel()
 
     def _report_progress(self, now_s: float) -> None:
         for monitored in self._monitored.values():
-            # A caller that reads slowly would make its replica look slow.
+            # Otherwise a caller that reads slowly makes its replica look slow.
             if not monitored.slow_reader:
                 monitored.routing.progressed(
                     monitored.request_id, monitored.pulse.tokens, now_s
@@ -101,5 +102,5 @@
 
 
 def make_stall_monitor(time_source: clock.Clock) -> StallMonitor:
-    """Return the watch of one entry."""
+    """Return the stall monitor of one entry."""
     return StallMonitor(time_source)
--- a/redwingvalve/entry/suspects.py
+++ b/redwingvalve/entry/suspects.py
@@ -1,4 +1,4 @@
-"""Keeps poison requests from killing one endpoint after the other."""
+"""Keeps poison requests from crashing one endpoint after another."""
 
 import json
 from collections import abc as collections_abc
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class ServiceAddress:
-    """An instance of a plain service; it restarts without a new epoch."""
+    """An instance of a plain service; its epoch stays 0 over restarts."""
 
     name: str
     epoch: int = 0
@@ -27,7 +27,7 @@
 
 
 class SuspectTracker:
-    """What this entry runs where, and the suspects of all entries."""
+    """Tracks requests per endpoint, and the suspect requests of all entries."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         switches: invariants.SafeguardSwitches,
         key: str = channel.KEY,
     ) -> None:
-        """Tell and hear of suspects through news under a key."""
+        """Exchange suspect requests with other entries through news."""
         self._key = key
         self._members = membership
         self._news = news
@@ -53,7 +53,7 @@
         self._on_endpoint: dict[str, list[bytes]] = {}
 
     def digest(self, request: model_request.ModelRequest) -> bytes:
-        """Return what stays the same when a caller sends again."""
+        """Return a digest that is the same if a caller resends."""
         return facts.make_digest(
             request.account.name.encode(),
             request.deployment.name.encode(),
@@ -63,10 +63,11 @@
     def refusal(
         self, digest: bytes, addresses: collections_abc.Collection[str] = ()
     ) -> outcomes.ErrorAnswer | None:
-        """Return why a request that has just arrived is not run, if so.
+        """Return the error if a new request must not be run here.
 
-        Give the addresses where endpoints are few: most entries may then put
-        suspects nowhere, so that the home must be one that may.
+        Pass addresses if there are only a few endpoints: most entries then own
+        none that they could send a suspect to, so the home entry must be one
+        that does.
         """
         self._merge_news()
         now_s = self._clock.monotonic_s()
@@ -81,12 +82,12 @@
         return None
 
     def refusal_after_death(self, digest: bytes) -> outcomes.ErrorAnswer | None:
-        """Return why a request that failed here is not sent again, if so."""
+        """Return the error if a failed request must not be retried here."""
         self._merge_news()
         now_s = self._clock.monotonic_s()
         verdict = self._ledger.judge_again(digest, now_s)
         if verdict == ledger.Verdict.ISOLATE:
-            # Claimed before another entry may try it; see ledger.intends.
+            # Claimed before another entry tries it; see ledger.intends.
             self._ledger.intends(digest, now_s)
             self._publish()
         if verdict == ledger.Verdict.REFUSE:
@@ -96,14 +97,14 @@
         return None
 
     def abandon(self, digest: bytes) -> None:
-        """Leave a suspect that is not sent again to its home."""
+        """Leave a suspect that isn't retried here to its home entry."""
         self._ledger.gave_up(digest, self._clock.monotonic_s())
         self._publish()
 
     def allowed(
         self, digest: bytes, serving: collections_abc.Iterable[str]
     ) -> frozenset[str] | None:
-        """Return where a suspect may go; None when anywhere."""
+        """Return the endpoints allowed for a request; None means all."""
         now_s = self._clock.monotonic_s()
         verdict = self._ledger.judge_again(digest, now_s)
         if verdict == ledger.Verdict.FREE:
@@ -116,7 +117,7 @@
         return (free - busy) or free
 
     def attempt_started(self, digest: bytes, replica: Endpoint) -> bool:
-        """Count a send; True when it is one of a suspect."""
+        """Record the start of an attempt; return whether it is suspect."""
         self._on_endpoint.setdefault(replica.name, []).append(digest)
         now_s = self._clock.monotonic_s()
         suspect = self._ledger.judge_again(digest, now_s) != ledger.Verdict.FREE
@@ -126,7 +127,7 @@
         return suspect
 
     def ended(self, digest: bytes, replica: Endpoint, *, whole: bool) -> None:
-        """Count the end of a send; a whole answer clears a suspect."""
+        """Record the end of an attempt; a suspect is cleared if whole."""
         running = self._on_endpoint.get(replica.name, [])
         if digest in running:
             running.remove(digest)
@@ -137,7 +138,7 @@
         self._publish()
 
     def endpoint_died(self, replica: Endpoint) -> None:
-        """Suspect all that ran there, and tell the others at once."""
+        """Suspect all requests that ran there, and publish them at once."""
         now_s = self._clock.monotonic_s()
         running = frozenset(self._on_endpoint.get(replica.name, ()))
         if running:
@@ -180,7 +181,7 @@
     return outcomes.ErrorAnswer(
         status=422,
         code='poison-request',
-        message='endpoints died twice while they ran this request',
+        message='endpoints crashed twice while running this request',
         outcome=outcome,
     )
 
@@ -189,8 +190,8 @@
     return outcomes.ErrorAnswer(
         status=503,
         code='suspect-request',
-        message=f'a like request may have crashed a replica; {where} runs it '
-        'alone',
+        message='a request with the same content may have crashed an '
+        f'endpoint; {where} runs it in isolation',
         outcome=outcome,
         retry_after_s=WAIT_RETRY_AFTER_S,
     )
