--- a/redwingvalve/control/surroundings.py
+++ b/redwingvalve/control/inputs.py
@@ -11,8 +11,7 @@
 
 from redwingvalve.core import clock
 from redwingvalve.declaration import schema
-from redwingvalve.plans import objects
-from redwingvalve.plans import world as world_module
+from redwingvalve.plans import fleet_state, objects
 from redwingvalve.platform_api import object_api, vm_list
 from redwingvalve.replicas import controller, shares
 from redwingvalve.replicas import view as view_module
@@ -23,7 +22,7 @@
 Deployments = dict[str, schema.ModelDeployment]
 
 
-class SurroundingsReader:
+class InputReader:
     """Keeps the last good answers; an outage leaves what was known."""
 
     def __init__(
@@ -50,7 +49,7 @@
         listed = await self._vm_list.read()
         if listed.is_ok():
             self.vms = listed.ok
-        agreed = await world_module.read_allocation(self._store)
+        agreed = await fleet_state.read_allocation(self._store)
         if agreed.is_error():
             return
         # A share whose deployment is not known yet must not read as "none
@@ -60,21 +59,21 @@
             self._deployments = declared.ok
             self._shares = agreed.ok[0]
 
-    def of(
+    def inputs_for(
         self, domain: str, without_room: frozenset[str] = NO_DEPLOYMENTS
-    ) -> controller.Surroundings:
+    ) -> controller.ControllerInputs:
         """Return what the controller of a domain works from.
 
         without_room names deployments whose change found no VMs anywhere.
         """
         if self._deployments is None or self._shares is None:
-            return controller.Surroundings(self.vms, None)
+            return controller.ControllerInputs(self.vms, None)
         wanted = wanted_of(
             domain, self._shares, self._deployments, without_room
         )
-        return controller.Surroundings(self.vms, wanted)
+        return controller.ControllerInputs(self.vms, wanted)
 
-    def agreed(self) -> tuple[Deployments, shares.Allocation | None]:
+    def desired_state(self) -> tuple[Deployments, shares.Allocation | None]:
         """Return what is declared and allocated, as far as it is known."""
         return self._deployments or {}, self._shares
 
@@ -84,10 +83,10 @@
     agreed: shares.Allocation,
     deployments: Deployments,
     without_room: frozenset[str],
-) -> tuple[view_module.Wanted, ...]:
+) -> tuple[view_module.DesiredShare, ...]:
     """Return the shares of one domain."""
     return tuple(
-        view_module.Wanted(
+        view_module.DesiredShare(
             deployments[share.deployment],
             share.replicas,
             share.floor_replicas,
--- a/redwingvalve/control/loop.py
+++ b/redwingvalve/control/loop.py
@@ -8,13 +8,13 @@
 import anyio
 import attrs
 
+from redwingvalve.control import inputs as inputs_module
 from redwingvalve.control import moves
-from redwingvalve.control import surroundings as surroundings_module
 from redwingvalve.core import invariants
 from redwingvalve.membership import members as members_module
 from redwingvalve.membership import rendezvous
 from redwingvalve.observability import logs
-from redwingvalve.plans import book, finishing
+from redwingvalve.plans import manager, recovery
 from redwingvalve.platform_api import object_api, vm_list
 from redwingvalve.replicas import controller
 from redwingvalve.replicas import domain as domain_module
@@ -34,7 +34,7 @@
     """One domain that this process watches."""
 
     controller: controller.DomainController
-    mover: moves.Mover
+    mover: moves.MoveReconciler
     created: bool = False
 
 
@@ -44,7 +44,7 @@
     def __init__(
         self,
         owner: str,
-        tools: controller.Tools,
+        tools: controller.Dependencies,
         vms: vm_list.VmList,
         members: members_module.Members | None = None,
     ) -> None:
@@ -53,8 +53,10 @@
         self._tools = tools
         self._vm_list = vms
         self._members = members
-        self._book = book.make_plan_book(tools.objects, vms, tools.clock)
-        self._reader = surroundings_module.SurroundingsReader(
+        self._plan_manager = manager.make_plan_manager(
+            tools.objects, vms, tools.clock
+        )
+        self._reader = inputs_module.InputReader(
             tools.objects, vms, tools.clock
         )
         self._domains: dict[str, _Domain] = {}
@@ -99,15 +101,17 @@
         if now_s < self._finish_from_s:
             return
         # Jitter keeps the controllers from all reading at one moment.
-        jitter = self._tools.chance.uniform(0.75, 1.25)
+        jitter = self._tools.rng.uniform(0.75, 1.25)
         self._finish_from_s = now_s + FINISH_EVERY_S * jitter
         if not self._is_candidate('plans'):
             return
-        with_marked = now_s >= self._list_plans_from_s
-        if with_marked:
+        include_uncommitted = now_s >= self._list_plans_from_s
+        if include_uncommitted:
             self._list_plans_from_s = now_s + LIST_PLANS_EVERY_S * jitter
-        done = await finishing.finish_confirmations(
-            self._tools.objects, self._book, with_marked=with_marked
+        done = await recovery.resume_confirmations(
+            self._tools.objects,
+            self._plan_manager,
+            include_uncommitted=include_uncommitted,
         )
         if done.is_error():
             LOG.warning('Plans wait', extra={'reason': str(done.error)})
@@ -132,39 +136,39 @@
         tools = self._tools
         return _Domain(
             controller.make_domain_controller(name, self._owner, tools),
-            moves.make_mover(
-                tools.objects, self._vm_list, tools.clock, tools.chance
+            moves.make_move_reconciler(
+                tools.objects, self._vm_list, tools.clock, tools.rng
             ),
         )
 
     def _is_candidate(self, duty: str) -> bool:
         if self._members is None:
             return True
-        myself = self._members.myself()
+        myself = self._members.local_member()
         near = {
             each.name
             for each in self._members.alive(CONTROL_ROLE)
             if each.region == myself.region
         }
         near.add(myself.name)
-        return myself.name in rendezvous.holders(near, duty, CANDIDATES)
+        return myself.name in rendezvous.select(near, duty, CANDIDATES)
 
     def _is_near(self, vm: vm_list.Vm) -> bool:
         if self._members is None or not vm.region:
             return True
-        return vm.region == self._members.myself().region
+        return vm.region == self._members.local_member().region
 
     async def _step_domain(self, name: str, watched: _Domain) -> None:
         if not watched.created:
             watched.created = await self._create(name)
         await watched.controller.step(
-            self._reader.of(name, watched.mover.without_room)
+            self._reader.inputs_for(name, watched.mover.without_room)
         )
-        place = watched.controller.place()
-        deployments, agreed = self._reader.agreed()
-        if place is None or agreed is None:
+        domain_state = watched.controller.domain_state()
+        deployments, agreed = self._reader.desired_state()
+        if domain_state is None or agreed is None:
             return
-        if await watched.mover.step(place, deployments, agreed):
+        if await watched.mover.step(domain_state, deployments, agreed):
             LOG.info('Moves of replicas changed', extra={'domain': name})
 
     async def _create(self, name: str) -> bool:
@@ -188,7 +192,7 @@
 
 def make_control_loop(
     owner: str,
-    tools: controller.Tools,
+    tools: controller.Dependencies,
     vms: vm_list.VmList,
     members: members_module.Members | None = None,
 ) -> ControlLoop:
--- a/redwingvalve/control/tests/test_loop.py
+++ b/redwingvalve/control/tests/test_loop.py
@@ -7,7 +7,7 @@
 from redwingvalve.control import loop
 from redwingvalve.core import clock
 from redwingvalve.declaration import schema
-from redwingvalve.plans import book
+from redwingvalve.plans import manager
 from redwingvalve.platform_api import vm_list
 from redwingvalve.replicas import controller
 from redwingvalve.replicas import domain as domain_module
@@ -28,17 +28,17 @@
         self.weights = memory_fleet.MemoryWeights(self.clock, 1.0, 4)
 
     def loop(self, owner):
-        tools = controller.Tools(
+        tools = controller.Dependencies(
             self.store,
             memory_fleet.MemoryOrders(self.fleet),
             self.weights,
             self.clock,
-            chance=random.Random(3),
+            rng=random.Random(3),
         )
         return loop.make_control_loop(owner, tools, self.fleet)
 
     async def confirm(self, declaration):
-        plans = book.make_plan_book(self.store, self.fleet, self.clock)
+        plans = manager.make_plan_manager(self.store, self.fleet, self.clock)
         made = await plans.propose(declaration, 'ana')
         assert (await plans.confirm(made.ok.name, 'ana')).is_ok()
 
--- a/redwingvalve/entry/account_limiter.py
+++ b/redwingvalve/entry/account_limiter.py
@@ -17,7 +17,7 @@
 from redwingvalve.entry import dependencies
 from redwingvalve.limits import account_limits, reports
 from redwingvalve.membership import members
-from redwingvalve.news import board
+from redwingvalve.news import bus
 
 UPDATE_INTERVAL_S = 0.5
 # Longer than the update interval; a report is valid for 3 s.
@@ -42,11 +42,11 @@
         self,
         source: snapshot.ConfigurationSource,
         present: members.Members,
-        news: board.NewsBoard,
+        news: bus.NewsBus,
         time_source: clock.Clock,
     ) -> None:
         """Divide the limits of the accounts of source among the entries."""
-        local_name = present.myself().name
+        local_name = present.local_member().name
         self._source = source
         self._members = present
         self._news = news
@@ -109,7 +109,7 @@
         )
         now_s = self._clock.monotonic_s()
         items = self._news.read(reports.SHARES)
-        local_name = self._members.myself().name
+        local_name = self._members.local_member().name
         for key, limits in self._limits.items():
             bodies = [
                 (item.owner, item.body, item.age_s)
--- a/redwingvalve/entry/app.py
+++ b/redwingvalve/entry/app.py
@@ -121,7 +121,9 @@
             attributes={
                 'redwingvalve.request_id': head.request_id,
                 'url.path': head.path,
-                'redwingvalve.entry': self._dependencies.members.myself().name,
+                'redwingvalve.entry': (
+                    self._dependencies.members.local_member().name
+                ),
             },
         )
         try:
@@ -322,7 +324,7 @@
     if entry_dependencies.key_claims is None:
         return None
     return request_keys.RequestKeyGuard(
-        entry_dependencies.key_claims, entry_dependencies.members.myself()
+        entry_dependencies.key_claims, entry_dependencies.members.local_member()
     )
 
 
--- a/redwingvalve/entry/daemon.py
+++ b/redwingvalve/entry/daemon.py
@@ -34,7 +34,7 @@
         group.start_soon(application.stall_monitor.run)
         group.start_soon(application.cache_sync.run)
         if entry_dependencies.key_claims is not None:
-            group.start_soon(entry_dependencies.key_claims.keep_looking)
+            group.start_soon(entry_dependencies.key_claims.keep_synced)
         await serving.serve(
             application,
             bind,
--- a/redwingvalve/entry/model_attempts.py
+++ b/redwingvalve/entry/model_attempts.py
@@ -91,7 +91,7 @@
         """Number the attempts of this incarnation from 1."""
         self._dependencies = entry_dependencies
         self._numbers = itertools.count(1)
-        myself = entry_dependencies.members.myself()
+        myself = entry_dependencies.members.local_member()
         self._entry = f'{myself.name}-{myself.incarnation}'
 
     def next_identity(
@@ -277,10 +277,10 @@
             identity, self._dependencies.switches
         )
         writer = progress.writer
-        pulse = exchange.monitored.pulse
+        stream = exchange.monitored.stream
         notified = False
         async for chunk in exchange.response.chunks:
-            if pulse.stalled:
+            if stream.stalled:
                 # The chunk arrived together with the cancellation, which would
                 # interrupt its delivery after it was counted. The next replica
                 # generates it again.
@@ -288,7 +288,7 @@
             events = validator.feed(chunk)
             if not events:
                 continue
-            pulse.held = True
+            stream.is_paused = True
             if not notified:
                 notified = True
                 on_first_token()
@@ -296,10 +296,10 @@
             # Counted before they are written: a caller that disconnects in
             # between gets no further response, so nothing is sent twice.
             progress.delivered.add(events)
-            pulse.tokens += len(events)
+            stream.tokens += len(events)
             await writer.write(b''.join(events))
-            pulse.held = False
-        pulse.held = True
+            stream.is_paused = False
+        stream.is_paused = True
         complete = validator.done or not self._dependencies.switches.enabled(
             invariants.Safeguard.ANSWER_COMPLETENESS
         )
@@ -335,7 +335,7 @@
                 await self._dependencies.upstream.release(exchange.response)
             if not exchange.ended:
                 timeout_s = CANCEL_TIMEOUT_S
-                if exchange.monitored.pulse.stalled:
+                if exchange.monitored.stream.stalled:
                     timeout_s = STALL_CANCEL_TIMEOUT_S
                 reached = await self._cancel(outgoing, timeout_s)
                 exchange.monitored.endpoint_unreachable = not reached
--- a/redwingvalve/entry/prefix_cache_sync.py
+++ b/redwingvalve/entry/prefix_cache_sync.py
@@ -1,9 +1,9 @@
 """Supplies routing with the contents of the engines' prefix caches.
 
 Rendezvous hashing assigns each replica to one entry of its region, which reads
-its cache events and publishes a summary on the news board. Which events are
+its cache events and publishes a summary on the news bus. Which events are
 read and what is published is decided in routing.cache_follower and
-routing.cache_news.
+routing.cache_summary.
 """
 
 import json
@@ -14,13 +14,13 @@
 
 from redwingvalve.configuration import snapshot
 from redwingvalve.entry import dependencies, replica_selection, upstream
-from redwingvalve.evidence import findings_wire
+from redwingvalve.evidence import probe_reports
 from redwingvalve.membership import rendezvous
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.routing import (
     cache_follower,
-    cache_news,
-    cache_reader,
+    cache_summary,
+    cache_summary_reader,
     policy,
 )
 
@@ -34,9 +34,9 @@
 REPLICAS_PER_ITEM = 200
 ENTRY_ROLE = 'entry'
 EVENTS_PATH = '/cache-events'
-CHANNEL = board.Channel(
+CHANNEL = bus.Channel(
     name='cache',
-    reach=board.Reach.REGION,
+    scope=bus.Scope.REGION,
     max_age_s=25.0,
     max_item_bytes=8192,
 )
@@ -55,7 +55,7 @@
         self._dependencies = entry_dependencies
         self._selector = selector
         self._follower = cache_follower.make_cache_follower()
-        self._reader = cache_reader.make_cache_reader()
+        self._reader = cache_summary_reader.make_summary_reader()
         self._replicas: dict[str, snapshot.Replica] = {}
         self._marks: dict[bytes, str] = {}
         self._own_replicas: tuple[str, ...] = ()
@@ -97,7 +97,7 @@
         a second, that would be five times the processor time that a node may
         use.
         """
-        local_member = self._dependencies.members.myself()
+        local_member = self._dependencies.members.local_member()
         names = frozenset(
             member.name
             for member in self._dependencies.members.alive(ENTRY_ROLE)
@@ -113,13 +113,13 @@
             if replica.serving and self._is_in_region(replica)
         }
         self._marks = {
-            findings_wire.mark_of(replica): name
+            probe_reports.fingerprint_of(replica): name
             for name, replica in self._replicas.items()
         }
         self._own_replicas = tuple(
             name
             for name in self._replicas
-            if rendezvous.holders(names, name, 1) == (local_member.name,)
+            if rendezvous.select(names, name, 1) == (local_member.name,)
         )
         self._follower.follow(
             {name: self._replicas[name].epoch for name in self._own_replicas}
@@ -138,7 +138,7 @@
             except FETCH_ERRORS:
                 self._follower.failed(fetch, now_s)
                 return
-            self._follower.took(
+            self._follower.record_page(
                 fetch, events, len(body) + OVERHEAD_BYTES, now_s
             )
             return
@@ -164,17 +164,17 @@
 
     def _publish_summaries(self, now_s: float) -> None:
         summaries = [
-            cache_news.make_word(
-                findings_wire.mark_of(self._replicas[name]),
+            cache_summary.make_summary(
+                probe_reports.fingerprint_of(self._replicas[name]),
                 self._follower,
                 name,
-                self._selector.requested_prefixes,
+                self._selector.prefix_popularity,
                 now_s,
             )
             for name in self._own_replicas
         ]
         items = {
-            str(start): cache_news.encode(
+            str(start): cache_summary.encode(
                 summaries[start : start + REPLICAS_PER_ITEM]
             )
             for start in range(0, len(summaries), REPLICAS_PER_ITEM)
@@ -196,12 +196,12 @@
 
     def _merge_news(self) -> None:
         summaries = {
-            self._marks[word.mark]: word
+            self._marks[summary.mark]: summary
             for news in self._dependencies.news.read(CHANNEL)
-            for word in cache_news.decode(news.body)
-            if word.mark in self._marks
+            for summary in cache_summary.decode(news.body)
+            if summary.mark in self._marks
         }
-        self._reader.take(summaries, self._routing_policy)
+        self._reader.apply(summaries, self._routing_policy)
 
     def _routing_policy(self, name: str) -> policy.RoutingPolicy | None:
         replica = self._replicas.get(name)
@@ -210,7 +210,7 @@
         return self._selector.routing(replica.deployment)
 
     def _is_in_region(self, replica: snapshot.Replica) -> bool:
-        local_region = self._dependencies.members.myself().region
+        local_region = self._dependencies.members.local_member().region
         return not replica.region or replica.region == local_region
 
 
@@ -224,7 +224,7 @@
     return [
         cache_follower.CacheEvent(
             int(row['number']),
-            cache_news.short_name(str(row['prefix_hash'])),
+            cache_summary.short_hash(str(row['prefix_hash'])),
             row['type'] == 'stored',
         )
         for row in json.loads(body)['events']
--- a/redwingvalve/entry/relay.py
+++ b/redwingvalve/entry/relay.py
@@ -57,7 +57,7 @@
         self.selector = replica_selection.ReplicaSelector(
             entry_dependencies.source,
             entry_dependencies.permits,
-            entry_dependencies.members.myself(),
+            entry_dependencies.members.local_member(),
             entry_dependencies.clock,
             entry_dependencies.switches,
         )
@@ -234,11 +234,13 @@
                 )
 
         monitored = stall_monitor.MonitoredAttempt(
-            stalls.Pulse(attempt.replica.name, attempt.route.prompt_tokens),
+            stalls.MonitoredStream(
+                attempt.replica.name, attempt.route.prompt_tokens
+            ),
             identity.endpoint_id,
             progress.request.deployment.name,
             policy,
-            lambda: self._may_abort(progress, attempt, monitored.pulse, tried),
+            lambda: self._may_abort(progress, attempt, monitored.stream, tried),
         )
         with (
             self._tracked(progress, attempt, digest),
@@ -284,7 +286,7 @@
         self,
         progress: model_attempts.RequestProgress,
         attempt: _Attempt,
-        pulse: stalls.Pulse,
+        stream: stalls.MonitoredStream,
         tried: frozenset[str],
     ) -> bool:
         """Return whether aborting a stalled attempt helps its caller.
@@ -295,13 +297,13 @@
         worth waiting for.
         """
         if not relay_retries.may_repeat(progress):
-            return bool(pulse.tokens)
+            return bool(stream.tokens)
         # Evaluated at each check for each stalled stream: cheap conditions
         # first.
         if not self._retries.has_retry(progress.request.deployment.name):
             return False
         first_replica = (
-            attempt.replica if pulse.tokens else progress.first_replica
+            attempt.replica if stream.tokens else progress.first_replica
         )
         if not self.selector.has_other(
             progress.request.deployment.name,
--- a/redwingvalve/entry/relay_retries.py
+++ b/redwingvalve/entry/relay_retries.py
@@ -45,7 +45,7 @@
     def prepay(self, progress: model_attempts.RequestProgress) -> bool:
         """Charge the attempt that replaces a stalled one, if allowed."""
         retries = self._retries[progress.request.deployment.name]
-        progress.retry_prepaid = retries.policy.pay_ahead(
+        progress.retry_prepaid = retries.policy.try_reserve_retry(
             _failed_attempt(progress, repeatable=True, not_run=False),
             self._clock.monotonic_s(),
         )
@@ -88,5 +88,5 @@
         delivered_tokens=progress.delivered.count,
         earlier_unknown=progress.writer.outcome != outcomes.Outcome.NOT_RUN,
         deadline_s=head.arrived_s + head.deadline_s,
-        paid=progress.retry_prepaid,
+        budget_spent=progress.retry_prepaid,
     )
--- a/redwingvalve/entry/replica_selection.py
+++ b/redwingvalve/entry/replica_selection.py
@@ -10,7 +10,7 @@
 from redwingvalve.evidence import permits
 from redwingvalve.membership import members
 from redwingvalve.platform_api import prefix_hashes
-from redwingvalve.routing import cache_news, policy, scored
+from redwingvalve.routing import cache_summary, policy, scored
 from redwingvalve.routing import messages as routing_messages
 
 # Used in place of measured delays. Another region is so far that requests are
@@ -48,7 +48,7 @@
         self._replicas: dict[str, snapshot.Replica] = {}
         self._policies: dict[str, policy.RoutingPolicy] = {}
         self._regions: dict[str, str] = {}
-        self.requested_prefixes = cache_news.AskedPrefixes()
+        self.prefix_popularity = cache_summary.PrefixPopularity()
 
     def routing(self, deployment: str) -> policy.RoutingPolicy:
         """Return a deployment's policy for the current configuration."""
@@ -67,7 +67,7 @@
         """Return the routing request of one attempt."""
         text = prefix_hashes.prompt_text(request.prompt)
         prefixes = _prefixes(text)
-        self.requested_prefixes.asked(prefix.prefix_hash for prefix in prefixes)
+        self.prefix_popularity.record(prefix.prefix_hash for prefix in prefixes)
         return routing_messages.RouteRequest(
             request_id=send_id,
             draw=self._rng.getrandbits(DRAW_BITS),
@@ -207,7 +207,7 @@
     lookups = zip(hashes, PREFIX_BLOCKS, strict=False)
     return tuple(
         routing_messages.Prefix(
-            cache_news.short_name(prefix_hash),
+            cache_summary.short_hash(prefix_hash),
             blocks * prefix_hashes.BLOCK_CHARACTERS / CHARACTERS_PER_TOKEN,
         )
         for prefix_hash, blocks in reversed(tuple(lookups))
--- a/redwingvalve/entry/request_keys.py
+++ b/redwingvalve/entry/request_keys.py
@@ -52,7 +52,7 @@
                 request_key=key,
                 entry=self._member.name,
                 incarnation=self._member.incarnation,
-                send_id=(
+                claim_id=(
                     f'{self._member.name}-{self._member.incarnation}'
                     f'-{next(self._numbers)}'
                 ),
--- a/redwingvalve/entry/service_admission.py
+++ b/redwingvalve/entry/service_admission.py
@@ -23,10 +23,10 @@
     ) -> None:
         """Start without observed durations."""
         self._clock = time_source
-        self._times = service_calls.CallTimes()
+        self._durations = service_calls.CallDurations()
         self._numbers = itertools.count(1)
         self._queues = admission_queues.AdmissionQueues(
-            membership, time_source, service_calls.SETTINGS
+            membership, time_source, service_calls.ADMISSION_SETTINGS
         )
 
     @contextlib.asynccontextmanager
@@ -48,7 +48,7 @@
                 spent_s = self._clock.monotonic_s() - started_s
                 spent_ms = spent_s * service_calls.MS_PER_S
                 admission.ok.used_tokens = spent_ms
-                self._times.learn(
+                self._durations.learn(
                     service.name, head.method, head.path, spent_ms
                 )
 
@@ -58,7 +58,7 @@
         account: schema.ClientAccount,
         service: schema.PlainService,
     ) -> messages.AdmissionRequest:
-        expected_ms = self._times.expected_ms(
+        expected_ms = self._durations.expected_ms(
             service.name, head.method, head.path
         )
         allowed_s = min(head.deadline_s, service.timeout_s)
@@ -75,7 +75,7 @@
             else head.priority,
             weight=account.weight,
             penalty=account.penalty_per_missed_request,
-            kind=self._times.kind(service.name, head.method, head.path),
+            kind=self._durations.kind(service.name, head.method, head.path),
         )
 
 
--- a/redwingvalve/entry/stall_monitor.py
+++ b/redwingvalve/entry/stall_monitor.py
@@ -28,7 +28,7 @@
     endpoint_unreachable means that the cancellation didn't reach the endpoint.
     """
 
-    pulse: stalls.Pulse
+    stream: stalls.MonitoredStream
     request_id: str
     deployment: str
     routing: policy.RoutingPolicy
@@ -55,40 +55,40 @@
         self, monitored: MonitoredAttempt
     ) -> collections_abc.Iterator[None]:
         """Monitor an attempt while the block runs."""
-        self._monitored[id(monitored.pulse)] = monitored
-        self._detectors[monitored.deployment].begin(monitored.pulse)
+        self._monitored[id(monitored.stream)] = monitored
+        self._detectors[monitored.deployment].add(monitored.stream)
         try:
             yield
         finally:
-            self._detectors[monitored.deployment].end(monitored.pulse)
-            self._monitored.pop(id(monitored.pulse))
+            self._detectors[monitored.deployment].remove(monitored.stream)
+            self._monitored.pop(id(monitored.stream))
 
     async def run(self) -> None:
         """Check periodically until cancelled."""
         while True:
             self.check()
-            await self._clock.sleep(stalls.LOOK_EVERY_S)
+            await self._clock.sleep(stalls.CHECK_INTERVAL_S)
 
     def check(self) -> None:
         """Abort stalled attempts where that helps the caller."""
         now_s = self._clock.monotonic_s()
         self._checks += 1
         for detector in self._detectors.values():
-            for pulse in detector.look(now_s):
-                self._handle_stall(self._monitored[id(pulse)], now_s)
+            for stream in detector.check(now_s):
+                self._handle_stall(self._monitored[id(stream)], now_s)
         for monitored in self._monitored.values():
-            monitored.slow_reader |= monitored.pulse.held
+            monitored.slow_reader |= monitored.stream.is_paused
         if not self._checks % CHECKS_PER_PROGRESS_REPORT:
             self._report_progress(now_s)
 
     def _handle_stall(self, monitored: MonitoredAttempt, now_s: float) -> None:
-        if monitored.pulse.stalled:
+        if monitored.stream.stalled:
             return
         monitored.routing.stalled(monitored.request_id, now_s)
         if monitored.may_abort():
             # Set together: the attempt must deliver nothing more once the flag
             # is set, and the cancellation takes effect only at its next await.
-            monitored.pulse.stalled = True
+            monitored.stream.stalled = True
             monitored.scope.cancel()
 
     def _report_progress(self, now_s: float) -> None:
@@ -96,7 +96,7 @@
             # Otherwise a caller that reads slowly makes its replica look slow.
             if not monitored.slow_reader:
                 monitored.routing.progressed(
-                    monitored.request_id, monitored.pulse.tokens, now_s
+                    monitored.request_id, monitored.stream.tokens, now_s
                 )
             monitored.slow_reader = False
 
--- a/redwingvalve/entry/suspects.py
+++ b/redwingvalve/entry/suspects.py
@@ -9,8 +9,8 @@
 from redwingvalve.core import clock, invariants, outcomes
 from redwingvalve.entry import model_request
 from redwingvalve.membership import members, rendezvous
-from redwingvalve.news import board
-from redwingvalve.poison import channel, facts, ledger
+from redwingvalve.news import bus
+from redwingvalve.poison import channel, facts, suspect_table
 
 WAIT_RETRY_AFTER_S = 2.0
 
@@ -32,7 +32,7 @@
     def __init__(
         self,
         membership: members.Members,
-        news: board.NewsBoard,
+        news: bus.NewsBus,
         time_source: clock.Clock,
         switches: invariants.SafeguardSwitches,
         key: str = channel.KEY,
@@ -42,11 +42,11 @@
         self._members = membership
         self._news = news
         self._clock = time_source
-        self._local_name = membership.myself().name
-        self._ledger = ledger.make_suspect_ledger(
+        self._local_name = membership.local_member().name
+        self._suspect_table = suspect_table.make_suspect_table(
             self._local_name,
             safeguards=switches,
-            incarnation=membership.myself().incarnation,
+            incarnation=membership.local_member().incarnation,
         )
         self._merged: dict[str, tuple[int, int]] = {}
         self._published_revision = 0
@@ -71,13 +71,16 @@
         """
         self._merge_news()
         now_s = self._clock.monotonic_s()
-        if self._ledger.judge_again(digest, now_s) == ledger.Verdict.FREE:
+        if (
+            self._suspect_table.classify_retry(digest, now_s)
+            == suspect_table.Verdict.FREE
+        ):
             return None
         home = self._home(digest, addresses)
-        verdict = self._ledger.judge(digest, home, now_s)
-        if verdict == ledger.Verdict.REFUSE:
+        verdict = self._suspect_table.classify(digest, home, now_s)
+        if verdict == suspect_table.Verdict.REFUSE:
             return _poison(outcomes.Outcome.NOT_RUN)
-        if verdict == ledger.Verdict.WAIT:
+        if verdict == suspect_table.Verdict.WAIT:
             return _wait(home, outcomes.Outcome.NOT_RUN)
         return None
 
@@ -85,20 +88,21 @@
         """Return the error if a failed request must not be retried here."""
         self._merge_news()
         now_s = self._clock.monotonic_s()
-        verdict = self._ledger.judge_again(digest, now_s)
-        if verdict == ledger.Verdict.ISOLATE:
-            # Claimed before another entry tries it; see ledger.intends.
-            self._ledger.intends(digest, now_s)
+        verdict = self._suspect_table.classify_retry(digest, now_s)
+        if verdict == suspect_table.Verdict.ISOLATE:
+            # Claimed before another entry tries it; see
+            # SuspectTable.reserve_trial.
+            self._suspect_table.reserve_trial(digest, now_s)
             self._publish()
-        if verdict == ledger.Verdict.REFUSE:
+        if verdict == suspect_table.Verdict.REFUSE:
             return _poison(outcomes.Outcome.UNKNOWN)
-        if verdict == ledger.Verdict.WAIT:
+        if verdict == suspect_table.Verdict.WAIT:
             return _wait('another entry', outcomes.Outcome.UNKNOWN)
         return None
 
     def abandon(self, digest: bytes) -> None:
         """Leave a suspect that isn't retried here to its home entry."""
-        self._ledger.gave_up(digest, self._clock.monotonic_s())
+        self._suspect_table.abandon_trial(digest, self._clock.monotonic_s())
         self._publish()
 
     def allowed(
@@ -106,23 +110,28 @@
     ) -> frozenset[str] | None:
         """Return the endpoints allowed for a request; None means all."""
         now_s = self._clock.monotonic_s()
-        verdict = self._ledger.judge_again(digest, now_s)
-        if verdict == ledger.Verdict.FREE:
+        verdict = self._suspect_table.classify_retry(digest, now_s)
+        if verdict == suspect_table.Verdict.FREE:
             return None
-        if verdict == ledger.Verdict.WAIT:
+        if verdict == suspect_table.Verdict.WAIT:
             return frozenset()
-        own = ledger.own_share(self._local_name, self._entries(), serving)
+        own = suspect_table.trial_endpoints(
+            self._local_name, self._entries(), serving
+        )
         busy = {name for name, running in self._on_endpoint.items() if running}
-        free = self._ledger.free_endpoints(own, now_s)
+        free = self._suspect_table.free_endpoints(own, now_s)
         return (free - busy) or free
 
     def attempt_started(self, digest: bytes, replica: Endpoint) -> bool:
         """Record the start of an attempt; return whether it is suspect."""
         self._on_endpoint.setdefault(replica.name, []).append(digest)
         now_s = self._clock.monotonic_s()
-        suspect = self._ledger.judge_again(digest, now_s) != ledger.Verdict.FREE
-        if suspect and not self._ledger.running(digest):
-            self._ledger.started(digest, replica.name, now_s)
+        suspect = (
+            self._suspect_table.classify_retry(digest, now_s)
+            != suspect_table.Verdict.FREE
+        )
+        if suspect and not self._suspect_table.running(digest):
+            self._suspect_table.started(digest, replica.name, now_s)
             self._publish()
         return suspect
 
@@ -134,7 +143,7 @@
         if not running:
             self._on_endpoint.pop(replica.name, None)
         now_s = self._clock.monotonic_s()
-        self._ledger.ended(digest, replica.name, now_s, whole=whole)
+        self._suspect_table.ended(digest, replica.name, now_s, whole=whole)
         self._publish()
 
     def endpoint_died(self, replica: Endpoint) -> None:
@@ -142,8 +151,11 @@
         now_s = self._clock.monotonic_s()
         running = frozenset(self._on_endpoint.get(replica.name, ()))
         if running:
-            self._ledger.endpoint_died(
-                ledger.Death(replica.name, replica.epoch, running), now_s
+            self._suspect_table.record_failure(
+                suspect_table.EndpointFailure(
+                    replica.name, replica.epoch, running
+                ),
+                now_s,
             )
             self._publish()
 
@@ -152,9 +164,9 @@
     ) -> str:
         entries = self._entries()
         if not addresses:
-            return ledger.home_entry(digest, entries)
-        nearest = rendezvous.holders(addresses, digest.hex(), 1)[0]
-        return ledger.home_entry(nearest.encode(), entries)
+            return suspect_table.home_entry(digest, entries)
+        nearest = rendezvous.select(addresses, digest.hex(), 1)[0]
+        return suspect_table.home_entry(nearest.encode(), entries)
 
     def _entries(self) -> tuple[str, ...]:
         return tuple(member.name for member in self._members.alive())
@@ -167,13 +179,13 @@
             seen = (item.owner_incarnation, item.number)
             if self._merged.get(item.owner) != seen:
                 self._merged[item.owner] = seen
-                self._ledger.merge(item.body, now_s)
+                self._suspect_table.merge(item.body, now_s)
 
     def _publish(self) -> None:
-        if self._ledger.revision != self._published_revision:
-            self._published_revision = self._ledger.revision
+        if self._suspect_table.revision != self._published_revision:
+            self._published_revision = self._suspect_table.revision
             self._news.publish(
-                channel.SUSPECTS, self._key, self._ledger.encode()
+                channel.SUSPECTS, self._key, self._suspect_table.encode()
             )
 
 
--- a/redwingvalve/entry/tests/test_load_forwarder.py
+++ b/redwingvalve/entry/tests/test_load_forwarder.py
@@ -25,7 +25,7 @@
     choice = replica_selection.ReplicaSelector(
         source,
         serving,
-        fakes.Members().myself(),
+        fakes.Members().local_member(),
         time_source,
         invariants.SafeguardSwitches(),
     )
