--- a/redwingvalve/entry/model_attempts.py
+++ b/redwingvalve/entry/model_attempts.py
@@ -91,8 +91,8 @@
         """Number the attempts of this incarnation from 1."""
         self._dependencies = entry_dependencies
         self._numbers = itertools.count(1)
-        myself = entry_dependencies.members.local_member()
-        self._entry = f'{myself.name}-{myself.incarnation}'
+        local_member = entry_dependencies.members.local_member()
+        self._entry = f'{local_member.name}-{local_member.incarnation}'
 
     def next_identity(
         self, request: model_request.ModelRequest
--- a/redwingvalve/entry/services.py
+++ b/redwingvalve/entry/services.py
@@ -110,8 +110,8 @@
         self._dependencies = entry_dependencies
         self._numbers = itertools.count(1)
         self._in_flight: dict[str, int] = {}
-        myself = entry_dependencies.members.local_member()
-        self._entry = f'{myself.name}-{myself.incarnation}-s'
+        local_member = entry_dependencies.members.local_member()
+        self._entry = f'{local_member.name}-{local_member.incarnation}-s'
         self._admission = service_admission.make_service_admission(
             entry_dependencies.members, entry_dependencies.clock
         )
--- a/redwingvalve/entry/tests/callers.py
+++ b/redwingvalve/entry/tests/callers.py
@@ -14,14 +14,14 @@
 from redwingvalve.entry.tests import fakes
 from redwingvalve.settings import schema
 
-GUARD_S = 30
-PATIENCE_S = 20
+TEST_TIMEOUT_S = 30
+DEFAULT_TIMEOUT_S = 20
 START = {'type': 'http.response.start', 'status': 200, 'headers': []}
 GET = b'GET / HTTP/1.1\r\nhost: x\r\n\r\n'
 POST = b'POST / HTTP/1.1\r\nhost: x\r\n'
 CHUNKED = b'transfer-encoding: chunked\r\n\r\n'
 LAST_CHUNK = b'0\r\n\r\n'
-ASK = json.dumps(
+REQUEST_BODY = json.dumps(
     {'model': 'quotes', 'messages': [{'role': 'user'}], 'stream': True}
 ).encode()
 
@@ -37,7 +37,9 @@
 
 
 @contextlib.asynccontextmanager
-async def served(application, timeout_s=PATIENCE_S, head_timeout_s=PATIENCE_S):
+async def served(
+    application, timeout_s=DEFAULT_TIMEOUT_S, head_timeout_s=DEFAULT_TIMEOUT_S
+):
     """Serve; give the port, the stop event and the event of the end."""
 
     class Protocol(uvicorn_protocol.CallerProtocol):
@@ -46,18 +48,18 @@
     Protocol.head_timeout_s = head_timeout_s
     listener = serving.bind_socket('127.0.0.1')
     port = listener.getsockname()[1]
-    stop, ended = anyio.Event(), anyio.Event()
+    stop, server_stopped = anyio.Event(), anyio.Event()
 
     async def run():
         server = uvicorn_server.make_uvicorn_server(Protocol)
         bind = f'fd://{listener.detach()}'
         await serving.serve(application, bind, timeout_s, stop.wait, server)
-        ended.set()
+        server_stopped.set()
 
-    with anyio.fail_after(GUARD_S):
+    with anyio.fail_after(TEST_TIMEOUT_S):
         async with anyio.create_task_group() as group:
             group.start_soon(run)
-            yield port, stop, ended
+            yield port, stop, server_stopped
             stop.set()
 
 
@@ -65,10 +67,10 @@
 async def connected(application, **options):
     """Serve one connection; give it, the stop event and that of the end."""
     async with (
-        served(application, **options) as (port, stop, ended),
+        served(application, **options) as (port, stop, server_stopped),
         await anyio.connect_tcp('127.0.0.1', port) as stream,
     ):
-        yield stream, stop, ended
+        yield stream, stop, server_stopped
 
 
 async def read_all(stream):
@@ -107,7 +109,7 @@
     )
 
 
-def ask(body=ASK, extra=''):
+def ask(body=REQUEST_BODY, extra=''):
     length = f'content-length: {len(body)}\r\n'
     head = (
         'POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n'
--- a/redwingvalve/entry/tests/fakes.py
+++ b/redwingvalve/entry/tests/fakes.py
@@ -59,7 +59,7 @@
 
 
 @attrs.define
-class Board(bus.NewsBus):
+class FakeNewsBus(bus.NewsBus):
     """Every process that shares a board sees the others at once."""
 
     items: dict = attrs.field(factory=dict)
@@ -205,7 +205,7 @@
         'source': Source(make_snapshot()),
         'permits': Permits(),
         'members': known,
-        'news': Board(),
+        'news': FakeNewsBus(),
         'upstream': engines,
         'clock': clock.make_system_clock(),
         'settings': settings_schema.RequestSettings(max_body_bytes=10_000),
--- a/redwingvalve/entry/tests/test_account_limiter.py
+++ b/redwingvalve/entry/tests/test_account_limiter.py
@@ -9,7 +9,7 @@
 LIMIT_PER_S = 100.0
 
 
-class SharedBoard(bus.NewsBus):
+class SharedNews(bus.NewsBus):
     """News that reaches the others at once, unless it is cut."""
 
     def __init__(self, owner, shared, cut):
@@ -26,7 +26,7 @@
         )
 
 
-class Present(fakes.Members):
+class FixedMembers(fakes.Members):
     def __init__(self, name, names):
         super().__init__()
         self.name, self.names = name, names
@@ -41,31 +41,31 @@
         return members.Member(name, 1, 'entry', 'h', 1, 2, 'hall-a', 'tx')
 
 
-def make_gates(time_source, shared, cut=()):
+def make_limiters(time_source, shared, cut=()):
     names = ('e1', 'e2', 'e3')
     account = fakes.account(tokens_per_s=LIMIT_PER_S)
     source = fakes.Source(fakes.make_snapshot(client_accounts=(account,)))
-    gates = [
+    limiters = [
         account_limiter.AccountLimiter(
             source,
-            Present(name, names),
-            SharedBoard(name, shared, name in cut),
+            FixedMembers(name, names),
+            SharedNews(name, shared, name in cut),
             time_source,
         )
         for name in names
     ]
-    return gates, account
+    return limiters, account
 
 
-def granted(gates, account, time_source, duration_s, busy):
+def granted_tokens(limiters, account, time_source, duration_s, flooded):
     """Ask far more than the limit at the busy gates; return what passed."""
     passed = 0.0
     for _ in range(round(duration_s / 0.1)):
-        for gate in gates:
-            gate._update()
-        for gate in busy:
+        for limiter in limiters:
+            limiter._update()
+        for limiter in flooded:
             for _ in range(10):
-                passed += gate.check_tokens(account, 5.0) is None and 5.0
+                passed += limiter.check_tokens(account, 5.0) is None and 5.0
         time_source.advance(0.1)
     return passed
 
@@ -76,12 +76,12 @@
     Then it moves to one entry alone and still gets most of its limit there.
     """
     time_source = clock.ManualClock(100.0)
-    gates, account = make_gates(time_source, {})
-    granted(gates, account, time_source, 20, gates)
-    passed = granted(gates, account, time_source, 20, gates)
+    limiters, account = make_limiters(time_source, {})
+    granted_tokens(limiters, account, time_source, 20, limiters)
+    passed = granted_tokens(limiters, account, time_source, 20, limiters)
     assert 0.8 * LIMIT_PER_S * 20 <= passed <= LIMIT_PER_S * 21
-    granted(gates, account, time_source, 20, gates[:1])
-    moved = granted(gates, account, time_source, 20, gates[:1])
+    granted_tokens(limiters, account, time_source, 20, limiters[:1])
+    moved = granted_tokens(limiters, account, time_source, 20, limiters[:1])
     assert 0.6 * LIMIT_PER_S * 20 <= moved <= LIMIT_PER_S * 21
 
 
@@ -91,9 +91,9 @@
     All three entries are cut from each other; each still counts the others.
     """
     time_source = clock.ManualClock(100.0)
-    gates, account = make_gates(time_source, {}, cut=('e1', 'e2', 'e3'))
-    granted(gates, account, time_source, 10, gates)
-    passed = granted(gates, account, time_source, 20, gates)
+    limiters, account = make_limiters(time_source, {}, cut=('e1', 'e2', 'e3'))
+    granted_tokens(limiters, account, time_source, 10, limiters)
+    passed = granted_tokens(limiters, account, time_source, 20, limiters)
     assert passed <= LIMIT_PER_S * 21
 
 
@@ -117,6 +117,8 @@
 
 def test_an_account_without_a_limit_is_never_refused():
     time_source = clock.ManualClock(0.0)
-    gates, _ = make_gates(time_source, {})
-    free = fakes.account('free')
-    assert all(gate.check_tokens(free, 1e9) is None for gate in gates)
+    limiters, _ = make_limiters(time_source, {})
+    unlimited = fakes.account('free')
+    assert all(
+        limiter.check_tokens(unlimited, 1e9) is None for limiter in limiters
+    )
--- a/redwingvalve/entry/tests/test_caller_requests.py
+++ b/redwingvalve/entry/tests/test_caller_requests.py
@@ -11,7 +11,7 @@
 @pytest.mark.parametrize(
     'request_bytes',
     [
-        callers.ask(callers.ASK + bytes(2000)),
+        callers.ask(callers.REQUEST_BODY + bytes(2000)),
         callers.ask(
             b'%x\r\n%b\r\n0\r\n\r\n' % (2000, bytes(2000)),
             'transfer-encoding: chunked\r\n',
--- a/redwingvalve/entry/tests/test_caller_server.py
+++ b/redwingvalve/entry/tests/test_caller_server.py
@@ -31,7 +31,7 @@
         await send(callers.part(b'last', more=False))
 
     async def scenario():
-        async with callers.served(halfway) as (port, stop, ended):
+        async with callers.served(halfway) as (port, stop, server_stopped):
             async with await anyio.connect_tcp('127.0.0.1', port) as stream:
                 await stream.send(callers.GET)
                 begun = await callers.read_until(stream, b'first')
@@ -40,10 +40,10 @@
                     while True:
                         async with await anyio.connect_tcp('127.0.0.1', port):
                             await anyio.sleep(0.01)
-                early = ended.is_set()
+                early = server_stopped.is_set()
                 go_on.set()
                 rest = await callers.read_all(stream)
-            await ended.wait()
+            await server_stopped.wait()
             return begun + rest, early
 
     answer, early = anyio.run(scenario)
@@ -74,13 +74,13 @@
         async with callers.connected(hang, timeout_s=0.2) as (
             stream,
             stop,
-            ended,
+            server_stopped,
         ):
             await stream.send(callers.GET)
             await started.wait()
             stop.set()
             answer = await callers.read_all(stream)
-            await ended.wait()
+            await server_stopped.wait()
             return answer
 
     answer = anyio.run(scenario)
@@ -106,7 +106,7 @@
                 serving.serve,
                 hang,
                 f'fd://{listener.detach()}',
-                callers.PATIENCE_S,
+                callers.DEFAULT_TIMEOUT_S,
                 anyio.sleep_forever,
             )
             async with await anyio.connect_tcp('127.0.0.1', port) as stream:
@@ -115,7 +115,7 @@
                 group.cancel_scope.cancel()
                 with (
                     anyio.CancelScope(shield=True),
-                    anyio.fail_after(callers.GUARD_S),
+                    anyio.fail_after(callers.TEST_TIMEOUT_S),
                 ):
                     answers.append(await callers.read_all(stream))
 
@@ -166,14 +166,14 @@
                 await callers.read_until(stream, callers.LAST_CHUNK)
 
     anyio.run(scenario)
-    ended = [
+    entry_spans = [
         span
         for span in exporter.get_finished_spans()
         if span.name == 'entry request'
     ]
-    assert len(ended) == 5
-    said = [event.name for span in ended for event in span.events]
-    assert 'caller gone' not in said
+    assert len(entry_spans) == 5
+    event_names = [event.name for span in entry_spans for event in span.events]
+    assert 'caller gone' not in event_names
 
 
 def test_a_slow_reader_holds_its_own_stream_back():
--- a/redwingvalve/entry/tests/test_prefix_cache_sync.py
+++ b/redwingvalve/entry/tests/test_prefix_cache_sync.py
@@ -13,7 +13,7 @@
 
 NAMES = tuple(f'r{number}' for number in range(1, 9))
 PROMPT = 'the rules of the house ' * 60
-ASK = {
+REQUEST = {
     'body': {
         'model': 'quotes',
         'messages': [{'role': 'user', 'content': PROMPT}],
@@ -23,7 +23,7 @@
 
 
 @attrs.define
-class Caching(fakes.Engines):
+class CachingEngines(fakes.Engines):
     """Engines that publish cache events; lost is a gap in the numbers."""
 
     rows: dict = attrs.field(factory=dict)
@@ -43,12 +43,12 @@
         )
 
 
-class Region:
+class TwoEntryRegion:
     """Two entries on one board; every replica is read by one of them."""
 
     def __init__(self):
         self.clock = clock.ManualClock(100.0)
-        self.engines = Caching(
+        self.engines = CachingEngines(
             {f'{name}:1': fakes.streaming() for name in NAMES}
         )
         both = [attrs.evolve(fakes.ENTRY, name=name) for name in ('e1', 'e2')]
@@ -59,7 +59,7 @@
                     self.engines,
                     clock=self.clock,
                     members=fakes.Members((other,), me),
-                    news=fakes.Board(items, me.name),
+                    news=fakes.FakeNewsBus(items, me.name),
                     source=fakes.Source(fakes.make_snapshot(NAMES)),
                 )
             )
@@ -68,10 +68,10 @@
 
     async def ask(self, entry):
         before = len(self.engines.sent)
-        await fakes.call(entry, **ASK)
+        await fakes.call(entry, **REQUEST)
         return self.engines.sent[before].address
 
-    async def spread(self):
+    async def sync(self):
         for _ in range(2):
             self.clock.advance(6.0)
             for entry in self.entries:
@@ -84,8 +84,8 @@
         )
 
 
-@pytest.mark.parametrize('asking', [0, 1])
-def test_an_entry_finds_the_holder_that_an_engine_published(asking):
+@pytest.mark.parametrize('entry_index', [0, 1])
+def test_an_entry_finds_the_holder_that_an_engine_published(entry_index):
     """Another entry's requests made a replica compute a hot prefix.
 
     Whichever of both entries reads that replica's events, the other sends the
@@ -93,16 +93,18 @@
     """
 
     async def main():
-        region = Region()
+        region = TwoEntryRegion()
         for entry in region.entries:
             for _ in range(2):
                 await region.ask(entry)
-        known = {await region.ask(entry) for entry in region.entries}
-        holder = next(f'{name}:1' for name in NAMES if f'{name}:1' not in known)
-        for address in known:
+        known_addresses = {await region.ask(entry) for entry in region.entries}
+        holder = next(
+            f'{name}:1' for name in NAMES if f'{name}:1' not in known_addresses
+        )
+        for address in known_addresses:
             region.publish(address, 1, 'removed')
         region.publish(holder, 1, 'stored')
-        await region.spread()
-        assert await region.ask(region.entries[asking]) == holder
+        await region.sync()
+        assert await region.ask(region.entries[entry_index]) == holder
 
     anyio.run(main)
--- a/redwingvalve/entry/tests/test_relay.py
+++ b/redwingvalve/entry/tests/test_relay.py
@@ -10,13 +10,13 @@
 from redwingvalve.entry import app
 from redwingvalve.entry.tests import fakes
 
-WHOLE = [' t1', ' t2', ' t3', ' t4', ' t5', ' t6']
-ONCE = {'headers': {'x-redwingvalve-idempotent': 'false'}}
+ALL_TOKENS = [' t1', ' t2', ' t3', ' t4', ' t5', ' t6']
+NON_IDEMPOTENT = {'headers': {'x-redwingvalve-idempotent': 'false'}}
 Safeguard = invariants.Safeguard
-FOREIGN = (('x-request-id', 'of another'),)
+MISMATCHED_ID = (('x-request-id', 'of another'),)
 
 
-def two(first, second=None):
+def two_replicas(first, second=None):
     """r1 and r2; whichever is chosen first behaves as first."""
     scripts = iter((first, second or fakes.streaming(6)))
 
@@ -35,8 +35,10 @@
     were delivered.
     """
     first = fakes.streaming(6, cut_after=cut_after, done=False)
-    (got,) = fakes.run(two(first), {'headers': {'x-request-id': 'mine'}})
-    assert got.tokens == WHOLE and got.ended
+    (got,) = fakes.run(
+        two_replicas(first), {'headers': {'x-request-id': 'mine'}}
+    )
+    assert got.tokens == ALL_TOKENS and got.ended
     assert got.body.count(b'"chatcmpl-mine"') == 6
     assert got.body.count(b'[DONE]') == 1
 
@@ -51,7 +53,7 @@
         attrs.evolve(fakes.replica(name), model='m', version=version)
         for name, version in (('r1', '1'), ('r2', '2'))
     )
-    engines = two(fakes.streaming(6, cut_after=2))
+    engines = two_replicas(fakes.streaming(6, cut_after=2))
     source = fakes.Source(fakes.make_snapshot(replicas=versions))
     (got,) = fakes.run(engines, {}, source=source)
     assert got.tokens == [' t1', ' t2'] and not got.ended
@@ -64,8 +66,8 @@
     The request is not idempotent and its stream breaks after two tokens;
     running the rest again elsewhere might bill a second time.
     """
-    engines = two(fakes.streaming(6, cut_after=2))
-    (got,) = fakes.run(engines, ONCE)
+    engines = two_replicas(fakes.streaming(6, cut_after=2))
+    (got,) = fakes.run(engines, NON_IDEMPOTENT)
     assert got.tokens == [' t1', ' t2'] and not got.ended
     error = got.body.decode().partition('event: error\ndata: ')[2]
     assert json.loads(error)['error']['outcome'] == 'ran'
@@ -78,9 +80,9 @@
     The first replica answers with the id of another request, as when answers
     cross on a connection. Nothing of it is delivered; the second is asked.
     """
-    engines = two(fakes.streaming(6, echo='foreign'))
+    engines = two_replicas(fakes.streaming(6, echo='foreign'))
     (got,) = fakes.run(engines, {})
-    assert got.tokens == WHOLE
+    assert got.tokens == ALL_TOKENS
     assert b'foreign' not in got.body
 
 
@@ -100,13 +102,15 @@
         (
             Safeguard.TRUTHFUL_NOT_RUN,
             fakes.failing(fakes.broken()),
-            lambda got: got.tokens == WHOLE,
+            lambda got: got.tokens == ALL_TOKENS,
         ),
     ],
 )
 def test_without_its_safeguard_each_breach_is_seen(safeguard, first, breach):
     (got,) = fakes.run(
-        two(first), ONCE, switches=invariants.SafeguardSwitches((safeguard,))
+        two_replicas(first),
+        NON_IDEMPOTENT,
+        switches=invariants.SafeguardSwitches((safeguard,)),
     )
     assert breach(got)
 
@@ -155,13 +159,13 @@
     same account with another prompt is served meanwhile.
     """
 
-    async def dying(request):
+    async def crashing(request):
         if 'poison' in request.body.decode():
             raise fakes.broken()
         return await fakes.streaming()(request)
 
     names = ('r1', 'r2', 'r3', 'r4', 'r5')
-    engines = fakes.Engines({f'{name}:1': dying for name in names})
+    engines = fakes.Engines({f'{name}:1': crashing for name in names})
     poison = {'body': {'model': 'quotes', 'messages': [{'content': 'poison'}]}}
     answers = fakes.run(
         engines,
@@ -185,14 +189,14 @@
     counted, the request would kill a third endpoint.
     """
 
-    async def dying(request):
+    async def crashing(request):
         engines.gone.add(request.address)
         if len(engines.sent) > 1:
             raise fakes.broken()
-        return await fakes.answering(200, headers=FOREIGN)(request)
+        return await fakes.answering(200, headers=MISMATCHED_ID)(request)
 
     names = ('r1', 'r2', 'r3', 'r4')
-    engines = fakes.Engines({f'{name}:1': dying for name in names})
+    engines = fakes.Engines({f'{name}:1': crashing for name in names})
     got = fakes.run(
         engines, POISON, source=fakes.Source(fakes.make_snapshot(names))
     )[0]
@@ -208,12 +212,12 @@
     """
     left = anyio.Event()
 
-    async def dying(request):
+    async def crashing(request):
         engines.gone.add(request.address)
         left.set()
         await anyio.sleep_forever()
 
-    engines = fakes.Engines({'r1:1': dying, 'r2:1': dying})
+    engines = fakes.Engines({'r1:1': crashing, 'r2:1': crashing})
     again = fakes.run(engines, {**POISON, 'hang_up': left}, POISON)[1]
     assert again.error['code'] == 'suspect-request'
     assert again.error['outcome'] == 'not-run'
--- a/redwingvalve/entry/tests/test_request_keys.py
+++ b/redwingvalve/entry/tests/test_request_keys.py
@@ -73,7 +73,7 @@
     engines = fakes.Engines({'r1:1': whole, 'r2:1': whole})
     fleet = fleets.Fleet()
     entries = make_entries(fleet, engines)
-    nowhere = app.make_entry_app(
+    without_replicas = app.make_entry_app(
         fakes.make_dependencies(
             engines,
             key_claims=fleet.entries['e1'],
@@ -81,7 +81,7 @@
         )
     )
     got = send(
-        {**entries, 'e0': nowhere},
+        {**entries, 'e0': without_replicas},
         ('e0', {'headers': KEY, 'body': BODY}),
         ('e2', {'headers': KEY, 'body': BODY}),
     )
--- a/redwingvalve/entry/tests/test_service_admission.py
+++ b/redwingvalve/entry/tests/test_service_admission.py
@@ -6,18 +6,18 @@
 from redwingvalve.entry import app
 from redwingvalve.entry.tests import fakes
 
-DEAR, CHEAP = 'dear', 'cheap'
+HIGH_PENALTY, NO_PENALTY = 'dear', 'cheap'
 # By the clock that moves by hand; the wall clock must not come near it.
 TIMEOUT_S = 600.0
-PATIENT = {'x-redwingvalve-deadline-ms': '600000'}
+LONG_DEADLINE = {'x-redwingvalve-deadline-ms': '600000'}
 
 
-class Service:
+class SingleSlotService:
     """One place; an entry in front of it whose clock moves by hand."""
 
     def __init__(self):
         self.clock = clock.ManualClock(10.0)
-        self.place = anyio.Semaphore(0)
+        self.slot = anyio.Semaphore(0)
         self.engines = fakes.Engines({'s1:1': self._serve})
         accounts = tuple(
             fakes.schema.ClientAccount(
@@ -26,7 +26,7 @@
                 5,
                 penalty_per_missed_request=penalty,
             )
-            for name, penalty in ((DEAR, 9.0), (CHEAP, 0.0))
+            for name, penalty in ((HIGH_PENALTY, 9.0), (NO_PENALTY, 0.0))
         )
         declared = fakes.schema.PlainService(
             'parts',
@@ -49,7 +49,7 @@
         self.answers = []
 
     async def _serve(self, request):
-        await self.place.acquire()
+        await self.slot.acquire()
         self.clock.advance(TIMEOUT_S / 10)
         return await fakes.answering(200)(request)
 
@@ -59,26 +59,26 @@
             path='/parts/17',
             body=b'',
             method='GET',
-            headers={'authorization': f'Bearer {name}', **PATIENT},
+            headers={'authorization': f'Bearer {name}', **LONG_DEADLINE},
         )
         self.answers.append((name, got))
 
     async def finish(self, count):
         for _ in range(count):
-            self.place.release()
+            self.slot.release()
             await anyio.wait_all_tasks_blocked()
 
 
-def run(play):
+def run(scenario):
     async def main():
-        service = Service()
+        service = SingleSlotService()
         async with anyio.create_task_group() as group:
 
             async def begin(name):
                 group.start_soon(service.call, name)
                 await anyio.wait_all_tasks_blocked()
 
-            await play(service, begin)
+            await scenario(service, begin)
             group.cancel_scope.cancel()
 
     anyio.run(main)
@@ -91,16 +91,16 @@
     latest (fair turns and preferred ones alternate), and all get answers.
     """
 
-    async def play(service, begin):
-        await begin(CHEAP)
-        for name in (CHEAP, CHEAP, CHEAP, DEAR):
+    async def scenario(service, begin):
+        await begin(NO_PENALTY)
+        for name in (NO_PENALTY, NO_PENALTY, NO_PENALTY, HIGH_PENALTY):
             await begin(name)
         assert len(service.engines.sent) == 1
         await service.finish(5)
         assert [got.status for _, got in service.answers] == [200] * 5
-        assert [name for name, _ in service.answers].index(DEAR) <= 2
+        assert [name for name, _ in service.answers].index(HIGH_PENALTY) <= 2
 
-    run(play)
+    run(scenario)
 
 
 def test_what_cannot_be_answered_in_time_is_refused_at_once():
@@ -110,11 +110,11 @@
     is held until the deadline, and the service ran only what was answered.
     """
 
-    async def play(service, begin):
-        await begin(CHEAP)
+    async def scenario(service, begin):
+        await begin(NO_PENALTY)
         await service.finish(1)
         for _ in range(30):
-            await begin(CHEAP)
+            await begin(NO_PENALTY)
         refused = [got for _, got in service.answers[1:]]
         assert 15 < len(refused) < 30
         assert {got.status for got in refused} == {429}
@@ -123,11 +123,11 @@
         ran = len(service.engines.sent)
         assert ran == 2
 
-    run(play)
+    run(scenario)
 
 
 def test_a_caller_that_hangs_up_gives_its_place_to_the_next():
-    async def play(service, begin):
+    async def scenario(service, begin):
         gone = anyio.Event()
         async with anyio.create_task_group() as group:
             group.start_soon(
@@ -136,15 +136,18 @@
                     path='/parts/17',
                     body=b'',
                     method='GET',
-                    headers={'authorization': f'Bearer {CHEAP}', **PATIENT},
+                    headers={
+                        'authorization': f'Bearer {NO_PENALTY}',
+                        **LONG_DEADLINE,
+                    },
                     hang_up=gone,
                 )
             )
             await anyio.wait_all_tasks_blocked()
-            await begin(DEAR)
+            await begin(HIGH_PENALTY)
             gone.set()
             await anyio.wait_all_tasks_blocked()
             await service.finish(1)
-        assert [name for name, _ in service.answers] == [DEAR]
+        assert [name for name, _ in service.answers] == [HIGH_PENALTY]
 
-    run(play)
+    run(scenario)
--- a/redwingvalve/entry/tests/test_service_suspects.py
+++ b/redwingvalve/entry/tests/test_service_suspects.py
@@ -17,12 +17,12 @@
 INNOCENT = {'path': '/parts/42', 'method': 'GET', 'body': b''}
 OTHER = {**INNOCENT, 'path': '/parts/43'}
 # News is settled, and one death is told from the next at the same address.
-APART_S = 11.0
-ALONE = ('s1:1',)
-SEVERAL = ('s1:1', 's2:1', 's3:1', 's4:1')
+RESEND_INTERVAL_S = 11.0
+ONE_ADDRESS = ('s1:1',)
+SEVERAL_ADDRESSES = ('s1:1', 's2:1', 's3:1', 's4:1')
 
 
-class Services(fakes.Engines):
+class CrashingServices(fakes.Engines):
     """Instances that crash under /parts/crash with all that they run."""
 
     def __init__(self):
@@ -49,8 +49,8 @@
         return await fakes.answering(200, request.path.encode())(request)
 
 
-def make_fleet(services, addresses=SEVERAL, disabled=()):
-    ticks, items = clock.ManualClock(1000.0), {}
+def make_fleet(services, addresses=SEVERAL_ADDRESSES, disabled=()):
+    manual_clock, items = clock.ManualClock(1000.0), {}
     listed = fakes.make_snapshot()
     service = attrs.evolve(listed.services[0], addresses=addresses)
     source = fakes.Source(attrs.evolve(listed, services=(service,)))
@@ -59,37 +59,37 @@
             fakes.make_dependencies(
                 services,
                 source=source,
-                clock=ticks,
+                clock=manual_clock,
                 members=fakes.Members(
                     me=member,
                     others=tuple(each for each in MEMBERS if each != member),
                 ),
-                news=fakes.Board(items=items, owner=member.name),
+                news=fakes.FakeNewsBus(items=items, owner=member.name),
                 switches=invariants.SafeguardSwitches(disabled),
             )
         )
         for member in MEMBERS
     ]
-    return entries, ticks
+    return entries, manual_clock
 
 
-async def resend(entries, ticks, asked, times=12):
+async def resend(entries, manual_clock, call_options, times=12):
     """Send to one entry after the other, as its caller would."""
     answers = []
     for entry in itertools.islice(itertools.cycle(entries), times):
-        answers.append(await fakes.call(entry, **asked))
-        ticks.advance(APART_S)
+        answers.append(await fakes.call(entry, **call_options))
+        manual_clock.advance(RESEND_INTERVAL_S)
     return answers
 
 
-@pytest.mark.parametrize('addresses', (ALONE, SEVERAL))
+@pytest.mark.parametrize('addresses', (ONE_ADDRESS, SEVERAL_ADDRESSES))
 def test_a_poison_request_kills_two_instances_of_a_service(addresses):
     """The caller is told poison-request after two deaths, through any entry.
 
     It sends a request that crashes each instance that runs it, again and
     again, to one entry after the other.
     """
-    services = Services()
+    services = CrashingServices()
 
     async def main():
         return await resend(*make_fleet(services, addresses), POISON)
@@ -102,7 +102,7 @@
 
 def test_a_resend_at_once_kills_no_third_instance():
     """The caller sends without a pause; entries know of the first death."""
-    services = Services()
+    services = CrashingServices()
 
     async def main():
         entries, _ = make_fleet(services)
@@ -120,15 +120,15 @@
     tried alone; the innocent is answered and no longer suspect anywhere, also
     when the poison request is sent again.
     """
-    services = Services()
+    services = CrashingServices()
 
     async def main():
-        entries, ticks = make_fleet(services, ('s1:1', 's2:1'))
+        entries, manual_clock = make_fleet(services, ('s1:1', 's2:1'))
         services.hold = True
         async with anyio.create_task_group() as group:
-            for asked in (INNOCENT, OTHER):
+            for call_options in (INNOCENT, OTHER):
                 group.start_soon(
-                    lambda one: fakes.call(entries[0], **one), asked
+                    lambda one: fakes.call(entries[0], **one), call_options
                 )
             while len(services.running) < 2:
                 await anyio.lowlevel.checkpoint()
@@ -137,23 +137,23 @@
             for running in services.running.values():
                 for each in running:
                     each.set()
-        for asked in (INNOCENT, POISON, OTHER, POISON):
-            ticks.advance(APART_S)
-            await resend(entries, ticks, asked, 3)
+        for call_options in (INNOCENT, POISON, OTHER, POISON):
+            manual_clock.advance(RESEND_INTERVAL_S)
+            await resend(entries, manual_clock, call_options, 3)
         return [
-            await resend(entries, ticks, asked, 3)
-            for asked in (INNOCENT, OTHER, POISON)
+            await resend(entries, manual_clock, call_options, 3)
+            for call_options in (INNOCENT, OTHER, POISON)
         ]
 
-    innocent, other, poison = anyio.run(main)
-    assert [got.status for got in innocent + other] == [200] * 6
-    assert [got.status for got in poison] == [422] * 3
+    innocent_answers, other_answers, poison_answers = anyio.run(main)
+    assert [got.status for got in innocent_answers + other_answers] == [200] * 6
+    assert [got.status for got in poison_answers] == [422] * 3
     assert len(services.deaths) == 2
 
 
 def test_a_lost_answer_to_a_call_that_may_not_repeat_stays_unknown():
     """The caller sees unknown, and the call is not sent to a second one."""
-    services = Services()
+    services = CrashingServices()
     bill = {**POISON, 'method': 'POST', 'body': {'bill': 7}}
 
     async def main():
@@ -165,7 +165,7 @@
 
 
 def test_without_the_safeguard_the_breach_is_found():
-    services = Services()
+    services = CrashingServices()
     disabled = (invariants.Safeguard.POISON_REFUSED,)
 
     async def main():
--- a/redwingvalve/entry/tests/test_stalls.py
+++ b/redwingvalve/entry/tests/test_stalls.py
@@ -10,11 +10,11 @@
 from redwingvalve.entry.tests import fakes
 from redwingvalve.retries import stalls
 
-WHOLE = [' t1', ' t2', ' t3', ' t4', ' t5', ' t6']
-ONCE = {'headers': {'x-redwingvalve-idempotent': 'false'}}
+ALL_TOKENS = [' t1', ' t2', ' t3', ' t4', ' t5', ' t6']
+NON_IDEMPOTENT = {'headers': {'x-redwingvalve-idempotent': 'false'}}
 
 
-class Hanging:
+class HangingReplica:
     """Gives some tokens, then nothing until released."""
 
     def __init__(self, after):
@@ -38,7 +38,7 @@
         yield b'data: [DONE]\n\n'
 
 
-class Scene:
+class StallScenario:
     """An entry whose clock moves by hand; the first send meets first."""
 
     def __init__(self, first, names=('r1', 'r2')):
@@ -63,37 +63,37 @@
         await fakes.call(self.application, received=self.got, **options)
         self.done = True
 
-    async def look(self, times):
+    async def advance(self, times):
         for _ in range(times):
             self.clock.advance(stalls.CHECK_INTERVAL_S)
             self.application.stall_monitor.check()
             await anyio.wait_all_tasks_blocked()
 
-    def run(self, hanging, play, **options):
+    def run(self, hanging, actions, **options):
         async def main():
             async with anyio.create_task_group() as group:
                 group.start_soon(lambda: self.call(**options))
                 await hanging.hangs.wait()
                 await anyio.wait_all_tasks_blocked()
-                await play()
+                await actions()
                 group.cancel_scope.cancel()
 
         anyio.run(main)
 
 
-@pytest.mark.parametrize(('after', 'looks'), [(0, 26), (1, 12), (5, 12)])
-def test_a_stalled_stream_goes_on_elsewhere(after, looks):
+@pytest.mark.parametrize(('after', 'checks'), [(0, 26), (1, 12), (5, 12)])
+def test_a_stalled_stream_goes_on_elsewhere(after, checks):
     """The caller sees one whole answer with each token once.
 
     The first replica hangs after some tokens and its connection stands. Long
     before the deadline the other is asked to go on after those delivered, and
     the first is told to cancel.
     """
-    scene = Scene(hanging := Hanging(after))
-    scene.run(hanging, lambda: scene.look(looks))
-    assert scene.got.tokens == WHOLE and scene.got.ended
-    assert len(scene.engines.sent) == 2
-    assert scene.engines.cancelled == [scene.engines.sent[0].request_id]
+    scenario = StallScenario(hanging := HangingReplica(after))
+    scenario.run(hanging, lambda: scenario.advance(checks))
+    assert scenario.got.tokens == ALL_TOKENS and scenario.got.ended
+    assert len(scenario.engines.sent) == 2
+    assert scenario.engines.cancelled == [scenario.engines.sent[0].request_id]
 
 
 def test_a_token_that_comes_with_the_cancellation_is_there_once():
@@ -102,18 +102,18 @@
     Its next tokens are ready to be read when the scope is cancelled: they
     must neither be counted and lost nor come from both replicas.
     """
-    scene = Scene(hanging := Hanging(2))
+    scenario = StallScenario(hanging := HangingReplica(2))
 
-    async def play():
-        await scene.look(7)
+    async def actions():
+        await scenario.advance(7)
         for _ in range(4):
-            scene.clock.advance(stalls.CHECK_INTERVAL_S)
+            scenario.clock.advance(stalls.CHECK_INTERVAL_S)
             hanging.released.set()
-            scene.application.stall_monitor.check()
-        await scene.look(1)
+            scenario.application.stall_monitor.check()
+        await scenario.advance(1)
 
-    scene.run(hanging, play)
-    assert scene.got.tokens == WHOLE and scene.got.ended
+    scenario.run(hanging, actions)
+    assert scenario.got.tokens == ALL_TOKENS and scenario.got.ended
 
 
 def test_what_may_run_once_ends_at_once_and_unknown():
@@ -122,43 +122,43 @@
     Whether the hung replica runs on to its end cannot be told, and running
     the rest elsewhere might bill a second time.
     """
-    scene = Scene(hanging := Hanging(2))
-    scene.run(hanging, lambda: scene.look(12), **ONCE)
-    assert scene.done and not scene.got.ended
-    assert scene.got.tokens == [' t1', ' t2']
-    error = scene.got.body.decode().partition('event: error\ndata: ')[2]
+    scenario = StallScenario(hanging := HangingReplica(2))
+    scenario.run(hanging, lambda: scenario.advance(12), **NON_IDEMPOTENT)
+    assert scenario.done and not scenario.got.ended
+    assert scenario.got.tokens == [' t1', ' t2']
+    error = scenario.got.body.decode().partition('event: error\ndata: ')[2]
     assert json.loads(error)['error']['outcome'] == 'unknown'
-    assert len(scene.engines.sent) == 1
+    assert len(scenario.engines.sent) == 1
 
 
 def test_a_stream_that_cannot_go_on_elsewhere_is_waited_for():
     """The only replica is paused for ten seconds; the answer comes whole."""
-    scene = Scene(hanging := Hanging(2), names=('r1',))
+    scenario = StallScenario(hanging := HangingReplica(2), names=('r1',))
 
-    async def play():
-        await scene.look(40)
-        assert not scene.done
+    async def actions():
+        await scenario.advance(40)
+        assert not scenario.done
         hanging.released.set()
-        await scene.look(1)
+        await scenario.advance(1)
 
-    scene.run(hanging, play)
-    assert scene.got.tokens == WHOLE and scene.got.ended
-    assert len(scene.engines.sent) == 1
+    scenario.run(hanging, actions)
+    assert scenario.got.tokens == ALL_TOKENS and scenario.got.ended
+    assert len(scenario.engines.sent) == 1
 
 
 def test_a_replica_that_stalls_is_eased_off():
     """Of 20 new requests after a stall at most one goes to the hung replica."""
     names = ('r1', 'r2', 'r3', 'r4')
-    scene = Scene(hanging := Hanging(1), names)
+    scenario = StallScenario(hanging := HangingReplica(1), names)
 
-    async def play():
-        await scene.look(12)
+    async def actions():
+        await scenario.advance(12)
         for _ in range(20):
-            await fakes.call(scene.application)
+            await fakes.call(scenario.application)
 
-    scene.run(hanging, play)
-    hung, *later = scene.engines.sent
-    again = [sent for sent in later[1:] if sent.address == hung.address]
+    scenario.run(hanging, actions)
+    hung_count, *later = scenario.engines.sent
+    again = [sent for sent in later[1:] if sent.address == hung_count.address]
     assert len(again) <= 1
 
 
@@ -170,8 +170,8 @@
     """
 
     async def main():
-        scene, hanging = Scene(None), Hanging(2)
-        scene.engines.scripts = {
+        scenario, hanging = StallScenario(None), HangingReplica(2)
+        scenario.engines.scripts = {
             'r1:1': hanging,
             'r2:1': fakes.streaming(6),
         }
@@ -179,16 +179,16 @@
         async with anyio.create_task_group() as group:
             for got in answers:
                 group.start_soon(
-                    lambda one: fakes.call(scene.application, received=one),
+                    lambda one: fakes.call(scenario.application, received=one),
                     got,
                 )
             await hanging.hangs.wait()
             await anyio.wait_all_tasks_blocked()
-            hung = sum(not got.ended for got in answers)
-            await scene.look(12)
+            hung_count = sum(not got.ended for got in answers)
+            await scenario.advance(12)
             waiting = sum(not got.ended for got in answers)
             hanging.released.set()
-        assert hung > 40 and 0 < waiting < hung - 15
-        assert all(got.tokens == WHOLE and got.ended for got in answers)
+        assert hung_count > 40 and 0 < waiting < hung_count - 15
+        assert all(got.tokens == ALL_TOKENS and got.ended for got in answers)
 
     anyio.run(main)
