--- a/redwingvalve/entry/tests/callers.py
+++ b/redwingvalve/entry/tests/callers.py
@@ -1,4 +1,4 @@
-"""A server of callers' traffic and plain sockets to ask it."""
+"""Runs the caller-facing server and talks to it through plain sockets."""
 
 import contextlib
 import json
@@ -40,7 +40,7 @@
 async def served(
     application, timeout_s=DEFAULT_TIMEOUT_S, head_timeout_s=DEFAULT_TIMEOUT_S
 ):
-    """Serve; give the port, the stop event and the event of the end."""
+    """Serve; yield the port, the stop event and the server-stopped event."""
 
     class Protocol(uvicorn_protocol.CallerProtocol):
         pass
@@ -65,7 +65,7 @@
 
 @contextlib.asynccontextmanager
 async def connected(application, **options):
-    """Serve one connection; give it, the stop event and that of the end."""
+    """Like served, but yield one connection in place of the port."""
     async with (
         served(application, **options) as (port, stop, server_stopped),
         await anyio.connect_tcp('127.0.0.1', port) as stream,
@@ -74,7 +74,7 @@
 
 
 async def read_all(stream):
-    """Read to the end; a reset counts as one."""
+    """Read to the end of the connection or a reset."""
     parts = []
     with contextlib.suppress(anyio.EndOfStream, anyio.BrokenResourceError):
         while True:
--- a/redwingvalve/entry/tests/fakes.py
+++ b/redwingvalve/entry/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces of the request path."""
+"""Fakes of the dependencies of the request path."""
 
 import hashlib
 import json
@@ -60,7 +60,7 @@
 
 @attrs.define
 class FakeNewsBus(bus.NewsBus):
-    """Every process that shares a board sees the others at once."""
+    """A news bus that delivers to all sharers of items immediately."""
 
     items: dict = attrs.field(factory=dict)
     owner: str = 'e1'
@@ -82,7 +82,7 @@
 
 @attrs.define
 class Engines(upstream.Upstream):
-    """Engines as scripts: address -> coroutine function of the request."""
+    """Scripted engines: address -> coroutine function of the request."""
 
     scripts: dict = attrs.field(factory=dict)
     sent: list = attrs.field(factory=list)
@@ -128,14 +128,14 @@
 
 
 def tokens_after(request, total):
-    """The engine's tokens t1..t<total>, or those after a resumed part."""
+    """Return tokens t1..t<total>, without those of a resumed request."""
     body = json.loads(request.body)
     first = len(body.get('resume', {}).get('tokens', ())) + 1
     return [f' t{number}' for number in range(first, total + 1)]
 
 
 def streaming(total=3, cut_after=None, echo=None, done=True):
-    """An engine that streams; cut_after breaks it after so many tokens."""
+    """Return a streaming engine; it disconnects after cut_after tokens."""
 
     async def script(request):
         request_id = echo or request.request_id
@@ -245,7 +245,7 @@
 async def call(
     application, path='/v1/chat/completions', body=None, hang_up=None, **options
 ):
-    """Send one request to the app; hang_up is an event to leave on."""
+    """Send one request; the caller disconnects once hang_up is set."""
     if body is None:
         body = {
             'model': 'quotes',
@@ -290,7 +290,7 @@
 
 
 def run(engines, *calls, **changes):
-    """Run calls (dicts of arguments of call) one after the other."""
+    """Run calls, given as arguments of call, one after the other."""
 
     async def main():
         application = app.make_entry_app(make_dependencies(engines, **changes))
--- a/redwingvalve/entry/tests/test_account_limiter.py
+++ b/redwingvalve/entry/tests/test_account_limiter.py
@@ -1,4 +1,4 @@
-"""Limits of accounts hold over all entries, and refuse at once."""
+"""Account limits hold over all entries and refuse requests at once."""
 
 from redwingvalve.core import clock
 from redwingvalve.entry import account_limiter
@@ -10,7 +10,7 @@
 
 
 class SharedNews(bus.NewsBus):
-    """News that reaches the others at once, unless it is cut."""
+    """A news bus that delivers immediately; cut ones get only their own."""
 
     def __init__(self, owner, shared, cut):
         self.owner, self.shared, self.cut = owner, shared, cut
@@ -58,7 +58,7 @@
 
 
 def granted_tokens(limiters, account, time_source, duration_s, flooded):
-    """Ask far more than the limit at the busy gates; return what passed."""
+    """Request far more than the limit at flooded; return granted tokens."""
     passed = 0.0
     for _ in range(round(duration_s / 0.1)):
         for limiter in limiters:
@@ -70,10 +70,10 @@
     return passed
 
 
-def test_the_sum_over_all_entries_stays_at_the_limit_and_follows_demand():
-    """A caller that floods three entries gets one account's limit in all.
+def test_total_of_all_entries_stays_at_the_limit():
+    """Flooding three entries grants the limit of one account in total.
 
-    Then it moves to one entry alone and still gets most of its limit there.
+    A caller that then uses only one entry gets most of its limit there.
     """
     time_source = clock.ManualClock(100.0)
     limiters, account = make_limiters(time_source, {})
@@ -85,10 +85,10 @@
     assert 0.6 * LIMIT_PER_S * 20 <= moved <= LIMIT_PER_S * 21
 
 
-def test_entries_that_cannot_hear_each_other_stay_within_the_limit():
-    """In a partition a flooding caller gets no more than the limit in all.
+def test_partitioned_entries_stay_within_the_limit():
+    """Partitioned entries grant no more than the limit in total.
 
-    All three entries are cut from each other; each still counts the others.
+    All three entries are isolated; each still counts the others' shares.
     """
     time_source = clock.ManualClock(100.0)
     limiters, account = make_limiters(time_source, {}, cut=('e1', 'e2', 'e3'))
@@ -97,11 +97,11 @@
     assert passed <= LIMIT_PER_S * 21
 
 
-def test_a_request_above_the_limit_is_refused_at_once_and_not_run():
-    """The caller gets 429, not-run and when to come back; no endpoint is asked.
+def test_request_above_the_limit_is_refused():
+    """The caller gets 429, not-run and a retry-after; nothing is sent.
 
-    An entry has no share in the first seconds after its start, since what an
-    earlier incarnation lent may still be in use.
+    An entry has no share in the first seconds after its start, because shares
+    lent by its previous incarnation may still be in use.
     """
     engines = fakes.Engines({'r1:1': fakes.streaming(3)})
     account = fakes.account(tokens_per_s=LIMIT_PER_S)
@@ -115,7 +115,7 @@
     assert not engines.sent
 
 
-def test_an_account_without_a_limit_is_never_refused():
+def test_account_without_a_limit_is_never_refused():
     time_source = clock.ManualClock(0.0)
     limiters, _ = make_limiters(time_source, {})
     unlimited = fakes.account('free')
--- a/redwingvalve/entry/tests/test_app.py
+++ b/redwingvalve/entry/tests/test_app.py
@@ -1,4 +1,4 @@
-"""What callers receive from an entry, with engines as scripts."""
+"""Responses of an entry in front of scripted engines."""
 
 import json
 
@@ -10,7 +10,7 @@
 ENGINES = {'r1:1': fakes.streaming(), 'r2:1': fakes.streaming()}
 
 
-def test_a_stream_arrives_whole_under_the_callers_own_id():
+def test_stream_is_complete_and_has_the_callers_id():
     (got,) = fakes.run(
         fakes.Engines(dict(ENGINES)), {'headers': {'x-request-id': 'mine'}}
     )
@@ -48,9 +48,7 @@
         ({'headers': {'x-request-id': 'a b'}}, 400, 'malformed-request'),
     ],
 )
-def test_bad_input_is_refused_with_its_place_and_runs_nothing(
-    arguments, status, code
-):
+def test_invalid_input_is_refused_and_not_run(arguments, status, code):
     engines = fakes.Engines(dict(ENGINES))
     (got,) = fakes.run(engines, arguments)
     assert (got.status, got.error['code']) == (status, code)
@@ -59,7 +57,7 @@
     assert engines.sent == []
 
 
-def test_the_place_of_a_syntax_error_is_named():
+def test_syntax_error_position_is_reported():
     (got,) = fakes.run(fakes.Engines(), {'body': b'{\n "model": x}'})
     assert 'body:2:11' in got.error['message']
 
@@ -77,18 +75,18 @@
     }
 
 
-def test_a_plain_service_answers_through_the_longest_prefix():
+def test_service_with_the_longest_prefix_is_used():
     engines = fakes.Engines({'s1:1': fakes.answering(201, b'part')})
     (got,) = fakes.run(engines, {'path': '/parts/7', 'method': 'GET'})
     assert (got.status, got.body) == (201, b'part')
     assert engines.sent[0].path == '/parts/7'
 
 
-def test_a_billing_call_is_not_sent_to_a_second_address():
-    """The caller sees an error with outcome unknown, once.
+def test_non_idempotent_call_is_not_retried_at_another_address():
+    """A non-idempotent call is not retried after its connection broke.
 
-    The first address takes the request and its connection breaks before an
-    answer; whether it billed cannot be known. A second send would bill twice.
+    The first address accepts the request and disconnects before it responds.
+    Whether it billed is unknown, and a second attempt could bill twice.
     """
     engines = fakes.Engines(
         {'s1:1': fakes.failing(fakes.broken()), 's2:1': fakes.answering(200)}
@@ -98,11 +96,11 @@
     assert len(engines.sent) == 1
 
 
-def test_a_refused_connection_proves_that_nothing_ran():
-    """The caller sees a whole answer though one replica is gone.
+def test_refused_connection_is_retried_even_if_not_idempotent():
+    """A non-idempotent request is retried after a refused connection.
 
-    The connection to the first replica is refused, so no byte of the request
-    reached it; sending to the second is safe even for what may run only once.
+    No byte of the request reached the first replica, so sending it to the
+    second one is safe.
     """
     gone = upstream.UpstreamError('refused', not_sent=True)
     engines = fakes.Engines(
@@ -114,7 +112,7 @@
     assert got.tokens == [' t1', ' t2', ' t3']
 
 
-def test_without_a_permitted_replica_the_refusal_comes_at_once():
+def test_refused_at_once_without_a_permitted_replica():
     (got,) = fakes.run(fakes.Engines(), {}, permits=fakes.Permits({'r1', 'r2'}))
     assert (got.status, got.error['outcome']) == (503, 'not-run')
     assert got.headers['retry-after'] == '1'
--- a/redwingvalve/entry/tests/test_caller_requests.py
+++ b/redwingvalve/entry/tests/test_caller_requests.py
@@ -1,4 +1,4 @@
-"""What the server of callers' traffic does with requests of any shape."""
+"""How the caller-facing server handles invalid, slow and large requests."""
 
 import json
 
@@ -19,7 +19,7 @@
     ],
     ids=['announced', 'chunked'],
 )
-def test_a_body_above_its_bound_is_refused(request_bytes):
+def test_too_large_body_is_refused(request_bytes):
     entry = callers.make_entry(fakes.Engines(), None, max_body_bytes=1000)
 
     async def scenario():
@@ -49,8 +49,8 @@
         callers.POST + callers.CHUNKED + b'zz\r\n',
     ],
 )
-def test_bytes_that_are_no_request_get_an_error(request_bytes):
-    """Each gets 400 in the JSON shape of all errors, and the next is served."""
+def test_invalid_http_gets_an_error(request_bytes):
+    """Invalid requests get a JSON error with 400; the next one is served."""
 
     async def scenario():
         async with callers.served(callers.hello) as (port, _, _):
@@ -69,11 +69,11 @@
     assert b'hello' in after
 
 
-def test_garbage_behind_a_request_does_not_enter_its_answer():
-    """Half a stream is out when its caller sends nonsense.
+def test_invalid_bytes_during_a_response_close_the_connection():
+    """The caller sends invalid bytes while its response is streamed.
 
-    An error written then would look like a part of the body. The connection
-    is cut instead, without the body's end.
+    An error written then would be read as part of the body. The connection is
+    closed without the end of the body instead.
     """
 
     async def halfway(scope, receive, send):
@@ -94,8 +94,8 @@
 
 
 @pytest.mark.parametrize('dribble', [b'', b'GET / HTTP/1.1\r\nx-slow: '])
-def test_a_head_that_does_not_come_is_not_waited_for(dribble):
-    """Callers connect and say nothing, or half a head; both are closed."""
+def test_idle_and_slow_heads_are_closed(dribble):
+    """Connections that send nothing or half a head are closed."""
 
     async def scenario():
         async with callers.connected(callers.hello, head_timeout_s=0.1) as (
@@ -110,8 +110,8 @@
     assert anyio.run(scenario) == b''
 
 
-def test_a_slow_answer_is_not_taken_for_a_slow_head():
-    """The head's time ends with the head, however long the answer takes."""
+def test_head_timeout_does_not_apply_to_the_response():
+    """The head timer stops at the end of the head, before the response."""
 
     async def slow_hello(scope, receive, send):
         await receive()
@@ -131,7 +131,7 @@
     assert b'hello' in anyio.run(scenario)
 
 
-def test_a_head_above_its_bound_is_refused():
+def test_too_large_head_is_refused():
     async def scenario():
         async with callers.connected(callers.hello) as (stream, _, _):
             await stream.send(b'GET / HTTP/1.1\r\nx-long: ')
@@ -143,8 +143,8 @@
     assert anyio.run(scenario).startswith(b'HTTP/1.1 431 ')
 
 
-def test_a_connection_serves_one_request_after_the_other():
-    """Also when the second one comes in pieces, after empty lines."""
+def test_connection_is_reused():
+    """The second request arrives in pieces and after empty lines."""
 
     async def scenario():
         async with callers.connected(callers.hello) as (stream, _, _):
@@ -165,8 +165,8 @@
     assert [answer.count(b'hello') for answer in answers] == [1, 1]
 
 
-def test_an_upgrade_is_answered_plainly_and_closes():
-    """The parser stops after it; a kept connection would never answer."""
+def test_upgrade_request_gets_a_normal_response():
+    """The parser stops after an upgrade request, so the connection closes."""
     request = (
         b'GET / HTTP/1.1\r\nhost: x\r\nconnection: upgrade\r\n'
         b'upgrade: websocket\r\n\r\n'
--- a/redwingvalve/entry/tests/test_caller_server.py
+++ b/redwingvalve/entry/tests/test_caller_server.py
@@ -1,4 +1,4 @@
-"""The server of callers' traffic: stops, streams and callers that leave."""
+"""The caller-facing server: stopping, streaming and disconnects."""
 
 import contextlib
 
@@ -16,11 +16,11 @@
 from redwingvalve.observability import tracing
 
 
-def test_a_stop_lets_a_stream_end_whole():
-    """The caller has half its stream when the entry is told to stop.
+def test_stop_lets_streams_complete():
+    """The entry is stopped in the middle of a stream.
 
-    The port closes at once, the stream goes on to its end with the chunk that
-    says so, and only then does the server return.
+    The port closes at once, the stream continues to its last chunk, and only
+    then does the server return.
     """
     go_on = anyio.Event()
 
@@ -52,11 +52,11 @@
 
 
 @pytest.mark.parametrize('begun', [b'', b'first'])
-def test_a_stop_cuts_off_what_outlives_its_time(begun):
-    """A request hangs for ever when the entry is told to stop.
+def test_stop_cancels_requests_after_the_graceful_timeout(begun):
+    """The entry is stopped while a request hangs.
 
-    It is cancelled after its time. Its caller sees a connection that broke,
-    and no answer that the server made up without an outcome.
+    It is cancelled after the graceful timeout. Its caller gets a broken
+    connection and no response made up by the server, which has no outcome.
     """
     started, seen = anyio.Event(), []
 
@@ -89,8 +89,8 @@
     assert answer.count(b'HTTP/1.1') == len(begun[:1])
 
 
-def test_a_cancelled_server_breaks_what_is_open():
-    """A fault elsewhere ends the process; no caller waits for ever."""
+def test_cancelled_server_aborts_open_connections():
+    """The server is cancelled by an error elsewhere; no caller may hang."""
     answers = []
 
     async def hang(scope, receive, send):
@@ -123,8 +123,8 @@
     assert len(answers) == 1 and not answers[0].endswith(callers.LAST_CHUNK)
 
 
-def test_a_caller_that_hangs_up_frees_its_tokens():
-    """The caller leaves in the middle; the engine is told to stop."""
+def test_caller_disconnect_cancels_the_upstream_request():
+    """The caller disconnects in mid-stream; the engine gets a cancellation."""
     engines = fakes.Engines()
 
     async def one_token(request):
@@ -150,8 +150,8 @@
     assert engines.cancelled == [engines.sent[0].request_id]
 
 
-def test_the_end_of_an_answer_is_not_a_caller_that_hung_up():
-    """The server says disconnect after each answer, also when it is whole."""
+def test_disconnect_after_a_complete_response_is_ignored():
+    """ASGI servers send a disconnect after each complete response too."""
     exporter = in_memory_span_exporter.InMemorySpanExporter()
     provider = sdk_trace.TracerProvider()
     provider.add_span_processor(export.SimpleSpanProcessor(exporter))
@@ -176,11 +176,11 @@
     assert 'caller gone' not in event_names
 
 
-def test_a_slow_reader_holds_its_own_stream_back():
+def test_slow_reader_causes_backpressure():
     """The caller reads nothing while the engine could send 256 MB.
 
-    Without a bound the entry would hold all of it. It writes until the
-    socket's buffers are full, and goes on as the caller reads.
+    Without backpressure the entry would buffer all of it. It must write until
+    the socket buffers are full and continue as the caller reads.
     """
     written = []
 
--- a/redwingvalve/entry/tests/test_load_forwarder.py
+++ b/redwingvalve/entry/tests/test_load_forwarder.py
@@ -1,4 +1,4 @@
-"""Work of other entries counts when a replica is chosen."""
+"""Replica selection takes the requests of other entries into account."""
 
 import attrs
 
@@ -10,7 +10,7 @@
 
 
 class Reporting(fakes.Permits):
-    """r1 is full of the requests of other entries, r2 is idle."""
+    """r1 is loaded with requests of other entries, r2 is idle."""
 
     def reported_load(self, replica, now_s):
         in_flight = 40 if replica.name == 'r1' else 0
@@ -55,11 +55,11 @@
     return chosen.count('r1')
 
 
-def test_a_replica_that_others_have_filled_is_passed_over():
-    """A caller's request goes to the idle replica, not behind forty others.
+def test_replica_filled_by_other_entries_is_avoided():
+    """A replica with forty requests of other entries gets no new one.
 
-    This entry itself has sent nothing; the count came with the evidence.
-    Without the watch both replicas look alike.
+    This entry has sent none of them; the count comes with the evidence.
+    Without load_forwarder both replicas look the same.
     """
     assert choose(forwarded=False) > 10
     assert choose(forwarded=True) == 0
--- a/redwingvalve/entry/tests/test_observability.py
+++ b/redwingvalve/entry/tests/test_observability.py
@@ -1,4 +1,4 @@
-"""Spans and metrics of requests, as the back ends and statsd receive them."""
+"""Spans and metrics of requests, as received by back ends and statsd."""
 
 import json
 import socket
@@ -24,7 +24,7 @@
 
 
 def observed(engines, *calls, **changes):
-    """Run calls; return the ended spans by name, in order."""
+    """Run calls; return the finished spans by name, in order."""
     exporter = in_memory_span_exporter.InMemorySpanExporter()
     provider = sdk_trace.TracerProvider()
     provider.add_span_processor(export.SimpleSpanProcessor(exporter))
@@ -36,7 +36,7 @@
 
 
 def parent_of(request):
-    """The trace and span that a back end is told to stand under."""
+    """Return the trace id and the parent span id that a back end receives."""
     _, trace_id, span_id, _ = dict(request.headers)['traceparent'].split('-')
     return int(trace_id, 16), int(span_id, 16)
 
@@ -45,11 +45,12 @@
     return span.context.trace_id, span.context.span_id
 
 
-def test_a_service_stands_under_its_own_hop_of_the_callers_trace():
-    """The first address refuses the connection, so there are two hops.
+def test_service_attempts_have_spans_in_the_callers_trace():
+    """Each attempt has a span of its own within the caller's trace.
 
-    Each send has a span under the entry's, the service is told of that span,
-    and the entry's own span stands under the caller's.
+    The first address refuses the connection, so there are two attempts. Each
+    span is a child of the entry's span and is propagated to the service; the
+    entry's span is a child of the caller's.
     """
     refused = upstream.UpstreamError('refused', not_sent=True)
     engines = fakes.Engines(
@@ -79,7 +80,7 @@
     assert hops[1].attributes['http.response.status_code'] == 200
 
 
-def test_each_send_to_a_replica_is_a_hop_of_its_own():
+def test_each_replica_attempt_has_its_own_span():
     engines = fakes.Engines(
         {'r1:1': fakes.streaming(cut_after=1), 'r2:1': fakes.streaming()}
     )
@@ -91,7 +92,7 @@
     assert len({hop.context.span_id for hop in hops}) == len(engines.sent) >= 2
 
 
-def test_a_request_without_a_trace_starts_one():
+def test_request_without_a_trace_starts_one():
     spans = observed(fakes.Engines({'r1:1': fakes.streaming()}), {})
     assert spans['entry request'][0].parent is None
 
@@ -107,7 +108,7 @@
             )
         )
         fakes.run(engines, *calls, metrics=sink, **changes)
-        # Loopback keeps the order, so this one comes last.
+        # Loopback preserves the order, so this one arrives last.
         sink.count('end')
         received = {}
         while 'fleet.end' not in received:
@@ -116,8 +117,8 @@
     return received
 
 
-def test_statsd_receives_what_became_of_each_request():
-    """Two whole streams, a resumed one among them, and one refusal."""
+def test_statsd_receives_request_results():
+    """Two complete streams, at least one of them resumed, and one refusal."""
     engines = fakes.Engines(
         {'r1:1': fakes.streaming(cut_after=1), 'r2:1': fakes.streaming()}
     )
@@ -140,7 +141,7 @@
     assert len(received['fleet.entry.first_token_time']) == 2
 
 
-def test_statsd_hears_of_services_that_fail():
+def test_statsd_receives_service_failures():
     broken = fakes.failing(fakes.broken())
     received = statsd_lines(
         fakes.Engines({'pay:1': broken, 'pay:2': broken}),
@@ -153,7 +154,7 @@
 
 
 @pytest.mark.parametrize('exporter', ['none', 'console', 'file'])
-def test_spans_go_where_settings_say(exporter, tmp_path, capsys):
+def test_spans_go_to_the_configured_exporter(exporter, tmp_path, capsys):
     spans = tmp_path / 'spans.jsonl'
     made = tracing.make_tracing(
         settings_schema.TracingSettings(exporter, str(spans)), 'e1'
--- a/redwingvalve/entry/tests/test_over_http.py
+++ b/redwingvalve/entry/tests/test_over_http.py
@@ -1,4 +1,4 @@
-"""An entry under hypercorn before an engine, over loopback."""
+"""An entry and an engine on real HTTP servers, over loopback."""
 
 import anyio
 import attrs
@@ -23,7 +23,7 @@
 
 
 def engine(cut):
-    """An engine that streams three tokens and may drop the connection."""
+    """Return an engine that streams three tokens or disconnects after one."""
 
     async def application(scope, receive, send):
         if scope['type'] != 'http':
@@ -87,7 +87,7 @@
 
 
 @UPSTREAMS
-def test_a_stream_over_http_is_whole(make_upstream):
+def test_stream_over_http_is_complete(make_upstream):
     async def read(client):
         return await client.post('/v1/chat/completions', json=BODY)
 
@@ -97,12 +97,12 @@
 
 
 @UPSTREAMS
-def test_a_broken_stream_has_no_clean_end(make_upstream):
-    """The caller sees one token, an error event and then a broken body.
+def test_broken_stream_is_not_terminated_cleanly(make_upstream):
+    """The caller gets one token, an error event and a truncated body.
 
-    The only engine drops its connection after the first token. The entry has
-    no replica left to go on with, says so inside the stream, and leaves the
-    chunked body without its end, so that no library takes it for whole.
+    The only engine disconnects after the first token, and no replica is left
+    to resume at. The entry sends an error event and leaves the chunked body
+    unterminated, so that no client library takes it for complete.
     """
     parts = []
 
@@ -121,8 +121,8 @@
 
 
 @UPSTREAMS
-def test_only_a_refused_connection_counts_as_not_run(make_upstream):
-    """Nobody listens: surely not run. An answer cut off: it may have run."""
+def test_only_refused_connection_counts_as_not_sent(make_upstream):
+    """A refused connection means not sent; a dropped one may have run."""
 
     async def scenario():
         sock = serving.bind_socket('127.0.0.1')
--- a/redwingvalve/entry/tests/test_prefix_cache_sync.py
+++ b/redwingvalve/entry/tests/test_prefix_cache_sync.py
@@ -1,4 +1,4 @@
-"""What entries learn from each other of the engines' prefix caches."""
+"""Entries share the contents of the engines' prefix caches."""
 
 import json
 
@@ -24,7 +24,7 @@
 
 @attrs.define
 class CachingEngines(fakes.Engines):
-    """Engines that publish cache events; lost is a gap in the numbers."""
+    """Engines that serve cache events from rows."""
 
     rows: dict = attrs.field(factory=dict)
 
@@ -44,7 +44,7 @@
 
 
 class TwoEntryRegion:
-    """Two entries on one board; every replica is read by one of them."""
+    """Two entries with shared news; each replica is read by one of them."""
 
     def __init__(self):
         self.clock = clock.ManualClock(100.0)
@@ -85,11 +85,11 @@
 
 
 @pytest.mark.parametrize('entry_index', [0, 1])
-def test_an_entry_finds_the_holder_that_an_engine_published(entry_index):
-    """Another entry's requests made a replica compute a hot prefix.
+def test_entry_routes_to_the_replica_that_cached_the_prefix(entry_index):
+    """A replica has cached a prefix through requests of another entry.
 
-    Whichever of both entries reads that replica's events, the other sends the
-    next request with the same beginning there.
+    Whichever entry reads that replica's events, both send the next request with
+    the same prefix there.
     """
 
     async def main():
--- a/redwingvalve/entry/tests/test_relay.py
+++ b/redwingvalve/entry/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""What callers receive while endpoints break, answer wrongly or die."""
+"""Responses to callers when endpoints disconnect, mix up answers or crash."""
 
 import json
 
@@ -17,7 +17,7 @@
 
 
 def two_replicas(first, second=None):
-    """r1 and r2; whichever is chosen first behaves as first."""
+    """Return engines r1 and r2; the one selected first runs first."""
     scripts = iter((first, second or fakes.streaming(6)))
 
     async def script(request):
@@ -27,12 +27,11 @@
 
 
 @pytest.mark.parametrize('cut_after', [0, 1, 5, 6])
-def test_an_interrupted_stream_goes_on_elsewhere(cut_after):
-    """The caller sees one whole answer with each token once.
+def test_interrupted_stream_resumes_at_another_replica(cut_after):
+    """The caller gets a complete answer with each token once.
 
-    The first replica breaks the connection after some tokens, or ends the
-    body cleanly without [DONE]. The second is asked to go on after those that
-    were delivered.
+    The first replica disconnects after some tokens, or ends the body cleanly
+    without [DONE]. The second one resumes after the delivered tokens.
     """
     first = fakes.streaming(6, cut_after=cut_after, done=False)
     (got,) = fakes.run(
@@ -43,11 +42,11 @@
     assert got.body.count(b'[DONE]') == 1
 
 
-def test_a_stream_is_not_ended_by_another_version():
-    """The caller sees tokens of one version, then an error event.
+def test_stream_is_not_resumed_by_another_version():
+    """The caller gets tokens of one version only, then an error event.
 
-    During a rolling change the replica of the old version breaks; only one of
-    the new version is left. Found by soak seed 212 over processes.
+    During a rolling update the replica of the old version disconnects, and only
+    a replica of the new version is left. Found by soak seed 212 with processes.
     """
     versions = tuple(
         attrs.evolve(fakes.replica(name), model='m', version=version)
@@ -60,11 +59,11 @@
     assert len(engines.sent) == 1
 
 
-def test_what_may_run_once_is_not_resumed():
-    """The caller sees its tokens, then an error event and no clean end.
+def test_non_idempotent_stream_is_not_resumed():
+    """The caller gets its tokens, then an error event and no clean end.
 
     The request is not idempotent and its stream breaks after two tokens;
-    running the rest again elsewhere might bill a second time.
+    resuming it elsewhere could bill a second time.
     """
     engines = two_replicas(fakes.streaming(6, cut_after=2))
     (got,) = fakes.run(engines, NON_IDEMPOTENT)
@@ -74,11 +73,11 @@
     assert len(engines.sent) == 1
 
 
-def test_an_answer_of_another_request_never_reaches_the_caller():
-    """The caller sees its own answer only.
+def test_response_of_another_request_is_not_delivered():
+    """A response with the id of another request is not delivered.
 
-    The first replica answers with the id of another request, as when answers
-    cross on a connection. Nothing of it is delivered; the second is asked.
+    The first replica mixes up responses, as happens when they cross on a
+    connection. The request is sent to the second one.
     """
     engines = two_replicas(fakes.streaming(6, echo='foreign'))
     (got,) = fakes.run(engines, {})
@@ -106,7 +105,7 @@
         ),
     ],
 )
-def test_without_its_safeguard_each_breach_is_seen(safeguard, first, breach):
+def test_disabled_safeguard_violates_its_invariant(safeguard, first, breach):
     (got,) = fakes.run(
         two_replicas(first),
         NON_IDEMPOTENT,
@@ -115,8 +114,8 @@
     assert breach(got)
 
 
-def test_a_caller_that_hangs_up_frees_its_tokens():
-    """The engine is told to cancel the request that nobody waits for."""
+def test_caller_disconnect_cancels_the_upstream_request():
+    """The engine gets a cancellation once the caller has disconnected."""
 
     async def main():
         gone = anyio.Event()
@@ -138,7 +137,7 @@
     anyio.run(main)
 
 
-def test_a_passed_deadline_is_answered_and_cancelled():
+def test_passed_deadline_is_reported_and_cancelled():
     async def silent(request):
         await anyio.sleep_forever()
 
@@ -151,12 +150,12 @@
     assert len(engines.cancelled) == 1
 
 
-def test_a_poison_request_is_refused_after_two_deaths():
-    """The caller sees a refusal, and at most two endpoints have died.
+def test_poison_request_is_refused_after_two_crashes():
+    """A poison request crashes at most two endpoints and is then refused.
 
-    Each endpoint that runs the request breaks its connection. The caller
-    sends it again, five times, with other replicas still up; a request of the
-    same account with another prompt is served meanwhile.
+    Each endpoint that runs it disconnects. The caller sends it five times while
+    other replicas are up; a request of the same account with another prompt is
+    still served.
     """
 
     async def crashing(request):
@@ -181,12 +180,12 @@
 POISON = {'body': {'model': 'quotes', 'messages': [{'content': 'poison'}]}}
 
 
-def test_a_death_that_a_foreign_answer_hides_counts_all_the_same():
-    """A poison request kills two endpoints and is refused.
+def test_crash_hidden_by_a_mismatched_response_is_recorded():
+    """A crash is recorded even if a mismatched response hides it.
 
-    At the first a foreign answer comes before the death, so that the entry
-    has stopped reading. Only the cancellation finds nobody there. Not
-    counted, the request would kill a third endpoint.
+    The first endpoint sends the response of another request and then crashes,
+    when the entry has stopped reading. Only the cancellation shows that it is
+    gone. Not recorded, the poison request would crash a third endpoint.
     """
 
     async def crashing(request):
@@ -204,11 +203,11 @@
     assert len(engines.sent) == 2
 
 
-def test_a_death_after_its_caller_has_left_counts_all_the_same():
-    """A caller leaves while its request kills the endpoint, and sends again.
+def test_crash_after_caller_disconnect_is_recorded():
+    """A crash is recorded even if the caller has disconnected before.
 
-    The second send waits for news like that of any suspect. Not counted, each
-    send of an impatient caller would have an endpoint of its own.
+    The caller resends the request, which must wait for news like any suspect
+    request. Not recorded, each resend would crash another endpoint.
     """
     left = anyio.Event()
 
@@ -224,12 +223,12 @@
     assert len(engines.sent) == 1
 
 
-def test_a_full_entry_refuses_in_time_and_serves_who_waited():
-    """Of five callers one is served at once, others wait or are refused.
+def test_full_entry_refuses_waiting_requests_in_time():
+    """Waiting requests are refused before their target time passes.
 
-    The only replica takes one job at a time and is held by the first caller.
-    Those whose target passes meanwhile are told so with a Retry-After before
-    their target, none hangs, and the next call after that is served.
+    The only replica runs one job at a time, which the first of five callers
+    occupies. The other four are refused with a Retry-After, none hangs, and
+    the next request after that is served.
     """
 
     async def main():
--- a/redwingvalve/entry/tests/test_request_keys.py
+++ b/redwingvalve/entry/tests/test_request_keys.py
@@ -1,4 +1,4 @@
-"""Non-idempotent requests sent again, over two entries with real claims."""
+"""Resent non-idempotent requests, over several entries with real claims."""
 
 import anyio
 import attrs
@@ -12,7 +12,7 @@
 
 
 def make_entries(fleet, engines):
-    """An app for each of the fleet's entries."""
+    """Return an application for each entry of the fleet."""
     return {
         name: app.make_entry_app(
             fakes.make_dependencies(
@@ -26,7 +26,7 @@
 
 
 def send(entries, *calls):
-    """Send (entry, arguments) one after the other."""
+    """Send calls, given as (entry, arguments), one after the other."""
 
     async def main():
         return [
@@ -43,11 +43,11 @@
     )(request)
 
 
-def test_a_resend_to_another_entry_is_told_that_it_ran():
-    """The caller sees its quote once, then duplicate with outcome ran.
+def test_resend_to_another_entry_is_a_duplicate():
+    """A resend to another entry is refused as a duplicate with outcome ran.
 
-    It sends the same key to another entry, and the same request id without a
-    key, as a caller does that saw its connection break.
+    The caller resends with the same key, or with the same request id and no
+    key, as after a broken connection.
     """
     engines = fakes.Engines({'r1:1': whole, 'r2:1': whole})
     entries = make_entries(fleets.Fleet(), engines)
@@ -64,11 +64,10 @@
     assert len(engines.sent) == 2
 
 
-def test_a_refused_request_frees_its_key():
-    """The caller sees not-run, sends again, and is served.
+def test_refused_request_frees_its_key():
+    """A request refused as not-run can be resent with the same key.
 
-    The first send finds no replica. Its key must not be held against the
-    second, since nothing ran.
+    The first attempt finds no replica. Nothing ran, so its key must be free.
     """
     engines = fakes.Engines({'r1:1': whole, 'r2:1': whole})
     fleet = fleets.Fleet()
@@ -89,11 +88,11 @@
     assert got[1].status == 200
 
 
-def test_a_broken_send_is_unknown_and_stays_so():
-    """The caller sees unknown twice; the endpoint was asked once.
+def test_broken_connection_stays_unknown():
+    """A request whose connection broke is not run again by any entry.
 
-    The connection breaks after the request was sent: it may have run. No
-    entry may run it again, and none may say that it did not run.
+    It may have run, so both responses have the outcome unknown, and the request
+    is sent to an endpoint only once.
     """
     engines = fakes.Engines(
         {
@@ -111,11 +110,11 @@
     assert len(engines.sent) == 1
 
 
-def test_after_a_lost_majority_the_caller_is_told_when_to_come_back():
-    """The caller of a new key sees unknown, and is not asked to hurry.
+def test_lost_voter_majority_is_refused_with_retry_after():
+    """Without a majority of voters a new key is refused with a retry-after.
 
-    Three of five voters have lost their memory. Nothing is sent; the answer
-    comes at once.
+    Three of five voters have lost their claims. Nothing is sent, and the
+    response comes at once.
     """
     engines = fakes.Engines({'r1:1': whole, 'r2:1': whole})
     fleet = fleets.Fleet()
@@ -129,7 +128,7 @@
     assert not engines.sent
 
 
-def test_an_issued_key_is_given_out_and_works_once():
+def test_issued_key_works_once():
     engines = fakes.Engines({'r1:1': whole, 'r2:1': whole})
     entries = make_entries(fleets.Fleet(), engines)
     (issued,) = send(entries, ('e1', {'path': '/v1/request-keys'}))
--- a/redwingvalve/entry/tests/test_service_admission.py
+++ b/redwingvalve/entry/tests/test_service_admission.py
@@ -1,4 +1,4 @@
-"""What callers of a plain service receive while more is asked than fits."""
+"""Responses to callers of a plain service that is overloaded."""
 
 import anyio
 
@@ -7,13 +7,13 @@
 from redwingvalve.entry.tests import fakes
 
 HIGH_PENALTY, NO_PENALTY = 'dear', 'cheap'
-# By the clock that moves by hand; the wall clock must not come near it.
+# On the manual clock; far longer than the test takes on the system clock.
 TIMEOUT_S = 600.0
 LONG_DEADLINE = {'x-redwingvalve-deadline-ms': '600000'}
 
 
 class SingleSlotService:
-    """One place; an entry in front of it whose clock moves by hand."""
+    """A service with one slot and an entry with a manual clock."""
 
     def __init__(self):
         self.clock = clock.ManualClock(10.0)
@@ -84,11 +84,13 @@
     anyio.run(main)
 
 
-def test_who_waits_is_served_by_penalty_and_never_lost():
-    """One call runs, two cheap ones wait, then a dear one comes.
+def test_waiting_calls_are_served_by_penalty():
+    """Waiting calls are served by penalty, and all of them are served.
 
-    Before, all but the first were refused. The dear one goes second at the
-    latest (fair turns and preferred ones alternate), and all get answers.
+    One call runs and three without a penalty wait when one with a penalty
+    arrives. It is at most the second of the waiting calls to run, because fair
+    and preferred turns alternate. Without a queue all but the first call would
+    be refused.
     """
 
     async def scenario(service, begin):
@@ -103,11 +105,12 @@
     run(scenario)
 
 
-def test_what_cannot_be_answered_in_time_is_refused_at_once():
-    """A call takes a tenth of the timeout; thirty callers come at once.
+def test_calls_that_would_be_late_are_refused_on_arrival():
+    """Calls that can't be served in time are refused on arrival.
 
-    Those too many hear so on arrival, with Retry-After and not-run; nobody
-    is held until the deadline, and the service ran only what was answered.
+    A call takes a tenth of the timeout, and thirty arrive at once. The excess
+    ones are refused with a Retry-After and not-run, none waits until its
+    deadline, and the service runs only the calls that get a response.
     """
 
     async def scenario(service, begin):
@@ -126,7 +129,7 @@
     run(scenario)
 
 
-def test_a_caller_that_hangs_up_gives_its_place_to_the_next():
+def test_disconnected_caller_frees_its_slot():
     async def scenario(service, begin):
         gone = anyio.Event()
         async with anyio.create_task_group() as group:
--- a/redwingvalve/entry/tests/test_service_suspects.py
+++ b/redwingvalve/entry/tests/test_service_suspects.py
@@ -1,4 +1,4 @@
-"""Requests that crash plain services, over three entries that share news."""
+"""Requests that crash plain services, with three entries that share news."""
 
 import itertools
 
@@ -16,14 +16,15 @@
 POISON = {'path': '/parts/crash', 'method': 'GET', 'body': b''}
 INNOCENT = {'path': '/parts/42', 'method': 'GET', 'body': b''}
 OTHER = {**INNOCENT, 'path': '/parts/43'}
-# News is settled, and one death is told from the next at the same address.
+# Long enough to tell two crashes at the same address apart, and for news to
+# arrive.
 RESEND_INTERVAL_S = 11.0
 ONE_ADDRESS = ('s1:1',)
 SEVERAL_ADDRESSES = ('s1:1', 's2:1', 's3:1', 's4:1')
 
 
 class CrashingServices(fakes.Engines):
-    """Instances that crash under /parts/crash with all that they run."""
+    """Instances that crash on /parts/crash, with all requests they run."""
 
     def __init__(self):
         super().__init__()
@@ -74,7 +75,7 @@
 
 
 async def resend(entries, manual_clock, call_options, times=12):
-    """Send to one entry after the other, as its caller would."""
+    """Send a request to one entry after the other, as a caller would."""
     answers = []
     for entry in itertools.islice(itertools.cycle(entries), times):
         answers.append(await fakes.call(entry, **call_options))
@@ -83,11 +84,11 @@
 
 
 @pytest.mark.parametrize('addresses', (ONE_ADDRESS, SEVERAL_ADDRESSES))
-def test_a_poison_request_kills_two_instances_of_a_service(addresses):
-    """The caller is told poison-request after two deaths, through any entry.
+def test_poison_request_crashes_at_most_two_service_instances(addresses):
+    """A poison request is refused by all entries after two crashes.
 
-    It sends a request that crashes each instance that runs it, again and
-    again, to one entry after the other.
+    It crashes each instance that runs it and is resent again and again, to one
+    entry after the other.
     """
     services = CrashingServices()
 
@@ -100,8 +101,8 @@
     assert answers[-1].error['outcome'] == 'not-run'
 
 
-def test_a_resend_at_once_kills_no_third_instance():
-    """The caller sends without a pause; entries know of the first death."""
+def test_immediate_resend_crashes_no_third_instance():
+    """The caller resends without a pause; entries know of the first crash."""
     services = CrashingServices()
 
     async def main():
@@ -113,12 +114,12 @@
     assert 1 <= len(services.deaths) <= 2
 
 
-def test_innocents_that_shared_an_instance_are_served_and_cleared():
-    """The caller of a part record waits seconds at most and is then served.
+def test_innocent_requests_on_a_crashed_instance_are_cleared():
+    """An innocent request becomes suspect only until it was run in isolation.
 
-    A poison request crashes an instance that runs an innocent one too. Each is
-    tried alone; the innocent is answered and no longer suspect anywhere, also
-    when the poison request is sent again.
+    A poison request crashes an instance that runs innocent requests too. Each
+    is then run in isolation. The innocent ones succeed and are no longer
+    suspect at any entry, even if the poison request is resent.
     """
     services = CrashingServices()
 
@@ -151,8 +152,8 @@
     assert len(services.deaths) == 2
 
 
-def test_a_lost_answer_to_a_call_that_may_not_repeat_stays_unknown():
-    """The caller sees unknown, and the call is not sent to a second one."""
+def test_lost_response_to_non_idempotent_call_is_unknown():
+    """The outcome is unknown, and no second instance gets the call."""
     services = CrashingServices()
     bill = {**POISON, 'method': 'POST', 'body': {'bill': 7}}
 
@@ -164,7 +165,7 @@
     assert len(services.deaths) == 1
 
 
-def test_without_the_safeguard_the_breach_is_found():
+def test_disabled_safeguard_allows_more_crashes():
     services = CrashingServices()
     disabled = (invariants.Safeguard.POISON_REFUSED,)
 
--- a/redwingvalve/entry/tests/test_stalls.py
+++ b/redwingvalve/entry/tests/test_stalls.py
@@ -1,4 +1,4 @@
-"""What callers receive when a replica hangs while its connection stands."""
+"""Responses to callers when a replica hangs with its connection open."""
 
 import json
 
@@ -15,7 +15,7 @@
 
 
 class HangingReplica:
-    """Gives some tokens, then nothing until released."""
+    """Sends some tokens, then nothing until released."""
 
     def __init__(self, after):
         self.after = after
@@ -39,7 +39,7 @@
 
 
 class StallScenario:
-    """An entry whose clock moves by hand; the first send meets first."""
+    """An entry with a manual clock; the first attempt runs the script first."""
 
     def __init__(self, first, names=('r1', 'r2')):
         self.clock = clock.ManualClock()
@@ -82,12 +82,12 @@
 
 
 @pytest.mark.parametrize(('after', 'checks'), [(0, 26), (1, 12), (5, 12)])
-def test_a_stalled_stream_goes_on_elsewhere(after, checks):
-    """The caller sees one whole answer with each token once.
+def test_stalled_stream_resumes_at_another_replica(after, checks):
+    """The caller gets a complete answer with each token once.
 
-    The first replica hangs after some tokens and its connection stands. Long
-    before the deadline the other is asked to go on after those delivered, and
-    the first is told to cancel.
+    The first replica hangs after some tokens with its connection open. Long
+    before the deadline the other one resumes after the delivered tokens, and
+    the first gets a cancellation.
     """
     scenario = StallScenario(hanging := HangingReplica(after))
     scenario.run(hanging, lambda: scenario.advance(checks))
@@ -96,11 +96,11 @@
     assert scenario.engines.cancelled == [scenario.engines.sent[0].request_id]
 
 
-def test_a_token_that_comes_with_the_cancellation_is_there_once():
-    """The hung replica goes on at the moment when it is given up.
+def test_token_during_cancellation_is_delivered_once():
+    """The hung replica continues at the moment when it is aborted.
 
-    Its next tokens are ready to be read when the scope is cancelled: they
-    must neither be counted and lost nor come from both replicas.
+    Its next tokens can be read when the scope is cancelled. They must neither
+    be counted but lost, nor be delivered by both replicas.
     """
     scenario = StallScenario(hanging := HangingReplica(2))
 
@@ -116,11 +116,11 @@
     assert scenario.got.tokens == ALL_TOKENS and scenario.got.ended
 
 
-def test_what_may_run_once_ends_at_once_and_unknown():
-    """The caller sees its tokens, then an error event that says unknown.
+def test_stalled_non_idempotent_stream_ends_as_unknown():
+    """A stalled non-idempotent request ends with an error and is not resumed.
 
-    Whether the hung replica runs on to its end cannot be told, and running
-    the rest elsewhere might bill a second time.
+    Whether the hung replica will complete it is unknown, and running the rest
+    elsewhere could bill a second time.
     """
     scenario = StallScenario(hanging := HangingReplica(2))
     scenario.run(hanging, lambda: scenario.advance(12), **NON_IDEMPOTENT)
@@ -131,8 +131,8 @@
     assert len(scenario.engines.sent) == 1
 
 
-def test_a_stream_that_cannot_go_on_elsewhere_is_waited_for():
-    """The only replica is paused for ten seconds; the answer comes whole."""
+def test_stalled_stream_without_another_replica_waits():
+    """The only replica is paused for ten seconds; the answer is complete."""
     scenario = StallScenario(hanging := HangingReplica(2), names=('r1',))
 
     async def actions():
@@ -146,8 +146,8 @@
     assert len(scenario.engines.sent) == 1
 
 
-def test_a_replica_that_stalls_is_eased_off():
-    """Of 20 new requests after a stall at most one goes to the hung replica."""
+def test_stalled_replica_gets_less_work():
+    """Of 20 requests after a stall at most one goes to the hung replica."""
     names = ('r1', 'r2', 'r3', 'r4')
     scenario = StallScenario(hanging := HangingReplica(1), names)
 
@@ -162,11 +162,11 @@
     assert len(again) <= 1
 
 
-def test_streams_beyond_the_retry_budget_are_waited_for():
+def test_stalled_streams_beyond_the_retry_budget_wait():
     """A replica with 60 streams hangs for ten seconds; the budget is 20.
 
-    Some callers get the rest of their answer elsewhere, the others when the
-    replica goes on. Nobody gets an error for lack of budget.
+    Some streams resume elsewhere, the others once the replica continues. None
+    fails because the retry budget is exhausted.
     """
 
     async def main():
