--- a/redwingvalve/entry/model_attempts.py
+++ b/redwingvalve/entry/model_attempts.py
@@ -126,7 +126,7 @@
                 'redwingvalve.resumed_tokens': len(progress.resume_tokens),
             },
         )
-        outgoing = self._build(progress, replica, identity, span)
+        upstream_request = self._build(progress, replica, identity, span)
         progress.attempts += 1
         progress.last_endpoint_id = identity.endpoint_id
         outcome_before = progress.writer.outcome
@@ -134,7 +134,7 @@
             progress.writer.outcome = outcomes.Outcome.UNKNOWN
         with contextlib.closing(_SpanCloser(span)):
             failure = await self._run(
-                progress, outgoing, identity, monitored, on_first_token
+                progress, upstream_request, identity, monitored, on_first_token
             )
             if failure is not None:
                 span.set_attribute('redwingvalve.failure', failure.message)
@@ -145,7 +145,7 @@
     async def _run(
         self,
         progress: RequestProgress,
-        outgoing: upstream.UpstreamRequest,
+        upstream_request: upstream.UpstreamRequest,
         identity: response_check.ResponseIdentity,
         monitored: stall_monitor.MonitoredAttempt,
         on_first_token: collections_abc.Callable[[], None],
@@ -153,7 +153,11 @@
         try:
             with monitored.scope, contextlib.suppress(StalledError):
                 return await self._exchange_once(
-                    progress, outgoing, identity, monitored, on_first_token
+                    progress,
+                    upstream_request,
+                    identity,
+                    monitored,
+                    on_first_token,
                 )
         except upstream.UpstreamError as error:
             return self._connection_failure(error)
@@ -168,12 +172,12 @@
     async def _exchange_once(
         self,
         progress: RequestProgress,
-        outgoing: upstream.UpstreamRequest,
+        upstream_request: upstream.UpstreamRequest,
         identity: response_check.ResponseIdentity,
         monitored: stall_monitor.MonitoredAttempt,
         on_first_token: collections_abc.Callable[[], None],
     ) -> AttemptFailure | None:
-        async with self._exchange(outgoing, monitored) as exchange:
+        async with self._exchange(upstream_request, monitored) as exchange:
             return await self._receive(
                 exchange, progress, identity, on_first_token
             )
@@ -181,19 +185,21 @@
     @contextlib.asynccontextmanager
     async def _exchange(
         self,
-        outgoing: upstream.UpstreamRequest,
+        upstream_request: upstream.UpstreamRequest,
         monitored: stall_monitor.MonitoredAttempt,
     ) -> collections_abc.AsyncIterator['_Exchange']:
         """Open a response; cancel it at the endpoint if it isn't read fully."""
         exchange = _Exchange(monitored)
         try:
-            exchange.response = await self._dependencies.upstream.send(outgoing)
+            exchange.response = await self._dependencies.upstream.send(
+                upstream_request
+            )
             yield exchange
         except upstream.UpstreamError as error:
             exchange.ended = error.not_sent
             raise
         finally:
-            await self._clean_up(exchange, outgoing)
+            await self._clean_up(exchange, upstream_request)
 
     def _build(
         self,
@@ -328,7 +334,7 @@
         )
 
     async def _clean_up(
-        self, exchange: '_Exchange', outgoing: upstream.UpstreamRequest
+        self, exchange: '_Exchange', upstream_request: upstream.UpstreamRequest
     ) -> None:
         with anyio.CancelScope(shield=True):
             if exchange.response is not None:
@@ -337,20 +343,22 @@
                 timeout_s = CANCEL_TIMEOUT_S
                 if exchange.monitored.stream.stalled:
                     timeout_s = STALL_CANCEL_TIMEOUT_S
-                reached = await self._cancel(outgoing, timeout_s)
+                reached = await self._cancel(upstream_request, timeout_s)
                 exchange.monitored.endpoint_unreachable = not reached
 
     async def _cancel(
-        self, outgoing: upstream.UpstreamRequest, timeout_s: float
+        self, upstream_request: upstream.UpstreamRequest, timeout_s: float
     ) -> bool:
         """Cancel a request whose response nobody will read.
 
         Returns False if the endpoint can't be reached any more.
         """
         cancel = attrs.evolve(
-            outgoing,
+            upstream_request,
             path=CANCEL_PATH,
-            body=json.dumps({'request_id': outgoing.request_id}).encode(),
+            body=json.dumps(
+                {'request_id': upstream_request.request_id}
+            ).encode(),
             timeout_s=timeout_s,
         )
         with anyio.move_on_after(timeout_s):
--- a/redwingvalve/entry/prefix_cache_sync.py
+++ b/redwingvalve/entry/prefix_cache_sync.py
@@ -57,8 +57,8 @@
         self._follower = cache_follower.make_cache_follower()
         self._reader = cache_summary_reader.make_summary_reader()
         self._replicas: dict[str, snapshot.Replica] = {}
-        self._marks: dict[bytes, str] = {}
-        self._own_replicas: tuple[str, ...] = ()
+        self._names_by_fingerprint: dict[bytes, str] = {}
+        self._assigned_replicas: tuple[str, ...] = ()
         self._assigned_for: tuple[object, ...] = ()
         self._merged_s = -math.inf
         self._published: dict[str, bytes] = {}
@@ -112,17 +112,20 @@
             for replica in current.replicas
             if replica.serving and self._is_in_region(replica)
         }
-        self._marks = {
+        self._names_by_fingerprint = {
             probe_reports.fingerprint_of(replica): name
             for name, replica in self._replicas.items()
         }
-        self._own_replicas = tuple(
+        self._assigned_replicas = tuple(
             name
             for name in self._replicas
             if rendezvous.select(names, name, 1) == (local_member.name,)
         )
         self._follower.follow(
-            {name: self._replicas[name].epoch for name in self._own_replicas}
+            {
+                name: self._replicas[name].epoch
+                for name in self._assigned_replicas
+            }
         )
 
     async def _read_replica(self, fetch: cache_follower.Fetch) -> None:
@@ -171,7 +174,7 @@
                 self._selector.prefix_popularity,
                 now_s,
             )
-            for name in self._own_replicas
+            for name in self._assigned_replicas
         ]
         items = {
             str(start): cache_summary.encode(
@@ -196,10 +199,10 @@
 
     def _merge_news(self) -> None:
         summaries = {
-            self._marks[summary.mark]: summary
+            self._names_by_fingerprint[summary.mark]: summary
             for news in self._dependencies.news.read(CHANNEL)
             for summary in cache_summary.decode(news.body)
-            if summary.mark in self._marks
+            if summary.mark in self._names_by_fingerprint
         }
         self._reader.apply(summaries, self._routing_policy)
 
--- a/redwingvalve/entry/relay.py
+++ b/redwingvalve/entry/relay.py
@@ -257,10 +257,10 @@
             finally:
                 # An attempt that ends early for another reason, such as a
                 # mismatched response or a caller that disconnects, hides the
-                # crash of its endpoint. Not recorded, a poison request that is
-                # resent would crash one endpoint more.
+                # crash of its endpoint. If that were not recorded, resending a
+                # poison request would crash one more endpoint.
                 if monitored.endpoint_unreachable:
-                    self._suspects.endpoint_died(attempt.replica)
+                    self._suspects.record_endpoint_failure(attempt.replica)
             attempt.whole = failure is None
             if failure is not None and failure.endpoint_fault:
                 self._report_failure(attempt.replica, failure)
@@ -329,7 +329,9 @@
         try:
             yield
         finally:
-            self._suspects.ended(digest, attempt.replica, whole=attempt.whole)
+            self._suspects.attempt_ended(
+                digest, attempt.replica, whole=attempt.whole
+            )
             policy.finished(
                 attempt.route.request_id, self._dependencies.clock.monotonic_s()
             )
@@ -348,7 +350,7 @@
             self._dependencies.clock.monotonic_s(),
         )
         if failure.connection_lost:
-            self._suspects.endpoint_died(replica)
+            self._suspects.record_endpoint_failure(replica)
 
     async def _after_failure(
         self,
@@ -359,7 +361,7 @@
         """Prepare the next attempt, or return the error of the request."""
         if not failure.retriable:
             return relay_refusals.refused_by_endpoint(failure, progress)
-        suspect_refusal = self._suspects.refusal_after_death(digest)
+        suspect_refusal = self._suspects.refusal_after_failure(digest)
         if suspect_refusal is not None:
             return attrs.evolve(
                 suspect_refusal, outcome=progress.writer.outcome
--- a/redwingvalve/entry/service_suspects.py
+++ b/redwingvalve/entry/service_suspects.py
@@ -56,16 +56,16 @@
             failure = await exchange()
             whole = failure is None
             if failure is not None and _is_crash(failure):
-                self._tracker.endpoint_died(endpoint)
+                self._tracker.record_endpoint_failure(endpoint)
         finally:
-            self._tracker.ended(self._digest, endpoint, whole=whole)
+            self._tracker.attempt_ended(self._digest, endpoint, whole=whole)
         return failure
 
     def refusal_after_failure(
         self, outcome: outcomes.Outcome
     ) -> outcomes.ErrorAnswer | None:
         """Return the error if it must not be retried, with outcome."""
-        refusal = self._tracker.refusal_after_death(self._digest)
+        refusal = self._tracker.refusal_after_failure(self._digest)
         return refusal and attrs.evolve(refusal, outcome=outcome)
 
     def close(self) -> None:
--- a/redwingvalve/entry/suspects.py
+++ b/redwingvalve/entry/suspects.py
@@ -48,9 +48,9 @@
             safeguards=switches,
             incarnation=membership.local_member().incarnation,
         )
-        self._merged: dict[str, tuple[int, int]] = {}
+        self._merged_versions: dict[str, tuple[int, int]] = {}
         self._published_revision = 0
-        self._on_endpoint: dict[str, list[bytes]] = {}
+        self._running: dict[str, list[bytes]] = {}
 
     def digest(self, request: model_request.ModelRequest) -> bytes:
         """Return a digest that is the same if a caller resends."""
@@ -76,15 +76,17 @@
             == suspect_table.Verdict.FREE
         ):
             return None
-        home = self._home(digest, addresses)
+        home = self._home_entry(digest, addresses)
         verdict = self._suspect_table.classify(digest, home, now_s)
         if verdict == suspect_table.Verdict.REFUSE:
-            return _poison(outcomes.Outcome.NOT_RUN)
+            return _poison_refusal(outcomes.Outcome.NOT_RUN)
         if verdict == suspect_table.Verdict.WAIT:
-            return _wait(home, outcomes.Outcome.NOT_RUN)
+            return _suspect_refusal(home, outcomes.Outcome.NOT_RUN)
         return None
 
-    def refusal_after_death(self, digest: bytes) -> outcomes.ErrorAnswer | None:
+    def refusal_after_failure(
+        self, digest: bytes
+    ) -> outcomes.ErrorAnswer | None:
         """Return the error if a failed request must not be retried here."""
         self._merge_news()
         now_s = self._clock.monotonic_s()
@@ -95,9 +97,9 @@
             self._suspect_table.reserve_trial(digest, now_s)
             self._publish()
         if verdict == suspect_table.Verdict.REFUSE:
-            return _poison(outcomes.Outcome.UNKNOWN)
+            return _poison_refusal(outcomes.Outcome.UNKNOWN)
         if verdict == suspect_table.Verdict.WAIT:
-            return _wait('another entry', outcomes.Outcome.UNKNOWN)
+            return _suspect_refusal('another entry', outcomes.Outcome.UNKNOWN)
         return None
 
     def abandon(self, digest: bytes) -> None:
@@ -118,13 +120,13 @@
         own = suspect_table.trial_endpoints(
             self._local_name, self._entries(), serving
         )
-        busy = {name for name, running in self._on_endpoint.items() if running}
+        busy = {name for name, running in self._running.items() if running}
         free = self._suspect_table.free_endpoints(own, now_s)
         return (free - busy) or free
 
     def attempt_started(self, digest: bytes, replica: Endpoint) -> bool:
         """Record the start of an attempt; return whether it is suspect."""
-        self._on_endpoint.setdefault(replica.name, []).append(digest)
+        self._running.setdefault(replica.name, []).append(digest)
         now_s = self._clock.monotonic_s()
         suspect = (
             self._suspect_table.classify_retry(digest, now_s)
@@ -135,21 +137,23 @@
             self._publish()
         return suspect
 
-    def ended(self, digest: bytes, replica: Endpoint, *, whole: bool) -> None:
+    def attempt_ended(
+        self, digest: bytes, replica: Endpoint, *, whole: bool
+    ) -> None:
         """Record the end of an attempt; a suspect is cleared if whole."""
-        running = self._on_endpoint.get(replica.name, [])
+        running = self._running.get(replica.name, [])
         if digest in running:
             running.remove(digest)
         if not running:
-            self._on_endpoint.pop(replica.name, None)
+            self._running.pop(replica.name, None)
         now_s = self._clock.monotonic_s()
         self._suspect_table.ended(digest, replica.name, now_s, whole=whole)
         self._publish()
 
-    def endpoint_died(self, replica: Endpoint) -> None:
+    def record_endpoint_failure(self, replica: Endpoint) -> None:
         """Suspect all requests that ran there, and publish them at once."""
         now_s = self._clock.monotonic_s()
-        running = frozenset(self._on_endpoint.get(replica.name, ()))
+        running = frozenset(self._running.get(replica.name, ()))
         if running:
             self._suspect_table.record_failure(
                 suspect_table.EndpointFailure(
@@ -159,7 +163,7 @@
             )
             self._publish()
 
-    def _home(
+    def _home_entry(
         self, digest: bytes, addresses: collections_abc.Collection[str]
     ) -> str:
         entries = self._entries()
@@ -176,9 +180,9 @@
         for item in self._news.read(channel.SUSPECTS):
             if item.key != self._key:
                 continue
-            seen = (item.owner_incarnation, item.number)
-            if self._merged.get(item.owner) != seen:
-                self._merged[item.owner] = seen
+            version = (item.owner_incarnation, item.number)
+            if self._merged_versions.get(item.owner) != version:
+                self._merged_versions[item.owner] = version
                 self._suspect_table.merge(item.body, now_s)
 
     def _publish(self) -> None:
@@ -189,7 +193,7 @@
             )
 
 
-def _poison(outcome: outcomes.Outcome) -> outcomes.ErrorAnswer:
+def _poison_refusal(outcome: outcomes.Outcome) -> outcomes.ErrorAnswer:
     return outcomes.ErrorAnswer(
         status=422,
         code='poison-request',
@@ -198,7 +202,9 @@
     )
 
 
-def _wait(where: str, outcome: outcomes.Outcome) -> outcomes.ErrorAnswer:
+def _suspect_refusal(
+    where: str, outcome: outcomes.Outcome
+) -> outcomes.ErrorAnswer:
     return outcomes.ErrorAnswer(
         status=503,
         code='suspect-request',
--- a/redwingvalve/entry/uvicorn_protocol.py
+++ b/redwingvalve/entry/uvicorn_protocol.py
@@ -105,8 +105,8 @@
                     f'request head exceeds {MAX_HEAD_BYTES} bytes',
                 )
         elif self._idle and self.timeout_keep_alive_task is None:
-            # Empty lines between requests start no head; the keep-alive
-            # timeout goes on.
+            # Empty lines between requests don't start a head, so the
+            # keep-alive timeout still applies.
             self.timeout_keep_alive_task = self.loop.call_later(
                 self.timeout_keep_alive, self.timeout_keep_alive_handler
             )
