--- a/redwingvalve/entry/tests/fakes.py
+++ b/redwingvalve/entry/tests/fakes.py
@@ -87,10 +87,10 @@
     scripts: dict = attrs.field(factory=dict)
     sent: list = attrs.field(factory=list)
     cancelled: list = attrs.field(factory=list)
-    gone: set = attrs.field(factory=set)
+    unreachable: set = attrs.field(factory=set)
 
     async def send(self, request):
-        if request.path == '/v1/cancel' and request.address in self.gone:
+        if request.path == '/v1/cancel' and request.address in self.unreachable:
             raise upstream.UpstreamError('refused', not_sent=True)
         if request.path == '/v1/cancel':
             self.cancelled.append(json.loads(request.body)['request_id'])
--- a/redwingvalve/entry/tests/test_app.py
+++ b/redwingvalve/entry/tests/test_app.py
@@ -102,9 +102,9 @@
     No byte of the request reached the first replica, so sending it to the
     second one is safe.
     """
-    gone = upstream.UpstreamError('refused', not_sent=True)
+    refused = upstream.UpstreamError('refused', not_sent=True)
     engines = fakes.Engines(
-        {'r1:1': fakes.failing(gone), 'r2:1': fakes.streaming()}
+        {'r1:1': fakes.failing(refused), 'r2:1': fakes.streaming()}
     )
     (got,) = fakes.run(
         engines, {'headers': {'x-redwingvalve-idempotent': 'false'}}
--- a/redwingvalve/entry/tests/test_relay.py
+++ b/redwingvalve/entry/tests/test_relay.py
@@ -118,12 +118,12 @@
     """The engine gets a cancellation once the caller has disconnected."""
 
     async def main():
-        gone = anyio.Event()
+        disconnected = anyio.Event()
 
         async def endless(request):
             async def chunks():
                 yield fakes.event(request.request_id, ' t1')
-                gone.set()
+                disconnected.set()
                 await anyio.sleep_forever()
 
             head = (('x-request-id', request.request_id),)
@@ -131,7 +131,7 @@
 
         engines = fakes.Engines({'r1:1': endless, 'r2:1': endless})
         application = app.make_entry_app(fakes.make_dependencies(engines))
-        await fakes.call(application, hang_up=gone)
+        await fakes.call(application, hang_up=disconnected)
         assert engines.cancelled == [engines.sent[0].request_id]
 
     anyio.run(main)
@@ -185,11 +185,12 @@
 
     The first endpoint sends the response of another request and then crashes,
     when the entry has stopped reading. Only the cancellation shows that it is
-    gone. Not recorded, the poison request would crash a third endpoint.
+    gone. If that were not recorded, the poison request would crash a third
+    endpoint.
     """
 
     async def crashing(request):
-        engines.gone.add(request.address)
+        engines.unreachable.add(request.address)
         if len(engines.sent) > 1:
             raise fakes.broken()
         return await fakes.answering(200, headers=MISMATCHED_ID)(request)
@@ -207,12 +208,13 @@
     """A crash is recorded even if the caller has disconnected before.
 
     The caller resends the request, which must wait for news like any suspect
-    request. Not recorded, each resend would crash another endpoint.
+    request. If the crash were not recorded, each resend would crash another
+    endpoint.
     """
     left = anyio.Event()
 
     async def crashing(request):
-        engines.gone.add(request.address)
+        engines.unreachable.add(request.address)
         left.set()
         await anyio.sleep_forever()
 
--- a/redwingvalve/entry/tests/test_service_admission.py
+++ b/redwingvalve/entry/tests/test_service_admission.py
@@ -131,7 +131,7 @@
 
 def test_disconnected_caller_frees_its_slot():
     async def scenario(service, begin):
-        gone = anyio.Event()
+        disconnected = anyio.Event()
         async with anyio.create_task_group() as group:
             group.start_soon(
                 lambda: fakes.call(
@@ -143,12 +143,12 @@
                         'authorization': f'Bearer {NO_PENALTY}',
                         **LONG_DEADLINE,
                     },
-                    hang_up=gone,
+                    hang_up=disconnected,
                 )
             )
             await anyio.wait_all_tasks_blocked()
             await begin(HIGH_PENALTY)
-            gone.set()
+            disconnected.set()
             await anyio.wait_all_tasks_blocked()
             await service.finish(1)
         assert [name for name, _ in service.answers] == [HIGH_PENALTY]
