--- a/redwingvalve/entry/tests/test_service_queue.py
+++ b/redwingvalve/entry/tests/test_service_admission.py
@@ -1,4 +1,4 @@
-"""What callers of a plain service receive while more is asked than fits."""
+"""Responses to callers of a plain service that is overloaded."""
 
 import anyio
 
@@ -6,18 +6,18 @@
 from redwingvalve.entry import app
 from redwingvalve.entry.tests import fakes
 
-DEAR, CHEAP = 'dear', 'cheap'
-# By the clock that moves by hand; the wall clock must not come near it.
+HIGH_PENALTY, NO_PENALTY = 'dear', 'cheap'
+# On the manual clock; far longer than the test takes on the system clock.
 TIMEOUT_S = 600.0
-PATIENT = {'x-redwingvalve-deadline-ms': '600000'}
+LONG_DEADLINE = {'x-redwingvalve-deadline-ms': '600000'}
 
 
-class Service:
-    """One place; an entry in front of it whose clock moves by hand."""
+class SingleSlotService:
+    """A service with one slot and an entry with a manual clock."""
 
     def __init__(self):
         self.clock = clock.ManualClock(10.0)
-        self.place = anyio.Semaphore(0)
+        self.slot = anyio.Semaphore(0)
         self.engines = fakes.Engines({'s1:1': self._serve})
         accounts = tuple(
             fakes.schema.ClientAccount(
@@ -26,7 +26,7 @@
                 5,
                 penalty_per_missed_request=penalty,
             )
-            for name, penalty in ((DEAR, 9.0), (CHEAP, 0.0))
+            for name, penalty in ((HIGH_PENALTY, 9.0), (NO_PENALTY, 0.0))
         )
         declared = fakes.schema.PlainService(
             'parts',
@@ -49,7 +49,7 @@
         self.answers = []
 
     async def _serve(self, request):
-        await self.place.acquire()
+        await self.slot.acquire()
         self.clock.advance(TIMEOUT_S / 10)
         return await fakes.answering(200)(request)
 
@@ -59,62 +59,65 @@
             path='/parts/17',
             body=b'',
             method='GET',
-            headers={'authorization': f'Bearer {name}', **PATIENT},
+            headers={'authorization': f'Bearer {name}', **LONG_DEADLINE},
         )
         self.answers.append((name, got))
 
     async def finish(self, count):
         for _ in range(count):
-            self.place.release()
+            self.slot.release()
             await anyio.wait_all_tasks_blocked()
 
 
-def run(play):
+def run(scenario):
     async def main():
-        service = Service()
+        service = SingleSlotService()
         async with anyio.create_task_group() as group:
 
             async def begin(name):
                 group.start_soon(service.call, name)
                 await anyio.wait_all_tasks_blocked()
 
-            await play(service, begin)
+            await scenario(service, begin)
             group.cancel_scope.cancel()
 
     anyio.run(main)
 
 
-def test_who_waits_is_served_by_penalty_and_never_lost():
-    """One call runs, two cheap ones wait, then a dear one comes.
+def test_waiting_calls_are_served_by_penalty():
+    """Waiting calls are served by penalty, and all of them are served.
 
-    Before, all but the first were refused. The dear one goes second at the
-    latest (fair turns and preferred ones alternate), and all get answers.
+    One call runs and three without a penalty wait when one with a penalty
+    arrives. It is at most the second of the waiting calls to run, because fair
+    and preferred turns alternate. Without a queue all but the first call would
+    be refused.
     """
 
-    async def play(service, begin):
-        await begin(CHEAP)
-        for name in (CHEAP, CHEAP, CHEAP, DEAR):
+    async def scenario(service, begin):
+        await begin(NO_PENALTY)
+        for name in (NO_PENALTY, NO_PENALTY, NO_PENALTY, HIGH_PENALTY):
             await begin(name)
         assert len(service.engines.sent) == 1
         await service.finish(5)
         assert [got.status for _, got in service.answers] == [200] * 5
-        assert [name for name, _ in service.answers].index(DEAR) <= 2
+        assert [name for name, _ in service.answers].index(HIGH_PENALTY) <= 2
 
-    run(play)
+    run(scenario)
 
 
-def test_what_cannot_be_answered_in_time_is_refused_at_once():
-    """A call takes a tenth of the timeout; thirty callers come at once.
+def test_calls_that_would_be_late_are_refused_on_arrival():
+    """Calls that can't be served in time are refused on arrival.
 
-    Those too many hear so on arrival, with Retry-After and not-run; nobody
-    is held until the deadline, and the service ran only what was answered.
+    A call takes a tenth of the timeout, and thirty arrive at once. The excess
+    ones are refused with a Retry-After and not-run, none waits until its
+    deadline, and the service runs only the calls that get a response.
     """
 
-    async def play(service, begin):
-        await begin(CHEAP)
+    async def scenario(service, begin):
+        await begin(NO_PENALTY)
         await service.finish(1)
         for _ in range(30):
-            await begin(CHEAP)
+            await begin(NO_PENALTY)
         refused = [got for _, got in service.answers[1:]]
         assert 15 < len(refused) < 30
         assert {got.status for got in refused} == {429}
@@ -123,12 +126,12 @@
         ran = len(service.engines.sent)
         assert ran == 2
 
-    run(play)
+    run(scenario)
 
 
-def test_a_caller_that_hangs_up_gives_its_place_to_the_next():
-    async def play(service, begin):
-        gone = anyio.Event()
+def test_disconnected_caller_frees_its_slot():
+    async def scenario(service, begin):
+        disconnected = anyio.Event()
         async with anyio.create_task_group() as group:
             group.start_soon(
                 lambda: fakes.call(
@@ -136,15 +139,18 @@
                     path='/parts/17',
                     body=b'',
                     method='GET',
-                    headers={'authorization': f'Bearer {CHEAP}', **PATIENT},
-                    hang_up=gone,
+                    headers={
+                        'authorization': f'Bearer {NO_PENALTY}',
+                        **LONG_DEADLINE,
+                    },
+                    hang_up=disconnected,
                 )
             )
             await anyio.wait_all_tasks_blocked()
-            await begin(DEAR)
-            gone.set()
+            await begin(HIGH_PENALTY)
+            disconnected.set()
             await anyio.wait_all_tasks_blocked()
             await service.finish(1)
-        assert [name for name, _ in service.answers] == [DEAR]
+        assert [name for name, _ in service.answers] == [HIGH_PENALTY]
 
-    run(play)
+    run(scenario)
