--- a/redwingvalve/control/inputs.py
+++ b/redwingvalve/control/inputs.py
@@ -17,7 +17,7 @@
 from redwingvalve.replicas import controller, shares
 from redwingvalve.replicas import view as view_module
 
-READ_EVERY_S = 2.0
+READ_INTERVAL_S = 2.0
 NO_DEPLOYMENTS: frozenset[str] = frozenset()
 
 Deployments = dict[str, schema.ModelDeployment]
@@ -38,27 +38,27 @@
         self._clock = time_source
         self._read_s: float | None = None
         self._deployments: Deployments | None = None
-        self._shares: shares.Allocation | None = None
+        self._allocation: shares.Allocation | None = None
         self.vms: tuple[vm_list.Vm, ...] | None = None
 
     async def refresh(self) -> None:
         """Read again when the answers are old enough."""
         now_s = self._clock.monotonic_s()
-        if self._read_s is not None and now_s - self._read_s < READ_EVERY_S:
+        if self._read_s is not None and now_s - self._read_s < READ_INTERVAL_S:
             return
         self._read_s = now_s
         listed = await self._vm_list.read()
         if listed.is_ok():
             self.vms = listed.ok
-        agreed = await world_module.read_allocation(self._store)
-        if agreed.is_error():
+        allocation = await world_module.read_allocation(self._store)
+        if allocation.is_error():
             return
         # A share whose deployment is not known yet must not read as "none
         # wanted": its replicas would be drained. Both are taken together.
         declared = await read_deployments(self._store)
         if declared.is_ok():
             self._deployments = declared.ok
-            self._shares = agreed.ok[0]
+            self._allocation = allocation.ok[0]
 
     def inputs_for(
         self, domain: str, without_room: frozenset[str] = NO_DEPLOYMENTS
@@ -67,21 +67,21 @@
 
         without_room names deployments whose change found no VMs anywhere.
         """
-        if self._deployments is None or self._shares is None:
+        if self._deployments is None or self._allocation is None:
             return controller.ControllerInputs(self.vms, None)
-        wanted = wanted_of(
-            domain, self._shares, self._deployments, without_room
+        desired = desired_shares(
+            domain, self._allocation, self._deployments, without_room
         )
-        return controller.ControllerInputs(self.vms, wanted)
+        return controller.ControllerInputs(self.vms, desired)
 
     def desired_state(self) -> tuple[Deployments, shares.Allocation | None]:
         """Return what is declared and allocated, as far as it is known."""
-        return self._deployments or {}, self._shares
+        return self._deployments or {}, self._allocation
 
 
-def wanted_of(
+def desired_shares(
     domain: str,
-    agreed: shares.Allocation,
+    allocation: shares.Allocation,
     deployments: Deployments,
     without_room: frozenset[str],
 ) -> tuple[view_module.DesiredShare, ...]:
@@ -94,7 +94,7 @@
             in_place=share.deployment in without_room
             and deployments[share.deployment].accepts_change_in_place,
         )
-        for share in agreed.shares
+        for share in allocation.shares
         if share.domain == domain and share.deployment in deployments
     )
 
--- a/redwingvalve/control/loop.py
+++ b/redwingvalve/control/loop.py
@@ -19,22 +19,22 @@
 from redwingvalve.replicas import controller
 from redwingvalve.replicas import domain as domain_module
 
-STEP_EVERY_S = 0.5
-FINISH_EVERY_S = 5.0
+STEP_INTERVAL_S = 0.5
+FINISH_PLANS_INTERVAL_S = 5.0
 # A plan that was marked by a process that died before its second write waits
 # this long; 50 plans of 20 KB listed each 5 s would be 200 KB a second.
-LIST_PLANS_EVERY_S = 30.0
-CANDIDATES = 2
+LIST_PLANS_INTERVAL_S = 30.0
+CANDIDATES_PER_DUTY = 2
 CONTROL_ROLE = 'control'
 LOG = logs.make_logger('control')
 
 
 @attrs.define
-class _Domain:
+class _ManagedDomain:
     """One domain that this process watches."""
 
     controller: controller.DomainController
-    mover: moves.MoveReconciler
+    reconciler: moves.MoveReconciler
     created: bool = False
 
 
@@ -44,31 +44,35 @@
     def __init__(
         self,
         owner: str,
-        tools: controller.Dependencies,
+        dependencies: controller.Dependencies,
         vms: vm_list.VmList,
         members: members_module.Members | None = None,
     ) -> None:
         """Own leases as owner, unique to this incarnation."""
         self._owner = owner
-        self._tools = tools
+        self._dependencies = dependencies
         self._vm_list = vms
         self._members = members
-        self._book = book.make_plan_book(tools.objects, vms, tools.clock)
+        self._book = book.make_plan_book(
+            dependencies.objects, vms, dependencies.clock
+        )
         self._reader = inputs_module.InputReader(
-            tools.objects, vms, tools.clock
+            dependencies.objects, vms, dependencies.clock
         )
-        self._domains: dict[str, _Domain] = {}
-        self._finish_from_s = 0.0
-        self._list_plans_from_s = 0.0
+        self._domains: dict[str, _ManagedDomain] = {}
+        self._next_finish_s = 0.0
+        self._next_list_plans_s = 0.0
 
     async def run(self) -> None:
         """Step until cancelled, then give the leases back."""
         try:
             while True:
-                started_s = self._tools.clock.monotonic_s()
+                started_s = self._dependencies.clock.monotonic_s()
                 await self.step()
-                spent_s = self._tools.clock.monotonic_s() - started_s
-                await self._tools.clock.sleep(max(STEP_EVERY_S - spent_s, 0.05))
+                spent_s = self._dependencies.clock.monotonic_s() - started_s
+                await self._dependencies.clock.sleep(
+                    max(STEP_INTERVAL_S - spent_s, 0.05)
+                )
         finally:
             with anyio.CancelScope(shield=True):
                 await self.release()
@@ -80,34 +84,34 @@
         self._choose_domains()
         with invariants.breaches_alone():
             async with anyio.create_task_group() as group:
-                for name, watched in self._domains.items():
-                    group.start_soon(self._step_domain, name, watched)
+                for name, managed in self._domains.items():
+                    group.start_soon(self._step_domain, name, managed)
 
     async def release(self) -> None:
         """Give all leases back."""
-        for watched in self._domains.values():
-            await watched.controller.release()
+        for managed in self._domains.values():
+            await managed.controller.release()
 
     def status(self) -> tuple[controller.DomainStatus, ...]:
         """Return the status of each watched domain."""
         return tuple(
-            watched.controller.status() for watched in self._domains.values()
+            managed.controller.status() for managed in self._domains.values()
         )
 
     async def _finish_plans(self) -> None:
-        now_s = self._tools.clock.monotonic_s()
-        if now_s < self._finish_from_s:
+        now_s = self._dependencies.clock.monotonic_s()
+        if now_s < self._next_finish_s:
             return
         # Jitter keeps the controllers from all reading at one moment.
-        jitter = self._tools.rng.uniform(0.75, 1.25)
-        self._finish_from_s = now_s + FINISH_EVERY_S * jitter
+        jitter = self._dependencies.rng.uniform(0.75, 1.25)
+        self._next_finish_s = now_s + FINISH_PLANS_INTERVAL_S * jitter
         if not self._is_candidate('plans'):
             return
-        with_marked = now_s >= self._list_plans_from_s
+        with_marked = now_s >= self._next_list_plans_s
         if with_marked:
-            self._list_plans_from_s = now_s + LIST_PLANS_EVERY_S * jitter
+            self._next_list_plans_s = now_s + LIST_PLANS_INTERVAL_S * jitter
         done = await finishing.finish_confirmations(
-            self._tools.objects, self._book, with_marked=with_marked
+            self._dependencies.objects, self._book, with_marked=with_marked
         )
         if done.is_error():
             LOG.warning('Plans wait', extra={'reason': str(done.error)})
@@ -115,25 +119,28 @@
     def _choose_domains(self) -> None:
         # Regions lose each other for an hour now and then; from another
         # region every VM of this one would then look lost.
-        near = {
+        in_region = {
             vm.fabric_domain
             for vm in self._reader.vms or ()
-            if self._is_near(vm)
+            if self._is_in_own_region(vm)
         }
-        for name in sorted(near - set(self._domains)):
+        for name in sorted(in_region - set(self._domains)):
             if self._is_candidate(name):
-                self._domains[name] = self._watch(name)
+                self._domains[name] = self._manage(name)
         for name in tuple(self._domains):
             holds = self._domains[name].controller.status().holds_lease
             if not holds and not self._is_candidate(name):
                 self._domains.pop(name)
 
-    def _watch(self, name: str) -> _Domain:
-        tools = self._tools
-        return _Domain(
-            controller.make_domain_controller(name, self._owner, tools),
+    def _manage(self, name: str) -> _ManagedDomain:
+        dependencies = self._dependencies
+        return _ManagedDomain(
+            controller.make_domain_controller(name, self._owner, dependencies),
             moves.make_move_reconciler(
-                tools.objects, self._vm_list, tools.clock, tools.rng
+                dependencies.objects,
+                self._vm_list,
+                dependencies.clock,
+                dependencies.rng,
             ),
         )
 
@@ -141,30 +148,32 @@
         if self._members is None:
             return True
         myself = self._members.myself()
-        near = {
+        in_region = {
             each.name
             for each in self._members.alive(CONTROL_ROLE)
             if each.region == myself.region
         }
-        near.add(myself.name)
-        return myself.name in rendezvous.holders(near, duty, CANDIDATES)
+        in_region.add(myself.name)
+        return myself.name in rendezvous.holders(
+            in_region, duty, CANDIDATES_PER_DUTY
+        )
 
-    def _is_near(self, vm: vm_list.Vm) -> bool:
+    def _is_in_own_region(self, vm: vm_list.Vm) -> bool:
         if self._members is None or not vm.region:
             return True
         return vm.region == self._members.myself().region
 
-    async def _step_domain(self, name: str, watched: _Domain) -> None:
-        if not watched.created:
-            watched.created = await self._create(name)
-        await watched.controller.step(
-            self._reader.inputs_for(name, watched.mover.without_room)
+    async def _step_domain(self, name: str, managed: _ManagedDomain) -> None:
+        if not managed.created:
+            managed.created = await self._create(name)
+        await managed.controller.step(
+            self._reader.inputs_for(name, managed.reconciler.without_room)
         )
-        domain_state = watched.controller.domain_state()
-        deployments, agreed = self._reader.desired_state()
-        if domain_state is None or agreed is None:
+        domain_state = managed.controller.domain_state()
+        deployments, allocation = self._reader.desired_state()
+        if domain_state is None or allocation is None:
             return
-        if await watched.mover.step(domain_state, deployments, agreed):
+        if await managed.reconciler.step(domain_state, deployments, allocation):
             LOG.info('Moves of replicas changed', extra={'domain': name})
 
     async def _create(self, name: str) -> bool:
@@ -175,12 +184,12 @@
         fresh = domain_module.FabricDomain(
             name=name, data_centre=vm.data_centre, region=vm.region
         )
-        found = await self._tools.objects.get(domain_module.KIND, name)
+        found = await self._dependencies.objects.get(domain_module.KIND, name)
         if found.is_ok():
             return True
         if not isinstance(found.error, object_api.NotFound):
             return False
-        made = await self._tools.objects.create(
+        made = await self._dependencies.objects.create(
             domain_module.KIND, name, domain_module.to_body(fresh)
         )
         return made.is_ok() or isinstance(made.error, object_api.Conflict)
@@ -188,9 +197,9 @@
 
 def make_control_loop(
     owner: str,
-    tools: controller.Dependencies,
+    dependencies: controller.Dependencies,
     vms: vm_list.VmList,
     members: members_module.Members | None = None,
 ) -> ControlLoop:
     """Return the loop of one process."""
-    return ControlLoop(owner, tools, vms, members)
+    return ControlLoop(owner, dependencies, vms, members)
--- a/redwingvalve/control/moves.py
+++ b/redwingvalve/control/moves.py
@@ -20,12 +20,12 @@
 from redwingvalve.replicas import domain as domain_module
 
 # A whole domain's controllers would list all domains at once without a wait.
-SEEK_EVERY_S = 20.0
-LOOK_EVERY_S = 3.0
+LIST_INTERVAL_S = 20.0
+CHECK_INTERVAL_S = 3.0
 
 
 @attrs.frozen
-class Step:
+class StepResult:
     """What was done; without_room names deployments whose change found none."""
 
     changed: bool = False
@@ -46,40 +46,40 @@
         store: object_api.ObjectApi,
         vms: vm_list.VmList,
         time_source: clock.Clock,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         """Agree through store; without_room is for the next decision."""
         self._store = store
         self._vms = vms
         self._clock = time_source
-        self._chance = chance
-        self._look_from_s = 0.0
-        self._seek_from_s = 0.0
+        self._rng = rng
+        self._next_check_s = 0.0
+        self._next_list_s = 0.0
         self.without_room: frozenset[str] = frozenset()
 
     async def step(
         self,
         domain_state: move_policy.DomainState,
         deployments: move_policy.Deployments,
-        agreed: shares.Allocation,
+        allocation: shares.Allocation,
     ) -> bool:
         """Make one pass; tell whether moves changed.
 
         agreed may be some seconds old: it only tells whether to look.
         """
         now_s = self._clock.monotonic_s()
-        if now_s < self._look_from_s:
+        if now_s < self._next_check_s:
             return False
-        if not move_policy.concerns(domain_state, agreed, deployments):
+        if not move_policy.needs_step(domain_state, allocation, deployments):
             self.without_room = frozenset()
             return False
         done = await self._advance(
-            domain_state, deployments, may_seek=now_s >= self._seek_from_s
+            domain_state, deployments, may_list=now_s >= self._next_list_s
         )
-        jitter = self._chance.uniform(0.75, 1.25)
-        self._look_from_s = now_s + LOOK_EVERY_S * jitter
+        jitter = self._rng.uniform(0.75, 1.25)
+        self._next_check_s = now_s + CHECK_INTERVAL_S * jitter
         if done.listed:
-            self._seek_from_s = now_s + SEEK_EVERY_S * jitter
+            self._next_list_s = now_s + LIST_INTERVAL_S * jitter
             self.without_room = done.without_room
         return done.changed
 
@@ -88,30 +88,30 @@
         domain_state: move_policy.DomainState,
         deployments: move_policy.Deployments,
         *,
-        may_seek: bool,
-    ) -> Step:
+        may_list: bool,
+    ) -> StepResult:
         """Take one step; errors leave all to the next pass."""
-        agreed = await world_module.read_allocation(self._store)
-        if agreed.is_error() or not agreed.ok[1]:
-            return Step()
-        before, version = agreed.ok
-        after = await self._ended(domain_state, deployments, before)
+        allocation = await world_module.read_allocation(self._store)
+        if allocation.is_error() or not allocation.ok[1]:
+            return StepResult()
+        before, version = allocation.ok
+        after = await self._with_ended_moves(domain_state, deployments, before)
         if after != before:
-            return Step(changed=await self._write(after, version))
-        if not may_seek:
-            return Step()
+            return StepResult(changed=await self._write(after, version))
+        if not may_list:
+            return StepResult()
         listed = await self._list()
         if listed.is_error():
-            return Step()
+            return StepResult()
         domains, capacities = listed.ok
-        if domain_state.short:
+        if domain_state.short_deployments:
             after = move_policy.relief_moves(deployments, capacities, before)
         else:
             begun = move_policy.room_moves(
                 domain_state, deployments, capacities, domains, before
             )
             after = shares.start_moves(before, begun)
-        return Step(
+        return StepResult(
             changed=after != before and await self._write(after, version),
             listed=True,
             without_room=move_policy.without_room(
@@ -119,29 +119,30 @@
             ),
         )
 
-    async def _ended(
+    async def _with_ended_moves(
         self,
         domain_state: move_policy.DomainState,
         deployments: move_policy.Deployments,
         before: shares.Allocation,
     ) -> shares.Allocation:
         after = shares.cancel_moves(
-            before, move_policy.called_off(domain_state, before, deployments)
+            before,
+            move_policy.moves_to_cancel(domain_state, before, deployments),
         )
         for move in after.moves:
             if (
                 move.from_domain == domain_state.domain.name
-                and await self._arrived(move, after)
+                and await self._is_complete(move, after)
             ):
                 after = shares.complete_moves(after, (move,))
         return after
 
-    async def _arrived(
-        self, move: shares.Move, agreed: shares.Allocation
+    async def _is_complete(
+        self, move: shares.Move, allocation: shares.Allocation
     ) -> bool:
         found = await self._store.get(domain_module.KIND, move.to_domain)
-        return found.is_ok() and move_policy.holds_share(
-            domain_module.from_stored(found.ok), agreed, move.deployment
+        return found.is_ok() and move_policy.serves_full_share(
+            domain_module.from_stored(found.ok), allocation, move.deployment
         )
 
     async def _list(self) -> Result[Listed, object_api.ObjectError]:
@@ -169,7 +170,7 @@
     store: object_api.ObjectApi,
     vms: vm_list.VmList,
     time_source: clock.Clock,
-    chance: random.Random,
+    rng: random.Random,
 ) -> MoveReconciler:
     """Return the mover of one domain."""
-    return MoveReconciler(store, vms, time_source, chance)
+    return MoveReconciler(store, vms, time_source, rng)
--- a/redwingvalve/control/tests/test_loop.py
+++ b/redwingvalve/control/tests/test_loop.py
@@ -28,14 +28,14 @@
         self.weights = memory_fleet.MemoryWeights(self.clock, 1.0, 4)
 
     def loop(self, owner):
-        tools = controller.Dependencies(
+        dependencies = controller.Dependencies(
             self.store,
             memory_fleet.MemoryOrders(self.fleet),
             self.weights,
             self.clock,
             rng=random.Random(3),
         )
-        return loop.make_control_loop(owner, tools, self.fleet)
+        return loop.make_control_loop(owner, dependencies, self.fleet)
 
     async def confirm(self, declaration):
         plans = book.make_plan_book(self.store, self.fleet, self.clock)
@@ -43,10 +43,10 @@
         assert (await plans.confirm(made.ok.name, 'ana')).is_ok()
 
     async def run(self, duration_s, *loops):
-        for _ in range(int(duration_s / loop.STEP_EVERY_S)):
+        for _ in range(int(duration_s / loop.STEP_INTERVAL_S)):
             for each in loops:
                 await each.step()
-            self.clock.advance(loop.STEP_EVERY_S)
+            self.clock.advance(loop.STEP_INTERVAL_S)
 
     def serving(self, *names):
         listed = self.store.list_now(domain_module.KIND).objects
--- a/redwingvalve/replicas/controller.py
+++ b/redwingvalve/replicas/controller.py
@@ -30,10 +30,10 @@
 )
 from redwingvalve.replicas import view as view_module
 
-WATCH_EVERY_S = 2.5
-SHORT_FOR_S = 5.0
-FIRST_BACKOFF_S = 0.5
-LONGEST_BACKOFF_S = 8.0
+LEASE_POLL_INTERVAL_S = 2.5
+SHORTAGE_GRACE_S = 5.0
+MIN_BACKOFF_S = 0.5
+MAX_BACKOFF_S = 8.0
 LOG = logs.make_logger('replicas')
 
 
@@ -42,7 +42,7 @@
     """What the loop reads once for all domains; None when it is unknown."""
 
     vms: tuple[vm_list.Vm, ...] | None
-    wanted: tuple[view_module.DesiredShare, ...] | None
+    desired: tuple[view_module.DesiredShare, ...] | None
 
 
 @attrs.frozen
@@ -76,74 +76,84 @@
 class DomainController:
     """Steps one domain; owner is unique to this process's incarnation."""
 
-    def __init__(self, name: str, owner: str, tools: Dependencies) -> None:
+    def __init__(
+        self, name: str, owner: str, dependencies: Dependencies
+    ) -> None:
         """Hold nothing yet."""
         self._name = name
         self._owner = owner
-        self._tools = tools
+        self._dependencies = dependencies
         self._store = domain_store.DomainStore(
-            tools.objects, owner, tools.switches
+            dependencies.objects, owner, dependencies.switches
         )
-        self._watcher = domain_monitor.DomainWatcher(
-            tools.orders, tools.clock, tools.entries, tools.switches
+        self._monitor = domain_monitor.DomainMonitor(
+            dependencies.orders,
+            dependencies.clock,
+            dependencies.entries,
+            dependencies.switches,
         )
         self._sender = order_sender.OrderSender(
-            tools.orders,
-            tools.weights,
-            tools.clock,
-            tools.rng,
-            tools.switches,
+            dependencies.orders,
+            dependencies.weights,
+            dependencies.clock,
+            dependencies.rng,
+            dependencies.switches,
         )
-        self._read: domain_store.StoredDomain | None = None
-        self._observation: lease.Observation | None = None
-        self._holding: lease.Holding | None = None
-        self._last_step_s = tools.clock.monotonic_s()
+        self._stored: domain_store.StoredDomain | None = None
+        self._lease_observation: lease.Observation | None = None
+        self._held_lease: lease.HeldLease | None = None
+        self._last_step_s = dependencies.clock.monotonic_s()
         self._renewed_s = 0.0
-        self._store_from_s = 0.0
+        self._store_retry_at_s = 0.0
         self._backoff_s = 0.0
-        self._store_lost_s: float | None = None
-        self._short: frozenset[str] = frozenset()
+        self._store_unavailable_since_s: float | None = None
+        self._short_deployments: frozenset[str] = frozenset()
         self._short_since_s: float | None = None
 
     async def step(self, inputs: ControllerInputs) -> None:
         """Make one pass."""
         now_s = self._now_s()
-        if now_s - self._last_step_s > lease.PAUSE_NOTICED_S:
+        if now_s - self._last_step_s > lease.PAUSE_DETECTION_S:
             # While this process was paused anything may have been written.
-            self._read = None
+            self._stored = None
         self._last_step_s = now_s
-        self._drop_lapsed_lease()
-        if self._read is None or self._holding is None:
-            await self._read_and_take()
-        if self._read is None or self._holding is None:
+        self._drop_expired_lease()
+        if self._stored is None or self._held_lease is None:
+            await self._read_and_acquire()
+        if self._stored is None or self._held_lease is None:
             return
-        stopped = self._watcher.stopped_replicas(self._read.domain)
-        await self._watcher.probe(self._read.domain)
-        if self._watcher.sees_none() and self._tools.entries.is_isolated():
+        unrouted = self._monitor.unrouted_replicas(self._stored.domain)
+        await self._monitor.probe(self._stored.domain)
+        if (
+            self._monitor.all_probes_failed()
+            and self._dependencies.entries.is_isolated()
+        ):
             # Cut off from its peers and from every engine, it would break
             # replicas that others see serving; those others take over.
             await self.release()
             return
-        if self._watcher.judged(self._read.domain):
-            await self._decide(inputs, stopped)
+        if self._monitor.members_known(self._stored.domain):
+            await self._decide(inputs, unrouted)
         await self._order(inputs)
 
     async def release(self) -> None:
         """Give the lease back, so that the next holder need not wait."""
-        self._drop_lapsed_lease()
-        if self._read is None or self._holding is None:
+        self._drop_expired_lease()
+        if self._stored is None or self._held_lease is None:
             return
-        self._holding = None
-        await self._store.write(self._read, lease.released(self._read.domain))
-        self._read = None
+        self._held_lease = None
+        await self._store.write(
+            self._stored, lease.released(self._stored.domain)
+        )
+        self._stored = None
 
     def status(self) -> DomainStatus:
         """Return what an operator should know."""
         return DomainStatus(
             self._name,
-            self._holding is not None,
+            self._held_lease is not None,
             tuple(self._waiting_for()),
-            self._read.domain if self._read else None,
+            self._stored.domain if self._stored else None,
         )
 
     def domain_state(self) -> move_policy.DomainState | None:
@@ -152,39 +162,43 @@
         What lost a VM counts at once. What could not be formed counts after
         SHORT_FOR_S, since VMs of a new domain are seen one after another.
         """
-        if self._read is None or self._holding is None:
+        if self._stored is None or self._held_lease is None:
             return None
-        short = set(self._short)
-        if self._short_for_s() < SHORT_FOR_S:
+        short_deployments = set(self._short_deployments)
+        if self._shortage_age_s() < SHORTAGE_GRACE_S:
             broken = domain_module.ReplicaState.BROKEN
-            short &= {
+            short_deployments &= {
                 each.deployment
-                for each in self._read.domain.replicas
+                for each in self._stored.domain.replicas
                 if each.state == broken
             }
-        return move_policy.DomainState(self._read.domain, frozenset(short))
+        return move_policy.DomainState(
+            self._stored.domain, frozenset(short_deployments)
+        )
 
-    def _short_for_s(self) -> float:
+    def _shortage_age_s(self) -> float:
         if self._short_since_s is None:
             return 0.0
         return self._now_s() - self._short_since_s
 
-    def _note_shortage(
+    def _record_shortage(
         self,
-        following: domain_module.FabricDomain,
-        wanted: tuple[view_module.DesiredShare, ...],
+        next_domain: domain_module.FabricDomain,
+        desired: tuple[view_module.DesiredShare, ...],
     ) -> None:
-        self._short = _short(following, wanted)
-        if not self._short:
+        self._short_deployments = _short_deployments(next_domain, desired)
+        if not self._short_deployments:
             self._short_since_s = None
         elif self._short_since_s is None:
             self._short_since_s = self._now_s()
 
     def _waiting_for(self) -> list[str]:
         reasons = []
-        if self._store_lost_s is not None:
-            lost_s = self._now_s() - self._store_lost_s
-            reasons.append(f'the store gives no answer for {lost_s:.0f} s')
+        if self._store_unavailable_since_s is not None:
+            unavailable_s = self._now_s() - self._store_unavailable_since_s
+            reasons.append(
+                f'the store gives no answer for {unavailable_s:.0f} s'
+            )
         waiting = self._sender.waiting_loads()
         if waiting:
             reasons.append(f'{waiting} replicas wait for the weight store')
@@ -192,155 +206,164 @@
             reasons.append('replicas wait for VMs')
         return reasons
 
-    def _drop_lapsed_lease(self) -> None:
-        if not self._tools.switches.enabled(order_sender.LEASE_CHECKED):
+    def _drop_expired_lease(self) -> None:
+        if not self._dependencies.switches.enabled(order_sender.LEASE_CHECKED):
             return
-        holding = self._holding
-        if holding is not None and holding.remaining_s(self._now_s()) <= 0:
+        held_lease = self._held_lease
+        if (
+            held_lease is not None
+            and held_lease.remaining_s(self._now_s()) <= 0
+        ):
             LOG.warning('The lease lapsed', extra={'domain': self._name})
-            self._holding = None
+            self._held_lease = None
 
-    async def _read_and_take(self) -> None:
-        if self._now_s() < self._store_from_s:
+    async def _read_and_acquire(self) -> None:
+        if self._now_s() < self._store_retry_at_s:
             return
         answer = await self._store.read(self._name)
         if answer.is_error():
-            self._note_failure(answer.error)
+            self._record_store_failure(answer.error)
             return
-        self._note_success()
-        self._read = answer.ok
+        self._record_store_success()
+        self._stored = answer.ok
         now_s = self._now_s()
         found = answer.ok.domain
-        self._observation = lease.observe(self._observation, found, now_s)
-        if self._holding is not None and self._still_mine(found):
+        self._lease_observation = lease.observe(
+            self._lease_observation, found, now_s
+        )
+        if self._held_lease is not None and self._still_holds(found):
             return
-        self._holding = None
-        mine = found.lease.holder == self._owner
-        if not mine and not lease.may_take(self._observation, now_s):
-            self._store_from_s = now_s + WATCH_EVERY_S
+        self._held_lease = None
+        is_holder = found.lease.holder == self._owner
+        if not is_holder and not lease.may_acquire(
+            self._lease_observation, now_s
+        ):
+            self._store_retry_at_s = now_s + LEASE_POLL_INTERVAL_S
             return
-        await self._take(answer.ok)
+        await self._acquire(answer.ok)
 
-    def _still_mine(self, found: domain_module.FabricDomain) -> bool:
+    def _still_holds(self, found: domain_module.FabricDomain) -> bool:
         return (
-            self._holding is not None
+            self._held_lease is not None
             and found.lease.holder == self._owner
-            and found.fencing_number == self._holding.fencing_number
+            and found.fencing_number == self._held_lease.fencing_number
         )
 
-    async def _take(self, read: domain_store.StoredDomain) -> None:
+    async def _acquire(self, read: domain_store.StoredDomain) -> None:
         if read.domain.schema_version > domain_module.SCHEMA_VERSION:
             # A newer program wrote it; an older one could drop its fields.
             return
         sent_s = self._now_s()
         had_holder = bool(read.domain.lease.holder)
         answer = await self._store.write(
-            read, lease.taken(read.domain, self._owner)
+            read, lease.acquired(read.domain, self._owner)
         )
         if answer.is_error():
-            self._note_failure(answer.error)
-            self._read = None
+            self._record_store_failure(answer.error)
+            self._stored = None
             return
-        self._read = answer.ok
+        self._stored = answer.ok
         self._renewed_s = sent_s
-        self._holding = lease.holding_from(
+        self._held_lease = lease.held_lease_after(
             answer.ok.domain, sent_s, self._now_s(), had_holder=had_holder
         )
         LOG.info('The lease was taken', extra={'domain': self._name})
 
     async def _decide(
-        self, inputs: ControllerInputs, stopped: frozenset[str]
+        self, inputs: ControllerInputs, unrouted: frozenset[str]
     ) -> None:
-        read = self._read
-        if read is None or self._now_s() < self._store_from_s:
+        read = self._stored
+        if read is None or self._now_s() < self._store_retry_at_s:
             return
-        following = self._following(read.domain, inputs, stopped)
-        due = self._now_s() - self._renewed_s >= lease.RENEW_AFTER_S
-        if following != read.domain or due:
-            await self._write(read, following)
+        next_domain = self._next_domain(read.domain, inputs, unrouted)
+        due = self._now_s() - self._renewed_s >= lease.RENEW_INTERVAL_S
+        if next_domain != read.domain or due:
+            await self._write(read, next_domain)
 
-    def _following(
+    def _next_domain(
         self,
         current: domain_module.FabricDomain,
         inputs: ControllerInputs,
-        stopped: frozenset[str],
+        unrouted: frozenset[str],
     ) -> domain_module.FabricDomain:
-        noted = current
+        updated = current
         if inputs.vms is not None:
-            noted = domain_monitor.with_listed(current, inputs.vms)
-        if inputs.wanted is None:
-            return noted
-        view = self._watcher.view(noted, inputs.wanted, stopped)
-        following = placement.next_domain(
-            view, self._tools.switches, self._tools.policy
+            updated = domain_monitor.with_listed(current, inputs.vms)
+        if inputs.desired is None:
+            return updated
+        view = self._monitor.view(updated, inputs.desired, unrouted)
+        next_domain = placement.next_domain(
+            view, self._dependencies.switches, self._dependencies.policy
+        )
+        self._record_shortage(next_domain, inputs.desired)
+        return _with_events(
+            current, next_domain, self._dependencies.clock.wall_s()
         )
-        self._note_shortage(following, inputs.wanted)
-        return _with_events(current, following, self._tools.clock.wall_s())
 
     async def _write(
         self,
         read: domain_store.StoredDomain,
-        following: domain_module.FabricDomain,
+        next_domain: domain_module.FabricDomain,
     ) -> None:
         sent_s = self._now_s()
-        answer = await self._store.write(read, lease.renewed(following))
+        answer = await self._store.write(read, lease.renewed(next_domain))
         if answer.is_error():
-            self._note_failure(answer.error)
-            surely_not = (
+            self._record_store_failure(answer.error)
+            not_applied = (
                 isinstance(answer.error, object_api.Unavailable)
                 and not answer.error.maybe_applied
             )
-            if not surely_not:
-                self._read = None
+            if not not_applied:
+                self._stored = None
             return
-        self._note_success()
-        self._read = answer.ok
+        self._record_store_success()
+        self._stored = answer.ok
         self._renewed_s = sent_s
-        if self._holding is not None:
-            self._holding = lease.extended(
-                self._holding, answer.ok.domain, sent_s
+        if self._held_lease is not None:
+            self._held_lease = lease.extended(
+                self._held_lease, answer.ok.domain, sent_s
             )
 
     async def _order(self, inputs: ControllerInputs) -> None:
-        if self._read is None or self._holding is None:
+        if self._stored is None or self._held_lease is None:
             return
-        view = self._watcher.view(
-            self._read.domain, inputs.wanted or (), frozenset()
+        view = self._monitor.view(
+            self._stored.domain, inputs.desired or (), frozenset()
         )
         with invariants.breaches_alone():
-            await self._sender.converge(view, self._holding)
+            await self._sender.reconcile(view, self._held_lease)
 
-    def _note_failure(self, problem: object_api.ObjectError) -> None:
+    def _record_store_failure(self, problem: object_api.ObjectError) -> None:
         """Back off with jitter, so that all do not return at one moment."""
         if not isinstance(problem, object_api.Unavailable):
             return
         now_s = self._now_s()
-        if self._store_lost_s is None:
-            self._store_lost_s = now_s
+        if self._store_unavailable_since_s is None:
+            self._store_unavailable_since_s = now_s
         self._backoff_s = min(
-            max(2 * self._backoff_s, FIRST_BACKOFF_S, problem.retry_after_s),
-            max(LONGEST_BACKOFF_S, problem.retry_after_s),
+            max(2 * self._backoff_s, MIN_BACKOFF_S, problem.retry_after_s),
+            max(MAX_BACKOFF_S, problem.retry_after_s),
         )
-        jitter = self._tools.rng.uniform(0.5, 1)
-        self._store_from_s = now_s + self._backoff_s * jitter
+        jitter = self._dependencies.rng.uniform(0.5, 1)
+        self._store_retry_at_s = now_s + self._backoff_s * jitter
 
-    def _note_success(self) -> None:
-        self._store_lost_s = None
+    def _record_store_success(self) -> None:
+        self._store_unavailable_since_s = None
         self._backoff_s = 0.0
 
     def _now_s(self) -> float:
-        return self._tools.clock.monotonic_s()
+        return self._dependencies.clock.monotonic_s()
 
 
-def _short(
+def _short_deployments(
     domain: domain_module.FabricDomain,
-    wanted: tuple[view_module.DesiredShare, ...],
+    desired: tuple[view_module.DesiredShare, ...],
 ) -> frozenset[str]:
     """Return the deployments of which the domain cannot hold its share."""
     broken = domain_module.ReplicaState.BROKEN
     return frozenset(
         share.deployment.name
-        for share in wanted
+        for share in desired
         if share.replicas
         > sum(
             each.deployment == share.deployment.name and each.state != broken
@@ -354,7 +377,7 @@
     after: domain_module.FabricDomain,
     at_s: float,
 ) -> domain_module.FabricDomain:
-    noted = after
+    updated = after
     for replica in after.replicas:
         old = before.replica(replica.name)
         if old is not None and (old.state, old.epoch) == (
@@ -363,21 +386,21 @@
         ):
             continue
         reason = f': {replica.reason}' if replica.reason else ''
-        noted = noted.with_event(
+        updated = updated.with_event(
             domain_module.DomainEvent(
                 at_s, replica.name, f'{replica.state.value}{reason}'
             )
         )
     for gone in before.replicas:
         if after.replica(gone.name) is None:
-            noted = noted.with_event(
+            updated = updated.with_event(
                 domain_module.DomainEvent(at_s, gone.name, 'ended')
             )
-    return noted
+    return updated
 
 
 def make_domain_controller(
-    name: str, owner: str, tools: Dependencies
+    name: str, owner: str, dependencies: Dependencies
 ) -> DomainController:
     """Return the controller of one domain."""
-    return DomainController(name, owner, tools)
+    return DomainController(name, owner, dependencies)
--- a/redwingvalve/replicas/domain.py
+++ b/redwingvalve/replicas/domain.py
@@ -18,7 +18,7 @@
 
 KIND = 'fabricdomains'
 SCHEMA_VERSION = 1
-KEPT_EVENTS = 20
+MAX_EVENTS = 20
 
 
 class ReplicaState(enum.StrEnum):
@@ -135,7 +135,7 @@
 
     def with_event(self, event: DomainEvent) -> 'FabricDomain':
         """Add an event; the oldest ones are dropped."""
-        kept = (*self.events, event)[-KEPT_EVENTS:]
+        kept = (*self.events, event)[-MAX_EVENTS:]
         return attrs.evolve(self, events=kept)
 
 
@@ -228,7 +228,7 @@
     return to_snapshot_replicas(from_stored(stored))
 
 
-def is_as_declared(
+def matches_deployment(
     replica: DomainReplica, deployment: schema.ModelDeployment
 ) -> bool:
     """Tell whether a replica has the weights and the size of a deployment."""
--- a/redwingvalve/replicas/domain_monitor.py
+++ b/redwingvalve/replicas/domain_monitor.py
@@ -12,12 +12,12 @@
 from redwingvalve.replicas import view as view_module
 
 PROBE_TIMEOUT_S = 0.5
-PARALLEL_PROBES = 32
-OWN_PROBE_EVERY_S = 5.0
+MAX_CONCURRENT_PROBES = 32
+OWN_PROBE_INTERVAL_S = 5.0
 DRAIN_BEFORE_STOP = invariants.Safeguard.DRAIN_BEFORE_STOP
 
 
-class DomainWatcher:
+class DomainMonitor:
     """Sees one domain through probes, the VM list and the entries."""
 
     def __init__(
@@ -32,20 +32,20 @@
         self._clock = time_source
         self._entries = entries
         self._switches = switches
-        self._sightings = vm_health.Sightings()
+        self._health = vm_health.VmHealthTracker()
         self._draining_since_s: dict[tuple[str, int], float] = {}
 
     async def probe(self, domain: domain_module.FabricDomain) -> None:
         """Read the state of every VM once."""
-        self._sightings.forget_others(frozenset(vm.name for vm in domain.vms))
-        limiter = anyio.CapacityLimiter(PARALLEL_PROBES)
-        vouched = self._vouched_vms(domain)
+        self._health.retain_only(frozenset(vm.name for vm in domain.vms))
+        limiter = anyio.CapacityLimiter(MAX_CONCURRENT_PROBES)
+        confirmed = self._vms_confirmed_by_entries(domain)
         async with anyio.create_task_group() as group:
             for vm in domain.vms:
-                if vm.name not in vouched:
+                if vm.name not in confirmed:
                     group.start_soon(self._probe_vm, vm, limiter)
 
-    def _vouched_vms(
+    def _vms_confirmed_by_entries(
         self, domain: domain_module.FabricDomain
     ) -> frozenset[str]:
         """Return the VMs that need no probe of this process's own.
@@ -60,7 +60,7 @@
             for replica in domain.replicas
             if replica.state == domain_module.ReplicaState.SERVING
             for name in replica.members
-            if self._sightings.seen_within(name, OWN_PROBE_EVERY_S, now_s)
+            if self._health.responded_within(name, OWN_PROBE_INTERVAL_S, now_s)
             and self._entries.confirms_ready(name, replica, now_s)
         )
 
@@ -73,24 +73,24 @@
         now_s = self._clock.monotonic_s()
         # A lagging VM list may give an address that another VM has by now.
         if answer.is_ok() and answer.ok.vm == vm.name:
-            self._sightings.record_seen(vm.name, answer.ok, now_s)
+            self._health.record_response(vm.name, answer.ok, now_s)
             return
-        self._sightings.record_failed(
+        self._health.record_failure(
             vm.name, started_s, self._entries.last_seen_s(vm.name, now_s)
         )
 
-    def sees_none(self) -> bool:
+    def all_probes_failed(self) -> bool:
         """Tell whether the last probe of every VM got no answer."""
-        return self._sightings.all_failing()
+        return self._health.all_failing()
 
-    def judged(self, domain: domain_module.FabricDomain) -> bool:
+    def members_known(self, domain: domain_module.FabricDomain) -> bool:
         """Tell whether enough is known to decide about every replica."""
         now_s = self._clock.monotonic_s()
         return all(
-            self._sightings.judged(name, now_s) for name in domain.used_vms()
+            self._health.is_known(name, now_s) for name in domain.used_vms()
         )
 
-    def stopped_replicas(
+    def unrouted_replicas(
         self, domain: domain_module.FabricDomain
     ) -> frozenset[str]:
         """Return the DRAINING replicas that no entry sends to any more.
@@ -123,27 +123,27 @@
     def view(
         self,
         domain: domain_module.FabricDomain,
-        wanted: tuple[view_module.DesiredShare, ...],
-        stopped: frozenset[str],
+        desired: tuple[view_module.DesiredShare, ...],
+        unrouted: frozenset[str],
     ) -> view_module.DomainView:
         """Return the view after a probe."""
-        noted = self._with_losses(domain)
-        views = {vm.name: self._vm_view(vm) for vm in noted.vms}
+        updated = self._with_probe_results(domain)
+        views = {vm.name: self._vm_view(vm) for vm in updated.vms}
         drained = frozenset(
-            name for name in stopped if self._is_idle(noted, name, views)
+            name for name in unrouted if self._is_idle(updated, name, views)
         )
-        return view_module.DomainView(noted, views, wanted, drained)
+        return view_module.DomainView(updated, views, desired, drained)
 
     def _vm_view(self, vm: domain_module.DomainVm) -> view_module.VmView:
         now_s = self._clock.monotonic_s()
-        present_s = self._sightings.present_for_s(vm.name, now_s)
+        available_s = self._health.available_for_s(vm.name, now_s)
         return view_module.VmView(
             name=vm.name,
             reachable=not vm.missing,
             leaving=vm.leaving,
-            quarantined=present_s < vm_health.keep_out_s(vm.flaps),
-            failing=self._sightings.failing(vm.name),
-            state=None if vm.missing else self._sightings.state(vm.name),
+            quarantined=available_s < vm_health.quarantine_s(vm.flaps),
+            failing=self._health.failing(vm.name),
+            state=None if vm.missing else self._health.state(vm.name),
         )
 
     def _is_idle(
@@ -158,21 +158,21 @@
         states = [views[vm].state for vm in replica.members] if replica else []
         return all(state and not state.in_flight for state in states)
 
-    def _with_losses(
+    def _with_probe_results(
         self, domain: domain_module.FabricDomain
     ) -> domain_module.FabricDomain:
         return attrs.evolve(
-            domain, vms=tuple(map(self._noted_loss, domain.vms))
+            domain, vms=tuple(map(self._updated_vm, domain.vms))
         )
 
-    def _noted_loss(self, vm: domain_module.DomainVm) -> domain_module.DomainVm:
+    def _updated_vm(self, vm: domain_module.DomainVm) -> domain_module.DomainVm:
         now_s = self._clock.monotonic_s()
-        missing = self._sightings.missing(vm.name, now_s)
+        missing = self._health.missing(vm.name, now_s)
         flaps = vm.flaps + (missing and not vm.missing)
-        present_s = self._sightings.present_for_s(vm.name, now_s)
-        if not missing and present_s > vm_health.RECORD_CLEARED_AFTER_S:
+        available_s = self._health.available_for_s(vm.name, now_s)
+        if not missing and available_s > vm_health.FLAP_RESET_AFTER_S:
             flaps = 0
-        if not self._sightings.judged(vm.name, now_s):
+        if not self._health.is_known(vm.name, now_s):
             missing = vm.missing
         if (vm.missing, vm.flaps) == (missing, flaps):
             return vm
--- a/redwingvalve/replicas/domain_store.py
+++ b/redwingvalve/replicas/domain_store.py
@@ -45,7 +45,7 @@
         self._writer = writer
         self._switches = switches
         self._write_number = 0
-        self._newest: dict[str, StoredDomain] = {}
+        self._latest: dict[str, StoredDomain] = {}
 
     async def read(self, name: str) -> DomainResult:
         """Read one domain; the newest state seen never goes back."""
@@ -56,12 +56,12 @@
 
     async def create(self, domain: domain_module.FabricDomain) -> DomainResult:
         """Create a domain object; Conflict when it exists."""
-        marked = self._mark(domain)
+        stamped = self._stamp(domain)
         answer = await self._objects.create(
-            domain_module.KIND, domain.name, domain_module.to_body(marked)
+            domain_module.KIND, domain.name, domain_module.to_body(stamped)
         )
         if answer.is_error():
-            return await self._settle(marked, answer.error)
+            return await self._resolve_lost_answer(stamped, answer.error)
         return Ok(self._remember(answer.ok))
 
     async def write(
@@ -73,21 +73,21 @@
         caller then knows nothing and reads again before anything else.
         """
         domain_module.require_monotonic(read.domain, domain)
-        marked = self._mark(domain)
-        version = await self._version_for(read)
+        stamped = self._stamp(domain)
+        version = await self._expected_version(read)
         answer = await self._objects.update(
             object_api.StoredObject(
                 domain_module.KIND,
                 domain.name,
                 version,
-                domain_module.to_body(marked),
+                domain_module.to_body(stamped),
             )
         )
         if answer.is_error():
-            return await self._settle(marked, answer.error)
+            return await self._resolve_lost_answer(stamped, answer.error)
         return Ok(self._remember(answer.ok))
 
-    async def _version_for(self, read: StoredDomain) -> str:
+    async def _expected_version(self, read: StoredDomain) -> str:
         # Without the condition a paused writer overwrites what others agreed
         # on meanwhile: VMs are then given to two replicas. The store compares
         # versions, so the later of two writers always loses.
@@ -96,7 +96,7 @@
         current = await self._objects.get(domain_module.KIND, read.domain.name)
         return current.ok.version if current.is_ok() else read.version
 
-    def _mark(
+    def _stamp(
         self, domain: domain_module.FabricDomain
     ) -> domain_module.FabricDomain:
         self._write_number += 1
@@ -104,7 +104,7 @@
             domain, writer=self._writer, write_number=self._write_number
         )
 
-    async def _settle(
+    async def _resolve_lost_answer(
         self,
         written: domain_module.FabricDomain,
         problem: object_api.ObjectError,
@@ -122,11 +122,11 @@
         if answer.is_error():
             return Error(problem)
         found = answer.ok.domain
-        stands = (found.writer, found.write_number) == (
+        was_applied = (found.writer, found.write_number) == (
             written.writer,
             written.write_number,
         )
-        if stands:
+        if was_applied:
             return answer
         return Error(
             object_api.Conflict(
@@ -136,9 +136,9 @@
 
     def _remember(self, stored: object_api.StoredObject) -> StoredDomain:
         read = StoredDomain(domain_module.from_stored(stored), stored.version)
-        before = self._newest.get(stored.name)
+        before = self._latest.get(stored.name)
         if before is not None and int(read.version) >= int(before.version):
             domain_module.require_monotonic(before.domain, read.domain)
         if before is None or int(read.version) >= int(before.version):
-            self._newest[stored.name] = read
+            self._latest[stored.name] = read
         return read
--- a/redwingvalve/replicas/draft.py
+++ b/redwingvalve/replicas/draft.py
@@ -47,7 +47,7 @@
         """Return the replicas in any of the states."""
         return [each for each in self.domain.replicas if each.state in states]
 
-    def of(self, deployment: str, *states: State) -> list[Replica]:
+    def of_deployment(self, deployment: str, *states: State) -> list[Replica]:
         """Return the replicas of a deployment in any of the states."""
         return [
             each
@@ -78,7 +78,7 @@
     def runs_as_ordered(self, replica: Replica) -> bool:
         """Tell whether every member is at its state, ready or not yet."""
         return bool(replica.members) and all(
-            view_module.runs(self.vm(name).state, replica, name)
+            view_module.runs_as_ordered(self.vm(name).state, replica, name)
             for name in replica.members
         )
 
@@ -88,12 +88,12 @@
 
     def outdated(self, replica: Replica) -> bool:
         """Tell whether the replica has to be replaced by another."""
-        wanted = self.view.desired_share(replica.deployment)
-        if wanted is None or self.has_leaving(replica):
+        desired = self.view.desired_share(replica.deployment)
+        if desired is None or self.has_leaving(replica):
             return True
-        return not domain_module.is_as_declared(replica, wanted.deployment)
+        return not domain_module.matches_deployment(replica, desired.deployment)
 
-    def keep_rank(self, replica: Replica) -> tuple[bool, bool, int]:
+    def drain_rank(self, replica: Replica) -> tuple[bool, bool, int]:
         """Order by what is drained first: leaving, outdated, newest."""
         return (
             not self.has_leaving(replica),
@@ -101,10 +101,10 @@
             -replica.epoch,
         )
 
-    def value_of(self, replica: Replica) -> float:
+    def downtime_price_of(self, replica: Replica) -> float:
         """Return the price of a minute without the replica."""
-        wanted = self.view.desired_share(replica.deployment)
-        return downtime_price(wanted.deployment) if wanted else 0.0
+        desired = self.view.desired_share(replica.deployment)
+        return downtime_price(desired.deployment) if desired else 0.0
 
     def set_state(self, replica: Replica, state: State, reason: str) -> None:
         """Change the state within the epoch."""
@@ -127,19 +127,19 @@
 
         Its model, version and adapters are brought up to what is declared.
         """
-        wanted = self.view.desired_share(replica.deployment)
+        desired = self.view.desired_share(replica.deployment)
         changed = attrs.evolve(
             replica,
-            epoch=self.take_epoch(),
+            epoch=self.allocate_epoch(),
             state=state,
             members=members,
             reason=reason,
         )
-        if wanted is not None:
-            changed = with_declared(changed, wanted.deployment)
+        if desired is not None:
+            changed = with_declared(changed, desired.deployment)
         self.domain = self.domain.with_replica(changed)
 
-    def take_epoch(self) -> int:
+    def allocate_epoch(self) -> int:
         """Return an epoch that was never used in this domain."""
         epoch = self.domain.next_epoch
         self.domain = attrs.evolve(self.domain, next_epoch=epoch + 1)
@@ -159,9 +159,9 @@
     )
 
 
-def value_rank(wanted: view_module.DesiredShare) -> tuple[float, str]:
+def price_rank(desired: view_module.DesiredShare) -> tuple[float, str]:
     """Order deployments by price, the dearest first."""
-    return (-downtime_price(wanted.deployment), wanted.deployment.name)
+    return (-downtime_price(desired.deployment), desired.deployment.name)
 
 
 def downtime_price(deployment: schema.ModelDeployment) -> float:
--- a/redwingvalve/replicas/healing.py
+++ b/redwingvalve/replicas/healing.py
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen
-class _Gift:
+class _DonatedVms:
     """VMs that a broken replica gives to one that ranks higher."""
 
     donor: Replica
@@ -31,7 +31,7 @@
 
     def rank(replica: Replica) -> tuple[float, int, int]:
         usable = len(draft.usable_members(replica))
-        return (-draft.value_of(replica), -usable, replica.epoch)
+        return (-draft.downtime_price_of(replica), -usable, replica.epoch)
 
     broken = [
         each.name for each in sorted(draft.in_state(State.BROKEN), key=rank)
@@ -40,12 +40,12 @@
         _heal(draft, name, broken[position + 1 :])
 
 
-def form(draft: Draft, deployment: schema.ModelDeployment) -> bool:
+def form_replica(draft: Draft, deployment: schema.ModelDeployment) -> bool:
     """Form one more replica from spares; False when they do not suffice."""
     free = draft.free_vms()[: deployment.vms_per_replica]
     if len(free) < deployment.vms_per_replica:
         return False
-    epoch = draft.take_epoch()
+    epoch = draft.allocate_epoch()
     formed = Replica(
         name=f'{deployment.name}-{draft.domain.name}-{epoch}',
         deployment=deployment.name,
@@ -66,22 +66,24 @@
     """Drain one replica that is cheaper to be without, if that pays."""
     if not draft.policy.heal_from_spares or draft.in_state(State.DRAINING):
         return
-    for wanted in sorted(draft.view.wanted, key=draft_module.value_rank):
-        held = draft.of(wanted.deployment.name, State.SERVING, State.FORMING)
-        if len(held) < wanted.replicas and _dissolve_for(draft, wanted):
+    for desired in sorted(draft.view.desired, key=draft_module.price_rank):
+        held = draft.of_deployment(
+            desired.deployment.name, State.SERVING, State.FORMING
+        )
+        if len(held) < desired.replicas and _dissolve_for(draft, desired):
             return
 
 
 def _heal(draft: Draft, name: str, lower_ranked: list[str]) -> None:
     replica = draft.domain.replica(name)
-    wanted = draft.view.desired_share(replica.deployment) if replica else None
+    desired = draft.view.desired_share(replica.deployment) if replica else None
     # Members that are all at their state only need time to get ready.
-    if replica is None or wanted is None or draft.runs_as_ordered(replica):
+    if replica is None or desired is None or draft.runs_as_ordered(replica):
         return
-    kept = draft.usable_members(replica)[: wanted.deployment.vms_per_replica]
-    lacking = wanted.deployment.vms_per_replica - len(kept)
-    found = _find_vms(draft, lacking, lower_ranked)
-    if len(found) < lacking:
+    kept = draft.usable_members(replica)[: desired.deployment.vms_per_replica]
+    missing_vms = desired.deployment.vms_per_replica - len(kept)
+    found = _find_vms(draft, missing_vms, lower_ranked)
+    if len(found) < missing_vms:
         return
     source = ', '.join(found) or 'its own VMs'
     draft.reform(
@@ -89,74 +91,80 @@
     )
 
 
-def _find_vms(draft: Draft, lacking: int, lower_ranked: list[str]) -> list[str]:
+def _find_vms(
+    draft: Draft, missing_vms: int, lower_ranked: list[str]
+) -> list[str]:
     if not draft.policy.heal_from_spares:
         return []
-    found = draft.free_vms()[:lacking]
-    gifts = _gifts(draft, lacking - len(found), lower_ranked)
-    given = [vm for gift in gifts for vm in gift.vms]
-    if len(found) + len(given) < lacking:
+    found = draft.free_vms()[:missing_vms]
+    donations = _choose_donors(draft, missing_vms - len(found), lower_ranked)
+    donated = [vm for donation in donations for vm in donation.vms]
+    if len(found) + len(donated) < missing_vms:
         return []
-    for gift in gifts:
-        left = tuple(vm for vm in gift.donor.members if vm not in gift.vms)
+    for donation in donations:
+        left = tuple(
+            vm for vm in donation.donor.members if vm not in donation.vms
+        )
         draft.reform(
-            gift.donor, left, State.BROKEN, 'gave VMs to another replica'
+            donation.donor, left, State.BROKEN, 'gave VMs to another replica'
         )
-    return [*found, *given]
+    return [*found, *donated]
 
 
-def _gifts(draft: Draft, lacking: int, lower_ranked: list[str]) -> list[_Gift]:
+def _choose_donors(
+    draft: Draft, missing_vms: int, lower_ranked: list[str]
+) -> list[_DonatedVms]:
     """Choose VMs of the replicas that rank lowest."""
-    gifts: list[_Gift] = []
+    donations: list[_DonatedVms] = []
     for name in reversed(lower_ranked):
         donor = draft.domain.replica(name)
-        if donor is None or lacking <= 0:
+        if donor is None or missing_vms <= 0:
             continue
-        vms = tuple(draft.usable_members(donor)[:lacking])
+        vms = tuple(draft.usable_members(donor)[:missing_vms])
         if vms:
-            gifts.append(_Gift(donor, vms))
-            lacking -= len(vms)
-    return gifts
+            donations.append(_DonatedVms(donor, vms))
+            missing_vms -= len(vms)
+    return donations
 
 
-def _dissolve_for(draft: Draft, wanted: view_module.DesiredShare) -> bool:
+def _dissolve_for(draft: Draft, desired: view_module.DesiredShare) -> bool:
     candidates = [
         replica
         for replica in draft.in_state(State.SERVING)
-        if _worth_dissolving(draft, replica, wanted)
+        if _may_dissolve(draft, replica, desired)
     ]
     if not candidates:
         return False
     draft.set_state(
-        min(candidates, key=draft.value_of),
+        min(candidates, key=draft.downtime_price_of),
         State.DRAINING,
-        f'dissolved for {wanted.deployment.name}',
+        f'dissolved for {desired.deployment.name}',
     )
     return True
 
 
-def _worth_dissolving(
-    draft: Draft, replica: Replica, wanted: view_module.DesiredShare
+def _may_dissolve(
+    draft: Draft, replica: Replica, desired: view_module.DesiredShare
 ) -> bool:
     other = draft.view.desired_share(replica.deployment)
-    if other is None or other.deployment.name == wanted.deployment.name:
+    if other is None or other.deployment.name == desired.deployment.name:
         return False
-    serving = draft.of(replica.deployment, State.SERVING)
+    serving = draft.of_deployment(replica.deployment, State.SERVING)
     if len(serving) <= other.floor_replicas:
         return False
     left_over_vms = (
         len(draft.free_vms())
         + len(draft.usable_members(replica))
-        + _largest_remnant(draft, wanted.deployment.name)
-        - wanted.deployment.vms_per_replica
+        + _largest_remnant(draft, desired.deployment.name)
+        - desired.deployment.vms_per_replica
     )
     return left_over_vms >= 0 and dissolving_pays(
-        wanted.deployment, other.deployment, left_over_vms, draft.policy
+        desired.deployment, other.deployment, left_over_vms, draft.policy
     )
 
 
 def _largest_remnant(draft: Draft, deployment: str) -> int:
-    broken = draft.of(deployment, State.BROKEN)
+    broken = draft.of_deployment(deployment, State.BROKEN)
     return max((len(draft.usable_members(each)) for each in broken), default=0)
 
 
--- a/redwingvalve/replicas/lease.py
+++ b/redwingvalve/replicas/lease.py
@@ -17,11 +17,11 @@
 from redwingvalve.replicas import domain as domain_module
 
 TERM_S = 15.0
-RENEW_AFTER_S = 5.0
-DRIFT_SHARE = 0.01
+RENEW_INTERVAL_S = 5.0
+MAX_CLOCK_DRIFT = 0.01
 ORDER_TIMEOUT_S = 2.0
-ORDER_FLIGHT_S = 3.0
-PAUSE_NOTICED_S = 2.0
+ORDER_IN_FLIGHT_S = 3.0
+PAUSE_DETECTION_S = 2.0
 
 
 @attrs.frozen
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen
-class Holding:
+class HeldLease:
     """A lease that this process holds until until_s of its own clock.
 
     May order endpoints that ignore fencing from ignoring_from_s on.
@@ -42,7 +42,7 @@
 
     fencing_number: int
     until_s: float
-    ignoring_from_s: float
+    unfenced_orders_from_s: float
 
     def remaining_s(self, now_s: float) -> float:
         """Return for how long orders may still be under way."""
@@ -64,15 +64,15 @@
     return Observation(domain.lease, domain.fencing_number, since_s)
 
 
-def may_take(observation: Observation, now_s: float) -> bool:
+def may_acquire(observation: Observation, now_s: float) -> bool:
     """Tell whether the lease is free or has lapsed by this clock."""
     if not observation.lease.holder:
         return True
-    lapsed_after_s = observation.lease.term_s * (1 + DRIFT_SHARE)
+    lapsed_after_s = observation.lease.term_s * (1 + MAX_CLOCK_DRIFT)
     return now_s - observation.since_s > lapsed_after_s
 
 
-def taken(
+def acquired(
     domain: domain_module.FabricDomain, owner: str
 ) -> domain_module.FabricDomain:
     """Return the domain with a new holder and a higher fencing number."""
@@ -98,30 +98,30 @@
     return attrs.evolve(domain, lease=domain_module.Lease('', 0, TERM_S))
 
 
-def holding_from(
+def held_lease_after(
     domain: domain_module.FabricDomain,
     sent_s: float,
     now_s: float,
     *,
     had_holder: bool,
-) -> Holding:
+) -> HeldLease:
     """Return the holding after taking a lease with a write sent at sent_s.
 
     Orders of the former holder may be in flight for ORDER_FLIGHT_S after its
     term; endpoints that ignore fencing would obey them after ours.
     """
-    wait_s = ORDER_FLIGHT_S * (1 + DRIFT_SHARE) if had_holder else 0.0
-    return Holding(
+    wait_s = ORDER_IN_FLIGHT_S * (1 + MAX_CLOCK_DRIFT) if had_holder else 0.0
+    return HeldLease(
         domain.fencing_number, _until_s(domain, sent_s), now_s + wait_s
     )
 
 
 def extended(
-    holding: Holding, domain: domain_module.FabricDomain, sent_s: float
-) -> Holding:
+    held_lease: HeldLease, domain: domain_module.FabricDomain, sent_s: float
+) -> HeldLease:
     """Return the holding after a renewal sent at sent_s."""
-    return attrs.evolve(holding, until_s=_until_s(domain, sent_s))
+    return attrs.evolve(held_lease, until_s=_until_s(domain, sent_s))
 
 
 def _until_s(domain: domain_module.FabricDomain, sent_s: float) -> float:
-    return sent_s + domain.lease.term_s * (1 - DRIFT_SHARE)
+    return sent_s + domain.lease.term_s * (1 - MAX_CLOCK_DRIFT)
--- a/redwingvalve/replicas/move_policy.py
+++ b/redwingvalve/replicas/move_policy.py
@@ -29,19 +29,19 @@
     """A domain as its own controller sees it; short names deployments."""
 
     domain: domain_module.FabricDomain
-    short: frozenset[str] = frozenset()
+    short_deployments: frozenset[str] = frozenset()
 
 
-def concerns(
+def needs_step(
     domain_state: DomainState,
-    agreed: shares.Allocation,
+    allocation: shares.Allocation,
     deployments: Deployments,
 ) -> bool:
     """Tell whether the domain has a move to begin, end or call off."""
     name = domain_state.domain.name
     return (
-        bool(domain_state.short)
-        or any(each.from_domain == name for each in agreed.moves)
+        bool(domain_state.short_deployments)
+        or any(each.from_domain == name for each in allocation.moves)
         or any(
             needs_room(domain_state.domain, each)
             for each in deployments.values()
@@ -67,28 +67,28 @@
     return sum(not vm.missing and not vm.leaving for vm in domain.spare_vms())
 
 
-def called_off(
+def moves_to_cancel(
     domain_state: DomainState,
-    agreed: shares.Allocation,
+    allocation: shares.Allocation,
     deployments: Deployments,
 ) -> tuple[shares.Move, ...]:
     """Return the open moves that the domain should call off."""
     return tuple(
         move
-        for move in agreed.moves
-        if _into_short(move, domain_state)
-        or _not_needed(move, domain_state, deployments)
+        for move in allocation.moves
+        if _target_is_short(move, domain_state)
+        or _is_unneeded(move, domain_state, deployments)
     )
 
 
-def _into_short(move: shares.Move, domain_state: DomainState) -> bool:
+def _target_is_short(move: shares.Move, domain_state: DomainState) -> bool:
     return (
         move.to_domain == domain_state.domain.name
-        and move.deployment in domain_state.short
+        and move.deployment in domain_state.short_deployments
     )
 
 
-def _not_needed(
+def _is_unneeded(
     move: shares.Move, domain_state: DomainState, deployments: Deployments
 ) -> bool:
     if move.from_domain != domain_state.domain.name:
@@ -97,35 +97,35 @@
     if deployment is None:
         return True
     if move.reason == shares.MoveReason.RELIEF:
-        return move.deployment not in domain_state.short
+        return move.deployment not in domain_state.short_deployments
     return not any(
         _outdated(each, deployment) for each in domain_state.domain.replicas
     )
 
 
-def holds_share(
+def serves_full_share(
     domain: domain_module.FabricDomain,
-    agreed: shares.Allocation,
+    allocation: shares.Allocation,
     deployment: str,
 ) -> bool:
     """Tell whether a domain serves its whole share."""
     serving = domain_module.count_serving((domain,), deployment)
-    return serving >= agreed.replicas(domain.name, deployment)
+    return serving >= allocation.replicas(domain.name, deployment)
 
 
 def relief_moves(
     deployments: Deployments,
     capacities: tuple[shares.DomainCapacity, ...],
-    agreed: shares.Allocation,
+    allocation: shares.Allocation,
 ) -> shares.Allocation:
     """Begin moving what its domain cannot hold; what has no place stays."""
-    target = shares.complete_moves(agreed, agreed.moves)
-    wanted = shares.reallocate(deployments.values(), capacities, target)
-    lost, gained = shares.differences(target, wanted)
+    target = shares.complete_moves(allocation, allocation.moves)
+    desired = shares.reallocate(deployments.values(), capacities, target)
+    lost, gained = shares.differences(target, desired)
     moves: list[shares.Move] = []
     for (domain, name), count in sorted(lost.items()):
         for _ in range(count):
-            to_domain = _take(gained, name)
+            to_domain = _take_target(gained, name)
             if to_domain:
                 moves.append(
                     shares.Move(
@@ -133,7 +133,7 @@
                     )
                 )
     return shares.add_replicas(
-        shares.start_moves(agreed, tuple(moves)), +gained
+        shares.start_moves(allocation, tuple(moves)), +gained
     )
 
 
@@ -142,12 +142,12 @@
     deployments: Deployments,
     capacities: tuple[shares.DomainCapacity, ...],
     domains: tuple[domain_module.FabricDomain, ...],
-    agreed: shares.Allocation,
+    allocation: shares.Allocation,
 ) -> tuple[shares.Move, ...]:
     """Begin to free VMs for one replica of each deployment that waits."""
     name = domain_state.domain.name
     moving = {
-        each.deployment for each in agreed.moves if each.from_domain == name
+        each.deployment for each in allocation.moves if each.from_domain == name
     }
     found: list[shares.Move] = []
     for deployment in deployments.values():
@@ -155,28 +155,30 @@
             domain_state.domain, deployment
         ):
             continue
-        host = _host(name, deployment, deployments, capacities, domains, agreed)
+        host = _choose_target(
+            name, deployment, deployments, capacities, domains, allocation
+        )
         if host:
             move = shares.Move(
                 deployment.name, name, host, shares.MoveReason.ROOM
             )
             found.append(move)
-            agreed = shares.start_moves(agreed, (move,))
+            allocation = shares.start_moves(allocation, (move,))
     return tuple(found)
 
 
-def _host(
-    mover: str,
+def _choose_target(
+    source_domain: str,
     deployment: schema.ModelDeployment,
     deployments: Deployments,
     capacities: tuple[shares.DomainCapacity, ...],
     domains: tuple[domain_module.FabricDomain, ...],
-    agreed: shares.Allocation,
+    allocation: shares.Allocation,
 ) -> str:
     """Choose the roomiest domain that has ended its own change."""
-    busy = {each.to_domain for each in agreed.moves}
-    busy.update(each.from_domain for each in agreed.moves)
-    left = rooms(deployments, capacities, agreed)
+    busy = {each.to_domain for each in allocation.moves}
+    busy.update(each.from_domain for each in allocation.moves)
+    left = unallocated_vms(deployments, capacities, allocation)
     allowed = {
         each.domain
         for each in capacities
@@ -186,7 +188,7 @@
     candidates = [
         domain.name
         for domain in domains
-        if domain.name in allowed - busy - {mover}
+        if domain.name in allowed - busy - {source_domain}
         and left.get(domain.name, 0) >= deployment.vms_per_replica
         and free_vms(domain) >= deployment.vms_per_replica
         and _is_settled(domain, deployments)
@@ -198,16 +200,16 @@
     domain_state: DomainState,
     deployments: Deployments,
     capacities: tuple[shares.DomainCapacity, ...],
-    agreed: shares.Allocation,
+    allocation: shares.Allocation,
 ) -> frozenset[str]:
     """Return the deployments whose change finds no room in any domain."""
-    moving = {each.deployment for each in agreed.moves}
+    moving = {each.deployment for each in allocation.moves}
     return frozenset(
         each.name
         for each in deployments.values()
         if needs_room(domain_state.domain, each)
         and each.name not in moving
-        and not has_room(each, deployments, capacities, agreed)
+        and not has_room(each, deployments, capacities, allocation)
     )
 
 
@@ -215,10 +217,10 @@
     deployment: schema.ModelDeployment,
     deployments: Deployments,
     capacities: tuple[shares.DomainCapacity, ...],
-    agreed: shares.Allocation,
+    allocation: shares.Allocation,
 ) -> bool:
     """Tell whether some domain can hold one more replica."""
-    left = rooms(deployments, capacities, agreed)
+    left = unallocated_vms(deployments, capacities, allocation)
     return any(
         left[each.domain] >= deployment.vms_per_replica
         for each in capacities
@@ -227,14 +229,14 @@
     )
 
 
-def rooms(
+def unallocated_vms(
     deployments: Deployments,
     capacities: tuple[shares.DomainCapacity, ...],
-    agreed: shares.Allocation,
+    allocation: shares.Allocation,
 ) -> dict[str, int]:
     """Return the usable VMs of each domain beyond its shares."""
     left = {each.domain: each.usable_vms for each in capacities}
-    for share in agreed.shares:
+    for share in allocation.shares:
         declared = deployments.get(share.deployment)
         if declared is not None and share.domain in left:
             left[share.domain] -= share.replicas * declared.vms_per_replica
@@ -257,11 +259,13 @@
 ) -> bool:
     return (
         replica.deployment == deployment.name
-        and not domain_module.is_as_declared(replica, deployment)
+        and not domain_module.matches_deployment(replica, deployment)
     )
 
 
-def _take(gained: collections.Counter[tuple[str, str]], name: str) -> str:
+def _take_target(
+    gained: collections.Counter[tuple[str, str]], name: str
+) -> str:
     """Take one place of a deployment off the gains; empty without one."""
     for domain, deployment in sorted(+gained):
         if deployment == name:
--- a/redwingvalve/replicas/order_sender.py
+++ b/redwingvalve/replicas/order_sender.py
@@ -25,15 +25,15 @@
 
 LEASE_CHECKED = invariants.Safeguard.LEASE_CHECKED_BEFORE_ORDER
 DRAIN_BEFORE_STOP = invariants.Safeguard.DRAIN_BEFORE_STOP
-PARALLEL_ORDERS = 16
-SHORTEST_ORDER_S = 0.2
+MAX_CONCURRENT_ORDERS = 16
+MIN_ORDER_TIMEOUT_S = 0.2
 READ_TIMEOUT_S = 0.5
-TICKET_RETRY_S = 2.0
+RESERVATION_RETRY_S = 2.0
 LOG = logs.make_logger('replicas')
 
 
 @attrs.frozen
-class Ticket:
+class LoadReservation:
     """Leave to load, or when to ask again; one replica and epoch each."""
 
     granted: bool
@@ -48,28 +48,28 @@
         orders: engine_orders.EngineOrders,
         weights: weight_store.WeightStore,
         time_source: clock.Clock,
-        chance: random.Random,
+        rng: random.Random,
         switches: invariants.SafeguardSwitches,
     ) -> None:
         """Send through orders, load with leave of weights."""
         self._orders = orders
         self._weights = weights
         self._clock = time_source
-        self._chance = chance
+        self._rng = rng
         self._switches = switches
-        self._tickets: dict[tuple[str, int], Ticket] = {}
+        self._reservations: dict[tuple[str, int], LoadReservation] = {}
 
-    async def converge(
-        self, view: view_module.DomainView, holding: lease.Holding
+    async def reconcile(
+        self, view: view_module.DomainView, held_lease: lease.HeldLease
     ) -> None:
         """Order every engine that differs from the domain object."""
-        if not self._may_order(view, holding):
+        if not self._may_order(view, held_lease):
             return
-        self._forget_tickets(view.domain)
+        self._drop_stale_reservations(view.domain)
         for replica in view.domain.replicas:
             if replica.state == domain_module.ReplicaState.FORMING:
-                await self._ask_to_load(view, replica)
-        limiter = anyio.CapacityLimiter(PARALLEL_ORDERS)
+                await self._reserve_load(view, replica)
+        limiter = anyio.CapacityLimiter(MAX_CONCURRENT_ORDERS)
         owners = {
             member: owner
             for owner in view.domain.replicas
@@ -77,50 +77,62 @@
         }
         async with anyio.create_task_group() as group:
             for vm in view.domain.vms:
-                wanted = self._wanted_order(
-                    view.vm(vm.name), owners.get(vm.name), holding
+                desired = self._desired_order(
+                    view.vm(vm.name), owners.get(vm.name), held_lease
                 )
-                if wanted is not None:
+                if desired is not None:
                     group.start_soon(
-                        self._send, view, vm.address, wanted, holding, limiter
+                        self._send,
+                        view,
+                        vm.address,
+                        desired,
+                        held_lease,
+                        limiter,
                     )
 
     def waiting_loads(self) -> int:
         """Return how many replicas wait for the weight store."""
-        return sum(not ticket.granted for ticket in self._tickets.values())
+        return sum(
+            not reservation.granted
+            for reservation in self._reservations.values()
+        )
 
     def _may_order(
-        self, view: view_module.DomainView, holding: lease.Holding
+        self, view: view_module.DomainView, held_lease: lease.HeldLease
     ) -> bool:
         # An order of the former holder may still be under way, and an engine
         # that ignores fencing would obey it after ours: two replicas then
         # share a VM. After the wait none of them can arrive any more.
         trusts = {each.endpoint_trust for each in view.domain.replicas}
-        trusts.update(each.deployment.endpoint_trust for each in view.wanted)
+        trusts.update(each.deployment.endpoint_trust for each in view.desired)
         if schema.EndpointTrust.IGNORES_FENCING not in trusts:
             return True
         return (
-            self._clock.monotonic_s() >= holding.ignoring_from_s
+            self._clock.monotonic_s() >= held_lease.unfenced_orders_from_s
             or not self._switches.enabled(LEASE_CHECKED)
         )
 
-    def _forget_tickets(self, domain: domain_module.FabricDomain) -> None:
+    def _drop_stale_reservations(
+        self, domain: domain_module.FabricDomain
+    ) -> None:
         live = {(each.name, each.epoch) for each in domain.replicas}
-        self._tickets = {
-            key: ticket for key, ticket in self._tickets.items() if key in live
+        self._reservations = {
+            key: reservation
+            for key, reservation in self._reservations.items()
+            if key in live
         }
 
-    async def _ask_to_load(
+    async def _reserve_load(
         self, view: view_module.DomainView, replica: domain_module.DomainReplica
     ) -> None:
         ordered = all(
-            view_module.runs(view.vm(name).state, replica, name)
+            view_module.runs_as_ordered(view.vm(name).state, replica, name)
             for name in replica.members
         )
         key = (replica.name, replica.epoch)
         now_s = self._clock.monotonic_s()
-        ticket = self._tickets.get(key)
-        if ordered or (ticket is not None and now_s < ticket.until_s):
+        reservation = self._reservations.get(key)
+        if ordered or (reservation is not None and now_s < reservation.until_s):
             return
         answer = await self._weights.reserve_load(
             replica.model, replica.version
@@ -128,51 +140,59 @@
         now_s = self._clock.monotonic_s()
         if answer.is_ok():
             until_s = now_s + answer.ok.expires_after_s
-            self._tickets[key] = Ticket(granted=True, until_s=until_s)
+            self._reservations[key] = LoadReservation(
+                granted=True, until_s=until_s
+            )
             return
         # Jitter keeps the replicas of a lost rack from asking all at once.
-        wait_s = max(answer.error.retry_after_s, TICKET_RETRY_S)
-        wait_s *= self._chance.uniform(1, 1.5)
-        self._tickets[key] = Ticket(granted=False, until_s=now_s + wait_s)
+        wait_s = max(answer.error.retry_after_s, RESERVATION_RETRY_S)
+        wait_s *= self._rng.uniform(1, 1.5)
+        self._reservations[key] = LoadReservation(
+            granted=False, until_s=now_s + wait_s
+        )
 
-    def _wanted_order(
+    def _desired_order(
         self,
         seen: view_module.VmView,
         replica: domain_module.DomainReplica | None,
-        holding: lease.Holding,
+        held_lease: lease.HeldLease,
     ) -> engine_orders.EngineOrder | None:
         if not seen.reachable or seen.state is None:
             return None
         if replica is None:
-            wanted = _idle_order(seen.name, holding.fencing_number)
+            desired = _idle_order(seen.name, held_lease.fencing_number)
         elif replica.state == domain_module.ReplicaState.BROKEN:
             # Left as it is: what comes back is adopted, not loaded again.
             return None
         else:
-            wanted = _replica_order(seen.name, replica, holding.fencing_number)
-        if _is_at(seen.state, wanted):
-            knows = seen.state.highest_fencing_number >= holding.fencing_number
-            return None if knows else wanted
+            desired = _replica_order(
+                seen.name, replica, held_lease.fencing_number
+            )
+        if _matches_order(seen.state, desired):
+            knows = (
+                seen.state.highest_fencing_number >= held_lease.fencing_number
+            )
+            return None if knows else desired
         if replica is not None and not self._may_load(replica):
             return None
-        return wanted
+        return desired
 
     def _may_load(self, replica: domain_module.DomainReplica) -> bool:
-        ticket = self._tickets.get((replica.name, replica.epoch))
-        return ticket is not None and ticket.granted
+        reservation = self._reservations.get((replica.name, replica.epoch))
+        return reservation is not None and reservation.granted
 
     async def _send(
         self,
         view: view_module.DomainView,
         address: str,
         order: engine_orders.EngineOrder,
-        holding: lease.Holding,
+        held_lease: lease.HeldLease,
         limiter: anyio.CapacityLimiter,
     ) -> None:
         async with limiter:
             if not await self._may_stop(view, address, order):
                 return
-            timeout_s = self._order_timeout_s(holding)
+            timeout_s = self._order_timeout_s(held_lease)
             if timeout_s <= 0:
                 return
             answer = await self._orders.send(address, order, timeout_s)
@@ -191,7 +211,7 @@
         order: engine_orders.EngineOrder,
     ) -> bool:
         state = view.vm(order.vm).state
-        if not _ends_work(view, state, order):
+        if not _interrupts_replica(view, state, order):
             return True
         # An entry that heard late of the drain may have sent meanwhile; a stop
         # now would cut its caller off. Read again, right before the order.
@@ -207,16 +227,16 @@
         )
         return True
 
-    def _order_timeout_s(self, holding: lease.Holding) -> float:
+    def _order_timeout_s(self, held_lease: lease.HeldLease) -> float:
         """Return the time the order may take; nought forbids it.
 
         A holder that was paused may find that its lease has lapsed and that
         another one orders the same engines; its order would undo theirs. The
         lease is checked after the last wait, and the order ends with it.
         """
-        remaining_s = holding.remaining_s(self._clock.monotonic_s())
+        remaining_s = held_lease.remaining_s(self._clock.monotonic_s())
         checked = self._switches.enabled(LEASE_CHECKED)
-        if checked and remaining_s < SHORTEST_ORDER_S:
+        if checked and remaining_s < MIN_ORDER_TIMEOUT_S:
             return 0.0
         invariants.require(
             remaining_s > 0,
@@ -254,7 +274,7 @@
     )
 
 
-def _is_at(
+def _matches_order(
     state: engine_orders.EngineState, order: engine_orders.EngineOrder
 ) -> bool:
     if order.role == 'idle':
@@ -268,7 +288,7 @@
     )
 
 
-def _ends_work(
+def _interrupts_replica(
     view: view_module.DomainView,
     state: engine_orders.EngineState | None,
     order: engine_orders.EngineOrder,
@@ -277,6 +297,6 @@
 
     What a replica with a missing VM had in flight is lost already.
     """
-    if state is None or not state.replica or _is_at(state, order):
+    if state is None or not state.replica or _matches_order(state, order):
         return False
     return all(view.vm(name).reachable for name in state.members)
--- a/redwingvalve/replicas/placement.py
+++ b/redwingvalve/replicas/placement.py
@@ -30,9 +30,9 @@
     """Return the domain as it should stand next."""
     draft = Draft(view, switches, policy)
     _drop_drained(draft)
-    _break_lost(draft)
-    _adopt_running(draft)
-    _retire_surplus(draft)
+    _mark_broken(draft)
+    _adopt_ready(draft)
+    _drain_surplus(draft)
     healing.heal_broken(draft)
     _form_missing(draft)
     _replace_outdated(draft)
@@ -47,7 +47,7 @@
             draft.drop(replica)
 
 
-def _break_lost(draft: Draft) -> None:
+def _mark_broken(draft: Draft) -> None:
     for replica in draft.in_state(State.SERVING, State.FORMING):
         lost = draft.lost_members(replica)
         if lost:
@@ -65,11 +65,11 @@
             )
 
 
-def _adopt_running(draft: Draft) -> None:
+def _adopt_ready(draft: Draft) -> None:
     for replica in draft.in_state(State.BROKEN, State.FORMING):
         if not replica.members:
             continue
-        as_ordered = view_module.reads_back(draft.view, replica)
+        as_ordered = view_module.all_members_ready(draft.view, replica)
         # An order that was accepted is not yet a loaded model, and an engine
         # that ignores fencing may have obeyed another holder since: callers
         # would get errors or another model's answers. The state read back is
@@ -85,50 +85,52 @@
             draft.set_state(replica, State.SERVING, '')
 
 
-def _retire_surplus(draft: Draft) -> None:
+def _drain_surplus(draft: Draft) -> None:
     for name in sorted({each.deployment for each in draft.domain.replicas}):
-        wanted = draft.view.desired_share(name)
-        _retire(draft, name, wanted.replicas if wanted else 0)
+        desired = draft.view.desired_share(name)
+        _drain_deployment(draft, name, desired.replicas if desired else 0)
 
 
-def _retire(draft: Draft, deployment: str, wanted: int) -> None:
-    serving = draft.of(deployment, State.SERVING)
+def _drain_deployment(draft: Draft, deployment: str, desired: int) -> None:
+    serving = draft.of_deployment(deployment, State.SERVING)
     current = [each for each in serving if not draft.outdated(each)]
-    if len(current) >= wanted:
-        for replica in draft.of(deployment, State.BROKEN, State.FORMING):
+    if len(current) >= desired:
+        for replica in draft.of_deployment(
+            deployment, State.BROKEN, State.FORMING
+        ):
             draft.drop(replica)
-    surplus = max(len(serving) - wanted, 0)
-    for victim in sorted(serving, key=draft.keep_rank)[:surplus]:
+    surplus = max(len(serving) - desired, 0)
+    for victim in sorted(serving, key=draft.drain_rank)[:surplus]:
         draft.set_state(victim, State.DRAINING, 'surplus')
 
 
 def _form_missing(draft: Draft) -> None:
-    for wanted in sorted(draft.view.wanted, key=draft_module.value_rank):
-        held = draft.of(
-            wanted.deployment.name, State.FORMING, State.SERVING, State.BROKEN
+    for desired in sorted(draft.view.desired, key=draft_module.price_rank):
+        held = draft.of_deployment(
+            desired.deployment.name, State.FORMING, State.SERVING, State.BROKEN
         )
-        for _ in range(wanted.replicas - len(held)):
-            if not healing.form(draft, wanted.deployment):
+        for _ in range(desired.replicas - len(held)):
+            if not healing.form_replica(draft, desired.deployment):
                 break
 
 
 def _replace_outdated(draft: Draft) -> None:
-    for wanted in draft.view.wanted:
-        _replace_one(draft, wanted)
+    for desired in draft.view.desired:
+        _replace_one(draft, desired)
 
 
-def _replace_one(draft: Draft, wanted: view_module.DesiredShare) -> None:
+def _replace_one(draft: Draft, desired: view_module.DesiredShare) -> None:
     """Form a replacement first if VMs are free, else drain one."""
-    name = wanted.deployment.name
-    serving = draft.of(name, State.SERVING)
+    name = desired.deployment.name
+    serving = draft.of_deployment(name, State.SERVING)
     outdated = [each for each in serving if draft.outdated(each)]
-    if not outdated or draft.of(name, State.FORMING, State.DRAINING):
+    if not outdated or draft.of_deployment(name, State.FORMING, State.DRAINING):
         return
-    if healing.form(draft, wanted.deployment):
+    if healing.form_replica(draft, desired.deployment):
         return
-    victim = min(outdated, key=draft.keep_rank)
+    victim = min(outdated, key=draft.drain_rank)
     leaving = draft.has_leaving(victim)
-    above_floor = len(serving) > wanted.floor_replicas
-    if leaving or (wanted.in_place and above_floor):
+    above_floor = len(serving) > desired.floor_replicas
+    if leaving or (desired.in_place and above_floor):
         reason = 'a VM is leaving' if leaving else 'outdated'
         draft.set_state(victim, State.DRAINING, reason)
--- a/redwingvalve/replicas/shares.py
+++ b/redwingvalve/replicas/shares.py
@@ -109,10 +109,10 @@
     counts: Counts = collections.Counter()
     ordered = sorted(deployments, key=_rank)
     for deployment in ordered:
-        domains = _allowed(deployment, capacities)
+        domains = _allowed_domains(deployment, capacities)
         _keep_previous(deployment, domains, free, counts, previous)
     for deployment in ordered:
-        domains = _allowed(deployment, capacities)
+        domains = _allowed_domains(deployment, capacities)
         _add_missing(deployment, domains, free, counts)
     return Allocation(generation, tuple(_shares(ordered, counts)))
 
@@ -149,14 +149,14 @@
     """Return the allocation with moves begun: one more at each place to."""
     counts = _counts(allocation)
     counts.update((each.to_domain, each.deployment) for each in moves)
-    return _recounted(allocation, counts, (*allocation.moves, *moves))
+    return _with_counts(allocation, counts, (*allocation.moves, *moves))
 
 
 def cancel_moves(allocation: Allocation, moves: tuple[Move, ...]) -> Allocation:
     """Return the allocation with open moves called off."""
     counts = _counts(allocation)
     counts.subtract((each.to_domain, each.deployment) for each in moves)
-    return _recounted(allocation, counts, _others(allocation, moves))
+    return _with_counts(allocation, counts, _remaining_moves(allocation, moves))
 
 
 def complete_moves(
@@ -165,12 +165,12 @@
     """Return the allocation with open moves ended: one less at from."""
     counts = _counts(allocation)
     counts.subtract((each.from_domain, each.deployment) for each in moves)
-    return _recounted(allocation, counts, _others(allocation, moves))
+    return _with_counts(allocation, counts, _remaining_moves(allocation, moves))
 
 
 def add_replicas(allocation: Allocation, places: Counts) -> Allocation:
     """Return the allocation with replicas more at some places."""
-    return _recounted(
+    return _with_counts(
         allocation, _counts(allocation) + places, allocation.moves
     )
 
@@ -190,7 +190,7 @@
     )
 
 
-def _others(
+def _remaining_moves(
     allocation: Allocation, moves: tuple[Move, ...]
 ) -> tuple[Move, ...]:
     left = collections.Counter(allocation.moves)
@@ -198,7 +198,7 @@
     return tuple((+left).elements())
 
 
-def _recounted(
+def _with_counts(
     allocation: Allocation, counts: Counts, moves: tuple[Move, ...]
 ) -> Allocation:
     """Return other counts; each deployment's floor is split anew."""
@@ -218,15 +218,15 @@
     return (-value_per_vm, deployment.name)
 
 
-def _allowed(
+def _allowed_domains(
     deployment: schema.ModelDeployment,
     capacities: tuple[DomainCapacity, ...],
 ) -> list[str]:
-    wanted = deployment.data_centres
+    desired = deployment.data_centres
     return sorted(
         each.domain
         for each in capacities
-        if not wanted or each.data_centre in wanted
+        if not desired or each.data_centre in desired
     )
 
 
@@ -244,7 +244,7 @@
             free[name] // deployment.vms_per_replica,
             left,
         )
-        _give(deployment, name, kept, free, counts)
+        _assign(deployment, name, kept, free, counts)
         left -= kept
 
 
@@ -256,13 +256,13 @@
 ) -> None:
     held = sum(counts[name, deployment.name] for name in domains)
     for _ in range(deployment.replicas - held):
-        roomiest = max(domains, key=free.__getitem__, default='')
-        if not roomiest or free[roomiest] < deployment.vms_per_replica:
+        freest = max(domains, key=free.__getitem__, default='')
+        if not freest or free[freest] < deployment.vms_per_replica:
             return
-        _give(deployment, roomiest, 1, free, counts)
+        _assign(deployment, freest, 1, free, counts)
 
 
-def _give(
+def _assign(
     deployment: schema.ModelDeployment,
     domain: str,
     replicas: int,
--- a/redwingvalve/replicas/spares.py
+++ b/redwingvalve/replicas/spares.py
@@ -25,7 +25,7 @@
 
 from redwingvalve.declaration import schema
 
-MOST_SPARES = 64
+MAX_SPARES = 64
 SECONDS_PER_DAY = 86400.0
 SECONDS_PER_MINUTE = 60.0
 
@@ -77,7 +77,7 @@
     """Return the number of spares with the lowest price for one domain."""
     prices = [
         price_per_minute(needs, rates, spares)
-        for spares in range(_most_useful(needs) + 1)
+        for spares in range(_max_useful_spares(needs) + 1)
     ]
     best = min(range(len(prices)), key=prices.__getitem__)
     return Advice(best, prices[best], prices[0])
@@ -99,28 +99,30 @@
     domains beside them. The price of either falls and then rises, so that
     the search of each ends at the first rise.
     """
-    best = _with_sets(domains, rates, 0)
-    for spares in range(1, _set_vms(domains) + 1):
-        found = _with_sets(domains, rates, spares)
+    best = _best_group_count(domains, rates, 0)
+    for spares in range(1, _group_vms(domains) + 1):
+        found = _best_group_count(domains, rates, spares)
         if found.price_per_minute < best.price_per_minute:
             best = found
     return best
 
 
-def _with_sets(
+def _best_group_count(
     domains: tuple[DomainDemand, ...], rates: FailureRates, spares: int
 ) -> PoolAdvice:
     """Return the best number of sets beside so many spares a domain."""
     places = range(len(domains))
-    set_vms = _set_vms(domains)
+    group_vms = _group_vms(domains)
     without = pool_price_per_minute(domains, rates, (0,) * len(domains))
     best = PoolAdvice((0,) * len(domains), without, without)
-    for sets in range(len(domains) + 1):
-        layout = tuple(spares + set_vms * (place < sets) for place in places)
+    for groups in range(len(domains) + 1):
+        layout = tuple(
+            spares + group_vms * (place < groups) for place in places
+        )
         price = pool_price_per_minute(domains, rates, layout)
         if price < best.price_per_minute:
             best = PoolAdvice(layout, price, without)
-        elif sets:
+        elif groups:
             break
     return best
 
@@ -138,13 +140,16 @@
     is none to share them with.
     """
     stranded = sum(
-        count * _dearest_accelerators(needs)
+        count * _idle_vm_price(needs)
         for needs, count in zip(domains, spares, strict=True)
     )
-    cheapest = min(
-        (_cheapest(needs) for needs in domains if _vms(needs)), default=0.0
+    min_downtime_price = min(
+        (_min_downtime_price(needs) for needs in domains if _total_vms(needs)),
+        default=0.0,
+    )
+    return stranded + min_downtime_price * _expected_short(
+        domains, rates, spares
     )
-    return stranded + cheapest * _expected_short(domains, rates, spares)
 
 
 def _expected_short(
@@ -153,53 +158,54 @@
     spares: tuple[int, ...],
 ) -> float:
     """Return the mean number of replicas that only a repair can bring back."""
-    set_vms = _set_vms(domains)
+    group_vms = _group_vms(domains)
     shared = len(domains) > 1
-    sets = sum(count // set_vms for count in spares) if shared else 0
+    groups = sum(count // group_vms for count in spares) if shared else 0
     mean = sum(
-        _poisson_excess(_vms_out(needs, rates), count)
+        _poisson_excess(_mean_vms_out(needs, rates), count)
         for needs, count in zip(domains, spares, strict=True)
     )
     outages = [
         outage
         for needs, count in zip(domains, spares, strict=True)
-        for outage in _outages(needs, rates, count, set_vms)
+        for outage in _outages(needs, rates, count, group_vms)
     ]
     quiet = 1 - min(sum(outage.share for outage in outages), 1.0)
-    short = quiet * _poisson_excess(mean, sets)
+    short = quiet * _poisson_excess(mean, groups)
     return short + sum(
-        outage.share * _poisson_excess(mean, sets - outage.replicas)
+        outage.share * _poisson_excess(mean, groups - outage.replicas)
         for outage in outages
     )
 
 
-def _vms_out(needs: DomainDemand, rates: FailureRates) -> float:
+def _mean_vms_out(needs: DomainDemand, rates: FailureRates) -> float:
     """Return the mean of VMs out of use one by one."""
     outages_per_day = (
         rates.vm_failures_per_vm_day + rates.vm_restarts_per_vm_day
     )
     repair_days = rates.vm_repair_time_s / SECONDS_PER_DAY
-    return _vms(needs) * outages_per_day * repair_days
+    return _total_vms(needs) * outages_per_day * repair_days
 
 
 def _outages(
-    needs: DomainDemand, rates: FailureRates, spares: int, set_vms: int
+    needs: DomainDemand, rates: FailureRates, spares: int, group_vms: int
 ) -> tuple[_Outage, _Outage]:
     """Return the loss of a rack, whose remnants merge, and of the domain."""
     rack_days = rates.rack_repair_time_s / SECONDS_PER_DAY
     dark_days = rates.domain_repair_time_s / SECONDS_PER_DAY
-    lost = min(rates.rack_vms, _vms(needs))
-    short = math.ceil(max(lost - spares, 0) / set_vms)
+    lost = min(rates.rack_vms, _total_vms(needs))
+    short = math.ceil(max(lost - spares, 0) / group_vms)
     replicas = sum(need.replicas for need in needs)
     return (
         _Outage(
-            _vms(needs) * rates.rack_failures_per_vm_day * rack_days, short
+            _total_vms(needs) * rates.rack_failures_per_vm_day * rack_days,
+            short,
         ),
         _Outage(rates.domain_failures_per_day * dark_days, replicas),
     )
 
 
-def _set_vms(domains: tuple[DomainDemand, ...]) -> int:
+def _group_vms(domains: tuple[DomainDemand, ...]) -> int:
     """Return the VMs that hold any one replica."""
     return max(
         (
@@ -226,15 +232,15 @@
     return max(excess, 0.0)
 
 
-def _most_useful(needs: DomainDemand) -> int:
-    return min(_vms(needs), MOST_SPARES)
+def _max_useful_spares(needs: DomainDemand) -> int:
+    return min(_total_vms(needs), MAX_SPARES)
 
 
-def _vms(needs: DomainDemand) -> int:
+def _total_vms(needs: DomainDemand) -> int:
     return sum(need.vms() for need in needs)
 
 
-def _dearest_accelerators(needs: DomainDemand) -> float:
+def _idle_vm_price(needs: DomainDemand) -> float:
     """Return the stranded price of one spare VM a minute."""
     return max(
         (
@@ -246,7 +252,7 @@
     )
 
 
-def _cheapest(needs: DomainDemand) -> float:
+def _min_downtime_price(needs: DomainDemand) -> float:
     """Return the price of a minute of the replica that is healed last."""
     return min(
         (
--- a/redwingvalve/replicas/tests/fixtures.py
+++ b/redwingvalve/replicas/tests/fixtures.py
@@ -25,7 +25,7 @@
 class Bench:
     """One fabric domain; each controller has its own way to the engines."""
 
-    def __init__(self, vms=7, wanted=None, disabled=()):
+    def __init__(self, vms=7, desired=None, disabled=()):
         self.clock = clock.ManualClock(1000.0)
         self.store = memory_store.make_memory_object_api()
         self.fleet = memory_fleet.MemoryFleet(
@@ -37,9 +37,9 @@
             LOAD_S,
         )
         self.weights = memory_fleet.MemoryWeights(self.clock, 1.0, 4)
-        self.wanted = wanted or (view.DesiredShare(deployment(), 2, 0),)
+        self.desired = desired or (view.DesiredShare(deployment(), 2, 0),)
         self.disabled = disabled
-        self.ways = {}
+        self.order_clients = {}
 
     async def begin(self, *owners):
         body = domain_module.to_body(domain_module.FabricDomain('d', 'nave-a'))
@@ -47,10 +47,10 @@
         return [self.controller(owner) for owner in owners]
 
     def controller(self, owner, store=None):
-        self.ways[owner] = memory_fleet.MemoryOrders(self.fleet)
-        tools = controller.Dependencies(
+        self.order_clients[owner] = memory_fleet.MemoryOrders(self.fleet)
+        dependencies = controller.Dependencies(
             store or self.store,
-            self.ways[owner],
+            self.order_clients[owner],
             self.weights,
             self.clock,
             entry_reports.NoEntryReports(),
@@ -58,10 +58,10 @@
             invariants.SafeguardSwitches(self.disabled),
             draft.PlacementPolicy(),
         )
-        return controller.make_domain_controller('d', owner, tools)
+        return controller.make_domain_controller('d', owner, dependencies)
 
     def inputs(self):
-        return controller.ControllerInputs(self.fleet.vms(), self.wanted)
+        return controller.ControllerInputs(self.fleet.vms(), self.desired)
 
     async def run(self, duration_s, *controllers):
         for _ in range(int(duration_s / STEP_S)):
--- a/redwingvalve/replicas/tests/gated.py
+++ b/redwingvalve/replicas/tests/gated.py
@@ -28,7 +28,7 @@
         self.waiting.append(turn)
         await turn
 
-    def let_go(self):
+    def release_next(self):
         while self.waiting:
             turn = self.waiting.pop(0)
             if not turn.done():
@@ -99,7 +99,7 @@
         self.gate = Gate()
         self.bench = bench
         self.orders = GatedOrders(bench.fleet, self.gate)
-        tools = controller.Dependencies(
+        dependencies = controller.Dependencies(
             GatedStore(bench.store, self.gate),
             self.orders,
             bench.weights,
@@ -109,7 +109,9 @@
             invariants.SafeguardSwitches(bench.disabled),
             draft.PlacementPolicy(),
         )
-        self.controller = controller.make_domain_controller('d', name, tools)
+        self.controller = controller.make_domain_controller(
+            'd', name, dependencies
+        )
         self.task = runner.get_loop().create_task(self._run())
 
     async def _run(self):
@@ -123,7 +125,7 @@
             self.task.result()
 
 
-def settle(runner):
+def run_until_blocked(runner):
     """Run until every process waits at its gate."""
 
     async def turns():
--- a/redwingvalve/replicas/tests/test_controller.py
+++ b/redwingvalve/replicas/tests/test_controller.py
@@ -81,8 +81,8 @@
                 name='race', prices=schema.Prices(price, 0.05)
             )
             cheap = fixtures.deployment(name='bench')
-            wanted = (view.DesiredShare(dear, 1), view.DesiredShare(cheap, 1))
-            bench = fixtures.Bench(vms=6, wanted=wanted)
+            desired = (view.DesiredShare(dear, 1), view.DesiredShare(cheap, 1))
+            bench = fixtures.Bench(vms=6, desired=desired)
             (one,) = await bench.begin('one')
             await bench.run(30, one)
             broken = next(
@@ -107,7 +107,7 @@
         bench = fixtures.Bench(vms=9)
         (one,) = await bench.begin('one')
         await bench.run(30, one)
-        bench.wanted = (
+        bench.desired = (
             view.DesiredShare(fixtures.deployment(version='2'), 2, 2),
         )
         for _ in range(200):
@@ -130,7 +130,7 @@
         await bench.run(30, one)
         for engine in bench.fleet.engines.values():
             engine.state = attrs.evolve(engine.state, in_flight=1)
-        bench.wanted = (
+        bench.desired = (
             view.DesiredShare(fixtures.deployment(version='2'), 2, 1),
         )
         await bench.run(120, one)
@@ -173,16 +173,16 @@
         ignoring = fixtures.deployment(
             endpoint_trust=schema.EndpointTrust.IGNORES_FENCING
         )
-        bench = fixtures.Bench(wanted=(view.DesiredShare(ignoring, 2),))
+        bench = fixtures.Bench(desired=(view.DesiredShare(ignoring, 2),))
         for engine in bench.fleet.engines.values():
             engine.refuses_old = False
         one, two = await bench.begin('one', 'two')
         await bench.run(2, one, two)
         await bench.run(60, two)
         assert bench.states() == SERVING_TWO
-        sent = bench.ways['one'].sent
+        sent = bench.order_clients['one'].sent
         await bench.run(10, one, two)
-        assert bench.ways['one'].sent == sent
+        assert bench.order_clients['one'].sent == sent
         assert bench.domain().lease.holder == 'two'
 
     anyio.run(scenario)
--- a/redwingvalve/replicas/tests/test_domain_machine.py
+++ b/redwingvalve/replicas/tests/test_domain_machine.py
@@ -45,18 +45,18 @@
         self.processes = {
             name: gated.Process(name, self.bench, self.runner) for name in NAMES
         }
-        gated.settle(self.runner)
+        gated.run_until_blocked(self.runner)
 
     def declare(self, version):
         declared = fixtures.deployment(
             version=version, vms_per_replica=2, endpoint_trust=self.trust
         )
-        self.bench.wanted = (view.DesiredShare(declared, 2, 1),)
+        self.bench.desired = (view.DesiredShare(declared, 2, 1),)
 
     def go(self, name, calls):
         for _ in range(calls):
-            self.processes[name].gate.let_go()
-            gated.settle(self.runner)
+            self.processes[name].gate.release_next()
+            gated.run_until_blocked(self.runner)
 
     @stateful.rule(name=st.sampled_from(NAMES), calls=st.integers(1, 6))
     def let_go(self, name, calls):
@@ -137,7 +137,7 @@
         if hasattr(self, 'processes'):
             for process in self.processes.values():
                 process.task.cancel()
-            gated.settle(self.runner)
+            gated.run_until_blocked(self.runner)
         self.runner.close()
 
 
--- a/redwingvalve/replicas/tests/test_lease_model.py
+++ b/redwingvalve/replicas/tests/test_lease_model.py
@@ -44,8 +44,8 @@
 
     def choose(self, choice):
         if choice in self.processes:
-            self.processes[choice].gate.let_go()
-            gated.settle(self.runner)
+            self.processes[choice].gate.release_next()
+            gated.run_until_blocked(self.runner)
         elif choice == VM_LOST:
             self.bench.fleet.engine('vm-1').alive = False
         else:
@@ -58,7 +58,7 @@
     def end(self):
         for process in self.processes.values():
             process.task.cancel()
-        gated.settle(self.runner)
+        gated.run_until_blocked(self.runner)
 
 
 def walk(schedules, trust, disabled=()):
--- a/redwingvalve/replicas/view.py
+++ b/redwingvalve/replicas/view.py
@@ -55,7 +55,7 @@
 
     domain: domain_module.FabricDomain
     vms: dict[str, VmView]
-    wanted: tuple[DesiredShare, ...]
+    desired: tuple[DesiredShare, ...]
     drained: frozenset[str] = frozenset()
 
     def vm(self, name: str) -> VmView:
@@ -66,7 +66,7 @@
     def desired_share(self, deployment: str) -> DesiredShare | None:
         """Return the share in a deployment, if there is one."""
         found = (
-            each for each in self.wanted if each.deployment.name == deployment
+            each for each in self.desired if each.deployment.name == deployment
         )
         return next(found, None)
 
@@ -76,7 +76,7 @@
     return 'head' if replica.members[0] == vm else 'worker'
 
 
-def runs(
+def runs_as_ordered(
     state: engine_orders.EngineState | None,
     replica: domain_module.DomainReplica,
     vm: str,
@@ -84,7 +84,7 @@
     """Tell whether an engine is at the state that the replica wants of it."""
     if state is None:
         return False
-    wanted = (
+    desired = (
         replica.name,
         replica.epoch,
         replica.model,
@@ -93,7 +93,7 @@
         replica.members,
         replica.adapters,
     )
-    return wanted == (
+    return desired == (
         state.replica,
         state.epoch,
         state.model,
@@ -104,12 +104,14 @@
     )
 
 
-def reads_back(view: DomainView, replica: domain_module.DomainReplica) -> bool:
+def all_members_ready(
+    view: DomainView, replica: domain_module.DomainReplica
+) -> bool:
     """Tell whether every member is there, ready and as ordered."""
     return all(
         view.vm(name).reachable
         and _ready(view.vm(name).state)
-        and runs(view.vm(name).state, replica, name)
+        and runs_as_ordered(view.vm(name).state, replica, name)
         for name in replica.members
     )
 
--- a/redwingvalve/replicas/vm_health.py
+++ b/redwingvalve/replicas/vm_health.py
@@ -17,42 +17,42 @@
 
 MISSING_AFTER_S = 2.0
 # One probe that fails after a long pause of this process proves little.
-BACKDATED_S = 1.5
-FIRST_KEEP_OUT_S = 30.0
-LONGEST_KEEP_OUT_S = 3600.0
-RECORD_CLEARED_AFTER_S = 3600.0
+MAX_BACKDATE_S = 1.5
+MIN_QUARANTINE_S = 30.0
+MAX_QUARANTINE_S = 3600.0
+FLAP_RESET_AFTER_S = 3600.0
 FREE_FLAPS = 1
 
 
 @attrs.frozen
-class Sighting:
+class VmHealth:
     """What the last probes of one VM gave; all times are monotonic."""
 
     state: engine_orders.EngineState | None = None
     seen_s: float = 0.0
-    back_since_s: float = 0.0
+    available_since_s: float = 0.0
     failing_since_s: float | None = None
 
 
-class Sightings:
+class VmHealthTracker:
     """Sightings of the VMs of one domain."""
 
     def __init__(self) -> None:
         """Know nothing yet."""
-        self._sightings: dict[str, Sighting] = {}
+        self._health: dict[str, VmHealth] = {}
 
-    def record_seen(
+    def record_response(
         self, vm: str, state: engine_orders.EngineState, now_s: float
     ) -> None:
         """Record an answer."""
-        before = self._sightings.get(vm)
-        back_since_s = before.back_since_s if before else now_s
+        before = self._health.get(vm)
+        available_since_s = before.available_since_s if before else now_s
         if before is not None and self.missing(vm, now_s):
-            back_since_s = now_s
-        self._sightings[vm] = Sighting(state, now_s, back_since_s)
+            available_since_s = now_s
+        self._health[vm] = VmHealth(state, now_s, available_since_s)
 
-    def record_failed(
-        self, vm: str, started_s: float, others_seen_s: float | None
+    def record_failure(
+        self, vm: str, started_s: float, entry_seen_s: float | None
     ) -> None:
         """Record a probe, started at started_s, that got no answer.
 
@@ -60,70 +60,67 @@
         cut off from the engines would otherwise break replicas that entries
         see well.
         """
-        before = self._sightings.get(vm, Sighting())
+        before = self._health.get(vm, VmHealth())
         since_s = before.failing_since_s
         if since_s is None:
             since_s = started_s
             if before.state is not None:
-                since_s = max(before.seen_s, started_s - BACKDATED_S)
-        if others_seen_s is not None:
-            since_s = max(since_s, others_seen_s)
-        self._sightings[vm] = attrs.evolve(before, failing_since_s=since_s)
+                since_s = max(before.seen_s, started_s - MAX_BACKDATE_S)
+        if entry_seen_s is not None:
+            since_s = max(since_s, entry_seen_s)
+        self._health[vm] = attrs.evolve(before, failing_since_s=since_s)
 
-    def forget_others(self, vms: frozenset[str]) -> None:
+    def retain_only(self, vms: frozenset[str]) -> None:
         """Keep only the sightings of these VMs."""
-        for name in set(self._sightings) - vms:
-            self._sightings.pop(name)
+        for name in set(self._health) - vms:
+            self._health.pop(name)
 
     def state(self, vm: str) -> engine_orders.EngineState | None:
         """Return the last state that the VM reported."""
-        sighting = self._sightings.get(vm)
-        return sighting.state if sighting else None
+        health = self._health.get(vm)
+        return health.state if health else None
 
-    def seen_within(self, vm: str, age_s: float, now_s: float) -> bool:
+    def responded_within(self, vm: str, age_s: float, now_s: float) -> bool:
         """Tell whether the VM answered this process so lately."""
-        sighting = self._sightings.get(vm)
-        if sighting is None or sighting.state is None:
+        health = self._health.get(vm)
+        if health is None or health.state is None:
             return False
-        return (
-            sighting.failing_since_s is None
-            and now_s - sighting.seen_s <= age_s
-        )
+        return health.failing_since_s is None and now_s - health.seen_s <= age_s
 
     def all_failing(self) -> bool:
         """Tell whether the last probe of every VM got no answer."""
         return all(
-            sighting.failing_since_s is not None
-            for sighting in self._sightings.values()
+            health.failing_since_s is not None
+            for health in self._health.values()
         )
 
     def failing(self, vm: str) -> bool:
         """Tell whether the last probe got no answer."""
-        sighting = self._sightings.get(vm)
-        return sighting is not None and sighting.failing_since_s is not None
+        health = self._health.get(vm)
+        return health is not None and health.failing_since_s is not None
 
     def missing(self, vm: str, now_s: float) -> bool:
         """Tell whether the VM has been failing for too long."""
-        sighting = self._sightings.get(vm)
-        if sighting is None or sighting.failing_since_s is None:
+        health = self._health.get(vm)
+        if health is None or health.failing_since_s is None:
             return False
-        return now_s - sighting.failing_since_s >= MISSING_AFTER_S
+        return now_s - health.failing_since_s >= MISSING_AFTER_S
 
-    def judged(self, vm: str, now_s: float) -> bool:
+    def is_known(self, vm: str, now_s: float) -> bool:
         """Tell whether the VM was seen once or is known to be missing."""
         return self.state(vm) is not None or self.missing(vm, now_s)
 
-    def present_for_s(self, vm: str, now_s: float) -> float:
+    def available_for_s(self, vm: str, now_s: float) -> float:
         """Return for how long the VM has been there without a loss."""
-        sighting = self._sightings.get(vm)
-        if sighting is None or sighting.state is None:
+        health = self._health.get(vm)
+        if health is None or health.state is None:
             return 0.0
-        return now_s - sighting.back_since_s
+        return now_s - health.available_since_s
 
 
-def keep_out_s(flaps: int) -> float:
+def quarantine_s(flaps: int) -> float:
     """Return for how long a VM with so many losses stays out of use."""
     if flaps <= FREE_FLAPS:
         return 0.0
     doublings = min(flaps - FREE_FLAPS - 1, 16)
-    return min(FIRST_KEEP_OUT_S * 2**doublings, LONGEST_KEEP_OUT_S)
+    return min(MIN_QUARANTINE_S * 2**doublings, MAX_QUARANTINE_S)
