--- a/redwingvalve/control/loop.py
+++ b/redwingvalve/control/loop.py
@@ -147,21 +147,21 @@
     def _is_candidate(self, duty: str) -> bool:
         if self._members is None:
             return True
-        myself = self._members.myself()
+        myself = self._members.local_member()
         in_region = {
             each.name
             for each in self._members.alive(CONTROL_ROLE)
             if each.region == myself.region
         }
         in_region.add(myself.name)
-        return myself.name in rendezvous.holders(
+        return myself.name in rendezvous.select(
             in_region, duty, CANDIDATES_PER_DUTY
         )
 
     def _is_in_own_region(self, vm: vm_list.Vm) -> bool:
         if self._members is None or not vm.region:
             return True
-        return vm.region == self._members.myself().region
+        return vm.region == self._members.local_member().region
 
     async def _step_domain(self, name: str, managed: _ManagedDomain) -> None:
         if not managed.created:
--- a/redwingvalve/entry/cache_watch.py
+++ b/redwingvalve/entry/cache_watch.py
@@ -2,7 +2,7 @@
 
 Each replica is read by one entry of its region, by rendezvous hashing, which
 tells the others on the board of news; what is told and believed is decided in
-routing.cache_follower and routing.cache_news.
+routing.cache_follower and routing.cache_summary.
 """
 
 import json
@@ -13,13 +13,13 @@
 
 from redwingvalve.configuration import snapshot
 from redwingvalve.entry import dependencies, replica_choice, upstream
-from redwingvalve.evidence import findings_wire
+from redwingvalve.evidence import probe_reports
 from redwingvalve.membership import rendezvous
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.routing import (
     cache_follower,
-    cache_news,
-    cache_reader,
+    cache_summary,
+    cache_summary_reader,
     policy,
 )
 
@@ -33,9 +33,9 @@
 REPLICAS_PER_ITEM = 200
 ENTRY_ROLE = 'entry'
 EVENTS_PATH = '/cache-events'
-CHANNEL = board.Channel(
+CHANNEL = bus.Channel(
     name='cache',
-    reach=board.Reach.REGION,
+    scope=bus.Scope.REGION,
     max_age_s=25.0,
     max_item_bytes=8192,
 )
@@ -54,7 +54,7 @@
         self._dependencies = entry_dependencies
         self._choice = choice
         self._follower = cache_follower.make_cache_follower()
-        self._reader = cache_reader.make_cache_reader()
+        self._reader = cache_summary_reader.make_summary_reader()
         self._replicas: dict[str, snapshot.Replica] = {}
         self._marks: dict[bytes, str] = {}
         self._mine: tuple[str, ...] = ()
@@ -95,7 +95,7 @@
         At 480 replicas and 72 entries a look at all pairs takes 30 ms, which
         twice a second would be five times what a node may spend.
         """
-        myself = self._dependencies.members.myself()
+        myself = self._dependencies.members.local_member()
         names = frozenset(
             member.name
             for member in self._dependencies.members.alive(ENTRY_ROLE)
@@ -111,13 +111,13 @@
             if replica.serving and self._in_region(replica)
         }
         self._marks = {
-            findings_wire.mark_of(replica): name
+            probe_reports.fingerprint_of(replica): name
             for name, replica in self._replicas.items()
         }
         self._mine = tuple(
             name
             for name in self._replicas
-            if rendezvous.holders(names, name, 1) == (myself.name,)
+            if rendezvous.select(names, name, 1) == (myself.name,)
         )
         self._follower.follow(
             {name: self._replicas[name].epoch for name in self._mine}
@@ -136,7 +136,7 @@
             except BROKEN:
                 self._follower.failed(fetch, now_s)
                 return
-            self._follower.took(
+            self._follower.record_page(
                 fetch, events, len(body) + OVERHEAD_BYTES, now_s
             )
             return
@@ -162,8 +162,8 @@
 
     def _tell(self, now_s: float) -> None:
         words = [
-            cache_news.make_word(
-                findings_wire.mark_of(self._replicas[name]),
+            cache_summary.make_summary(
+                probe_reports.fingerprint_of(self._replicas[name]),
                 self._follower,
                 name,
                 self._choice.asked,
@@ -172,7 +172,7 @@
             for name in self._mine
         ]
         items = {
-            str(start): cache_news.encode(
+            str(start): cache_summary.encode(
                 words[start : start + REPLICAS_PER_ITEM]
             )
             for start in range(0, len(words), REPLICAS_PER_ITEM)
@@ -194,10 +194,10 @@
         words = {
             self._marks[word.mark]: word
             for news in self._dependencies.news.read(CHANNEL)
-            for word in cache_news.decode(news.body)
+            for word in cache_summary.decode(news.body)
             if word.mark in self._marks
         }
-        self._reader.take(words, self._routing_of)
+        self._reader.apply(words, self._routing_of)
 
     def _routing_of(self, name: str) -> policy.RoutingPolicy | None:
         replica = self._replicas.get(name)
@@ -206,7 +206,7 @@
         return self._choice.routing(replica.deployment)
 
     def _in_region(self, replica: snapshot.Replica) -> bool:
-        own = self._dependencies.members.myself().region
+        own = self._dependencies.members.local_member().region
         return not replica.region or replica.region == own
 
 
@@ -217,7 +217,7 @@
     return [
         cache_follower.CacheEvent(
             int(row['number']),
-            cache_news.short_name(str(row['prefix_hash'])),
+            cache_summary.short_hash(str(row['prefix_hash'])),
             row['type'] == 'stored',
         )
         for row in json.loads(body)['events']
--- a/redwingvalve/entry/relay.py
+++ b/redwingvalve/entry/relay.py
@@ -57,7 +57,7 @@
         self.choice = replica_choice.ReplicaChoice(
             entry_dependencies.source,
             entry_dependencies.permits,
-            entry_dependencies.members.myself(),
+            entry_dependencies.members.local_member(),
             entry_dependencies.clock,
             entry_dependencies.switches,
         )
@@ -227,7 +227,9 @@
                 )
 
         watched = stall_watch.Watched(
-            stalls.Pulse(attempt.replica.name, attempt.route.prompt_tokens),
+            stalls.MonitoredStream(
+                attempt.replica.name, attempt.route.prompt_tokens
+            ),
             identity.endpoint_id,
             journey.request.deployment.name,
             policy,
@@ -270,7 +272,7 @@
         self,
         journey: sends.Journey,
         attempt: _Attempt,
-        pulse: stalls.Pulse,
+        pulse: stalls.MonitoredStream,
         tried: frozenset[str],
     ) -> bool:
         """Tell whether giving a stalled send up serves its caller.
