--- a/redwingvalve/replicas/domain_monitor.py
+++ b/redwingvalve/replicas/domain_monitor.py
@@ -1,4 +1,4 @@
-"""Probes the VMs of a domain and builds the view that placement reads."""
+"""Probes the VMs of a domain and builds the view used by placement."""
 
 from collections import abc as collections_abc
 
@@ -18,7 +18,7 @@
 
 
 class DomainMonitor:
-    """Sees one domain through probes, the VM list and the entries."""
+    """Observes one domain by probes, the VM list and reports of entries."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         entries: entry_reports.EntryReports,
         switches: invariants.SafeguardSwitches,
     ) -> None:
-        """Know nothing yet."""
+        """Start without any probe results."""
         self._orders = orders
         self._clock = time_source
         self._entries = entries
@@ -36,7 +36,7 @@
         self._draining_since_s: dict[tuple[str, int], float] = {}
 
     async def probe(self, domain: domain_module.FabricDomain) -> None:
-        """Read the state of every VM once."""
+        """Probe every VM once, except those that entries confirm."""
         self._health.retain_only(frozenset(vm.name for vm in domain.vms))
         limiter = anyio.CapacityLimiter(MAX_CONCURRENT_PROBES)
         confirmed = self._vms_confirmed_by_entries(domain)
@@ -48,11 +48,11 @@
     def _vms_confirmed_by_entries(
         self, domain: domain_module.FabricDomain
     ) -> frozenset[str]:
-        """Return the VMs that need no probe of this process's own.
+        """Return the VMs that this process need not probe itself.
 
-        Entries probe the VMs of serving replicas twice a second already; at
-        64 VMs a domain, doing so again would cost most of the processor time
-        that control may take.
+        Entries already probe the VMs of serving replicas twice a second.
+        Probing them again would use most of the CPU budget of the controller
+        at 64 VMs per domain.
         """
         now_s = self._clock.monotonic_s()
         return frozenset(
@@ -71,7 +71,7 @@
             started_s = self._clock.monotonic_s()
             answer = await self._orders.read_state(vm.address, PROBE_TIMEOUT_S)
         now_s = self._clock.monotonic_s()
-        # A lagging VM list may give an address that another VM has by now.
+        # The VM list lags: its address may belong to another VM by now.
         if answer.is_ok() and answer.ok.vm == vm.name:
             self._health.record_response(vm.name, answer.ok, now_s)
             return
@@ -84,7 +84,7 @@
         return self._health.all_failing()
 
     def members_known(self, domain: domain_module.FabricDomain) -> bool:
-        """Tell whether enough is known to decide about every replica."""
+        """Tell whether the health of every member of a replica is known."""
         now_s = self._clock.monotonic_s()
         return all(
             self._health.is_known(name, now_s) for name in domain.used_vms()
@@ -93,10 +93,10 @@
     def unrouted_replicas(
         self, domain: domain_module.FabricDomain
     ) -> frozenset[str]:
-        """Return the DRAINING replicas that no entry sends to any more.
+        """Return the DRAINING replicas to which no entry sends any more.
 
-        To be asked before the probe, so that the work in flight is counted
-        after the last sender stopped.
+        Call this before the probe, so that the requests in flight are counted
+        after the last entry has stopped sending.
         """
         now_s = self._clock.monotonic_s()
         draining = [
@@ -126,7 +126,7 @@
         desired: tuple[view_module.DesiredShare, ...],
         unrouted: frozenset[str],
     ) -> view_module.DomainView:
-        """Return the view after a probe."""
+        """Return the domain, its VMs and its desired shares after a probe."""
         updated = self._with_probe_results(domain)
         views = {vm.name: self._vm_view(vm) for vm in updated.vms}
         drained = frozenset(
@@ -183,9 +183,9 @@
     domain: domain_module.FabricDomain,
     listed: collections_abc.Iterable[vm_list.Vm],
 ) -> domain_module.FabricDomain:
-    """Return the domain with the VMs that the list shows.
+    """Return the domain with the VMs of the VM list.
 
-    The list lags: a VM that it no longer shows is only forgotten once it is
+    The list lags, so a VM that is no longer listed is removed only once it is
     missing and belongs to no replica.
     """
     shown = {
--- a/redwingvalve/replicas/vm_health.py
+++ b/redwingvalve/replicas/vm_health.py
@@ -1,14 +1,14 @@
-"""When each VM was last seen, and which ones come and go too often.
+"""Tracks when each VM last answered a probe, and damps flapping VMs.
 
 Load pattern: VMs die silently, pause for a second, or come back and die again
-every few minutes. Without a bound in time a dead VM keeps its replica on the
-list; without a growing time out of use, one flapping VM costs a load of the
-whole replica each time that it returns.
-
-Grounds: a VM is missing 2 s after its last sign of life, which with a probe
-each half second decides within 3 s and forgives a pause of a second. The
-first return is free; from the second on a VM stays out for 30 s, doubling up
-to an hour, and an hour without a loss clears its record.
+every few minutes. Without a time limit the replica of a dead VM would stay
+listed. Without a growing quarantine one flapping VM would cause the whole
+replica to be loaded again each time that it returns.
+
+A VM counts as missing 2 s after it last answered. With a probe every 0.5 s a
+loss is then detected within 3 s, and a pause of one second is tolerated. The
+first flap is free. From the second on the VM is quarantined for 30 s,
+doubling up to an hour. An hour without a loss resets the count of its flaps.
 """
 
 import attrs
@@ -16,7 +16,8 @@
 from redwingvalve.platform_api import engine_orders
 
 MISSING_AFTER_S = 2.0
-# One probe that fails after a long pause of this process proves little.
+# A single failed probe after a long pause of this process is weak evidence, so
+# that the start of a failure is dated back by no more than this.
 MAX_BACKDATE_S = 1.5
 MIN_QUARANTINE_S = 30.0
 MAX_QUARANTINE_S = 3600.0
@@ -26,7 +27,7 @@
 
 @attrs.frozen
 class VmHealth:
-    """What the last probes of one VM gave; all times are monotonic."""
+    """Results of the last probes of one VM; all times are monotonic."""
 
     state: engine_orders.EngineState | None = None
     seen_s: float = 0.0
@@ -35,16 +36,16 @@
 
 
 class VmHealthTracker:
-    """Sightings of the VMs of one domain."""
+    """Health of the VMs of one domain as probed by this process."""
 
     def __init__(self) -> None:
-        """Know nothing yet."""
+        """Start without any probe results."""
         self._health: dict[str, VmHealth] = {}
 
     def record_response(
         self, vm: str, state: engine_orders.EngineState, now_s: float
     ) -> None:
-        """Record an answer."""
+        """Record the answer to a probe."""
         before = self._health.get(vm)
         available_since_s = before.available_since_s if before else now_s
         if before is not None and self.missing(vm, now_s):
@@ -56,9 +57,9 @@
     ) -> None:
         """Record a probe, started at started_s, that got no answer.
 
-        The failing counts from the last sign of life: a controller that is
-        cut off from the engines would otherwise break replicas that entries
-        see well.
+        The failure is dated from the last answer to this process or to an
+        entry. Otherwise a controller that is cut off from the engines would
+        break replicas that the entries still reach.
         """
         before = self._health.get(vm, VmHealth())
         since_s = before.failing_since_s
@@ -71,7 +72,7 @@
         self._health[vm] = attrs.evolve(before, failing_since_s=since_s)
 
     def retain_only(self, vms: frozenset[str]) -> None:
-        """Keep only the sightings of these VMs."""
+        """Discard the health of all other VMs."""
         for name in set(self._health) - vms:
             self._health.pop(name)
 
@@ -81,7 +82,10 @@
         return health.state if health else None
 
     def responded_within(self, vm: str, age_s: float, now_s: float) -> bool:
-        """Tell whether the VM answered this process so lately."""
+        """Tell whether the VM's last answer to this process is recent.
+
+        False too when a later probe has failed.
+        """
         health = self._health.get(vm)
         if health is None or health.state is None:
             return False
@@ -95,23 +99,23 @@
         )
 
     def failing(self, vm: str) -> bool:
-        """Tell whether the last probe got no answer."""
+        """Tell whether the last probe of the VM got no answer."""
         health = self._health.get(vm)
         return health is not None and health.failing_since_s is not None
 
     def missing(self, vm: str, now_s: float) -> bool:
-        """Tell whether the VM has been failing for too long."""
+        """Tell whether the VM has failed its probes for MISSING_AFTER_S."""
         health = self._health.get(vm)
         if health is None or health.failing_since_s is None:
             return False
         return now_s - health.failing_since_s >= MISSING_AFTER_S
 
     def is_known(self, vm: str, now_s: float) -> bool:
-        """Tell whether the VM was seen once or is known to be missing."""
+        """Tell whether the VM has ever answered or is known to be missing."""
         return self.state(vm) is not None or self.missing(vm, now_s)
 
     def available_for_s(self, vm: str, now_s: float) -> float:
-        """Return for how long the VM has been there without a loss."""
+        """Return for how long the VM has been available without a loss."""
         health = self._health.get(vm)
         if health is None or health.state is None:
             return 0.0
@@ -119,7 +123,7 @@
 
 
 def quarantine_s(flaps: int) -> float:
-    """Return for how long a VM with so many losses stays out of use."""
+    """Return for how long a VM that flapped this often is not used."""
     if flaps <= FREE_FLAPS:
         return 0.0
     doublings = min(flaps - FREE_FLAPS - 1, 16)
