--- a/redwingvalve/replicas/controller.py
+++ b/redwingvalve/replicas/controller.py
@@ -253,7 +253,7 @@
         if read.domain.schema_version > domain_module.SCHEMA_VERSION:
             # A newer program wrote it; an older one could drop its fields.
             return
-        sent_s = self._now_s()
+        request_sent_s = self._now_s()
         had_holder = bool(read.domain.lease.holder)
         answer = await self._store.write(
             read, lease.acquired(read.domain, self._owner)
@@ -263,9 +263,12 @@
             self._stored = None
             return
         self._stored = answer.ok
-        self._renewed_s = sent_s
+        self._renewed_s = request_sent_s
         self._held_lease = lease.held_lease_after(
-            answer.ok.domain, sent_s, self._now_s(), had_holder=had_holder
+            answer.ok.domain,
+            request_sent_s,
+            self._now_s(),
+            had_holder=had_holder,
         )
         LOG.info('The lease was taken', extra={'domain': self._name})
 
@@ -305,7 +308,7 @@
         read: domain_store.StoredDomain,
         next_domain: domain_module.FabricDomain,
     ) -> None:
-        sent_s = self._now_s()
+        request_sent_s = self._now_s()
         answer = await self._store.write(read, lease.renewed(next_domain))
         if answer.is_error():
             self._record_store_failure(answer.error)
@@ -318,10 +321,10 @@
             return
         self._record_store_success()
         self._stored = answer.ok
-        self._renewed_s = sent_s
+        self._renewed_s = request_sent_s
         if self._held_lease is not None:
             self._held_lease = lease.extended(
-                self._held_lease, answer.ok.domain, sent_s
+                self._held_lease, answer.ok.domain, request_sent_s
             )
 
     async def _order(self, inputs: ControllerInputs) -> None:
--- a/redwingvalve/replicas/lease.py
+++ b/redwingvalve/replicas/lease.py
@@ -1,15 +1,15 @@
-"""The lease on a domain, judged by each process's own monotonic clock.
-
-Load pattern: holders pause, clocks drift, the store goes away. No wall clock
-is compared between processes: a watcher takes over only after it has itself
-seen no renewal for the whole term, and a holder counts its term from before
-it sent the renewal. Without this, a paused holder that wakes and a new one
-order the same VMs.
-
-Grounds: a term of 15 s renewed every 5 s survives two lost renewals, costs
-12 writes a minute for each domain, and lets a domain heal 20 s after its
-controller died. Quartz clocks drift by less than 1 in 1000; 1 in 100 is
-allowed for.
+"""The lease on a domain, timed by each process's own monotonic clock.
+
+Load pattern: holders pause, clocks drift, the store becomes unavailable. Wall
+clocks of different processes are never compared. A candidate acquires the lease
+only after it has observed no renewal for a whole term, and a holder counts its
+term from before it sent the renewal. Otherwise a holder that resumes after a
+pause and the new holder could both send orders to the same VMs.
+
+A term of 15 s with a renewal every 5 s tolerates two lost renewals, costs 12
+writes a minute for each domain, and lets a domain heal 20 s after its
+controller died. Quartz clocks drift by less than 1 in 1000; the lease allows
+for 1 in 100.
 """
 
 import attrs
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class Observation:
-    """The lease as last read, and since when it has looked like this."""
+    """The lease as last read, and since when it has been unchanged."""
 
     lease: domain_module.Lease
     fencing_number: int
@@ -37,7 +37,8 @@
 class HeldLease:
     """A lease that this process holds until until_s of its own clock.
 
-    May order endpoints that ignore fencing from ignoring_from_s on.
+    Endpoints that ignore fencing may be sent orders from
+    unfenced_orders_from_s on.
     """
 
     fencing_number: int
@@ -45,7 +46,7 @@
     unfenced_orders_from_s: float
 
     def remaining_s(self, now_s: float) -> float:
-        """Return for how long orders may still be under way."""
+        """Return for how much longer orders may be in flight."""
         return self.until_s - now_s
 
 
@@ -54,7 +55,7 @@
     domain: domain_module.FabricDomain,
     now_s: float,
 ) -> Observation:
-    """Return the observation after one more read at now_s."""
+    """Return the observation updated with a read at now_s."""
     unchanged = (
         before is not None
         and before.lease == domain.lease
@@ -65,7 +66,7 @@
 
 
 def may_acquire(observation: Observation, now_s: float) -> bool:
-    """Tell whether the lease is free or has lapsed by this clock."""
+    """Tell whether the lease is free or has expired by this clock."""
     if not observation.lease.holder:
         return True
     lapsed_after_s = observation.lease.term_s * (1 + MAX_CLOCK_DRIFT)
@@ -94,34 +95,39 @@
 def released(
     domain: domain_module.FabricDomain,
 ) -> domain_module.FabricDomain:
-    """Return the domain with the lease given back."""
+    """Return the domain with the lease released."""
     return attrs.evolve(domain, lease=domain_module.Lease('', 0, TERM_S))
 
 
 def held_lease_after(
     domain: domain_module.FabricDomain,
-    sent_s: float,
+    request_sent_s: float,
     now_s: float,
     *,
     had_holder: bool,
 ) -> HeldLease:
-    """Return the holding after taking a lease with a write sent at sent_s.
+    """Return the lease acquired by a write that was sent at request_sent_s.
 
-    Orders of the former holder may be in flight for ORDER_FLIGHT_S after its
-    term; endpoints that ignore fencing would obey them after ours.
+    Orders of the previous holder may be in flight for ORDER_IN_FLIGHT_S after
+    its term. Endpoints that ignore fencing would obey them after those of the
+    new holder, so a lease that had a holder delays orders to such endpoints.
     """
     wait_s = ORDER_IN_FLIGHT_S * (1 + MAX_CLOCK_DRIFT) if had_holder else 0.0
     return HeldLease(
-        domain.fencing_number, _until_s(domain, sent_s), now_s + wait_s
+        domain.fencing_number, _until_s(domain, request_sent_s), now_s + wait_s
     )
 
 
 def extended(
-    held_lease: HeldLease, domain: domain_module.FabricDomain, sent_s: float
+    held_lease: HeldLease,
+    domain: domain_module.FabricDomain,
+    request_sent_s: float,
 ) -> HeldLease:
-    """Return the holding after a renewal sent at sent_s."""
-    return attrs.evolve(held_lease, until_s=_until_s(domain, sent_s))
+    """Return the held lease after a renewal sent at request_sent_s."""
+    return attrs.evolve(held_lease, until_s=_until_s(domain, request_sent_s))
 
 
-def _until_s(domain: domain_module.FabricDomain, sent_s: float) -> float:
-    return sent_s + domain.lease.term_s * (1 - MAX_CLOCK_DRIFT)
+def _until_s(
+    domain: domain_module.FabricDomain, request_sent_s: float
+) -> float:
+    return request_sent_s + domain.lease.term_s * (1 - MAX_CLOCK_DRIFT)
