--- a/redwingvalve/replicas/spares.py
+++ b/redwingvalve/replicas/spares.py
@@ -1,21 +1,23 @@
-"""How many spare VMs to keep, and where, by the operator's two prices.
-
-Load pattern: VMs fail one by one, a rack or switch takes several at once now
-and then, a domain goes dark; each is back after its own repair time. With too
-few spares a replica is down until the repair; each spare too many is paid for
-and serves nobody.
-
-A spare VM heals its own fabric domain only. VMs for one whole replica, free
-in one domain, are a set: any domain may move a broken replica into it, so
-one set insures all domains, where one spare in each of six domains costs half
-as much again. What the set's user leaves behind is the next set, once the lost
-VM is back.
-
-Grounds: VMs out of use are Poisson distributed with mean failures x repair
-time (the M/G/infinity queue, for which only the mean repair time matters). A
-replica short of spares waits for a repair; with a spare it only waits for the
-load, which is lost either way and so does not count. One more spare pays
-while the downtime that it saves costs more than it does while it lies idle.
+"""Computes how many spare VMs to keep in which domains.
+
+The operator's prices of downtime and of idle accelerators decide.
+
+Load pattern: VMs fail independently, now and then a rack or switch fails with
+several VMs, and rarely a whole domain becomes unreachable. Each returns after
+its own repair time. With too few spares a replica is down until the repair.
+Each spare too many costs money and serves no requests.
+
+A spare VM can only heal replicas of its own fabric domain. Enough free VMs in
+one domain for a whole replica form a spare group: any domain may move a broken
+replica to it. One group covers all domains, whereas one spare in each of six
+domains costs half as much again. The VMs that the moved replica leaves behind
+become the next group once the lost VM is back.
+
+The number of VMs out of use is Poisson distributed with mean failure rate x
+repair time (an M/G/infinity queue, for which only the mean repair time
+matters). A replica without a spare waits for a repair. With a spare it waits
+only for the load, which is needed in both cases and so does not count. One more
+spare pays while it saves more in downtime than it costs while idle.
 """
 
 import itertools
@@ -40,7 +42,7 @@
     replicas: int
 
     def vms(self) -> int:
-        """Return the VMs that the replicas are made of."""
+        """Return the number of VMs in the replicas."""
         return self.replicas * self.deployment.vms_per_replica
 
 
@@ -49,7 +51,7 @@
 
 @attrs.frozen
 class Advice:
-    """How many spares pay, and the price of a minute with and without."""
+    """The cheapest number of spares, and the price with and without them."""
 
     spares: int
     price_per_minute: float
@@ -58,7 +60,7 @@
 
 @attrs.frozen
 class PoolAdvice:
-    """Spare VMs for each domain, in the order of the needs given."""
+    """Spare VMs for each domain, in the order in which domains were given."""
 
     spares: tuple[int, ...]
     price_per_minute: float
@@ -67,59 +69,59 @@
 
 @attrs.frozen
 class _Outage:
-    """A share of time in which one domain is short of so many replicas."""
+    """The share of time during which a domain is short of some replicas."""
 
     share: float
     replicas: int
 
 
-def advise(needs: DomainDemand, rates: FailureRates) -> Advice:
+def advise(demand: DomainDemand, failure_rates: FailureRates) -> Advice:
     """Return the number of spares with the lowest price for one domain."""
     prices = [
-        price_per_minute(needs, rates, spares)
-        for spares in range(_max_useful_spares(needs) + 1)
+        price_per_minute(demand, failure_rates, spares)
+        for spares in range(_max_useful_spares(demand) + 1)
     ]
     best = min(range(len(prices)), key=prices.__getitem__)
     return Advice(best, prices[best], prices[0])
 
 
 def price_per_minute(
-    needs: DomainDemand, rates: FailureRates, spares: int
+    demand: DomainDemand, failure_rates: FailureRates, spares: int
 ) -> float:
-    """Return the price of a minute of one domain that shares no spares."""
-    return pool_price_per_minute((needs,), rates, (spares,))
+    """Return the price per minute of one domain that shares no spares."""
+    return pool_price_per_minute((demand,), failure_rates, (spares,))
 
 
 def advise_pool(
-    domains: tuple[DomainDemand, ...], rates: FailureRates
+    domains: tuple[DomainDemand, ...], failure_rates: FailureRates
 ) -> PoolAdvice:
-    """Return the layout with the lowest price.
+    """Return the layout of spares with the lowest price.
 
-    Weighed are equal spares in every domain, and whole sets in the first
-    domains beside them. The price of either falls and then rises, so that
-    the search of each ends at the first rise.
+    The layouts compared have the same number of spares in every domain and in
+    addition spare groups in the first domains. The price falls and then rises
+    with the number of groups, so that search ends at the first rise.
     """
-    best = _best_group_count(domains, rates, 0)
+    best = _best_group_count(domains, failure_rates, 0)
     for spares in range(1, _group_vms(domains) + 1):
-        found = _best_group_count(domains, rates, spares)
+        found = _best_group_count(domains, failure_rates, spares)
         if found.price_per_minute < best.price_per_minute:
             best = found
     return best
 
 
 def _best_group_count(
-    domains: tuple[DomainDemand, ...], rates: FailureRates, spares: int
+    domains: tuple[DomainDemand, ...], failure_rates: FailureRates, spares: int
 ) -> PoolAdvice:
-    """Return the best number of sets beside so many spares a domain."""
-    places = range(len(domains))
+    """Return the best layout with this many spares in every domain."""
+    indexes = range(len(domains))
     group_vms = _group_vms(domains)
-    without = pool_price_per_minute(domains, rates, (0,) * len(domains))
+    without = pool_price_per_minute(domains, failure_rates, (0,) * len(domains))
     best = PoolAdvice((0,) * len(domains), without, without)
     for groups in range(len(domains) + 1):
         layout = tuple(
-            spares + group_vms * (place < groups) for place in places
+            spares + group_vms * (index < groups) for index in indexes
         )
-        price = pool_price_per_minute(domains, rates, layout)
+        price = pool_price_per_minute(domains, failure_rates, layout)
         if price < best.price_per_minute:
             best = PoolAdvice(layout, price, without)
         elif groups:
@@ -129,46 +131,52 @@
 
 def pool_price_per_minute(
     domains: tuple[DomainDemand, ...],
-    rates: FailureRates,
+    failure_rates: FailureRates,
     spares: tuple[int, ...],
 ) -> float:
-    """Return what spares and downtime together cost in a minute.
+    """Return the price per minute of idle spares and downtime together.
 
-    Broken replicas short of a spare are counted as one for each VM that is
-    short, the cheapest last, since healing serves the dearest first. Sets are
-    whatever of a domain's spares makes whole replicas; with one domain there
-    is none to share them with.
+    Each VM for which there is no spare counts as one broken replica of the
+    cheapest deployment, since the most expensive replicas are healed first.
+    Spares of a domain that suffice for whole replicas count as spare groups,
+    unless there is only one domain, which has no other to share them with.
     """
     stranded = sum(
-        count * _idle_vm_price(needs)
-        for needs, count in zip(domains, spares, strict=True)
+        count * _idle_vm_price(demand)
+        for demand, count in zip(domains, spares, strict=True)
     )
     min_downtime_price = min(
-        (_min_downtime_price(needs) for needs in domains if _total_vms(needs)),
+        (
+            _min_downtime_price(demand)
+            for demand in domains
+            if _total_vms(demand)
+        ),
         default=0.0,
     )
     return stranded + min_downtime_price * _expected_short(
-        domains, rates, spares
+        domains, failure_rates, spares
     )
 
 
 def _expected_short(
     domains: tuple[DomainDemand, ...],
-    rates: FailureRates,
+    failure_rates: FailureRates,
     spares: tuple[int, ...],
 ) -> float:
-    """Return the mean number of replicas that only a repair can bring back."""
+    """Return the mean number of replicas that must wait for a repair."""
     group_vms = _group_vms(domains)
     shared = len(domains) > 1
     groups = sum(count // group_vms for count in spares) if shared else 0
     mean = sum(
-        _poisson_excess(_mean_vms_out(needs, rates), count)
-        for needs, count in zip(domains, spares, strict=True)
+        _poisson_excess(_mean_vms_out(demand, failure_rates), count)
+        for demand, count in zip(domains, spares, strict=True)
     )
     outages = [
         outage
-        for needs, count in zip(domains, spares, strict=True)
-        for outage in _outages(needs, rates, count, group_vms)
+        for demand, count in zip(domains, spares, strict=True)
+        for outage in _correlated_outages(
+            demand, failure_rates, count, group_vms
+        )
     ]
     quiet = 1 - min(sum(outage.share for outage in outages), 1.0)
     short = quiet * _poisson_excess(mean, groups)
@@ -178,40 +186,49 @@
     )
 
 
-def _mean_vms_out(needs: DomainDemand, rates: FailureRates) -> float:
-    """Return the mean of VMs out of use one by one."""
+def _mean_vms_out(demand: DomainDemand, failure_rates: FailureRates) -> float:
+    """Return the mean number of VMs out of use by independent failures."""
     outages_per_day = (
-        rates.vm_failures_per_vm_day + rates.vm_restarts_per_vm_day
+        failure_rates.vm_failures_per_vm_day
+        + failure_rates.vm_restarts_per_vm_day
     )
-    repair_days = rates.vm_repair_time_s / SECONDS_PER_DAY
-    return _total_vms(needs) * outages_per_day * repair_days
+    repair_days = failure_rates.vm_repair_time_s / SECONDS_PER_DAY
+    return _total_vms(demand) * outages_per_day * repair_days
 
 
-def _outages(
-    needs: DomainDemand, rates: FailureRates, spares: int, group_vms: int
+def _correlated_outages(
+    demand: DomainDemand,
+    failure_rates: FailureRates,
+    spares: int,
+    group_vms: int,
 ) -> tuple[_Outage, _Outage]:
-    """Return the loss of a rack, whose remnants merge, and of the domain."""
-    rack_days = rates.rack_repair_time_s / SECONDS_PER_DAY
-    dark_days = rates.domain_repair_time_s / SECONDS_PER_DAY
-    lost = min(rates.rack_vms, _total_vms(needs))
+    """Return the outages by the loss of a rack and of the whole domain.
+
+    After the loss of a rack, what is left of its replicas can be merged.
+    """
+    rack_days = failure_rates.rack_repair_time_s / SECONDS_PER_DAY
+    dark_days = failure_rates.domain_repair_time_s / SECONDS_PER_DAY
+    lost = min(failure_rates.rack_vms, _total_vms(demand))
     short = math.ceil(max(lost - spares, 0) / group_vms)
-    replicas = sum(need.replicas for need in needs)
+    replicas = sum(each.replicas for each in demand)
     return (
         _Outage(
-            _total_vms(needs) * rates.rack_failures_per_vm_day * rack_days,
+            _total_vms(demand)
+            * failure_rates.rack_failures_per_vm_day
+            * rack_days,
             short,
         ),
-        _Outage(rates.domain_failures_per_day * dark_days, replicas),
+        _Outage(failure_rates.domain_failures_per_day * dark_days, replicas),
     )
 
 
 def _group_vms(domains: tuple[DomainDemand, ...]) -> int:
-    """Return the VMs that hold any one replica."""
+    """Return the size of a spare group, which can hold any one replica."""
     return max(
         (
-            need.deployment.vms_per_replica
-            for need in itertools.chain.from_iterable(domains)
-            if need.replicas
+            each.deployment.vms_per_replica
+            for each in itertools.chain.from_iterable(domains)
+            if each.replicas
         ),
         default=1,
     )
@@ -232,33 +249,33 @@
     return max(excess, 0.0)
 
 
-def _max_useful_spares(needs: DomainDemand) -> int:
-    return min(_total_vms(needs), MAX_SPARES)
+def _max_useful_spares(demand: DomainDemand) -> int:
+    return min(_total_vms(demand), MAX_SPARES)
 
 
-def _total_vms(needs: DomainDemand) -> int:
-    return sum(need.vms() for need in needs)
+def _total_vms(demand: DomainDemand) -> int:
+    return sum(each.vms() for each in demand)
 
 
-def _idle_vm_price(needs: DomainDemand) -> float:
-    """Return the stranded price of one spare VM a minute."""
+def _idle_vm_price(demand: DomainDemand) -> float:
+    """Return the price per minute of one idle VM, at its most expensive."""
     return max(
         (
-            need.deployment.accelerators_per_vm
-            * need.deployment.prices.stranded_per_accelerator_minute
-            for need in needs
+            each.deployment.accelerators_per_vm
+            * each.deployment.prices.stranded_per_accelerator_minute
+            for each in demand
         ),
         default=0.0,
     )
 
 
-def _min_downtime_price(needs: DomainDemand) -> float:
-    """Return the price of a minute of the replica that is healed last."""
+def _min_downtime_price(demand: DomainDemand) -> float:
+    """Return the downtime price per minute of the replica healed last."""
     return min(
         (
-            need.deployment.prices.downtime_per_replica_minute
-            for need in needs
-            if need.replicas
+            each.deployment.prices.downtime_per_replica_minute
+            for each in demand
+            if each.replicas
         ),
         default=0.0,
     )
