--- a/redwingvalve/replicas/shares.py
+++ b/redwingvalve/replicas/shares.py
@@ -1,12 +1,12 @@
-"""How many replicas of each deployment each fabric domain should hold.
+"""Allocates the replicas of each deployment to fabric domains.
 
-Load pattern: declarations change a few times an hour, a domain goes dark once
-in months. Without one agreed allocation two domain controllers would form the
-same replica twice, or none. Without keeping close to the previous allocation
-every change would move replicas that run well.
+Load pattern: declarations change a few times an hour, and a domain becomes
+unreachable once in months. Without one common allocation two domain controllers
+could form the same replica twice, or neither would. If a new allocation did not
+stay close to the previous one, every change would move healthy replicas.
 
-Pure: the result follows from its arguments alone, and it is agreed on by one
-conditional write of one small object (150 domains of 5 deployments: 12 KB).
+The functions are pure. Controllers agree on an allocation by one conditional
+write of one small object (12 KB for 150 domains of 5 deployments).
 """
 
 import collections
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class DomainCapacity:
-    """VMs of a domain that may be used; dark domains have none."""
+    """Usable VMs of a domain; an unreachable domain has none."""
 
     domain: str
     data_centre: str
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class Share:
-    """What one domain should hold of one deployment."""
+    """How many replicas of a deployment one domain should hold."""
 
     domain: str
     deployment: str
@@ -46,7 +46,11 @@
 
 
 class MoveReason(enum.StrEnum):
-    """Why one replica's place moves; it decides when that is called off."""
+    """Why a replica moves; it decides when the move is cancelled.
+
+    RELIEF moves a replica that its domain cannot hold. ROOM frees VMs for a
+    change in the domain.
+    """
 
     RELIEF = 'relief'
     ROOM = 'room'
@@ -56,7 +60,7 @@
 class Move:
     """One replica that is formed in to_domain before from_domain drops it.
 
-    Until then its share stands in both domains.
+    Until the move completes, both domains have a share for the replica.
     """
 
     deployment: str
@@ -67,9 +71,9 @@
 
 @attrs.frozen
 class Allocation:
-    """The agreed shares, and which generation they were made for.
+    """The shares of all domains, and the generation that they were made for.
 
-    moves are open: each has added one to its to_domain already.
+    moves are in progress: each has already added one replica to its to_domain.
     """
 
     generation: int = 0
@@ -77,7 +81,7 @@
     moves: tuple[Move, ...] = ()
 
     def replicas(self, domain: str, deployment: str) -> int:
-        """Return the share of one domain in one deployment."""
+        """Return how many replicas of a deployment a domain should hold."""
         found = (
             share.replicas
             for share in self.shares
@@ -86,7 +90,7 @@
         return next(found, 0)
 
     def total(self, deployment: str) -> int:
-        """Return the replicas allocated over all domains."""
+        """Return how many replicas are allocated in all domains."""
         return sum(
             share.replicas
             for share in self.shares
@@ -100,9 +104,10 @@
     capacities: tuple[DomainCapacity, ...],
     previous: Allocation,
 ) -> Allocation:
-    """Return new shares, the dearest deployment first, close to previous.
+    """Return new shares that stay close to the previous ones.
 
-    What was moving stays where it still serves.
+    The most expensive deployment is placed first. Replicas whose move is in
+    progress stay in the domain where they still serve.
     """
     previous = cancel_moves(previous, previous.moves)
     free = {each.domain: each.usable_vms for each in capacities}
@@ -122,10 +127,10 @@
     capacities: tuple[DomainCapacity, ...],
     before: Allocation,
 ) -> Allocation:
-    """Move shares to where VMs are free; what has no place stays put.
+    """Move shares to domains with free VMs; those that fit nowhere stay.
 
-    The generation is kept: the operator's plan is the same, only its places
-    change.
+    The generation is kept, since the operator's plan is the same and only the
+    domains change.
     """
     declared = tuple(deployments)
     after = allocate(before.generation, declared, capacities, before)
@@ -137,23 +142,23 @@
         for share in before.shares:
             if share.deployment != deployment.name or left <= 0:
                 continue
-            place = (share.domain, share.deployment)
-            kept = min(max(share.replicas - counts[place], 0), left)
-            counts[place] += kept
+            key = (share.domain, share.deployment)
+            kept = min(max(share.replicas - counts[key], 0), left)
+            counts[key] += kept
             left -= kept
     ordered = sorted(declared, key=_rank)
     return Allocation(before.generation, tuple(_shares(ordered, counts)))
 
 
 def start_moves(allocation: Allocation, moves: tuple[Move, ...]) -> Allocation:
-    """Return the allocation with moves begun: one more at each place to."""
+    """Return the allocation with moves started: one more in each to_domain."""
     counts = _counts(allocation)
     counts.update((each.to_domain, each.deployment) for each in moves)
     return _with_counts(allocation, counts, (*allocation.moves, *moves))
 
 
 def cancel_moves(allocation: Allocation, moves: tuple[Move, ...]) -> Allocation:
-    """Return the allocation with open moves called off."""
+    """Return the allocation with moves in progress cancelled."""
     counts = _counts(allocation)
     counts.subtract((each.to_domain, each.deployment) for each in moves)
     return _with_counts(allocation, counts, _remaining_moves(allocation, moves))
@@ -162,21 +167,21 @@
 def complete_moves(
     allocation: Allocation, moves: tuple[Move, ...]
 ) -> Allocation:
-    """Return the allocation with open moves ended: one less at from."""
+    """Return the allocation with moves completed: one less in from_domain."""
     counts = _counts(allocation)
     counts.subtract((each.from_domain, each.deployment) for each in moves)
     return _with_counts(allocation, counts, _remaining_moves(allocation, moves))
 
 
-def add_replicas(allocation: Allocation, places: Counts) -> Allocation:
-    """Return the allocation with replicas more at some places."""
+def add_replicas(allocation: Allocation, additions: Counts) -> Allocation:
+    """Return the allocation with replicas added to some shares."""
     return _with_counts(
-        allocation, _counts(allocation) + places, allocation.moves
+        allocation, _counts(allocation) + additions, allocation.moves
     )
 
 
 def differences(before: Allocation, after: Allocation) -> tuple[Counts, Counts]:
-    """Return what each place loses and what it gains."""
+    """Return the replicas that each share loses and those that it gains."""
     old, new = _counts(before), _counts(after)
     return old - new, new - old
 
@@ -201,7 +206,7 @@
 def _with_counts(
     allocation: Allocation, counts: Counts, moves: tuple[Move, ...]
 ) -> Allocation:
-    """Return other counts; each deployment's floor is split anew."""
+    """Return the allocation with other counts and recomputed floors."""
     floors: collections.Counter[str] = collections.Counter()
     for share in allocation.shares:
         floors[share.deployment] += share.floor_replicas
@@ -286,7 +291,7 @@
 def _shares_of(
     deployment: str, floor_replicas: int, counts: Counts
 ) -> collections_abc.Iterator[Share]:
-    """Split the floor over the domains so that no sum falls below it."""
+    """Split the floor over the domains so that the parts add up to it."""
     floor_left = floor_replicas
     held = {
         domain: count
