--- a/redwingvalve/replicas/__init__.py
+++ b/redwingvalve/replicas/__init__.py
@@ -1,1 +1,1 @@
-"""Replicas of VMs: formation, fencing, healing and the domain object."""
+"""Forms, fences and heals replicas that span several VMs of a domain."""
--- a/redwingvalve/replicas/codec.py
+++ b/redwingvalve/replicas/codec.py
@@ -1,8 +1,8 @@
-"""Turns attrs objects into plain JSON bodies and back.
+"""Converts attrs objects to plain JSON bodies and back.
 
-Unknown fields are skipped on reading, so that a process of the last version
-can read what one of the next has written; see docs/design/0010-replicas.md
-for the rule on writing.
+Unknown fields are ignored when reading, so that a process of the previous
+version can read what one of the next version has written. The rule for writing
+is in docs/design/0010-replicas.md.
 """
 
 import typing
@@ -26,5 +26,5 @@
 
 
 def from_body(body: typing.Any, target: type[ContentType]) -> ContentType:
-    """Return the attrs object; ValueError or cattrs errors when malformed."""
+    """Return the attrs object; a malformed body raises ValueError or cattrs."""
     return CONVERTER.structure(body, target)
--- a/redwingvalve/replicas/domain.py
+++ b/redwingvalve/replicas/domain.py
@@ -1,7 +1,8 @@
 """A fabric domain as one object: VMs, replicas, lease and fencing number.
 
-A replica never spans fabric domains, so one conditional update moves all that
-belongs together, and "no VM in two replicas" is a check inside one object.
+A replica never spans fabric domains. One conditional update can therefore
+change everything that must change together, and "no VM in two replicas" can be
+checked within one object.
 """
 
 import collections
@@ -22,7 +23,7 @@
 
 
 class ReplicaState(enum.StrEnum):
-    """The life of a replica; only SERVING ones get new work."""
+    """State of a replica; only SERVING replicas get new requests."""
 
     FORMING = 'forming'
     SERVING = 'serving'
@@ -44,10 +45,10 @@
 
 @attrs.frozen
 class DomainReplica:
-    """A replica of one epoch; members are VM names, head first.
+    """A replica in one epoch; members are VM names, head first.
 
-    The epoch is taken from the domain's counter, so that each (domain, epoch)
-    names one set of members for all time. reason says why it is not serving.
+    Epochs come from a counter of the domain, so each (domain, epoch) always
+    identifies one set of members. reason says why the replica is not serving.
     """
 
     name: str
@@ -66,7 +67,7 @@
 
 @attrs.frozen
 class DomainEvent:
-    """What changed and why; at_s is the writer's wall clock."""
+    """What changed and why; at_s is in the writer's wall-clock time."""
 
     at_s: float
     subject: str
@@ -75,9 +76,9 @@
 
 @attrs.frozen
 class Lease:
-    """Who may order; a watcher times renewals by its own clock.
+    """Who may send orders; observers time renewals by their own clocks.
 
-    An empty holder means that the last one gave the lease back.
+    An empty holder means that the last one has released the lease.
     """
 
     holder: str = ''
@@ -87,7 +88,7 @@
 
 @attrs.frozen
 class FabricDomain:
-    """All that one controller needs to agree on, in one object."""
+    """The state of a fabric domain that controllers agree on."""
 
     name: str
     data_centre: str
@@ -140,7 +141,7 @@
 
 
 def require_valid(domain: FabricDomain) -> None:
-    """Assert the promises that one object can break by itself."""
+    """Check the invariants that hold within one domain object."""
     counts = collections.Counter(
         member for replica in domain.replicas for member in replica.members
     )
@@ -169,7 +170,7 @@
 
 
 def require_monotonic(before: FabricDomain, after: FabricDomain) -> None:
-    """Assert that a newer state of the object never goes back."""
+    """Check that a newer state of a domain does not undo an older one."""
     for field in ('fencing_number', 'next_epoch'):
         invariants.require(
             getattr(after, field) >= getattr(before, field),
@@ -188,18 +189,18 @@
 
 
 def to_body(domain: FabricDomain) -> object_api.Body:
-    """Return the object's body after checking it."""
+    """Return the body of the object after checking its invariants."""
     require_valid(domain)
     return codec.to_body(domain)
 
 
 def from_stored(stored: object_api.StoredObject) -> FabricDomain:
-    """Return the domain that an object holds."""
+    """Return the domain decoded from a stored object."""
     return codec.from_body(stored.body, FabricDomain)
 
 
 def to_snapshot_replicas(domain: FabricDomain) -> tuple[snapshot.Replica, ...]:
-    """Return the replicas as entries see them."""
+    """Return the replicas in the form that entries use."""
     addresses = {vm.name: vm.address for vm in domain.vms}
     return tuple(
         snapshot.Replica(
@@ -248,7 +249,7 @@
 def count_serving(
     domains: collections_abc.Iterable[FabricDomain], deployment: str
 ) -> int:
-    """Return how many replicas of a deployment serve."""
+    """Return how many replicas of a deployment are serving."""
     return sum(
         replica.deployment == deployment
         and replica.state == ReplicaState.SERVING
--- a/redwingvalve/replicas/domain_store.py
+++ b/redwingvalve/replicas/domain_store.py
@@ -1,9 +1,9 @@
-"""Reads and writes a domain object, and settles writes with lost answers.
+"""Reads and writes domain objects, and resolves writes with lost answers.
 
-Load pattern: a few writes a minute for each domain; answers get lost after
-the write took effect. Without the writer id and write number, a controller
-that repeats such a write takes its own first write for a rival's, or orders
-endpoints by a state that was never agreed on.
+Load pattern: a few writes a minute for each domain, of which some take effect
+although their answer is lost. Without the writer id and write number, a
+controller that repeats such a write would take its own first write for that of
+another controller, or send orders for a state that was never stored.
 """
 
 import attrs
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class StoredDomain:
-    """A domain and the version of the store that it was read at."""
+    """A domain and its version in the store."""
 
     domain: domain_module.FabricDomain
     version: str
@@ -28,10 +28,10 @@
 
 
 class DomainStore:
-    """The domain objects as one writer sees them.
+    """The domain objects as seen by one writer.
 
-    writer is unique to a process's incarnation; two processes with one writer
-    id could take each other's writes for their own.
+    The writer id is unique to a process incarnation. Two processes with the
+    same id could take each other's writes for their own.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         writer: str,
         switches: invariants.SafeguardSwitches,
     ) -> None:
-        """Write under the name writer."""
+        """Read and write through objects, with writer as the writer id."""
         self._objects = objects
         self._writer = writer
         self._switches = switches
@@ -48,7 +48,7 @@
         self._latest: dict[str, StoredDomain] = {}
 
     async def read(self, name: str) -> DomainResult:
-        """Read one domain; the newest state seen never goes back."""
+        """Read one domain, and check it against the latest state seen."""
         answer = await self._objects.get(domain_module.KIND, name)
         if answer.is_error():
             return Error(answer.error)
@@ -67,10 +67,10 @@
     async def write(
         self, read: StoredDomain, domain: domain_module.FabricDomain
     ) -> DomainResult:
-        """Write domain if the object is still as it was read.
+        """Write domain if the object has not changed since it was read.
 
-        An error with maybe_applied means that even the read-back failed; the
-        caller then knows nothing and reads again before anything else.
+        An error with maybe_applied means that the check by reading failed too.
+        The caller must then read the domain again before anything else.
         """
         domain_module.require_monotonic(read.domain, domain)
         stamped = self._stamp(domain)
@@ -88,9 +88,10 @@
         return Ok(self._remember(answer.ok))
 
     async def _expected_version(self, read: StoredDomain) -> str:
-        # Without the condition a paused writer overwrites what others agreed
-        # on meanwhile: VMs are then given to two replicas. The store compares
-        # versions, so the later of two writers always loses.
+        # Without the condition a writer that was paused would overwrite what
+        # others have written meanwhile, and VMs would be assigned to two
+        # replicas. The store compares versions, so the later of two concurrent
+        # writers always gets a conflict.
         if self._switches.enabled(CONDITIONAL_WRITE):
             return read.version
         current = await self._objects.get(domain_module.KIND, read.domain.name)
@@ -109,9 +110,10 @@
         written: domain_module.FabricDomain,
         problem: object_api.ObjectError,
     ) -> DomainResult:
-        # A lost answer is not a failed write: the object itself tells whose
-        # write stands. A write that is still under way meets a changed
-        # version, or lands and is found by the next conditional write.
+        # A lost answer does not mean that the write failed: the stored writer
+        # id and write number show which write took effect. A write still in
+        # flight either fails on a changed version, or is applied later and
+        # then makes the next conditional write fail.
         maybe_applied = (
             isinstance(problem, object_api.Unavailable)
             and problem.maybe_applied
