--- a/redwingvalve/replicas/order_sender.py
+++ b/redwingvalve/replicas/order_sender.py
@@ -1,13 +1,13 @@
-"""Brings the engines of a domain to the state that the domain object names.
+"""Reconciles the engines of a domain with the domain object.
 
-Load pattern: a handful of orders after a change or a new controller, hundreds
-after a lost rack. An order states the desired end, so that repeating it does
-no harm; what may do harm is an order sent without the lease, or one that
-stops an engine with work in flight. Both are checked right before each send.
+Load pattern: a few orders after a change or for a new controller, hundreds
+after the loss of a rack. Orders are idempotent, since each states the desired
+state. Two kinds could do harm: an order sent without the lease, and one that
+stops an engine with requests in flight. Both are checked right before sending.
 
-A new holder also tells its fencing number to engines that are as they should
-be: otherwise one that refuses old numbers would not know yet that the former
-holder's is old.
+A new lease holder also sends its fencing number to engines that are already in
+the desired state. Otherwise an engine that refuses old fencing numbers would
+not know yet that the number of the previous holder is old.
 """
 
 import random
@@ -34,7 +34,11 @@
 
 @attrs.frozen
 class LoadReservation:
-    """Leave to load, or when to ask again; one replica and epoch each."""
+    """Answer of the weight store for one replica and epoch.
+
+    Until until_s the load may start if it is granted; else the weight store is
+    not asked again before then.
+    """
 
     granted: bool
     until_s: float
@@ -51,7 +55,7 @@
         rng: random.Random,
         switches: invariants.SafeguardSwitches,
     ) -> None:
-        """Send through orders, load with leave of weights."""
+        """Send through orders; loads need a reservation by weights."""
         self._orders = orders
         self._weights = weights
         self._clock = time_source
@@ -62,7 +66,7 @@
     async def reconcile(
         self, view: view_module.DomainView, held_lease: lease.HeldLease
     ) -> None:
-        """Order every engine that differs from the domain object."""
+        """Send an order to every engine that differs from the domain object."""
         if not self._may_order(view, held_lease):
             return
         self._drop_stale_reservations(view.domain)
@@ -70,22 +74,22 @@
             if replica.state == domain_module.ReplicaState.FORMING:
                 await self._reserve_load(view, replica)
         limiter = anyio.CapacityLimiter(MAX_CONCURRENT_ORDERS)
-        owners = {
+        replica_by_vm = {
             member: owner
             for owner in view.domain.replicas
             for member in owner.members
         }
         async with anyio.create_task_group() as group:
             for vm in view.domain.vms:
-                desired = self._desired_order(
-                    view.vm(vm.name), owners.get(vm.name), held_lease
+                order = self._desired_order(
+                    view.vm(vm.name), replica_by_vm.get(vm.name), held_lease
                 )
-                if desired is not None:
+                if order is not None:
                     group.start_soon(
                         self._send,
                         view,
                         vm.address,
-                        desired,
+                        order,
                         held_lease,
                         limiter,
                     )
@@ -100,9 +104,9 @@
     def _may_order(
         self, view: view_module.DomainView, held_lease: lease.HeldLease
     ) -> bool:
-        # An order of the former holder may still be under way, and an engine
-        # that ignores fencing would obey it after ours: two replicas then
-        # share a VM. After the wait none of them can arrive any more.
+        # An order of the previous holder may still be in flight. An engine that
+        # ignores fencing would obey it after one of this process, and two
+        # replicas would share a VM. After the wait no such order can arrive.
         trusts = {each.endpoint_trust for each in view.domain.replicas}
         trusts.update(each.deployment.endpoint_trust for each in view.desired)
         if schema.EndpointTrust.IGNORES_FENCING not in trusts:
@@ -144,7 +148,7 @@
                 granted=True, until_s=until_s
             )
             return
-        # Jitter keeps the replicas of a lost rack from asking all at once.
+        # Jitter keeps the replicas of a lost rack from retrying all at once.
         wait_s = max(answer.error.retry_after_s, RESERVATION_RETRY_S)
         wait_s *= self._rng.uniform(1, 1.5)
         self._reservations[key] = LoadReservation(
@@ -153,29 +157,31 @@
 
     def _desired_order(
         self,
-        seen: view_module.VmView,
+        vm_view: view_module.VmView,
         replica: domain_module.DomainReplica | None,
         held_lease: lease.HeldLease,
     ) -> engine_orders.EngineOrder | None:
-        if not seen.reachable or seen.state is None:
+        if not vm_view.reachable or vm_view.state is None:
             return None
         if replica is None:
-            desired = _idle_order(seen.name, held_lease.fencing_number)
+            order = _idle_order(vm_view.name, held_lease.fencing_number)
         elif replica.state == domain_module.ReplicaState.BROKEN:
-            # Left as it is: what comes back is adopted, not loaded again.
+            # Its engines get no order, so that a replica whose VMs return can
+            # be adopted without loading it again.
             return None
         else:
-            desired = _replica_order(
-                seen.name, replica, held_lease.fencing_number
+            order = _replica_order(
+                vm_view.name, replica, held_lease.fencing_number
             )
-        if _matches_order(seen.state, desired):
-            knows = (
-                seen.state.highest_fencing_number >= held_lease.fencing_number
+        if _matches_order(vm_view.state, order):
+            is_fenced = (
+                vm_view.state.highest_fencing_number
+                >= held_lease.fencing_number
             )
-            return None if knows else desired
+            return None if is_fenced else order
         if replica is not None and not self._may_load(replica):
             return None
-        return desired
+        return order
 
     def _may_load(self, replica: domain_module.DomainReplica) -> bool:
         reservation = self._reservations.get((replica.name, replica.epoch))
@@ -200,7 +206,7 @@
             answer.error, engine_orders.OrderRefused
         ):
             LOG.warning(
-                'An engine refused an old fencing number',
+                'engine refused an order: fencing number is outdated',
                 extra={'vm': order.vm, 'fencing_number': order.fencing_number},
             )
 
@@ -213,8 +219,9 @@
         state = view.vm(order.vm).state
         if not _interrupts_replica(view, state, order):
             return True
-        # An entry that heard late of the drain may have sent meanwhile; a stop
-        # now would cut its caller off. Read again, right before the order.
+        # An entry that learned late of the drain may have sent a request since
+        # the probe. A stop would interrupt it, so the engine's state is read
+        # again right before the order.
         answer = await self._orders.read_state(address, READ_TIMEOUT_S)
         if answer.is_error():
             return False
@@ -228,11 +235,12 @@
         return True
 
     def _order_timeout_s(self, held_lease: lease.HeldLease) -> float:
-        """Return the time the order may take; nought forbids it.
+        """Return the timeout for the order; zero means that it must not go out.
 
-        A holder that was paused may find that its lease has lapsed and that
-        another one orders the same engines; its order would undo theirs. The
-        lease is checked after the last wait, and the order ends with it.
+        The lease of a holder that was paused may have expired, and another one
+        may be sending orders to the same engines, which this order would undo.
+        The lease is therefore checked after the last wait, and the order times
+        out no later than the lease.
         """
         remaining_s = held_lease.remaining_s(self._clock.monotonic_s())
         checked = self._switches.enabled(LEASE_CHECKED)
@@ -241,7 +249,7 @@
         invariants.require(
             remaining_s > 0,
             'an order is sent under a lease',
-            f'the lease lapsed {-remaining_s:.3f} s ago',
+            f'the lease expired {-remaining_s:.3f} s ago',
         )
         return min(lease.ORDER_TIMEOUT_S, remaining_s)
 
@@ -293,9 +301,9 @@
     state: engine_orders.EngineState | None,
     order: engine_orders.EngineOrder,
 ) -> bool:
-    """Tell whether the order would end work of a replica that is whole.
+    """Tell whether the order may interrupt requests of a complete replica.
 
-    What a replica with a missing VM had in flight is lost already.
+    The requests in flight at a replica with a missing VM are already lost.
     """
     if state is None or not state.replica or _matches_order(state, order):
         return False
