--- a/redwingvalve/replicas/draft.py
+++ b/redwingvalve/replicas/draft.py
@@ -1,4 +1,4 @@
-"""A domain while one pass of placement changes it, with its questions."""
+"""The working copy of a domain that one pass of placement changes."""
 
 import attrs
 
@@ -14,13 +14,13 @@
 
 @attrs.frozen
 class PlacementPolicy:
-    """What placement goes by beside the prices.
+    """Parameters of placement in addition to the prices.
 
-    A replaced VM is back after repair_time_s (platforms restart one in
-    minutes; measured by the operator). A serving replica is only dissolved
-    when the gain exceeds dissolve_margin times its own price, so that equal
-    or nearly equal prices never make two deployments swap VMs. With
-    heal_from_spares off a replica waits for its own VMs; for baselines only.
+    A replaced VM returns after repair_time_s, as measured by the operator;
+    platforms restart a VM within minutes. A serving replica is dissolved only
+    if the gain exceeds dissolve_margin times its own price, so that deployments
+    with equal or nearly equal prices never swap VMs. Without heal_from_spares a
+    replica waits for its own VMs; this is for baselines only.
     """
 
     repair_time_s: float = 600.0
@@ -29,7 +29,7 @@
 
 
 class Draft:
-    """domain is what the steps so far have made of it."""
+    """Working copy of a domain; domain includes the changes made so far."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         switches: invariants.SafeguardSwitches,
         policy: PlacementPolicy,
     ) -> None:
-        """Start from the domain as it stands."""
+        """Start from the current domain."""
         self.domain = view.domain
         self.view = view
         self.switches = switches
@@ -56,11 +56,11 @@
         ]
 
     def vm(self, name: str) -> view_module.VmView:
-        """Return a VM as it looks now."""
+        """Return the observed state of a VM."""
         return self.view.vm(name)
 
     def free_vms(self) -> list[str]:
-        """Return the spares that may be used."""
+        """Return the usable spares."""
         return [
             vm.name
             for vm in self.domain.spare_vms()
@@ -68,33 +68,33 @@
         ]
 
     def usable_members(self, replica: Replica) -> list[str]:
-        """Return the members of which a new epoch may be formed."""
+        """Return the members that can be part of a new epoch."""
         return [name for name in replica.members if self.vm(name).usable()]
 
     def lost_members(self, replica: Replica) -> list[str]:
-        """Return the members that are not there."""
+        """Return the members that are not reachable."""
         return [name for name in replica.members if not self.vm(name).reachable]
 
     def runs_as_ordered(self, replica: Replica) -> bool:
-        """Tell whether every member is at its state, ready or not yet."""
+        """Tell whether every member runs as ordered, ready or not."""
         return bool(replica.members) and all(
             view_module.runs_as_ordered(self.vm(name).state, replica, name)
             for name in replica.members
         )
 
     def has_leaving(self, replica: Replica) -> bool:
-        """Tell whether the VM list shows a member as leaving."""
+        """Tell whether any member is leaving according to the VM list."""
         return any(self.vm(name).leaving for name in replica.members)
 
     def outdated(self, replica: Replica) -> bool:
-        """Tell whether the replica has to be replaced by another."""
+        """Tell whether the replica has to be replaced."""
         desired = self.view.desired_share(replica.deployment)
         if desired is None or self.has_leaving(replica):
             return True
         return not domain_module.matches_deployment(replica, desired.deployment)
 
     def drain_rank(self, replica: Replica) -> tuple[bool, bool, int]:
-        """Order by what is drained first: leaving, outdated, newest."""
+        """Return the sort key for draining: leaving, outdated, newest first."""
         return (
             not self.has_leaving(replica),
             not self.outdated(replica),
@@ -102,7 +102,7 @@
         )
 
     def downtime_price_of(self, replica: Replica) -> float:
-        """Return the price of a minute without the replica."""
+        """Return the price per minute without the replica."""
         desired = self.view.desired_share(replica.deployment)
         return downtime_price(desired.deployment) if desired else 0.0
 
@@ -123,9 +123,9 @@
         state: State,
         reason: str,
     ) -> None:
-        """Give the replica other members under a new epoch.
+        """Form the replica again from other members in a new epoch.
 
-        Its model, version and adapters are brought up to what is declared.
+        Its model, version and adapters are updated to the declared ones.
         """
         desired = self.view.desired_share(replica.deployment)
         changed = attrs.evolve(
@@ -160,10 +160,10 @@
 
 
 def price_rank(desired: view_module.DesiredShare) -> tuple[float, str]:
-    """Order deployments by price, the dearest first."""
+    """Return the sort key by downtime price, the highest first."""
     return (-downtime_price(desired.deployment), desired.deployment.name)
 
 
 def downtime_price(deployment: schema.ModelDeployment) -> float:
-    """Return the price of a minute without one replica."""
+    """Return the price per minute without one replica."""
     return deployment.prices.downtime_per_replica_minute
--- a/redwingvalve/replicas/placement.py
+++ b/redwingvalve/replicas/placement.py
@@ -1,14 +1,15 @@
-"""Decides what becomes of the replicas of one fabric domain.
-
-Load pattern: VMs die, pause, come back and are replaced one by one (47 a day
-at 9,600 VMs), a rack or the whole domain at once now and then, and versions
-roll several times a day. Without one decision over the whole domain, remnants
-of broken replicas lie idle beside each other, replicas that come back are
-loaded again, and two losses are healed with one spare.
-
-Each step takes the domain and returns the next one, so that one conditional
-write moves everything. The order of the steps is the order of the promises:
-first stop what may not serve, then adopt what runs, then heal the dearest.
+"""Computes the next state of the replicas of one fabric domain.
+
+Load pattern: VMs die, pause, return and are replaced one by one (47 a day at
+9,600 VMs), now and then a rack or the whole domain fails at once, and versions
+roll several times a day. If replicas were not decided together, remaining VMs
+of broken replicas would lie idle beside each other, replicas that return would
+be loaded again, and one spare would be used to heal two losses.
+
+The steps change a working copy of the domain, which is then stored by one
+conditional write. They follow the priority of the guarantees: first stop
+replicas that must not serve, then adopt those that run as ordered, then heal
+those with the highest downtime price.
 """
 
 from redwingvalve.core import invariants
@@ -27,7 +28,7 @@
     switches: invariants.SafeguardSwitches,
     policy: draft_module.PlacementPolicy,
 ) -> domain_module.FabricDomain:
-    """Return the domain as it should stand next."""
+    """Return the next state of the domain."""
     draft = Draft(view, switches, policy)
     _drop_drained(draft)
     _mark_broken(draft)
@@ -42,7 +43,7 @@
 
 def _drop_drained(draft: Draft) -> None:
     for replica in draft.in_state(State.DRAINING):
-        # With a VM gone nothing of the drain is left to finish.
+        # The requests in flight at a replica with a lost VM cannot finish.
         if replica.name in draft.view.drained or draft.lost_members(replica):
             draft.drop(replica)
 
@@ -70,10 +71,10 @@
         if not replica.members:
             continue
         as_ordered = view_module.all_members_ready(draft.view, replica)
-        # An order that was accepted is not yet a loaded model, and an engine
-        # that ignores fencing may have obeyed another holder since: callers
-        # would get errors or another model's answers. The state read back is
-        # what serves, so nothing else is believed.
+        # An accepted order does not mean that the model is loaded, and an
+        # engine that ignores fencing may have obeyed another holder since.
+        # Callers would get errors or answers of another model. Only the state
+        # read back from the engines shows what they serve.
         if not as_ordered and draft.switches.enabled(STATE_READ_BACK):
             continue
         invariants.require(
@@ -120,7 +121,7 @@
 
 
 def _replace_one(draft: Draft, desired: view_module.DesiredShare) -> None:
-    """Form a replacement first if VMs are free, else drain one."""
+    """Form a replacement first if VMs are free, else drain an old replica."""
     name = desired.deployment.name
     serving = draft.of_deployment(name, State.SERVING)
     outdated = [each for each in serving if draft.outdated(each)]
--- a/redwingvalve/replicas/view.py
+++ b/redwingvalve/replicas/view.py
@@ -1,4 +1,4 @@
-"""What a controller sees of a domain at one time; input of placement."""
+"""The observed state of a domain at one time; the input of placement."""
 
 import attrs
 
@@ -9,13 +9,13 @@
 
 @attrs.frozen
 class VmView:
-    """One VM as it looks now.
+    """The observed state of one VM.
 
-    there is false once it went unseen for too long; kept_out while it has
-    come back too often of late. failing says that the last probe got no
-    answer: the VM is not missing yet, but a replica formed with it now would
-    often lose it again, and with it the state that could be adopted.
-    state is the last one that it reported.
+    reachable is false once it has failed its probes for too long. quarantined
+    is true while it is not used because it flaps. failing says that the last
+    probe got no answer: the VM is not missing yet, but a replica formed with it
+    now would often lose it again, and with it the engine state that could have
+    been adopted. state is the last one that the engine reported.
     """
 
     name: str
@@ -33,10 +33,10 @@
 
 @attrs.frozen
 class DesiredShare:
-    """The share of this domain in one deployment.
+    """The replicas of one deployment that this domain should hold.
 
-    in_place lets a change drain replicas above the floor where no VMs are
-    free for the new one first.
+    in_place allows a change to drain replicas above the floor when no VMs are
+    free to form the replacement first.
     """
 
     deployment: schema.ModelDeployment
@@ -47,10 +47,10 @@
 
 @attrs.frozen
 class DomainView:
-    """A domain, its VMs and what it should hold.
+    """A domain, its VMs and the replicas that it should hold.
 
-    drained names the DRAINING replicas of which all entries have stopped
-    sending and no work is in flight.
+    drained names the DRAINING replicas to which all entries have stopped
+    sending and which have no requests in flight.
     """
 
     domain: domain_module.FabricDomain
@@ -59,7 +59,7 @@
     drained: frozenset[str] = frozenset()
 
     def vm(self, name: str) -> VmView:
-        """Return a VM; one that nobody saw yet is not there."""
+        """Return a VM; one that was never observed is not reachable."""
         found = self.vms.get(name)
         return VmView(name, reachable=False) if found is None else found
 
@@ -81,7 +81,7 @@
     replica: domain_module.DomainReplica,
     vm: str,
 ) -> bool:
-    """Tell whether an engine is at the state that the replica wants of it."""
+    """Tell whether an engine runs what the replica specifies for the VM."""
     if state is None:
         return False
     desired = (
@@ -107,7 +107,7 @@
 def all_members_ready(
     view: DomainView, replica: domain_module.DomainReplica
 ) -> bool:
-    """Tell whether every member is there, ready and as ordered."""
+    """Tell whether every member is reachable, ready and runs as ordered."""
     return all(
         view.vm(name).reachable
         and _ready(view.vm(name).state)
