--- a/redwingvalve/replicas/healing.py
+++ b/redwingvalve/replicas/healing.py
@@ -1,9 +1,9 @@
-"""Heals broken replicas: spares first, then remnants, then cheaper replicas.
+"""Heals broken replicas with spares, VMs of other broken ones, or cheaper ones.
 
-Load pattern: one VM lost (daily), a rack of VMs at once (monthly). Without
-merging, two broken replicas of four VMs strand up to six accelerators beside
-each other; without the price test for dissolving, replicas of equal worth
-would swap VMs for ever, each swap costing a load.
+Load pattern: one VM is lost daily, a rack of VMs monthly. If broken replicas
+were not merged, two of four VMs each could strand up to six accelerators.
+Without the price check for dissolving, replicas with equal prices would swap
+VMs forever, and each swap would cost a load.
 """
 
 import attrs
@@ -20,14 +20,18 @@
 
 @attrs.frozen
 class _DonatedVms:
-    """VMs that a broken replica gives to one that ranks higher."""
+    """VMs that a broken replica gives to one with higher priority."""
 
     donor: Replica
     vms: tuple[str, ...]
 
 
 def heal_broken(draft: Draft) -> None:
-    """Form broken replicas anew, the dearest and the most whole first."""
+    """Form broken replicas again.
+
+    Those with the highest downtime price are first, and among equals those with
+    the most usable members.
+    """
 
     def rank(replica: Replica) -> tuple[float, int, int]:
         usable = len(draft.usable_members(replica))
@@ -41,7 +45,7 @@
 
 
 def form_replica(draft: Draft, deployment: schema.ModelDeployment) -> bool:
-    """Form one more replica from spares; False when they do not suffice."""
+    """Form one more replica from spares; False if there are too few."""
     free = draft.free_vms()[: deployment.vms_per_replica]
     if len(free) < deployment.vms_per_replica:
         return False
@@ -63,7 +67,7 @@
 
 
 def dissolve_for_broken(draft: Draft) -> None:
-    """Drain one replica that is cheaper to be without, if that pays."""
+    """Drain one replica to form one with a higher downtime price if it pays."""
     if not draft.policy.heal_from_spares or draft.in_state(State.DRAINING):
         return
     for desired in sorted(draft.view.desired, key=draft_module.price_rank):
@@ -74,15 +78,15 @@
             return
 
 
-def _heal(draft: Draft, name: str, lower_ranked: list[str]) -> None:
+def _heal(draft: Draft, name: str, candidate_donors: list[str]) -> None:
     replica = draft.domain.replica(name)
     desired = draft.view.desired_share(replica.deployment) if replica else None
-    # Members that are all at their state only need time to get ready.
+    # If all members run as ordered they only need time to become ready.
     if replica is None or desired is None or draft.runs_as_ordered(replica):
         return
     kept = draft.usable_members(replica)[: desired.deployment.vms_per_replica]
     missing_vms = desired.deployment.vms_per_replica - len(kept)
-    found = _find_vms(draft, missing_vms, lower_ranked)
+    found = _find_vms(draft, missing_vms, candidate_donors)
     if len(found) < missing_vms:
         return
     source = ', '.join(found) or 'its own VMs'
@@ -92,12 +96,14 @@
 
 
 def _find_vms(
-    draft: Draft, missing_vms: int, lower_ranked: list[str]
+    draft: Draft, missing_vms: int, candidate_donors: list[str]
 ) -> list[str]:
     if not draft.policy.heal_from_spares:
         return []
     found = draft.free_vms()[:missing_vms]
-    donations = _choose_donors(draft, missing_vms - len(found), lower_ranked)
+    donations = _choose_donors(
+        draft, missing_vms - len(found), candidate_donors
+    )
     donated = [vm for donation in donations for vm in donation.vms]
     if len(found) + len(donated) < missing_vms:
         return []
@@ -112,11 +118,11 @@
 
 
 def _choose_donors(
-    draft: Draft, missing_vms: int, lower_ranked: list[str]
+    draft: Draft, missing_vms: int, candidate_donors: list[str]
 ) -> list[_DonatedVms]:
-    """Choose VMs of the replicas that rank lowest."""
+    """Choose VMs of broken replicas, those with the lowest priority first."""
     donations: list[_DonatedVms] = []
-    for name in reversed(lower_ranked):
+    for name in reversed(candidate_donors):
         donor = draft.domain.replica(name)
         if donor is None or missing_vms <= 0:
             continue
@@ -146,20 +152,23 @@
 def _may_dissolve(
     draft: Draft, replica: Replica, desired: view_module.DesiredShare
 ) -> bool:
-    other = draft.view.desired_share(replica.deployment)
-    if other is None or other.deployment.name == desired.deployment.name:
+    losing_share = draft.view.desired_share(replica.deployment)
+    if (
+        losing_share is None
+        or losing_share.deployment.name == desired.deployment.name
+    ):
         return False
     serving = draft.of_deployment(replica.deployment, State.SERVING)
-    if len(serving) <= other.floor_replicas:
+    if len(serving) <= losing_share.floor_replicas:
         return False
-    left_over_vms = (
+    leftover_vms = (
         len(draft.free_vms())
         + len(draft.usable_members(replica))
         + _largest_remnant(draft, desired.deployment.name)
         - desired.deployment.vms_per_replica
     )
-    return left_over_vms >= 0 and dissolving_pays(
-        desired.deployment, other.deployment, left_over_vms, draft.policy
+    return leftover_vms >= 0 and dissolving_pays(
+        desired.deployment, losing_share.deployment, leftover_vms, draft.policy
     )
 
 
@@ -171,17 +180,17 @@
 def dissolving_pays(
     gaining: schema.ModelDeployment,
     losing: schema.ModelDeployment,
-    left_over_vms: int,
+    leftover_vms: int,
     policy: draft_module.PlacementPolicy,
 ) -> bool:
-    """Weigh the outage that is left after a load against the other one.
+    """Tell whether dissolving costs less than waiting for the repair.
 
-    Both loads are paid for: that of the replica gained, during which nothing
-    is won, and that of the one dissolved, when the lost VM is back.
+    Two loads count: that of the replica gained, during which it does not serve
+    yet, and that of the dissolved replica once the lost VM has returned.
     """
     losing_price = draft_module.downtime_price(losing)
     stranded_price = (
-        left_over_vms
+        leftover_vms
         * losing.accelerators_per_vm
         * losing.prices.stranded_per_accelerator_minute
     )
