--- a/redwingvalve/replicas/move_policy.py
+++ b/redwingvalve/replicas/move_policy.py
@@ -1,15 +1,17 @@
-"""Decides when a replica's place moves to another fabric domain; pure.
-
-Load pattern: a VM or a rack is lost where no spare is left, a domain goes
-dark, a version rolls through domains without room for one more replica. A
-share that is taken from one domain and given to another in one step costs a
-load of downtime whenever the old place still serves or comes back first.
-
-A move therefore begins by adding the replica at its new place. Only when all
-of that place serves does the old one give its replica up, and its VMs are the
-room for the next one. A move is called off when its new place is short itself
-or its old one does not need it any more. Each step is one conditional write
-of the allocation, so that any controller may carry on after another's death.
+"""Decides when replicas move between fabric domains; all functions are pure.
+
+Load pattern: a VM or a rack is lost in a domain without a spare, a domain
+becomes unreachable, or a version rolls through domains without room for one
+more replica. If a share were moved from one domain to another in one step, the
+downtime would last for a whole load whenever the replica in the old domain
+still serves or returns first.
+
+A move therefore starts by adding the replica to the new domain. The old domain
+drops its replica only when the new one serves its whole share, and the VMs so
+freed are the room for the next replica. A move is cancelled if the new domain
+cannot hold the replica or the old one no longer needs the move. Each step is
+one conditional write of the allocation, so that any controller can continue
+after another one has died.
 """
 
 import collections
@@ -26,7 +28,10 @@
 
 @attrs.frozen
 class DomainState:
-    """A domain as its own controller sees it; short names deployments."""
+    """A domain as seen by its controller.
+
+    short_deployments are those of which it cannot hold all its replicas.
+    """
 
     domain: domain_module.FabricDomain
     short_deployments: frozenset[str] = frozenset()
@@ -37,7 +42,7 @@
     allocation: shares.Allocation,
     deployments: Deployments,
 ) -> bool:
-    """Tell whether the domain has a move to begin, end or call off."""
+    """Tell whether the domain may have to start, complete or cancel a move."""
     name = domain_state.domain.name
     return (
         bool(domain_state.short_deployments)
@@ -52,7 +57,7 @@
 def needs_room(
     domain: domain_module.FabricDomain, deployment: schema.ModelDeployment
 ) -> bool:
-    """Tell whether a change waits for VMs that the domain has not."""
+    """Tell whether a change waits because the domain has too few free VMs."""
     held = [
         each for each in domain.replicas if each.deployment == deployment.name
     ]
@@ -63,7 +68,7 @@
 
 
 def free_vms(domain: domain_module.FabricDomain) -> int:
-    """Return how many VMs belong to no replica and are there."""
+    """Return how many VMs are available and belong to no replica."""
     return sum(not vm.missing and not vm.leaving for vm in domain.spare_vms())
 
 
@@ -72,7 +77,7 @@
     allocation: shares.Allocation,
     deployments: Deployments,
 ) -> tuple[shares.Move, ...]:
-    """Return the open moves that the domain should call off."""
+    """Return the moves in progress that the domain should cancel."""
     return tuple(
         move
         for move in allocation.moves
@@ -108,7 +113,7 @@
     allocation: shares.Allocation,
     deployment: str,
 ) -> bool:
-    """Tell whether a domain serves its whole share."""
+    """Tell whether a domain serves its whole share of a deployment."""
     serving = domain_module.count_serving((domain,), deployment)
     return serving >= allocation.replicas(domain.name, deployment)
 
@@ -118,7 +123,10 @@
     capacities: tuple[shares.DomainCapacity, ...],
     allocation: shares.Allocation,
 ) -> shares.Allocation:
-    """Begin moving what its domain cannot hold; what has no place stays."""
+    """Start moves of replicas that their domains cannot hold.
+
+    A replica that fits into no other domain stays.
+    """
     target = shares.complete_moves(allocation, allocation.moves)
     desired = shares.reallocate(deployments.values(), capacities, target)
     lost, gained = shares.differences(target, desired)
@@ -144,7 +152,7 @@
     domains: tuple[domain_module.FabricDomain, ...],
     allocation: shares.Allocation,
 ) -> tuple[shares.Move, ...]:
-    """Begin to free VMs for one replica of each deployment that waits."""
+    """Return moves that free VMs for one replica of each waiting deployment."""
     name = domain_state.domain.name
     moving = {
         each.deployment for each in allocation.moves if each.from_domain == name
@@ -175,7 +183,7 @@
     domains: tuple[domain_module.FabricDomain, ...],
     allocation: shares.Allocation,
 ) -> str:
-    """Choose the roomiest domain that has ended its own change."""
+    """Choose the domain with the most free VMs that has no change to make."""
     busy = {each.to_domain for each in allocation.moves}
     busy.update(each.from_domain for each in allocation.moves)
     left = unallocated_vms(deployments, capacities, allocation)
@@ -202,7 +210,7 @@
     capacities: tuple[shares.DomainCapacity, ...],
     allocation: shares.Allocation,
 ) -> frozenset[str]:
-    """Return the deployments whose change finds no room in any domain."""
+    """Return the deployments whose change has room in no domain."""
     moving = {each.deployment for each in allocation.moves}
     return frozenset(
         each.name
@@ -219,7 +227,7 @@
     capacities: tuple[shares.DomainCapacity, ...],
     allocation: shares.Allocation,
 ) -> bool:
-    """Tell whether some domain can hold one more replica."""
+    """Tell whether any domain can hold one more replica of a deployment."""
     left = unallocated_vms(deployments, capacities, allocation)
     return any(
         left[each.domain] >= deployment.vms_per_replica
@@ -234,7 +242,7 @@
     capacities: tuple[shares.DomainCapacity, ...],
     allocation: shares.Allocation,
 ) -> dict[str, int]:
-    """Return the usable VMs of each domain beyond its shares."""
+    """Return the usable VMs of each domain that no share needs."""
     left = {each.domain: each.usable_vms for each in capacities}
     for share in allocation.shares:
         declared = deployments.get(share.deployment)
@@ -266,7 +274,10 @@
 def _take_target(
     gained: collections.Counter[tuple[str, str]], name: str
 ) -> str:
-    """Take one place of a deployment off the gains; empty without one."""
+    """Take one replica of a deployment off the gains and return its domain.
+
+    Returns an empty string if there is none.
+    """
     for domain, deployment in sorted(+gained):
         if deployment == name:
             gained[domain, name] -= 1
--- a/redwingvalve/replicas/shares.py
+++ b/redwingvalve/replicas/shares.py
@@ -106,8 +106,8 @@
 ) -> Allocation:
     """Return new shares that stay close to the previous ones.
 
-    The most expensive deployment is placed first. Replicas whose move is in
-    progress stay in the domain where they still serve.
+    The deployment with the highest downtime price per VM is placed first.
+    Replicas whose move is in progress stay in the domain where they serve.
     """
     previous = cancel_moves(previous, previous.moves)
     free = {each.domain: each.usable_vms for each in capacities}
