--- a/redwingvalve/replicas/controller.py
+++ b/redwingvalve/replicas/controller.py
@@ -1,8 +1,8 @@
-"""Keeps one fabric domain as it is declared, while it holds the lease.
+"""Reconciles one fabric domain with the desired state while holding its lease.
 
-Each step reads, decides and orders once. What is not certain is read again
-before anything else is done: after a pause, after a lost answer, after a
-conflict. Without the lease a step does nothing but watch it.
+Each step reads, decides and sends orders once. After a pause of the process, a
+lost answer or a conflict the domain is read again before anything else is
+done. Without the lease a step only observes it and tries to acquire it.
 """
 
 import random
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class ControllerInputs:
-    """What the loop reads once for all domains; None when it is unknown."""
+    """Inputs that the loop reads for all domains; None if not known yet."""
 
     vms: tuple[vm_list.Vm, ...] | None
     desired: tuple[view_module.DesiredShare, ...] | None
@@ -47,7 +47,7 @@
 
 @attrs.frozen
 class Dependencies:
-    """What a controller works with."""
+    """The dependencies of a controller."""
 
     objects: object_api.ObjectApi
     orders: engine_orders.EngineOrders
@@ -65,7 +65,7 @@
 
 @attrs.frozen
 class DomainStatus:
-    """A domain as this controller sees it; waiting_for is for operators."""
+    """A domain as seen by this controller; operators read waiting_for."""
 
     domain: str
     holds_lease: bool
@@ -74,12 +74,12 @@
 
 
 class DomainController:
-    """Steps one domain; owner is unique to this process's incarnation."""
+    """Reconciles one domain; owner is unique to this process incarnation."""
 
     def __init__(
         self, name: str, owner: str, dependencies: Dependencies
     ) -> None:
-        """Hold nothing yet."""
+        """Start without the lease."""
         self._name = name
         self._owner = owner
         self._dependencies = dependencies
@@ -111,10 +111,10 @@
         self._short_since_s: float | None = None
 
     async def step(self, inputs: ControllerInputs) -> None:
-        """Make one pass."""
+        """Reconcile once."""
         now_s = self._now_s()
         if now_s - self._last_step_s > lease.PAUSE_DETECTION_S:
-            # While this process was paused anything may have been written.
+            # Another process may have written while this one was paused.
             self._stored = None
         self._last_step_s = now_s
         self._drop_expired_lease()
@@ -128,16 +128,16 @@
             self._monitor.all_probes_failed()
             and self._dependencies.entries.is_isolated()
         ):
-            # Cut off from its peers and from every engine, it would break
-            # replicas that others see serving; those others take over.
+            # A controller that reaches neither its peers nor any engine would
+            # break replicas that others see serving. One of those takes over.
             await self.release()
             return
         if self._monitor.members_known(self._stored.domain):
-            await self._decide(inputs, unrouted)
-        await self._order(inputs)
+            await self._update_domain(inputs, unrouted)
+        await self._send_orders(inputs)
 
     async def release(self) -> None:
-        """Give the lease back, so that the next holder need not wait."""
+        """Release the lease, so that the next holder need not wait."""
         self._drop_expired_lease()
         if self._stored is None or self._held_lease is None:
             return
@@ -148,7 +148,7 @@
         self._stored = None
 
     def status(self) -> DomainStatus:
-        """Return what an operator should know."""
+        """Return the status of the domain for operators."""
         return DomainStatus(
             self._name,
             self._held_lease is not None,
@@ -157,10 +157,11 @@
         )
 
     def domain_state(self) -> move_policy.DomainState | None:
-        """Return the domain and what it cannot hold; None without the lease.
+        """Return the domain and the deployments that it is short of.
 
-        What lost a VM counts at once. What could not be formed counts after
-        SHORT_FOR_S, since VMs of a new domain are seen one after another.
+        Returns None without the lease. A replica that lost a VM counts at once.
+        One that could not be formed counts after SHORTAGE_GRACE_S, since VMs
+        of a new domain are discovered one after another.
         """
         if self._stored is None or self._held_lease is None:
             return None
@@ -197,7 +198,7 @@
         if self._store_unavailable_since_s is not None:
             unavailable_s = self._now_s() - self._store_unavailable_since_s
             reasons.append(
-                f'the store gives no answer for {unavailable_s:.0f} s'
+                f'the store has been unavailable for {unavailable_s:.0f} s'
             )
         waiting = self._sender.waiting_loads()
         if waiting:
@@ -214,7 +215,7 @@
             held_lease is not None
             and held_lease.remaining_s(self._now_s()) <= 0
         ):
-            LOG.warning('The lease lapsed', extra={'domain': self._name})
+            LOG.warning('domain lease expired', extra={'domain': self._name})
             self._held_lease = None
 
     async def _read_and_acquire(self) -> None:
@@ -249,14 +250,15 @@
             and found.fencing_number == self._held_lease.fencing_number
         )
 
-    async def _acquire(self, read: domain_store.StoredDomain) -> None:
-        if read.domain.schema_version > domain_module.SCHEMA_VERSION:
-            # A newer program wrote it; an older one could drop its fields.
+    async def _acquire(self, stored: domain_store.StoredDomain) -> None:
+        if stored.domain.schema_version > domain_module.SCHEMA_VERSION:
+            # A newer version of the program wrote the domain. This version
+            # would drop the fields that it does not know.
             return
         request_sent_s = self._now_s()
-        had_holder = bool(read.domain.lease.holder)
+        had_holder = bool(stored.domain.lease.holder)
         answer = await self._store.write(
-            read, lease.acquired(read.domain, self._owner)
+            stored, lease.acquired(stored.domain, self._owner)
         )
         if answer.is_error():
             self._record_store_failure(answer.error)
@@ -270,18 +272,18 @@
             self._now_s(),
             had_holder=had_holder,
         )
-        LOG.info('The lease was taken', extra={'domain': self._name})
+        LOG.info('domain lease acquired', extra={'domain': self._name})
 
-    async def _decide(
+    async def _update_domain(
         self, inputs: ControllerInputs, unrouted: frozenset[str]
     ) -> None:
-        read = self._stored
-        if read is None or self._now_s() < self._store_retry_at_s:
+        stored = self._stored
+        if stored is None or self._now_s() < self._store_retry_at_s:
             return
-        next_domain = self._next_domain(read.domain, inputs, unrouted)
+        next_domain = self._next_domain(stored.domain, inputs, unrouted)
         due = self._now_s() - self._renewed_s >= lease.RENEW_INTERVAL_S
-        if next_domain != read.domain or due:
-            await self._write(read, next_domain)
+        if next_domain != stored.domain or due:
+            await self._write(stored, next_domain)
 
     def _next_domain(
         self,
@@ -305,11 +307,11 @@
 
     async def _write(
         self,
-        read: domain_store.StoredDomain,
+        stored: domain_store.StoredDomain,
         next_domain: domain_module.FabricDomain,
     ) -> None:
         request_sent_s = self._now_s()
-        answer = await self._store.write(read, lease.renewed(next_domain))
+        answer = await self._store.write(stored, lease.renewed(next_domain))
         if answer.is_error():
             self._record_store_failure(answer.error)
             not_applied = (
@@ -327,7 +329,7 @@
                 self._held_lease, answer.ok.domain, request_sent_s
             )
 
-    async def _order(self, inputs: ControllerInputs) -> None:
+    async def _send_orders(self, inputs: ControllerInputs) -> None:
         if self._stored is None or self._held_lease is None:
             return
         view = self._monitor.view(
@@ -337,7 +339,7 @@
             await self._sender.reconcile(view, self._held_lease)
 
     def _record_store_failure(self, problem: object_api.ObjectError) -> None:
-        """Back off with jitter, so that all do not return at one moment."""
+        """Back off with jitter, so that controllers do not retry at once."""
         if not isinstance(problem, object_api.Unavailable):
             return
         now_s = self._now_s()
@@ -362,7 +364,7 @@
     domain: domain_module.FabricDomain,
     desired: tuple[view_module.DesiredShare, ...],
 ) -> frozenset[str]:
-    """Return the deployments of which the domain cannot hold its share."""
+    """Return the deployments of which the domain does not hold its share."""
     broken = domain_module.ReplicaState.BROKEN
     return frozenset(
         share.deployment.name
--- a/redwingvalve/replicas/domain_store.py
+++ b/redwingvalve/replicas/domain_store.py
@@ -132,7 +132,9 @@
             return answer
         return Error(
             object_api.Conflict(
-                domain_module.KIND, written.name, 'the write did not stand'
+                domain_module.KIND,
+                written.name,
+                'the write did not take effect',
             )
         )
 
