--- a/redwingvalve/control/__init__.py
+++ b/redwingvalve/control/__init__.py
@@ -1,1 +1,1 @@
-"""The controller daemon: administration, plans, replicas."""
+"""The control loop of the controller daemon: plans, replicas and moves."""
--- a/redwingvalve/control/inputs.py
+++ b/redwingvalve/control/inputs.py
@@ -1,10 +1,10 @@
-"""Reads once what all domain controllers of a process work from.
+"""Reads the inputs that all domain controllers of a process share.
 
-Load pattern: 150 domains stepped twice a second by a few hundred controllers.
-Were each step to read the VM list and the allocation itself, the store would
-see a thousand reads a second for answers that change a few times a minute.
-Read every 2 s, a process costs one read a second of the store, and a changed
-allocation is acted on within the 4 s that configuration may take.
+Load pattern: 150 domains reconciled twice a second by a few hundred
+controllers. If each step read the VM list and the allocation itself, the store
+would get a thousand reads a second for data that changes a few times a minute.
+With one refresh every 2 s each process costs one store read a second, and a
+changed allocation takes effect within the 4 s allowed for configuration.
 """
 
 from expression import Error, Ok, Result
@@ -24,7 +24,7 @@
 
 
 class InputReader:
-    """Keeps the last good answers; an outage leaves what was known."""
+    """Caches the inputs; during an outage the last ones remain valid."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         vms: vm_list.VmList,
         time_source: clock.Clock,
     ) -> None:
-        """Know nothing yet."""
+        """Start without inputs."""
         self._store = store
         self._vm_list = vms
         self._clock = time_source
@@ -42,7 +42,7 @@
         self.vms: tuple[vm_list.Vm, ...] | None = None
 
     async def refresh(self) -> None:
-        """Read again when the answers are old enough."""
+        """Read the inputs again if READ_INTERVAL_S has passed."""
         now_s = self._clock.monotonic_s()
         if self._read_s is not None and now_s - self._read_s < READ_INTERVAL_S:
             return
@@ -53,8 +53,9 @@
         allocation = await world_module.read_allocation(self._store)
         if allocation.is_error():
             return
-        # A share whose deployment is not known yet must not read as "none
-        # wanted": its replicas would be drained. Both are taken together.
+        # A share whose deployment is not known yet must not be taken for a
+        # share of zero, which would drain its replicas. Deployments and
+        # allocation are therefore replaced together.
         declared = await read_deployments(self._store)
         if declared.is_ok():
             self._deployments = declared.ok
@@ -63,9 +64,9 @@
     def inputs_for(
         self, domain: str, without_room: frozenset[str] = NO_DEPLOYMENTS
     ) -> controller.ControllerInputs:
-        """Return what the controller of a domain works from.
+        """Return the inputs for the controller of a domain.
 
-        without_room names deployments whose change found no VMs anywhere.
+        without_room names the deployments whose change has room in no domain.
         """
         if self._deployments is None or self._allocation is None:
             return controller.ControllerInputs(self.vms, None)
@@ -75,7 +76,7 @@
         return controller.ControllerInputs(self.vms, desired)
 
     def desired_state(self) -> tuple[Deployments, shares.Allocation | None]:
-        """Return what is declared and allocated, as far as it is known."""
+        """Return the declared deployments and the allocation, if known."""
         return self._deployments or {}, self._allocation
 
 
@@ -85,7 +86,7 @@
     deployments: Deployments,
     without_room: frozenset[str],
 ) -> tuple[view_module.DesiredShare, ...]:
-    """Return the shares of one domain."""
+    """Return the replicas that one domain should hold."""
     return tuple(
         view_module.DesiredShare(
             deployments[share.deployment],
--- a/redwingvalve/control/loop.py
+++ b/redwingvalve/control/loop.py
@@ -1,8 +1,8 @@
 """Runs the domain controllers of one process.
 
-Every controller process could manage every domain; which ones it watches
-follows from rendezvous hashing over the live controllers. The lease alone
-decides who orders, so two processes that see different members do no harm.
+Any controller process can manage any domain. Rendezvous hashing over the live
+controllers chooses the domains that a process works on. Only the lease decides
+which process sends orders, so different views of the membership do no harm.
 """
 
 import anyio
@@ -21,8 +21,9 @@
 
 STEP_INTERVAL_S = 0.5
 FINISH_PLANS_INTERVAL_S = 5.0
-# A plan that was marked by a process that died before its second write waits
-# this long; 50 plans of 20 KB listed each 5 s would be 200 KB a second.
+# A plan whose confirmation was interrupted, because the process died after it
+# marked the plan and before its second write, waits for up to this long. To
+# list 50 plans of 20 KB every 5 s instead would read 200 KB a second.
 LIST_PLANS_INTERVAL_S = 30.0
 CANDIDATES_PER_DUTY = 2
 CONTROL_ROLE = 'control'
@@ -31,7 +32,7 @@
 
 @attrs.define
 class _ManagedDomain:
-    """One domain that this process watches."""
+    """One domain for which this process is a candidate."""
 
     controller: controller.DomainController
     reconciler: moves.MoveReconciler
@@ -39,7 +40,7 @@
 
 
 class ControlLoop:
-    """Steps the domains of which this process is a candidate."""
+    """Reconciles the domains for which this process is a candidate."""
 
     def __init__(
         self,
@@ -48,7 +49,7 @@
         vms: vm_list.VmList,
         members: members_module.Members | None = None,
     ) -> None:
-        """Own leases as owner, unique to this incarnation."""
+        """Acquire leases as owner, which is unique to this incarnation."""
         self._owner = owner
         self._dependencies = dependencies
         self._vm_list = vms
@@ -64,7 +65,7 @@
         self._next_list_plans_s = 0.0
 
     async def run(self) -> None:
-        """Step until cancelled, then give the leases back."""
+        """Reconcile until cancelled, then release the leases."""
         try:
             while True:
                 started_s = self._dependencies.clock.monotonic_s()
@@ -78,7 +79,7 @@
                 await self.release()
 
     async def step(self) -> None:
-        """Make one pass over all domains."""
+        """Reconcile all domains once."""
         await self._reader.refresh()
         await self._finish_plans()
         self._choose_domains()
@@ -88,12 +89,12 @@
                     group.start_soon(self._step_domain, name, managed)
 
     async def release(self) -> None:
-        """Give all leases back."""
+        """Release all leases."""
         for managed in self._domains.values():
             await managed.controller.release()
 
     def status(self) -> tuple[controller.DomainStatus, ...]:
-        """Return the status of each watched domain."""
+        """Return the status of each domain of this process."""
         return tuple(
             managed.controller.status() for managed in self._domains.values()
         )
@@ -102,7 +103,7 @@
         now_s = self._dependencies.clock.monotonic_s()
         if now_s < self._next_finish_s:
             return
-        # Jitter keeps the controllers from all reading at one moment.
+        # Jitter keeps the controllers from all reading at the same time.
         jitter = self._dependencies.rng.uniform(0.75, 1.25)
         self._next_finish_s = now_s + FINISH_PLANS_INTERVAL_S * jitter
         if not self._is_candidate('plans'):
@@ -114,11 +115,14 @@
             self._dependencies.objects, self._book, with_marked=with_marked
         )
         if done.is_error():
-            LOG.warning('Plans wait', extra={'reason': str(done.error)})
+            LOG.warning(
+                'confirmed plans not applied; trying again later',
+                extra={'reason': str(done.error)},
+            )
 
     def _choose_domains(self) -> None:
-        # Regions lose each other for an hour now and then; from another
-        # region every VM of this one would then look lost.
+        # Connections between regions can fail for an hour. A controller in
+        # another region would then consider every VM of a domain lost.
         in_region = {
             vm.fabric_domain
             for vm in self._reader.vms or ()
@@ -174,10 +178,10 @@
         if domain_state is None or allocation is None:
             return
         if await managed.reconciler.step(domain_state, deployments, allocation):
-            LOG.info('Moves of replicas changed', extra={'domain': name})
+            LOG.info('replica moves updated', extra={'domain': name})
 
     async def _create(self, name: str) -> bool:
-        """Create the domain's object; tell whether it is there."""
+        """Create the domain's object; tell whether it exists now."""
         vm = next(
             vm for vm in self._reader.vms or () if vm.fabric_domain == name
         )
@@ -201,5 +205,5 @@
     vms: vm_list.VmList,
     members: members_module.Members | None = None,
 ) -> ControlLoop:
-    """Return the loop of one process."""
+    """Return the control loop of one process."""
     return ControlLoop(owner, dependencies, vms, members)
--- a/redwingvalve/control/moves.py
+++ b/redwingvalve/control/moves.py
@@ -1,10 +1,10 @@
-"""Begins, ends and calls off moves of replicas between fabric domains.
+"""Starts, completes and cancels moves of replicas between fabric domains.
 
-Load pattern: see replicas.moving. The controller of the domain that gives a
-replica up does the work, and one conditional write of the allocation agrees,
-so that no leader is needed and two controllers never move the same replica
-twice. All domains are listed only to begin a move, since at 150 domains a
-list is some megabytes; an open move costs one read of one domain.
+Load pattern: see replicas.move_policy. The controller of the domain that gives
+up a replica handles its move. Each step is one conditional write of the
+allocation, so that no leader is needed and two controllers never move the same
+replica twice. All domains are listed only to start a move, since the list is
+some megabytes at 150 domains. A move in progress costs one read of one domain.
 """
 
 import random
@@ -19,14 +19,18 @@
 from redwingvalve.replicas import codec, move_policy, shares
 from redwingvalve.replicas import domain as domain_module
 
-# A whole domain's controllers would list all domains at once without a wait.
+# Minimum interval, with jitter, between two lists of all domains. Without it
+# many controllers would list them at the same time.
 LIST_INTERVAL_S = 20.0
 CHECK_INTERVAL_S = 3.0
 
 
 @attrs.frozen
 class StepResult:
-    """What was done; without_room names deployments whose change found none."""
+    """Result of one step.
+
+    without_room names the deployments whose change has room in no domain.
+    """
 
     changed: bool = False
     listed: bool = False
@@ -39,7 +43,7 @@
 
 
 class MoveReconciler:
-    """Takes the steps of one domain, no more often than stated above."""
+    """Reconciles the moves of one domain at the intervals given above."""
 
     def __init__(
         self,
@@ -48,7 +52,10 @@
         time_source: clock.Clock,
         rng: random.Random,
     ) -> None:
-        """Agree through store; without_room is for the next decision."""
+        """Keep the allocation in store.
+
+        without_room is an input of the next step of the domain controller.
+        """
         self._store = store
         self._vms = vms
         self._clock = time_source
@@ -63,9 +70,10 @@
         deployments: move_policy.Deployments,
         allocation: shares.Allocation,
     ) -> bool:
-        """Make one pass; tell whether moves changed.
+        """Reconcile once; tell whether moves changed.
 
-        agreed may be some seconds old: it only tells whether to look.
+        allocation may be some seconds old: it only decides whether the stored
+        one has to be read.
         """
         now_s = self._clock.monotonic_s()
         if now_s < self._next_check_s:
@@ -90,7 +98,7 @@
         *,
         may_list: bool,
     ) -> StepResult:
-        """Take one step; errors leave all to the next pass."""
+        """Take one step; after an error the next call tries again."""
         allocation = await world_module.read_allocation(self._store)
         if allocation.is_error() or not allocation.ok[1]:
             return StepResult()
@@ -107,10 +115,10 @@
         if domain_state.short_deployments:
             after = move_policy.relief_moves(deployments, capacities, before)
         else:
-            begun = move_policy.room_moves(
+            started = move_policy.room_moves(
                 domain_state, deployments, capacities, domains, before
             )
-            after = shares.start_moves(before, begun)
+            after = shares.start_moves(before, started)
         return StepResult(
             changed=after != before and await self._write(after, version),
             listed=True,
@@ -157,7 +165,8 @@
         return Ok((domains, making.capacities_of(world)))
 
     async def _write(self, after: shares.Allocation, version: str) -> bool:
-        # After a lost answer or a conflict the next pass reads what stands.
+        # After a lost answer or a conflict the next step reads the allocation
+        # again.
         written = await self._store.update(
             object_api.StoredObject(
                 shares.KIND, shares.NAME, version, codec.to_body(after)
@@ -172,5 +181,5 @@
     time_source: clock.Clock,
     rng: random.Random,
 ) -> MoveReconciler:
-    """Return the mover of one domain."""
+    """Return the move reconciler of one domain."""
     return MoveReconciler(store, vms, time_source, rng)
