--- a/redwingvalve/control/tests/test_loop.py
+++ b/redwingvalve/control/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""Plans become serving replicas, and shares leave a domain that is dark."""
+"""Plans become serving replicas; shares leave an unreachable domain."""
 
 import random
 
@@ -14,7 +14,7 @@
 from redwingvalve.standins import memory_fleet, memory_store
 
 
-class Bench:
+class Harness:
     """Two domains of nine VMs and any number of control processes."""
 
     def __init__(self):
@@ -65,45 +65,45 @@
 
 def test_a_confirmed_plan_becomes_serving_replicas():
     async def scenario():
-        bench = Bench()
-        one, two = bench.loop('one'), bench.loop('two')
-        await bench.run(2, one, two)
-        await bench.confirm(declared(4))
-        await bench.run(40, one, two)
-        assert bench.serving() == 4
+        harness = Harness()
+        one, two = harness.loop('one'), harness.loop('two')
+        await harness.run(2, one, two)
+        await harness.confirm(declared(4))
+        await harness.run(40, one, two)
+        assert harness.serving() == 4
 
     anyio.run(scenario)
 
 
-def test_replicas_of_a_dark_domain_are_formed_where_vms_are_free():
-    """A domain goes dark while the other one has VMs for one more replica:
-    that one is formed there, and only once; what else was lost waits."""
+def test_replicas_of_an_unreachable_domain_are_formed_where_vms_are_free():
+    """One domain becomes unreachable while the other has free VMs for one more
+    replica. Exactly one is formed there; the other lost replicas wait."""
 
     async def scenario():
-        bench = Bench()
-        one, two = bench.loop('one'), bench.loop('two')
-        await bench.confirm(declared(4))
-        await bench.run(40, one, two)
-        for engine in bench.fleet.engines.values():
+        harness = Harness()
+        one, two = harness.loop('one'), harness.loop('two')
+        await harness.confirm(declared(4))
+        await harness.run(40, one, two)
+        for engine in harness.fleet.engines.values():
             engine.alive = engine.vm.fabric_domain == 'd1'
-        await bench.run(60, one, two)
-        assert (bench.serving('d1'), bench.serving('d0')) == (3, 0)
-        for engine in bench.fleet.engines.values():
+        await harness.run(60, one, two)
+        assert (harness.serving('d1'), harness.serving('d0')) == (3, 0)
+        for engine in harness.fleet.engines.values():
             engine.alive = True
-        await bench.run(60, one, two)
-        assert bench.serving() == 4
+        await harness.run(60, one, two)
+        assert harness.serving() == 4
 
     anyio.run(scenario)
 
 
-def test_a_controller_that_ends_hands_its_domains_over_at_once():
+def test_a_controller_that_stops_releases_its_domains_at_once():
     async def scenario():
-        bench = Bench()
-        one, two = bench.loop('one'), bench.loop('two')
-        await bench.run(2, one, two)
-        await bench.confirm(declared(2))
+        harness = Harness()
+        one, two = harness.loop('one'), harness.loop('two')
+        await harness.run(2, one, two)
+        await harness.confirm(declared(2))
         await one.release()
-        await bench.run(35, two)
-        assert bench.serving() == 2
+        await harness.run(35, two)
+        assert harness.serving() == 2
 
     anyio.run(scenario)
--- a/redwingvalve/control/tests/test_moves.py
+++ b/redwingvalve/control/tests/test_moves.py
@@ -1,5 +1,5 @@
-"""Changes roll through domains without room, and lost places move, at no cost
-in downtime, whoever dies on the way."""
+"""Changes roll through full domains, and replicas move out of domains that
+lost VMs, without extra downtime even if a controller dies meanwhile."""
 
 import anyio
 import attrs
@@ -9,13 +9,13 @@
 from redwingvalve.replicas import codec, shares
 from redwingvalve.replicas import domain as domain_module
 
-GUARD_STEPS = 4000
+MAX_STEPS = 4000
 
 
-class Bench(test_loop.Bench):
-    """d0 is full; d1 has VMs free for one more replica of three."""
+class Harness(test_loop.Harness):
+    """d0 is full; d1 has free VMs for one more replica of three VMs."""
 
-    async def begin(self, *loops, replicas=5, **changed):
+    async def start(self, *loops, replicas=5, **changed):
         await self.confirm(test_loop.declared(replicas))
         await self.until(lambda: self.serving() == replicas, *loops)
         await self.confirm(self.next_version(replicas, **changed))
@@ -26,15 +26,15 @@
         changed = attrs.evolve(deployment, version='2', **changed)
         return attrs.evolve(declared, deployments=(changed,))
 
-    async def until(self, holds, *loops, least=0, of=()):
-        for _ in range(GUARD_STEPS):
-            if holds():
+    async def until(self, condition, *loops, min_serving=0, domains=()):
+        for _ in range(MAX_STEPS):
+            if condition():
                 return
             await self.run(0.5, *loops)
-            assert self.truly_serving(*of) >= least
-        raise AssertionError('the guard ran out')
+            assert self.serving_on_engines(*domains) >= min_serving
+        raise AssertionError('condition not met within the step limit')
 
-    def truly_serving(self, *names):
+    def serving_on_engines(self, *names):
         return sum(
             replica.state == 'serving' and self.is_whole(replica)
             for domain in self.domains()
@@ -67,65 +67,77 @@
 
 
 def test_a_change_rolls_through_full_domains_without_downtime():
-    """Only d1 has room. It changes first, takes one replica of d0, and d0
-    rolls in the VMs that this leaves: callers always find five replicas."""
+    """Only d1 has room. It changes first and takes over one replica of d0,
+    which frees VMs for the change in d0. Five replicas serve all the time."""
 
     async def scenario():
-        bench = Bench()
-        one = bench.loop('one')
-        await bench.begin(one)
-        await bench.until(bench.all_current, one, least=5)
-        assert bench.serving() == bench.allocation().total('quotes') == 5
+        harness = Harness()
+        one = harness.loop('one')
+        await harness.start(one)
+        await harness.until(harness.all_current, one, min_serving=5)
+        assert harness.serving() == harness.allocation().total('quotes') == 5
 
     anyio.run(scenario)
 
 
 @pytest.mark.parametrize('at_moves', [1, 0])
-def test_another_controller_carries_the_change_on(at_moves):
-    """The controller dies while a replica is in two places (or right after).
-    Another one takes the leases over and reads in the allocation what is
-    under way; callers see no replica less at any time."""
+def test_another_controller_continues_the_change(at_moves):
+    """A controller dies during a move or right after it. Another one acquires
+    the leases and reads the moves in progress from the allocation. Five
+    replicas serve all the time."""
 
     async def scenario():
-        bench = Bench()
-        one, two = bench.loop('one'), bench.loop('two')
-        await bench.begin(one)
-        await bench.until(lambda: bench.allocation().moves, one, least=5)
-        await bench.until(
-            lambda: len(bench.allocation().moves) == at_moves, one, least=5
+        harness = Harness()
+        one, two = harness.loop('one'), harness.loop('two')
+        await harness.start(one)
+        await harness.until(
+            lambda: harness.allocation().moves, one, min_serving=5
         )
-        await bench.until(bench.all_current, two, least=5)
-        assert bench.serving() == bench.allocation().total('quotes') == 5
+        await harness.until(
+            lambda: len(harness.allocation().moves) == at_moves,
+            one,
+            min_serving=5,
+        )
+        await harness.until(harness.all_current, two, min_serving=5)
+        assert harness.serving() == harness.allocation().total('quotes') == 5
 
     anyio.run(scenario)
 
 
-def test_the_new_place_goes_dark_on_the_way():
-    """d1 goes dark while it forms the replica that is to make room in d0. The
-    move is called off and d0 keeps serving whole on the old version; when d1
-    is back the change goes on."""
+def test_a_move_is_cancelled_when_its_target_becomes_unreachable():
+    """d1 becomes unreachable while it forms the replica that makes room in d0.
+    The move is cancelled and all replicas of d0 keep serving the old version.
+    The change continues when d1 is reachable again."""
 
     async def scenario():
-        bench = Bench()
-        one = bench.loop('one')
-        await bench.begin(one)
-        await bench.until(lambda: bench.allocation().moves, one, least=5)
-        await bench.run(5, one)
-        bench.set_alive('d1', alive=False)
-        await bench.until(
-            lambda: not bench.allocation().moves, one, least=3, of=('d0',)
+        harness = Harness()
+        one = harness.loop('one')
+        await harness.start(one)
+        await harness.until(
+            lambda: harness.allocation().moves, one, min_serving=5
+        )
+        await harness.run(5, one)
+        harness.set_alive('d1', alive=False)
+        await harness.until(
+            lambda: not harness.allocation().moves,
+            one,
+            min_serving=3,
+            domains=('d0',),
         )
-        await bench.until(
-            lambda: bench.allocation().replicas('d0', 'quotes') == 3,
+        await harness.until(
+            lambda: harness.allocation().replicas('d0', 'quotes') == 3,
             one,
-            least=3,
-            of=('d0',),
+            min_serving=3,
+            domains=('d0',),
         )
-        bench.set_alive('d1', alive=True)
-        await bench.until(
-            lambda: bench.truly_serving() == 5, one, least=3, of=('d0',)
+        harness.set_alive('d1', alive=True)
+        await harness.until(
+            lambda: harness.serving_on_engines() == 5,
+            one,
+            min_serving=3,
+            domains=('d0',),
         )
-        await bench.until(bench.all_current, one, least=5)
+        await harness.until(harness.all_current, one, min_serving=5)
 
     anyio.run(scenario)
 
@@ -133,66 +145,69 @@
 def test_without_room_anywhere_a_change_waits_unless_it_is_accepted():
     async def scenario():
         for accepted in (False, True):
-            bench = Bench()
-            one = bench.loop('one')
-            await bench.begin(
+            harness = Harness()
+            one = harness.loop('one')
+            await harness.start(
                 one,
                 replicas=6,
                 floor_replicas=4,
                 accepts_change_in_place=accepted,
             )
             if accepted:
-                await bench.until(bench.all_current, one, least=4)
+                await harness.until(harness.all_current, one, min_serving=4)
             else:
-                await bench.run(300, one)
-                assert bench.truly_serving() == 6
-                assert not bench.all_current()
+                await harness.run(300, one)
+                assert harness.serving_on_engines() == 6
+                assert not harness.all_current()
 
     anyio.run(scenario)
 
 
-def test_a_lost_place_moves_at_once_and_comes_back_without_a_loss():
-    """A VM of d0 is lost and d0 has no spare: d1 forms the replica within
-    three seconds. The VM is back before that one is loaded: d0 serves again
-    and the move is called off, where a share taken from d0 at once would
-    have drained the replica that had come back."""
+def test_a_move_is_cancelled_when_the_lost_vm_returns():
+    """A VM of d0 is lost and d0 has no spare, so d1 starts to form the replica
+    within three seconds. The VM returns before the load ends: d0 serves again
+    and the move is cancelled. If the share had been taken from d0 at once, the
+    replica that had recovered would have been drained."""
 
     async def scenario():
-        bench = Bench()
-        one = bench.loop('one')
-        await bench.confirm(test_loop.declared(5))
-        await bench.until(lambda: bench.serving() == 5, one)
-        bench.fleet.engine('vm-0').alive = False
-        await bench.run(3, one)
-        assert bench.allocation().moves
-        bench.fleet.engine('vm-0').alive = True
-        await bench.run(4, one)
-        assert bench.truly_serving() == 5
-        await bench.until(lambda: not bench.allocation().moves, one, least=5)
-        await bench.run(60, one)
-        assert bench.truly_serving() == 5
+        harness = Harness()
+        one = harness.loop('one')
+        await harness.confirm(test_loop.declared(5))
+        await harness.until(lambda: harness.serving() == 5, one)
+        harness.fleet.engine('vm-0').alive = False
+        await harness.run(3, one)
+        assert harness.allocation().moves
+        harness.fleet.engine('vm-0').alive = True
+        await harness.run(4, one)
+        assert harness.serving_on_engines() == 5
+        await harness.until(
+            lambda: not harness.allocation().moves, one, min_serving=5
+        )
+        await harness.run(60, one)
+        assert harness.serving_on_engines() == 5
 
     anyio.run(scenario)
 
 
 def test_lost_answers_and_pauses_never_move_a_replica_twice():
-    """Two controllers take turns for longer than a lease, and every few
-    seconds a write takes effect without an answer. The second controller must
-    not move once more what the first one moved; callers find five replicas."""
+    """Two controllers run in turns that are longer than a lease, and every few
+    seconds the answer to a write is lost. The second controller must not move
+    a replica again that the first one moved. Five replicas serve all the
+    time."""
 
     async def scenario():
-        bench = Bench()
-        loops = bench.loop('one'), bench.loop('two')
-        await bench.begin(loops[0])
-        for turn in range(GUARD_STEPS):
-            if bench.all_current():
+        harness = Harness()
+        loops = harness.loop('one'), harness.loop('two')
+        await harness.start(loops[0])
+        for turn in range(MAX_STEPS):
+            if harness.all_current():
                 break
-            bench.store.faults.lose_answers = 1
+            harness.store.faults.lose_answers = 1
             for _ in range(10):
-                await bench.run(5, loops[turn % 2])
-                assert bench.truly_serving() >= 5
-                assert bench.allocation().total('quotes') <= 6
-        assert bench.all_current()
-        assert bench.serving() == bench.allocation().total('quotes') == 5
+                await harness.run(5, loops[turn % 2])
+                assert harness.serving_on_engines() >= 5
+                assert harness.allocation().total('quotes') <= 6
+        assert harness.all_current()
+        assert harness.serving() == harness.allocation().total('quotes') == 5
 
     anyio.run(scenario)
--- a/redwingvalve/replicas/tests/fixtures.py
+++ b/redwingvalve/replicas/tests/fixtures.py
@@ -1,4 +1,4 @@
-"""A domain of VMs, a store and controllers in virtual time."""
+"""Test harness: a domain of VMs, a store and controllers in virtual time."""
 
 import random
 
@@ -12,18 +12,23 @@
 from redwingvalve.standins import memory_fleet, memory_store
 
 STEP_S = 0.5
-LOAD_S = 20.0
+LOAD_TIME_S = 20.0
 
 
 def deployment(**changed):
     declared = schema.ModelDeployment(
-        'quotes', 'm', '1', replicas=2, vms_per_replica=3, load_time_s=LOAD_S
+        'quotes',
+        'm',
+        '1',
+        replicas=2,
+        vms_per_replica=3,
+        load_time_s=LOAD_TIME_S,
     )
     return attrs.evolve(declared, **changed)
 
 
-class Bench:
-    """One fabric domain; each controller has its own way to the engines."""
+class Harness:
+    """One fabric domain; each controller has its own client of the engines."""
 
     def __init__(self, vms=7, desired=None, disabled=()):
         self.clock = clock.ManualClock(1000.0)
@@ -34,14 +39,14 @@
                 for i in range(vms)
             ),
             self.clock,
-            LOAD_S,
+            LOAD_TIME_S,
         )
         self.weights = memory_fleet.MemoryWeights(self.clock, 1.0, 4)
         self.desired = desired or (view.DesiredShare(deployment(), 2, 0),)
         self.disabled = disabled
         self.order_clients = {}
 
-    async def begin(self, *owners):
+    async def start(self, *owners):
         body = domain_module.to_body(domain_module.FabricDomain('d', 'nave-a'))
         await self.store.create(domain_module.KIND, 'd', body)
         return [self.controller(owner) for owner in owners]
--- a/redwingvalve/replicas/tests/gated.py
+++ b/redwingvalve/replicas/tests/gated.py
@@ -1,8 +1,8 @@
-"""Processes whose every call waits at a gate until the test lets it go.
+"""Processes whose every call blocks at a gate until the test releases it.
 
-A process that is not let go is paused at that point, for as long as virtual
-time runs on. Calls of one process go in order; an order that was held back
-for longer than its timeout has been given up by then and never arrives.
+A process that is not released is paused at that call while virtual time
+advances. Calls of one process are released in order. An order that was blocked
+for longer than its timeout has timed out and never arrives.
 """
 
 import asyncio
@@ -17,27 +17,27 @@
 
 
 class Gate:
-    """Lets one waiting call go at a time."""
+    """Releases one blocked call at a time."""
 
     def __init__(self):
         self.waiting = []
         self.store_cut_off = False
 
     async def wait(self):
-        turn = asyncio.get_running_loop().create_future()
-        self.waiting.append(turn)
-        await turn
+        released = asyncio.get_running_loop().create_future()
+        self.waiting.append(released)
+        await released
 
     def release_next(self):
         while self.waiting:
-            turn = self.waiting.pop(0)
-            if not turn.done():
-                turn.set_result(None)
+            released = self.waiting.pop(0)
+            if not released.done():
+                released.set_result(None)
                 return
 
 
 class GatedStore(object_api.ObjectApi):
-    """One process's way to the store."""
+    """The store client of one process."""
 
     def __init__(self, inner, gate):
         self.inner, self.gate = inner, gate
@@ -68,7 +68,7 @@
 
 
 class GatedOrders(memory_fleet.MemoryOrders):
-    """One process's way to the engines; probes pass freely."""
+    """The engine client of one process; probes are not blocked."""
 
     def __init__(self, fleet, gate):
         super().__init__(fleet)
@@ -78,12 +78,12 @@
         started_s = self.fleet.clock.monotonic_s()
         await self.gate.wait()
         if self.fleet.clock.monotonic_s() - started_s > timeout_s:
-            return Error(engine_orders.EngineUnreachable('given up'))
+            return Error(engine_orders.EngineUnreachable('timed out'))
         return await super().send(address, order, timeout_s)
 
 
-class EntriesSee(entry_reports.NoEntryReports):
-    """Entries see every VM that is alive."""
+class EntriesSeeLiveVms(entry_reports.NoEntryReports):
+    """Reports of entries that see every VM that is alive."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -93,20 +93,20 @@
 
 
 class Process:
-    """A controller that steps for ever, one let-go call at a time."""
+    """A controller that reconciles forever, one released call at a time."""
 
-    def __init__(self, name, bench, runner):
+    def __init__(self, name, harness, runner):
         self.gate = Gate()
-        self.bench = bench
-        self.orders = GatedOrders(bench.fleet, self.gate)
+        self.harness = harness
+        self.orders = GatedOrders(harness.fleet, self.gate)
         dependencies = controller.Dependencies(
-            GatedStore(bench.store, self.gate),
+            GatedStore(harness.store, self.gate),
             self.orders,
-            bench.weights,
-            bench.clock,
-            EntriesSee(bench.fleet),
+            harness.weights,
+            harness.clock,
+            EntriesSeeLiveVms(harness.fleet),
             random.Random(name),
-            invariants.SafeguardSwitches(bench.disabled),
+            invariants.SafeguardSwitches(harness.disabled),
             draft.PlacementPolicy(),
         )
         self.controller = controller.make_domain_controller(
@@ -116,29 +116,29 @@
 
     async def _run(self):
         while True:
-            await self.controller.step(self.bench.inputs())
+            await self.controller.step(self.harness.inputs())
             await self.gate.wait()
 
     def check(self):
-        """Raise what the process died of."""
+        """Raise the exception of a process that has ended."""
         if self.task.done():
             self.task.result()
 
 
 def run_until_blocked(runner):
-    """Run until every process waits at its gate."""
+    """Run until every process is blocked at its gate."""
 
-    async def turns():
+    async def run_ready():
         loop = asyncio.get_running_loop()
         await asyncio.sleep(0)
-        while loop._ready:  # the only sign that every task is blocked
+        while loop._ready:  # asyncio has no public way to detect idleness
             await asyncio.sleep(0)
 
-    runner.run(turns())
+    runner.run(run_ready())
 
 
 def check_engines(fleet):
-    """What engines that ignore fencing would suffer from, and callers."""
+    """Check that no engine obeyed an old order or interrupted a request."""
     for engine in fleet.engines.values():
         numbers = [order.fencing_number for order in engine.obeyed]
         invariants.require(
--- a/redwingvalve/replicas/tests/test_controller.py
+++ b/redwingvalve/replicas/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""One fabric domain through formation, losses, drains and lapses."""
+"""One fabric domain: forming, losses, drains and expired leases."""
 
 import anyio
 import attrs
@@ -12,205 +12,212 @@
 
 def test_replicas_are_formed_and_serve_after_the_read_back():
     async def scenario():
-        bench = fixtures.Bench()
-        (one,) = await bench.begin('one')
-        await bench.run(2, one)
-        assert bench.states() == ['forming', 'forming']
-        await bench.run(fixtures.LOAD_S + 2, one)
-        assert bench.states() == SERVING_TWO
+        harness = fixtures.Harness()
+        (one,) = await harness.start('one')
+        await harness.run(2, one)
+        assert harness.states() == ['forming', 'forming']
+        await harness.run(fixtures.LOAD_TIME_S + 2, one)
+        assert harness.states() == SERVING_TWO
 
     anyio.run(scenario)
 
 
 def test_a_lost_vm_is_replaced_by_the_spare_within_three_seconds():
     async def scenario():
-        bench = fixtures.Bench()
-        (one,) = await bench.begin('one')
-        await bench.run(30, one)
-        victim = bench.domain().replicas[0].members[1]
-        bench.fleet.engine(victim).alive = False
-        await bench.run(3, one)
-        healed = bench.domain().replicas[0]
+        harness = fixtures.Harness()
+        (one,) = await harness.start('one')
+        await harness.run(30, one)
+        victim = harness.domain().replicas[0].members[1]
+        harness.fleet.engine(victim).alive = False
+        await harness.run(3, one)
+        healed = harness.domain().replicas[0]
         assert healed.state == 'forming' and victim not in healed.members
-        await bench.run(fixtures.LOAD_S + 1, one)
-        assert bench.states() == SERVING_TWO
+        await harness.run(fixtures.LOAD_TIME_S + 1, one)
+        assert harness.states() == SERVING_TWO
 
     anyio.run(scenario)
 
 
-def test_what_comes_back_whole_is_adopted_and_not_loaded_again():
-    """The whole domain goes dark for a minute and returns as it was: callers
-    are served again within seconds, because nothing is loaded anew."""
+def test_replica_whose_vms_all_return_is_adopted_without_a_load():
+    """The whole domain is unreachable for a minute and returns unchanged. It
+    serves again within seconds, because nothing is loaded again."""
 
     async def scenario():
-        bench = fixtures.Bench()
-        (one,) = await bench.begin('one')
-        await bench.run(30, one)
-        loads = sum(e.loads for e in bench.fleet.engines.values())
-        for engine in bench.fleet.engines.values():
+        harness = fixtures.Harness()
+        (one,) = await harness.start('one')
+        await harness.run(30, one)
+        loads = sum(e.loads for e in harness.fleet.engines.values())
+        for engine in harness.fleet.engines.values():
             engine.alive = False
-            await bench.run(0.5, one)
-        await bench.run(60, one)
-        assert bench.states() == ['broken', 'broken']
-        for engine in bench.fleet.engines.values():
+            await harness.run(0.5, one)
+        await harness.run(60, one)
+        assert harness.states() == ['broken', 'broken']
+        for engine in harness.fleet.engines.values():
             engine.alive = True
-        await bench.run(2, one)
-        assert bench.states() == SERVING_TWO
-        assert loads == sum(e.loads for e in bench.fleet.engines.values())
+        await harness.run(2, one)
+        assert harness.states() == SERVING_TWO
+        assert loads == sum(e.loads for e in harness.fleet.engines.values())
 
     anyio.run(scenario)
 
 
 def test_remnants_of_two_broken_replicas_are_merged():
     async def scenario():
-        bench = fixtures.Bench(vms=6)
-        (one,) = await bench.begin('one')
-        await bench.run(30, one)
-        for replica in bench.domain().replicas:
-            bench.fleet.engine(replica.members[0]).alive = False
-        await bench.run(fixtures.LOAD_S + 5, one)
-        assert bench.states() == ['broken', 'serving']
+        harness = fixtures.Harness(vms=6)
+        (one,) = await harness.start('one')
+        await harness.run(30, one)
+        for replica in harness.domain().replicas:
+            harness.fleet.engine(replica.members[0]).alive = False
+        await harness.run(fixtures.LOAD_TIME_S + 5, one)
+        assert harness.states() == ['broken', 'serving']
 
     anyio.run(scenario)
 
 
-def test_a_dear_replica_takes_the_vms_of_a_cheap_one_but_not_of_its_equal():
+def test_only_a_replica_of_lower_price_is_dissolved():
     async def scenario():
         for price, expected in ((1.0, 'serving'), (50.0, 'draining')):
-            dear = fixtures.deployment(
+            expensive = fixtures.deployment(
                 name='race', prices=schema.Prices(price, 0.05)
             )
             cheap = fixtures.deployment(name='bench')
-            desired = (view.DesiredShare(dear, 1), view.DesiredShare(cheap, 1))
-            bench = fixtures.Bench(vms=6, desired=desired)
-            (one,) = await bench.begin('one')
-            await bench.run(30, one)
+            desired = (
+                view.DesiredShare(expensive, 1),
+                view.DesiredShare(cheap, 1),
+            )
+            harness = fixtures.Harness(vms=6, desired=desired)
+            (one,) = await harness.start('one')
+            await harness.run(30, one)
             broken = next(
-                r for r in bench.domain().replicas if r.deployment == 'race'
+                r for r in harness.domain().replicas if r.deployment == 'race'
             )
-            bench.fleet.engine(broken.members[2]).alive = False
-            await bench.run(4, one)
+            harness.fleet.engine(broken.members[2]).alive = False
+            await harness.run(4, one)
             (state,) = (
                 r.state
-                for r in bench.domain().replicas
+                for r in harness.domain().replicas
                 if r.deployment == 'bench'
             )
             assert state == expected
-            await bench.run(60, one)
-            assert ('race' in _serving(bench)) == (price > 1)
+            await harness.run(60, one)
+            assert ('race' in _serving(harness)) == (price > 1)
 
     anyio.run(scenario)
 
 
 def test_a_rolling_change_with_room_for_one_replica_costs_no_downtime():
     async def scenario():
-        bench = fixtures.Bench(vms=9)
-        (one,) = await bench.begin('one')
-        await bench.run(30, one)
-        bench.desired = (
+        harness = fixtures.Harness(vms=9)
+        (one,) = await harness.start('one')
+        await harness.run(30, one)
+        harness.desired = (
             view.DesiredShare(fixtures.deployment(version='2'), 2, 2),
         )
         for _ in range(200):
-            await bench.run(1, one)
-            assert len(_serving(bench)) >= 2
-        versions = {r.version for r in bench.domain().replicas}
-        assert versions == {'2'} and bench.states() == SERVING_TWO
+            await harness.run(1, one)
+            assert len(_serving(harness)) >= 2
+        versions = {r.version for r in harness.domain().replicas}
+        assert versions == {'2'} and harness.states() == SERVING_TWO
 
     anyio.run(scenario)
 
 
 def test_a_planned_stop_waits_for_the_work_in_flight():
-    """A rolling change in place drains one replica. A request is still being
-    answered on it, long after all entries have stopped sending; the stop
-    waits until the caller has its whole answer."""
+    """A rolling change in place drains one replica, which still has a request
+    in flight long after all entries have stopped sending. The stop waits until
+    that request has finished."""
 
     async def scenario():
-        bench = fixtures.Bench(vms=6)
-        (one,) = await bench.begin('one')
-        await bench.run(30, one)
-        for engine in bench.fleet.engines.values():
+        harness = fixtures.Harness(vms=6)
+        (one,) = await harness.start('one')
+        await harness.run(30, one)
+        for engine in harness.fleet.engines.values():
             engine.state = attrs.evolve(engine.state, in_flight=1)
-        bench.desired = (
+        harness.desired = (
             view.DesiredShare(fixtures.deployment(version='2'), 2, 1),
         )
-        await bench.run(120, one)
-        assert bench.states() == ['draining', 'serving']
-        for engine in bench.fleet.engines.values():
+        await harness.run(120, one)
+        assert harness.states() == ['draining', 'serving']
+        for engine in harness.fleet.engines.values():
             engine.state = attrs.evolve(engine.state, in_flight=0)
-        await bench.run(3, one)
-        assert bench.states() == ['forming', 'serving']
-        assert not any(e.cut_off for e in bench.fleet.engines.values())
+        await harness.run(3, one)
+        assert harness.states() == ['forming', 'serving']
+        assert not any(e.cut_off for e in harness.fleet.engines.values())
 
     anyio.run(scenario)
 
 
-def test_a_flapping_vm_is_kept_out_for_growing_times():
+def test_a_flapping_vm_is_quarantined_for_growing_times():
     async def scenario():
-        bench = fixtures.Bench()
-        (one,) = await bench.begin('one')
-        await bench.run(30, one)
-        spare = bench.domain().spare_vms()[0].name
+        harness = fixtures.Harness()
+        (one,) = await harness.start('one')
+        await harness.run(30, one)
+        spare = harness.domain().spare_vms()[0].name
         for _ in range(3):
-            bench.fleet.engine(spare).alive = False
-            await bench.run(5, one)
-            bench.fleet.engine(spare).alive = True
-            await bench.run(5, one)
-        bench.fleet.engine(bench.domain().replicas[0].members[0]).alive = False
-        await bench.run(10, one)
-        assert bench.states() == ['broken', 'serving']
-        await bench.run(90, one)
-        assert bench.states() == SERVING_TWO
+            harness.fleet.engine(spare).alive = False
+            await harness.run(5, one)
+            harness.fleet.engine(spare).alive = True
+            await harness.run(5, one)
+        harness.fleet.engine(
+            harness.domain().replicas[0].members[0]
+        ).alive = False
+        await harness.run(10, one)
+        assert harness.states() == ['broken', 'serving']
+        await harness.run(90, one)
+        assert harness.states() == SERVING_TWO
 
     anyio.run(scenario)
 
 
-def test_a_paused_holder_orders_nothing_after_another_took_over():
-    """Holder one is paused for longer than its term; two takes the lease.
-    When one goes on it still believes that it holds the lease, so it must
-    find out before its first order, also where engines ignore fencing."""
+def test_a_paused_holder_sends_no_order_after_another_acquired_the_lease():
+    """Holder one is paused for longer than its term, and two acquires the
+    lease. When one resumes it still assumes that it holds the lease. It must
+    notice the loss before its first order, also if engines ignore fencing."""
 
     async def scenario():
         ignoring = fixtures.deployment(
             endpoint_trust=schema.EndpointTrust.IGNORES_FENCING
         )
-        bench = fixtures.Bench(desired=(view.DesiredShare(ignoring, 2),))
-        for engine in bench.fleet.engines.values():
+        harness = fixtures.Harness(desired=(view.DesiredShare(ignoring, 2),))
+        for engine in harness.fleet.engines.values():
             engine.refuses_old = False
-        one, two = await bench.begin('one', 'two')
-        await bench.run(2, one, two)
-        await bench.run(60, two)
-        assert bench.states() == SERVING_TWO
-        sent = bench.order_clients['one'].sent
-        await bench.run(10, one, two)
-        assert bench.order_clients['one'].sent == sent
-        assert bench.domain().lease.holder == 'two'
+        one, two = await harness.start('one', 'two')
+        await harness.run(2, one, two)
+        await harness.run(60, two)
+        assert harness.states() == SERVING_TWO
+        sent = harness.order_clients['one'].sent
+        await harness.run(10, one, two)
+        assert harness.order_clients['one'].sent == sent
+        assert harness.domain().lease.holder == 'two'
 
     anyio.run(scenario)
 
 
-def test_lost_answers_and_an_outage_only_delay_what_is_wanted():
+def test_lost_answers_and_an_outage_only_delay_reconciliation():
     async def scenario():
-        bench = fixtures.Bench()
-        (one,) = await bench.begin('one')
+        harness = fixtures.Harness()
+        (one,) = await harness.start('one')
         for _ in range(5):
-            bench.store.faults.lose_answers = 1
-            await bench.run(5, one)
-        bench.store.set_outage(outage=True)
-        await bench.run(3600, one)
+            harness.store.faults.lose_answers = 1
+            await harness.run(5, one)
+        harness.store.set_outage(outage=True)
+        await harness.run(3600, one)
         assert any('store' in text for text in one.status().waiting_for)
-        calls = bench.store.calls.reads + bench.store.calls.writes
-        await bench.run(600, one)
-        assert bench.store.calls.reads + bench.store.calls.writes - calls < 200
-        bench.store.set_outage(outage=False)
-        await bench.run(60, one)
-        assert bench.states() == SERVING_TWO
+        calls = harness.store.calls.reads + harness.store.calls.writes
+        await harness.run(600, one)
+        assert (
+            harness.store.calls.reads + harness.store.calls.writes - calls < 200
+        )
+        harness.store.set_outage(outage=False)
+        await harness.run(60, one)
+        assert harness.states() == SERVING_TWO
 
     anyio.run(scenario)
 
 
-def _serving(bench):
+def _serving(harness):
     return [
         each.deployment
-        for each in bench.domain().replicas
+        for each in harness.domain().replicas
         if each.state == 'serving'
     ]
--- a/redwingvalve/replicas/tests/test_domain_machine.py
+++ b/redwingvalve/replicas/tests/test_domain_machine.py
@@ -1,4 +1,4 @@
-"""Two controllers, one store, six engines, and every failure in any order."""
+"""Two controllers, one store and six engines, with failures in any order."""
 
 import asyncio
 import os
@@ -16,14 +16,14 @@
 
 NAMES = ('one', 'two')
 EXAMPLES = int(os.environ.get('REDWINGVALVE_MACHINE_EXAMPLES', '40'))
-# Shrinking replays thousands of schedules; the events are in the report.
+# No shrinking: it replays thousands of schedules, and the report has the events.
 PHASES = (Phase.explicit, Phase.generate)
 VMS = tuple(f'vm-{index}' for index in range(6))
 Safeguard = invariants.Safeguard
 
 
 class DomainMachine(stateful.RuleBasedStateMachine):
-    """Calls pass one by one; time, faults and requests come between."""
+    """Calls run one by one, with time, faults and requests in between."""
 
     disabled = ()
 
@@ -35,15 +35,18 @@
     @stateful.initialize(trust=st.sampled_from(list(schema.EndpointTrust)))
     def begin(self, trust):
         self.trust = trust
-        self.bench = fixtures.Bench(6, disabled=self.disabled)
+        self.harness = fixtures.Harness(6, disabled=self.disabled)
         self.declare('1')
         ignores = trust == schema.EndpointTrust.IGNORES_FENCING
-        for engine in self.bench.fleet.engines.values():
+        for engine in self.harness.fleet.engines.values():
             engine.refuses_old = not ignores
         body = domain_module.to_body(domain_module.FabricDomain('d', 'nave-a'))
-        self.runner.run(self.bench.store.create(domain_module.KIND, 'd', body))
+        self.runner.run(
+            self.harness.store.create(domain_module.KIND, 'd', body)
+        )
         self.processes = {
-            name: gated.Process(name, self.bench, self.runner) for name in NAMES
+            name: gated.Process(name, self.harness, self.runner)
+            for name in NAMES
         }
         gated.run_until_blocked(self.runner)
 
@@ -51,7 +54,7 @@
         declared = fixtures.deployment(
             version=version, vms_per_replica=2, endpoint_trust=self.trust
         )
-        self.bench.desired = (view.DesiredShare(declared, 2, 1),)
+        self.harness.desired = (view.DesiredShare(declared, 2, 1),)
 
     def go(self, name, calls):
         for _ in range(calls):
@@ -62,19 +65,19 @@
     def let_go(self, name, calls):
         self.go(name, calls)
 
-    @stateful.rule(name=st.sampled_from(NAMES), passes=st.integers(1, 60))
-    def run_alone(self, name, passes):
-        for _ in range(passes):
+    @stateful.rule(name=st.sampled_from(NAMES), steps=st.integers(1, 60))
+    def run_alone(self, name, steps):
+        for _ in range(steps):
             self.go(name, 3)
-            self.bench.clock.advance(0.5)
+            self.harness.clock.advance(0.5)
 
     @stateful.rule()
     def term_passes(self):
-        self.bench.clock.advance(lease.TERM_S * 1.02)
+        self.harness.clock.advance(lease.TERM_S * 1.02)
 
     @stateful.rule(vm=st.sampled_from(VMS), restarts=st.booleans())
     def vm_dies_or_returns(self, vm, restarts):
-        engine = self.bench.fleet.engine(vm)
+        engine = self.harness.fleet.engine(vm)
         if engine.alive:
             engine.alive = False
             self.requests_end(engine.state.replica)
@@ -85,7 +88,7 @@
 
     @stateful.rule(count=st.integers(0, 3))
     def answers_get_lost(self, count):
-        self.bench.store.faults.lose_answers = count
+        self.harness.store.faults.lose_answers = count
 
     @stateful.rule(name=st.sampled_from(NAMES), store=st.booleans())
     def partition(self, name, store):
@@ -102,14 +105,14 @@
 
     @stateful.rule()
     def requests_begin(self):
-        """Entries send only to replicas that serve, at their epoch."""
-        for replica in self.bench.domain().replicas:
-            head = replica.members and self.bench.fleet.engine(
+        """Entries send requests only to serving replicas in their epoch."""
+        for replica in self.harness.domain().replicas:
+            head = replica.members and self.harness.fleet.engine(
                 replica.members[0]
             )
             whole = all(
-                self.bench.fleet.engine(name).alive
-                and self.bench.fleet.engine(name).state.epoch == replica.epoch
+                self.harness.fleet.engine(name).alive
+                and self.harness.fleet.engine(name).state.epoch == replica.epoch
                 for name in replica.members
             )
             if replica.state == 'serving' and whole:
@@ -120,7 +123,7 @@
         self.requests_end(names)
 
     def requests_end(self, replica):
-        for engine in self.bench.fleet.engines.values():
+        for engine in self.harness.fleet.engines.values():
             if replica in (None, engine.state.replica):
                 engine.state = attrs.evolve(engine.state, in_flight=0)
 
@@ -130,8 +133,8 @@
             return
         for process in self.processes.values():
             process.check()
-        gated.check_engines(self.bench.fleet)
-        domain_module.require_valid(self.bench.domain())
+        gated.check_engines(self.harness.fleet)
+        domain_module.require_valid(self.harness.domain())
 
     def teardown(self):
         if hasattr(self, 'processes'):
@@ -159,8 +162,8 @@
     'safeguard',
     [Safeguard.STATE_READ_BACK, Safeguard.DRAIN_BEFORE_STOP],
 )
-def test_the_machine_finds_the_breach_without(safeguard):
-    """The other two safeguards need a pause at one certain call; all pauses
-    are walked in test_lease_model."""
+def test_the_machine_finds_a_breach_without_the_safeguard(safeguard):
+    """The other two safeguards need a pause at one particular call;
+    test_lease_model checks all of these."""
     with pytest.raises(invariants.InvariantBreachError):
         run_machine((safeguard,), examples=80)
--- a/redwingvalve/replicas/tests/test_lease_model.py
+++ b/redwingvalve/replicas/tests/test_lease_model.py
@@ -1,8 +1,9 @@
-"""All interleavings of two controllers and one domain, to a stated depth.
+"""Checks all interleavings of two controllers of one domain up to a depth.
 
 Two processes make their calls (reads, writes, orders) in every possible order,
-with the time of a whole lease term passing at any point. DEPTH choices after
-the first holder has formed a replica; REDWINGVALVE_MODEL_DEPTH goes deeper.
+and a whole lease term may pass between any two calls. Each schedule makes DEPTH
+choices after the first holder has formed a replica. REDWINGVALVE_MODEL_DEPTH
+sets a greater depth.
 """
 
 import asyncio
@@ -18,26 +19,33 @@
 from redwingvalve.replicas.tests import fixtures, gated
 
 DEPTH = int(os.environ.get('REDWINGVALVE_MODEL_DEPTH', '6'))
-ONE, TWO, LAPSE, MOMENT, VM_LOST = 'one', 'two', 'lapse', 'moment', 'vm-lost'
-CHOICES = (ONE, TWO, LAPSE, MOMENT, VM_LOST)
+ONE, TWO, TERM_PASSES, ONE_SECOND, VM_LOST = (
+    'one',
+    'two',
+    'lapse',
+    'moment',
+    'vm-lost',
+)
+CHOICES = (ONE, TWO, TERM_PASSES, ONE_SECOND, VM_LOST)
 
 
 class Model:
-    """Replays one schedule; the first process holds the lease already."""
+    """Runs one schedule; the first process already holds the lease."""
 
     def __init__(self, runner, trust, disabled=()):
         declared = fixtures.deployment(endpoint_trust=trust, vms_per_replica=2)
         self.runner = runner
-        self.bench = fixtures.Bench(
+        self.harness = fixtures.Harness(
             3, (view.DesiredShare(declared, 1),), disabled=disabled
         )
         ignores = trust == schema.EndpointTrust.IGNORES_FENCING
-        for engine in self.bench.fleet.engines.values():
+        for engine in self.harness.fleet.engines.values():
             engine.refuses_old = not ignores
         body = domain_module.to_body(domain_module.FabricDomain('d', 'nave-a'))
-        runner.run(self.bench.store.create(domain_module.KIND, 'd', body))
+        runner.run(self.harness.store.create(domain_module.KIND, 'd', body))
         self.processes = {
-            name: gated.Process(name, self.bench, runner) for name in (ONE, TWO)
+            name: gated.Process(name, self.harness, runner)
+            for name in (ONE, TWO)
         }
         for choice in (ONE, ONE, ONE, TWO):
             self.choose(choice)
@@ -47,13 +55,15 @@
             self.processes[choice].gate.release_next()
             gated.run_until_blocked(self.runner)
         elif choice == VM_LOST:
-            self.bench.fleet.engine('vm-1').alive = False
+            self.harness.fleet.engine('vm-1').alive = False
         else:
-            moment = choice == MOMENT
-            self.bench.clock.advance(1.0 if moment else lease.TERM_S * 1.02)
+            one_second = choice == ONE_SECOND
+            self.harness.clock.advance(
+                1.0 if one_second else lease.TERM_S * 1.02
+            )
         for process in self.processes.values():
             process.check()
-        gated.check_engines(self.bench.fleet)
+        gated.check_engines(self.harness.fleet)
 
     def end(self):
         for process in self.processes.values():
@@ -61,8 +71,8 @@
         gated.run_until_blocked(self.runner)
 
 
-def walk(schedules, trust, disabled=()):
-    """Replay all schedules; return how many were sound."""
+def replay(schedules, trust, disabled=()):
+    """Run all schedules; return how many passed."""
     count = 0
     with asyncio.Runner() as runner:
         for schedule in schedules:
@@ -78,8 +88,8 @@
 
 @pytest.mark.parametrize('trust', list(schema.EndpointTrust))
 def test_no_interleaving_breaks_an_invariant(trust):
-    schedules = itertools.product((ONE, TWO, LAPSE), repeat=DEPTH)
-    assert walk(schedules, trust) == 3**DEPTH
+    schedules = itertools.product((ONE, TWO, TERM_PASSES), repeat=DEPTH)
+    assert replay(schedules, trust) == 3**DEPTH
 
 
 @pytest.mark.parametrize(
@@ -90,19 +100,19 @@
     ],
 )
 def test_without_a_safeguard_some_interleaving_is_a_breach(safeguard):
-    """Process one is paused with a write or an order in its hands while its
-    lease lapses and two takes over. With the safeguard off, one of the
-    schedules lets it go on, and the program itself reports the breach."""
+    """Process one is paused before a write or an order while its lease expires
+    and two acquires it. With the safeguard disabled, one of the schedules lets
+    process one continue, and the program itself reports the breach."""
     schedules = [
         (ONE,) * calls_before
         + (TWO,) * 3
-        + (LAPSE,)
+        + (TERM_PASSES,)
         + (TWO,) * taken
         + (ONE,) * 4
         + (TWO,) * 6
         for calls_before, taken in itertools.product(range(8), range(8))
     ]
     trust = schema.EndpointTrust.IGNORES_FENCING
-    assert walk(schedules, trust) == len(schedules)
+    assert replay(schedules, trust) == len(schedules)
     with pytest.raises(invariants.InvariantBreachError):
-        walk(schedules, trust, (safeguard,))
+        replay(schedules, trust, (safeguard,))
--- a/redwingvalve/replicas/tests/test_spares.py
+++ b/redwingvalve/replicas/tests/test_spares.py
@@ -1,4 +1,4 @@
-"""Spares and dissolving follow the operator's two prices."""
+"""Spares and shares follow the operator's prices and failure rates."""
 
 import itertools
 
@@ -18,7 +18,7 @@
     return spares.advise((need,), RATES)
 
 
-def test_the_two_users_come_out_differently():
+def test_only_the_declaration_with_a_high_downtime_price_gets_spares():
     assert advise('examples/lonestar.yaml').spares > 0
     assert advise('examples/tapiceria.yaml').spares == 0
 
@@ -75,16 +75,16 @@
     )
 
 
-def test_the_dearest_deployment_is_placed_first():
-    for cheap, dear in itertools.permutations(('a', 'b')):
+def test_the_deployment_with_the_highest_price_is_placed_first():
+    for cheap, expensive in itertools.permutations(('a', 'b')):
         declared = tuple(
             schema.ModelDeployment(
                 name, 'm', '1', 2, 3, prices=schema.Prices(price, 0.1)
             )
-            for name, price in ((cheap, 1.0), (dear, 2.0))
+            for name, price in ((cheap, 1.0), (expensive, 2.0))
         )
         made = shares.allocate(1, declared, capacities(7), shares.Allocation())
-        assert (made.total(dear), made.total(cheap)) == (2, 0)
+        assert (made.total(expensive), made.total(cheap)) == (2, 0)
 
 
 def pool(file_name, **failures):
@@ -94,7 +94,7 @@
     return spares.advise_pool((needs,) * 6, rates)
 
 
-def test_one_set_for_all_domains_is_cheaper_than_a_spare_in_each():
+def test_one_spare_group_is_cheaper_than_a_spare_in_each_domain():
     advice = pool('examples/lonestar.yaml')
     assert sorted(advice.spares) == [0, 0, 0, 0, 0, 4]
     assert sum(pool('examples/tapiceria.yaml').spares) == 0
@@ -104,9 +104,9 @@
     assert advice.price_per_minute < each < advice.price_without_per_minute
 
 
-def test_the_declared_figures_decide():
-    """Racks that go every day and stay away for a day make a second set pay;
-    VMs that hardly ever fail make none pay."""
+def test_advice_follows_the_declared_failure_rates():
+    """Racks that fail every day and take a day to repair make a second spare
+    group pay. VMs that never fail make no spare pay."""
     often = pool(
         'examples/lonestar.yaml',
         rack_failures_per_vm_day=1 / 240,
