--- a/redwingvalve/replicas/tests/test_domain_machine.py
+++ b/redwingvalve/replicas/tests/test_domain_machine.py
@@ -16,7 +16,7 @@
 
 NAMES = ('one', 'two')
 EXAMPLES = int(os.environ.get('REDWINGVALVE_MACHINE_EXAMPLES', '40'))
-# No shrinking: it replays thousands of schedules, and the report has the events.
+# No shrinking, which replays thousands of schedules; the report has the events.
 PHASES = (Phase.explicit, Phase.generate)
 VMS = tuple(f'vm-{index}' for index in range(6))
 Safeguard = invariants.Safeguard
