--- a/redwingvalve/replicas/controller.py
+++ b/redwingvalve/replicas/controller.py
@@ -65,7 +65,7 @@
 
 @attrs.frozen
 class DomainStatus:
-    """A domain as seen by this controller; operators read waiting_for."""
+    """A domain as seen by this controller; operators get waiting_for."""
 
     domain: str
     holds_lease: bool
--- a/redwingvalve/replicas/entry_reports.py
+++ b/redwingvalve/replicas/entry_reports.py
@@ -17,7 +17,7 @@
         """Return when an entry last saw the VM ready, if any did."""
 
     def is_isolated(self) -> bool:
-        """Tell whether this process has lost contact to all its peers."""
+        """Tell whether this process has lost contact with all its peers."""
         return False
 
     def confirms_ready(
--- a/redwingvalve/replicas/healing.py
+++ b/redwingvalve/replicas/healing.py
@@ -164,7 +164,7 @@
     leftover_vms = (
         len(draft.free_vms())
         + len(draft.usable_members(replica))
-        + _largest_remnant(draft, desired.deployment.name)
+        + _max_usable_members(draft, desired.deployment.name)
         - desired.deployment.vms_per_replica
     )
     return leftover_vms >= 0 and dissolving_pays(
@@ -172,7 +172,7 @@
     )
 
 
-def _largest_remnant(draft: Draft, deployment: str) -> int:
+def _max_usable_members(draft: Draft, deployment: str) -> int:
     broken = draft.of_deployment(deployment, State.BROKEN)
     return max((len(draft.usable_members(each)) for each in broken), default=0)
 
--- a/redwingvalve/replicas/lease.py
+++ b/redwingvalve/replicas/lease.py
@@ -69,8 +69,8 @@
     """Tell whether the lease is free or has expired by this clock."""
     if not observation.lease.holder:
         return True
-    lapsed_after_s = observation.lease.term_s * (1 + MAX_CLOCK_DRIFT)
-    return now_s - observation.since_s > lapsed_after_s
+    expires_after_s = observation.lease.term_s * (1 + MAX_CLOCK_DRIFT)
+    return now_s - observation.since_s > expires_after_s
 
 
 def acquired(
--- a/redwingvalve/replicas/spares.py
+++ b/redwingvalve/replicas/spares.py
@@ -178,8 +178,8 @@
             demand, failure_rates, count, group_vms
         )
     ]
-    quiet = 1 - min(sum(outage.share for outage in outages), 1.0)
-    short = quiet * _poisson_excess(mean, groups)
+    normal_share = 1 - min(sum(outage.share for outage in outages), 1.0)
+    short = normal_share * _poisson_excess(mean, groups)
     return short + sum(
         outage.share * _poisson_excess(mean, groups - outage.replicas)
         for outage in outages
@@ -206,8 +206,8 @@
 
     After the loss of a rack, what is left of its replicas can be merged.
     """
-    rack_days = failure_rates.rack_repair_time_s / SECONDS_PER_DAY
-    dark_days = failure_rates.domain_repair_time_s / SECONDS_PER_DAY
+    rack_outage_days = failure_rates.rack_repair_time_s / SECONDS_PER_DAY
+    domain_outage_days = failure_rates.domain_repair_time_s / SECONDS_PER_DAY
     lost = min(failure_rates.rack_vms, _total_vms(demand))
     short = math.ceil(max(lost - spares, 0) / group_vms)
     replicas = sum(each.replicas for each in demand)
@@ -215,10 +215,12 @@
         _Outage(
             _total_vms(demand)
             * failure_rates.rack_failures_per_vm_day
-            * rack_days,
+            * rack_outage_days,
             short,
         ),
-        _Outage(failure_rates.domain_failures_per_day * dark_days, replicas),
+        _Outage(
+            failure_rates.domain_failures_per_day * domain_outage_days, replicas
+        ),
     )
 
 
--- a/redwingvalve/replicas/tests/gated.py
+++ b/redwingvalve/replicas/tests/gated.py
@@ -78,7 +78,7 @@
         started_s = self.fleet.clock.monotonic_s()
         await self.gate.wait()
         if self.fleet.clock.monotonic_s() - started_s > timeout_s:
-            return Error(engine_orders.EngineUnreachable('timed out'))
+            return Error(engine_orders.EngineUnreachable('given up'))
         return await super().send(address, order, timeout_s)
 
 
--- a/redwingvalve/replicas/tests/test_controller.py
+++ b/redwingvalve/replicas/tests/test_controller.py
@@ -61,7 +61,7 @@
     anyio.run(scenario)
 
 
-def test_remnants_of_two_broken_replicas_are_merged():
+def test_usable_members_of_two_broken_replicas_are_merged():
     async def scenario():
         harness = fixtures.Harness(vms=6)
         (one,) = await harness.start('one')
