--- a/redwingvalve/admission/__init__.py
+++ b/redwingvalve/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Admission: whom to serve now, who waits, who is refused at once."""
+"""Admission control: decides which requests are sent, queued or refused."""
--- a/redwingvalve/admission/account_queue.py
+++ b/redwingvalve/admission/account_queue.py
@@ -1,4 +1,4 @@
-"""The waiting line of one account in one lane, and the rate it is served at."""
+"""The queue of one account in one lane, and the rate at which it drains."""
 
 import bisect
 import math
@@ -6,31 +6,33 @@
 
 from redwingvalve.admission import estimates, messages
 
-# The rate of an account is averaged over about a second: shorter follows the
-# noise of single jobs, longer keeps a burst's wrong rate past its end.
+# A shorter window follows the noise of single jobs; a longer one still reports
+# the rate of a burst after its end.
 RATE_WINDOW_S = 1.0
-RATE_TRUSTED_AFTER_S = 2.0
-# What an account asks is averaged for longer: it decides whether the account
-# is greedy, and a short burst of a small account must not make it so.
-ASKED_WINDOW_S = 5.0
-# An account that has just begun is measured over the time since then, though
-# not over less than this, or a burst of a small account would look like a
-# flood. Over the whole window, the first seconds of an overload look moderate.
-ASKED_LEAST_S = 3.5
-ASKED_LONG_S = 25.0
-
-# Each late refusal takes a fifth off the wait that a line may promise, at most
-# ten times a second; seven dispatches give that back. If it took longer, an
-# account that was refused late for a second by chance would be refused too
-# early for ten.
-CAUTION_STEP_S = 0.1
-CAUTION_FALL = 0.8
-CAUTION_RISE = 0.03
-MIN_CAUTION = 0.05
-
-
-class Waiting(typing.NamedTuple):
-    """A waiting request in its order: priority first, then arrival."""
+RATE_WARMUP_S = 2.0
+# Demand decides whether an account exceeds its share. The window is longer than
+# that of the rate, so that a short burst of a small account doesn't count as
+# excess.
+DEMAND_WINDOW_S = 5.0
+# The demand of a new account is averaged over the time since its first request,
+# but over no less than this, or a burst of a small account would look like a
+# flood. Averaged over the whole window, the first seconds of an overload would
+# look moderate.
+MIN_DEMAND_PERIOD_S = 3.5
+SETTLED_DEMAND_S = 25.0
+
+# A late refusal reduces the accepted wait of an account by a fifth, at most ten
+# times a second; seven dispatches restore it. With a slower recovery, an
+# account that was refused late for one second by chance would be refused too
+# early for ten seconds.
+LATE_REFUSAL_INTERVAL_S = 0.1
+WAIT_FACTOR_DECREASE = 0.8
+WAIT_FACTOR_INCREASE = 0.03
+MIN_WAIT_FACTOR = 0.05
+
+
+class QueuedRequest(typing.NamedTuple):
+    """A queued request; sorts by priority, then by arrival."""
 
     negative_priority: int
     number: int
@@ -39,7 +41,7 @@
 
 
 class Allowance:
-    """How much more of an account may go by preference."""
+    """Token bucket for the preferred service of an account."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -48,7 +50,7 @@
         self._at_s = 0.0
 
     def refill(self, rate: float, burst_s: float, now_s: float) -> None:
-        """Earn since the last call; all service counts, also the fair one."""
+        """Add the rate since the last call, up to burst_s of it."""
         earned = (now_s - self._at_s) * rate
         full = rate * burst_s
         self.level = min(max(self.level, -full) + earned, full)
@@ -56,16 +58,16 @@
         self._at_s = now_s
 
     def spend(self, cost: float) -> None:
-        """Count service."""
+        """Subtract the cost of any service, preferred or fair."""
         self.level -= cost
 
     def wait_s(self) -> float:
-        """Return when there is something to spend again."""
+        """Return the seconds until the level is positive again."""
         return max(-self.level, 0.0) / max(self._rate, 1e-9)
 
 
 class AccountQueue:
-    """Requests by priority, then by arrival; with their summed cost."""
+    """Requests by priority, then by arrival, with their total cost."""
 
     def __init__(self, name: str, number: int) -> None:
         """Start empty at virtual time 0; number breaks ties."""
@@ -75,94 +77,98 @@
         self.penalty = 0.0
         self.virtual_time = 0.0
         self.version = 0
-        self.listed = False
+        self.is_listed = False
         self.backlog_tokens = 0.0
-        self.waiting: list[Waiting] = []
-        self.asked_at_s = 0.0
-        self._asked_tokens = 0.0
-        self._first_asked_s = 0.0
+        self.waiting: list[QueuedRequest] = []
+        self.last_request_s = 0.0
+        self._demand_tokens = 0.0
+        self._first_request_s = 0.0
         self.allowance = Allowance()
         self.costs = estimates.CostCorrection()
-        self.caution = 1.0
-        self._next_fall_s = 0.0
+        self.wait_factor = 1.0
+        self._next_decrease_s = 0.0
         self._served_tokens = 0.0
         self._served_at_s = 0.0
         self._backlogged_since_s = 0.0
 
-    def add(self, waiting: Waiting, now_s: float) -> None:
-        """Put a request in its place."""
+    def add(self, waiting: QueuedRequest, now_s: float) -> None:
+        """Insert a request in priority order."""
         if not self.waiting:
             self._backlogged_since_s = now_s
         bisect.insort(self.waiting, waiting)
         self.backlog_tokens += waiting.cost
 
-    def asked(self, cost: float, now_s: float) -> None:
-        """Count a request into what the account asks for."""
-        elapsed_s = now_s - self.asked_at_s
-        faded = math.exp(-elapsed_s / ASKED_WINDOW_S)
-        if not self._asked_tokens:
-            self._first_asked_s = now_s
-        self._asked_tokens = self._asked_tokens * faded + cost
-        self.asked_at_s = now_s
-
-    def asked_tokens_per_s(self) -> float:
-        """Return the rate asked for, as of the last request."""
-        asking_s = max(self.asked_at_s - self._first_asked_s, ASKED_LEAST_S)
-        if asking_s > ASKED_LONG_S:
-            return self._asked_tokens / ASKED_WINDOW_S
-        window_s = ASKED_WINDOW_S * -math.expm1(-asking_s / ASKED_WINDOW_S)
-        return self._asked_tokens / window_s
-
-    def take_first(self) -> Waiting:
-        """Remove the request that goes next."""
+    def record_demand(self, cost: float, now_s: float) -> None:
+        """Add a request, admitted or not, to the demand of the account."""
+        elapsed_s = now_s - self.last_request_s
+        decay = math.exp(-elapsed_s / DEMAND_WINDOW_S)
+        if not self._demand_tokens:
+            self._first_request_s = now_s
+        self._demand_tokens = self._demand_tokens * decay + cost
+        self.last_request_s = now_s
+
+    def demand_tokens_per_s(self) -> float:
+        """Return the demand as of the last request."""
+        active_s = max(
+            self.last_request_s - self._first_request_s, MIN_DEMAND_PERIOD_S
+        )
+        if active_s > SETTLED_DEMAND_S:
+            return self._demand_tokens / DEMAND_WINDOW_S
+        window_s = DEMAND_WINDOW_S * -math.expm1(-active_s / DEMAND_WINDOW_S)
+        return self._demand_tokens / window_s
+
+    def pop_first(self) -> QueuedRequest:
+        """Remove and return the next request to send."""
         return self._remove_at(0)
 
-    def take_last(self) -> Waiting:
-        """Remove the request that would go last."""
+    def pop_last(self) -> QueuedRequest:
+        """Remove and return the request that would be sent last."""
         return self._remove_at(len(self.waiting) - 1)
 
-    def remove(self, priority: int, number: int) -> Waiting | None:
-        """Remove one request wherever it stands."""
-        place = bisect.bisect_left(self.waiting, (-priority, number))
-        if place >= len(self.waiting) or self.waiting[place][1] != number:
+    def remove(self, priority: int, number: int) -> QueuedRequest | None:
+        """Remove a request at any position; None if it is not queued."""
+        index = bisect.bisect_left(self.waiting, (-priority, number))
+        if index >= len(self.waiting) or self.waiting[index][1] != number:
             return None
-        return self._remove_at(place)
+        return self._remove_at(index)
 
     def backlog_ahead(self, priority: int) -> float:
-        """Return the cost that goes before a new request of a priority."""
+        """Return the cost queued ahead of a new request of a priority."""
         if not self.waiting or self.waiting[-1][0] <= -priority:
             return self.backlog_tokens
-        place = bisect.bisect_right(self.waiting, (-priority, math.inf))
-        return math.fsum(entry.cost for entry in self.waiting[:place])
+        index = bisect.bisect_right(self.waiting, (-priority, math.inf))
+        return math.fsum(entry.cost for entry in self.waiting[:index])
 
-    def served(self, cost: float, now_s: float) -> None:
-        """Count a dispatch into the measured rate."""
-        self.caution = min(self.caution + CAUTION_RISE, 1.0)
+    def record_dispatch(self, cost: float, now_s: float) -> None:
+        """Add a dispatch to the measured rate."""
+        self.wait_factor = min(self.wait_factor + WAIT_FACTOR_INCREASE, 1.0)
         self._served_tokens = self._decayed(now_s) + cost
         self._served_at_s = now_s
 
-    def refused_late(self, now_s: float) -> None:
-        """Promise less from now on: the expected wait was too short.
+    def record_late_refusal(self, now_s: float) -> None:
+        """Accept only shorter waits: the last estimate was too low.
 
-        An account that others are preferred to gets less than its estimate
-        says, and its callers would wait up to their deadline for a refusal.
+        While other accounts are preferred, this one gets less than estimated,
+        and its callers would wait until their deadline for a refusal.
         """
-        if now_s >= self._next_fall_s:
-            self._next_fall_s = now_s + CAUTION_STEP_S
-            self.caution = max(self.caution * CAUTION_FALL, MIN_CAUTION)
+        if now_s >= self._next_decrease_s:
+            self._next_decrease_s = now_s + LATE_REFUSAL_INTERVAL_S
+            self.wait_factor = max(
+                self.wait_factor * WAIT_FACTOR_DECREASE, MIN_WAIT_FACTOR
+            )
 
     def rate_tokens_per_s(
         self, expected_rate: float, floor_rate: float, now_s: float
     ) -> float:
-        """Return the rate to expect: measured once the line has stood a while.
+        """Return the rate to expect, no less than the guaranteed floor_rate.
 
-        A line that only just formed was served without waiting until now, and
-        that rate is over; it counts on what the rules give it. A line that was
-        refused for long must not trust a measured rate of nought, so the
-        guaranteed floor bounds it.
+        The measured rate is used only after requests have queued for
+        RATE_WARMUP_S: before that they were sent without waiting, at a rate
+        that no longer holds. The floor keeps the measured rate of an account
+        whose requests were all refused from staying at 0.
         """
-        stood_s = now_s - self._backlogged_since_s
-        if self.waiting and stood_s >= RATE_TRUSTED_AFTER_S:
+        queued_for_s = now_s - self._backlogged_since_s
+        if self.waiting and queued_for_s >= RATE_WARMUP_S:
             return max(self._decayed(now_s) / RATE_WINDOW_S, floor_rate)
         return max(expected_rate, floor_rate)
 
@@ -170,8 +176,8 @@
         elapsed_s = now_s - self._served_at_s
         return self._served_tokens * math.exp(-elapsed_s / RATE_WINDOW_S)
 
-    def _remove_at(self, place: int) -> Waiting:
-        entry = self.waiting.pop(place)
+    def _remove_at(self, index: int) -> QueuedRequest:
+        entry = self.waiting.pop(index)
         self.backlog_tokens -= entry.cost
         if not self.waiting:
             self.backlog_tokens = 0.0
--- a/redwingvalve/admission/baselines.py
+++ b/redwingvalve/admission/baselines.py
@@ -1,4 +1,4 @@
-"""Plain ways of admission, to compare with: one global queue, and none."""
+"""Baselines for benchmarks: one global queue, and no admission control."""
 
 import collections
 
@@ -6,7 +6,7 @@
 
 
 class GlobalFifo(queue.AdmissionQueue):
-    """One first-in-first-out queue for everybody, without refusals."""
+    """One first-in-first-out queue for all accounts, without refusals."""
 
     def __init__(self, capacity: messages.Capacity) -> None:
         """Start empty."""
@@ -17,13 +17,13 @@
         self._sent: set[str] = set()
 
     def resize(self, capacity: messages.Capacity, now_s: float) -> None:
-        """Take over a new capacity."""
+        """Replace the capacity."""
         self._capacity = capacity
 
     def offer(
         self, request: messages.AdmissionRequest, now_s: float
     ) -> messages.Decision:
-        """Send it if it fits and nobody waits; otherwise let it wait."""
+        """Admit the request if it fits and none is queued, else queue it."""
         if not self._waiting and self._fits():
             self._send(request)
             return messages.Admitted(request.request_id)
@@ -31,7 +31,7 @@
         return messages.Queued(request.request_id, 0.0)
 
     def next_ready(self, now_s: float) -> messages.AdmissionRequest | None:
-        """Return the oldest waiting request if it fits."""
+        """Return the oldest queued request if it fits."""
         if not self._waiting:
             return None
         oldest = next(iter(self._waiting.values()))
@@ -42,20 +42,20 @@
         return oldest
 
     def first_token(self, request_id: str, now_s: float) -> None:
-        """Learn nothing."""
+        """Ignore the delay."""
 
     def finished(
         self, request_id: str, actual_tokens: float, now_s: float
     ) -> None:
-        """Free what a request held."""
+        """Release the capacity of a request."""
         self._sent.discard(request_id)
 
     def withdraw(self, request_id: str) -> bool:
-        """Forget a waiting request."""
+        """Remove a queued request."""
         return self._waiting.pop(request_id, None) is not None
 
     def expired(self, now_s: float) -> tuple[messages.RefusedNow, ...]:
-        """Refuse nothing."""
+        """Return nothing: queued requests are never refused."""
         return ()
 
     def expected_tokens(self, request: messages.AdmissionRequest) -> float:
@@ -63,11 +63,11 @@
         return request.estimated_tokens
 
     def waiting(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of queued requests."""
         return len(self._waiting)
 
     def in_flight(self) -> int:
-        """Return how many requests are sent and not finished."""
+        """Return the number of requests sent and not finished."""
         return len(self._sent)
 
     def _fits(self) -> bool:
@@ -78,7 +78,7 @@
 
 
 class NoAdmission(GlobalFifo):
-    """Sends everything at once."""
+    """Admits every request at once."""
 
     def _fits(self) -> bool:
         return True
--- a/redwingvalve/admission/estimates.py
+++ b/redwingvalve/admission/estimates.py
@@ -1,137 +1,137 @@
-"""What the queue learns from finished work: costs, delays, recent use."""
+"""Estimates from finished requests: costs, delays and recent use."""
 
 import math
 
-# One job changes the learned ratio by a tenth; about twenty jobs forget an
-# old habit of an account, and one odd job cannot halve its claim.
+# One job moves the ratio by a tenth, so that about twenty jobs replace an
+# outdated ratio and a single unusual job can't halve the cost of an account.
 CORRECTION_STEP = 0.1
 MIN_CORRECTION = 0.1
 MAX_CORRECTION = 10.0
 
-# The in-flight limit falls by a tenth while answers are late, and then waits
-# until first tokens can show the effect: falling on each late answer halves
-# the limit before the first one can be in time. While work waits and answers
-# are in time it rises by a twentieth of what is declared a second, to
-# most_over_declared times that; below what is declared four times as fast.
-# The entries share the replicas: rising with the number of answers, as once,
-# let the entry that had more grow faster, until one of three kept two thirds
-# of its part and its callers were refused (bench, case 2, seed 2). Rising by
-# the clock and falling in proportion brings unequal entries together.
-PRESSURE_PAUSE_S = 0.3
-PRESSURE_PAUSE_DELAYS = 2.0
-PRESSURE_FALL = 0.97
-PRESSURE_RISE_PER_S = 0.05
-PRESSURE_REGAIN_PER_S = 0.2
-# An entry without answers for longer learned nothing meanwhile.
-MAX_RISE_S = 0.1
-PRESSURE_MIN_FACTOR = 0.2
-LATE_SHARE = 0.2
+# While responses are late, the in-flight limit decreases by DECREASE_FACTOR and
+# then pauses until first tokens can show the effect: a decrease on each late
+# response would halve the limit before the first one can be in time. While
+# requests are queued and responses are in time, it increases by a twentieth of
+# the declared limit a second, up to most_over_declared times that limit; below
+# the declared limit it recovers four times as fast.
+# Entries share the replicas. An increase for each response lets the entry with
+# more responses grow faster, until one of three entries keeps two thirds of its
+# share and its callers are refused (bench, case 2, seed 2). An increase by time
+# with a proportional decrease makes the limits of the entries converge.
+DECREASE_PAUSE_S = 0.3
+DECREASE_PAUSE_DELAYS = 2.0
+DECREASE_FACTOR = 0.97
+INCREASE_PER_S = 0.05
+RECOVERY_PER_S = 0.2
+# Longer times without a response count as this, since they show nothing.
+MAX_INCREASE_PERIOD_S = 0.1
+MIN_FACTOR = 0.2
+LATE_DELAY_SHARE = 0.2
 LATE_STEP = 0.05
-MANY_LATE = 0.2
-FEW_LATE = 0.05
+HIGH_LATE_SHARE = 0.2
+LOW_LATE_SHARE = 0.05
 FIRST_TOKEN_STEP = 0.05
 GAP_STEP = 0.05
-GAP_LATE_SHARE = 0.75
-GAP_EARLY_SHARE = 0.6
+HIGH_GAP_SHARE = 0.75
+LOW_GAP_SHARE = 0.6
 
 PEAK_HALF_LIFE_S = 5.0
 
 
 class CostCorrection:
-    """The ratio of used to estimated tokens of one account and kind."""
+    """Ratio of used to estimated tokens of one account and kind of job."""
 
     def __init__(self) -> None:
-        """Trust estimates until something is known."""
+        """Start with a ratio of 1."""
         self._ratio = 1.0
 
     def corrected(self, estimated_tokens: float) -> float:
-        """Return the cost to count for an estimate."""
+        """Return the corrected cost of an estimate."""
         return max(estimated_tokens * self._ratio, 1.0)
 
     def learn(self, estimated_tokens: float, actual_tokens: float) -> None:
-        """Move the ratio towards what a job used."""
+        """Move the ratio towards that of one job."""
         if estimated_tokens <= 0 or actual_tokens <= 0:
             return
-        seen = actual_tokens / estimated_tokens
-        ratio = self._ratio + CORRECTION_STEP * (seen - self._ratio)
+        observed_ratio = actual_tokens / estimated_tokens
+        ratio = self._ratio + CORRECTION_STEP * (observed_ratio - self._ratio)
         self._ratio = min(max(ratio, MIN_CORRECTION), MAX_CORRECTION)
 
 
-class Pressure:
-    """Follows first-token delays and token gaps, and moves the bound.
+class LimitController:
+    """Adapts the in-flight limit to first-token delays and token gaps.
 
-    When the declared in-flight bound is too high for what the endpoints really
-    do (stragglers, dead replicas not yet noticed), work queues inside them,
-    where it can't be refused any more, and tokens come slowly. When it is too
-    low, accelerators idle while callers are refused. factor multiplies the
-    bound.
+    If the declared limit is too high for the endpoints (stragglers, dead
+    replicas not yet detected), requests queue inside them, where they can't be
+    refused any more, and tokens come slowly. If it is too low, accelerators
+    idle while callers are refused. The declared limit is multiplied by factor.
     """
 
     def __init__(
         self, first_token_s: float, token_gap_s: float, max_factor: float
     ) -> None:
-        """Start with an expected delay, a gap target and the whole bound."""
+        """Start with an expected delay, a gap target and factor 1."""
         self._max_factor = max_factor
         self.first_token_s = first_token_s
         self.factor = 1.0
         self._gap_target_s = token_gap_s
         self._gap_s = 0.0
-        self._late = 0.0
-        self._next_fall_s = 0.0
+        self._late_share = 0.0
+        self._next_decrease_s = 0.0
         self._finished_at_s = 0.0
 
     def observed(
         self, *, delay_s: float, allowed_s: float, now_s: float
     ) -> None:
-        """Count one first token."""
+        """Record the delay of one first token."""
         bounded = min(delay_s, max(allowed_s, 0.0))
         self.first_token_s += FIRST_TOKEN_STEP * (bounded - self.first_token_s)
-        # A few late ones are stragglers, which routing eases off; many mean
-        # that work queues inside the endpoints.
-        late = float(delay_s > LATE_SHARE * allowed_s)
-        self._late += LATE_STEP * (late - self._late)
-        if self._late > MANY_LATE:
-            self._fall(now_s)
+        # A few late responses are stragglers, which routing gives less work;
+        # many mean that requests queue inside the endpoints.
+        late = float(delay_s > LATE_DELAY_SHARE * allowed_s)
+        self._late_share += LATE_STEP * (late - self._late_share)
+        if self._late_share > HIGH_LATE_SHARE:
+            self._decrease(now_s)
 
     def finished(
         self, mean_gap_s: float, now_s: float, *, waiting: bool
     ) -> None:
-        """Count one answer; waiting tells whether a higher bound is of use."""
-        elapsed_s = min(now_s - self._finished_at_s, MAX_RISE_S)
+        """Record one response; waiting says whether requests are queued."""
+        elapsed_s = min(now_s - self._finished_at_s, MAX_INCREASE_PERIOD_S)
         self._finished_at_s = now_s
         if mean_gap_s > 0:
             self._gap_s += GAP_STEP * (mean_gap_s - self._gap_s)
-        if self._gap_s > GAP_LATE_SHARE * self._gap_target_s:
-            self._fall(now_s)
+        if self._gap_s > HIGH_GAP_SHARE * self._gap_target_s:
+            self._decrease(now_s)
             return
-        if self._late > FEW_LATE or now_s < self._next_fall_s:
+        if self._late_share > LOW_LATE_SHARE or now_s < self._next_decrease_s:
             return
-        early = self._gap_s < GAP_EARLY_SHARE * self._gap_target_s
+        is_fast = self._gap_s < LOW_GAP_SHARE * self._gap_target_s
         if self.factor < 1:
-            risen = self.factor + PRESSURE_REGAIN_PER_S * elapsed_s
-            self.factor = min(risen, 1.0)
-        elif waiting and early:
-            risen = self.factor + PRESSURE_RISE_PER_S * elapsed_s
-            self.factor = min(risen, self._max_factor)
+            increased = self.factor + RECOVERY_PER_S * elapsed_s
+            self.factor = min(increased, 1.0)
+        elif waiting and is_fast:
+            increased = self.factor + INCREASE_PER_S * elapsed_s
+            self.factor = min(increased, self._max_factor)
 
-    def _fall(self, now_s: float) -> None:
-        if now_s >= self._next_fall_s:
-            pause_s = PRESSURE_PAUSE_DELAYS * self.first_token_s
-            self._next_fall_s = now_s + max(pause_s, PRESSURE_PAUSE_S)
-            lowered = self.factor * PRESSURE_FALL
-            self.factor = max(lowered, PRESSURE_MIN_FACTOR)
+    def _decrease(self, now_s: float) -> None:
+        if now_s >= self._next_decrease_s:
+            pause_s = DECREASE_PAUSE_DELAYS * self.first_token_s
+            self._next_decrease_s = now_s + max(pause_s, DECREASE_PAUSE_S)
+            decreased = self.factor * DECREASE_FACTOR
+            self.factor = max(decreased, MIN_FACTOR)
 
 
 class DecayingPeak:
-    """The highest recent value, halved every PEAK_HALF_LIFE_S."""
+    """Highest recent value; decays with PEAK_HALF_LIFE_S."""
 
     def __init__(self) -> None:
-        """Start at nought."""
+        """Start at 0."""
         self.level = 0.0
         self._at_s = 0.0
 
     def observed(self, value: float, now_s: float) -> None:
-        """Take a value in."""
+        """Record a value."""
         elapsed_s = max(now_s - self._at_s, 0.0)
         decayed = self.level * math.exp2(-elapsed_s / PEAK_HALF_LIFE_S)
         self.level = max(value, decayed)
--- a/redwingvalve/admission/fair_queue.py
+++ b/redwingvalve/admission/fair_queue.py
@@ -2,13 +2,14 @@
 
 Load pattern: bursts of several times the normal rate, one account that asks
 for far more than its share, long jobs among short ones, and hours of demand
-above capacity. Without it the endpoints' own queues grow until every answer is
-late, and each late answer is fined although the work was done.
+above capacity. Without admission control, the queues of the endpoints grow
+until every response is late, and each late response incurs a penalty although
+the work was done.
 
-A request is refused when it arrives if its expected wait already passes its
-deadline, and later as soon as that becomes known. The wait is the account's
-backlog in its lane over the rate at which that backlog will be served, and the
-time until the first of it has its turn.
+A request is refused on arrival if its expected wait exceeds its deadline, and
+later as soon as that becomes known. The expected wait is the backlog of the
+account in its lane divided by the rate at which it drains, plus the time until
+the first request of the account has its turn.
 """
 
 import heapq
@@ -26,52 +27,52 @@
 
 
 @attrs.define(eq=False)
-class _Place:
-    """Where a waiting request stands."""
+class _QueuedEntry:
+    """A queued request and its arrival number."""
 
     request: messages.AdmissionRequest
     number: int
 
 
 class FairQueue(queue.AdmissionQueue):
-    """The queue for daemons; every step is O(log n) in what waits."""
+    """The queue that daemons use; each operation is O(log n) in its length."""
 
     def __init__(
         self,
         capacity: messages.Capacity,
         settings: messages.AdmissionSettings | None = None,
     ) -> None:
-        """Start empty with a capacity."""
+        """Start empty."""
         self._settings = settings or messages.AdmissionSettings()
         self._lanes = lanes.LaneSet(self._settings)
-        self._places: dict[str, _Place] = {}
+        self._queued: dict[str, _QueuedEntry] = {}
         self._latest_starts: list[tuple[float, int, str]] = []
         self._number = 0
         self._in_flight = in_flight.InFlight(self._lanes, self._settings)
         self.resize(capacity, 0.0)
 
     def resize(self, capacity: messages.Capacity, now_s: float) -> None:
-        """Take over a new capacity; what is sent stays sent."""
+        """Replace the capacity; requests in flight are kept."""
         self._capacity = capacity
         self._in_flight.resize(capacity.in_flight)
-        for in_lane in self._lanes:
-            in_lane.note_speed(capacity.tokens_per_s)
+        for job_lane in self._lanes:
+            job_lane.set_speed(capacity.tokens_per_s)
 
     def offer(
         self, request: messages.AdmissionRequest, now_s: float
     ) -> messages.Decision:
         """Admit, queue or refuse a new request."""
         self._number += 1
-        in_lane = self._lanes[request.kind]
-        line = in_lane.line(request)
-        cost = line.costs.corrected(request.estimated_tokens)
-        line.asked(cost, now_s)
+        job_lane = self._lanes[request.kind]
+        account = job_lane.account(request)
+        cost = account.costs.corrected(request.estimated_tokens)
+        account.record_demand(cost, now_s)
         if request.kind != messages.JobKind.LONG:
-            self._lanes.note_short_use(now_s)
+            self._lanes.record_short_use(now_s)
         limit = self._in_flight.limit()
-        first = self._lanes.nobody_before(request.kind, limit)
-        if first and self._in_flight.has_room():
-            in_lane.pass_by(line, cost, now_s)
+        can_bypass = self._lanes.can_bypass(request.kind, limit)
+        if can_bypass and self._in_flight.has_room():
+            job_lane.admit_directly(account, cost, now_s)
             self._in_flight.add(request, cost, now_s)
             return messages.Admitted(request.request_id)
         if self._capacity.tokens_per_s <= 0:
@@ -80,91 +81,93 @@
                 messages.RefusalReason.NO_CAPACITY,
                 self._settings.min_retry_after_s,
             )
-        if len(self._places) >= self._settings.max_waiting:
+        if len(self._queued) >= self._settings.max_waiting:
             return self._refusal(
                 request, messages.RefusalReason.QUEUE_FULL, self._drain_time_s()
             )
-        return self._queue_or_refuse(request, line, cost, now_s)
+        return self._queue_or_refuse(request, account, cost, now_s)
 
     def next_ready(self, now_s: float) -> messages.AdmissionRequest | None:
-        """Return the next waiting request if it fits now."""
-        if not self._places or not self._in_flight.has_room():
+        """Return the next queued request if it fits now."""
+        if not self._queued or not self._in_flight.has_room():
             return None
-        turn = self._lanes.choose(self._in_flight.limit(), now_s)
+        turn = self._lanes.select(self._in_flight.limit(), now_s)
         if turn is None:
             return None
-        (_, _, cost, request) = self._lanes[turn.kind].take(
-            turn.line, by_preference=turn.by_preference, now_s=now_s
+        (_, _, cost, request) = self._lanes[turn.kind].dispatch(
+            turn.account, by_preference=turn.by_preference, now_s=now_s
         )
-        del self._places[request.request_id]
+        del self._queued[request.request_id]
         self._in_flight.add(request, cost, now_s)
         return request
 
     def first_token(self, request_id: str, now_s: float) -> None:
-        """Learn how long a sent request took to its first token."""
+        """Record the first-token delay of a request."""
         self._in_flight.first_token(request_id, now_s)
 
     def finished(
         self, request_id: str, actual_tokens: float, now_s: float
     ) -> None:
-        """Free what a request held and correct its account's estimate."""
+        """Release the capacity of a request and correct its estimate."""
         sent = self._in_flight.remove(
-            request_id, actual_tokens, now_s, waiting=bool(self._places)
+            request_id, actual_tokens, now_s, waiting=bool(self._queued)
         )
         if sent is None:
             return
-        in_lane = self._lanes[sent.request.kind]
-        line = in_lane.line(sent.request)
-        line.costs.learn(sent.request.estimated_tokens, actual_tokens)
-        in_lane.correct(line, actual_tokens - sent.cost)
+        job_lane = self._lanes[sent.request.kind]
+        account = job_lane.account(sent.request)
+        account.costs.learn(sent.request.estimated_tokens, actual_tokens)
+        job_lane.correct(account, actual_tokens - sent.cost)
 
     def withdraw(self, request_id: str) -> bool:
-        """Forget a waiting request."""
-        place = self._places.pop(request_id, None)
-        if place is None:
+        """Remove a queued request."""
+        queued = self._queued.pop(request_id, None)
+        if queued is None:
             return False
-        request = place.request
-        in_lane = self._lanes[request.kind]
-        in_lane.remove(in_lane.line(request), request.priority, place.number)
+        request = queued.request
+        job_lane = self._lanes[request.kind]
+        job_lane.remove(
+            job_lane.account(request), request.priority, queued.number
+        )
         return True
 
     def expired(self, now_s: float) -> tuple[messages.RefusedNow, ...]:
-        """Remove and return what can no longer meet its target."""
+        """Remove and refuse requests that can no longer meet their target."""
         refused = self._past_latest_start(now_s)
         for kind in messages.JobKind:
             if self._lanes[kind].waiting_count:
-                self._refuse_tails(kind, now_s, refused)
+                self._refuse_late_tails(kind, now_s, refused)
         return tuple(refused)
 
     def expected_tokens(self, request: messages.AdmissionRequest) -> float:
-        """Return the estimate corrected by what the account used before."""
-        line = self._lanes[request.kind].line(request)
-        return line.costs.corrected(request.estimated_tokens)
+        """Return the estimate, corrected by the earlier use of the account."""
+        account = self._lanes[request.kind].account(request)
+        return account.costs.corrected(request.estimated_tokens)
 
     def waiting(self) -> int:
-        """Return how many requests wait."""
-        return len(self._places)
+        """Return the number of queued requests."""
+        return len(self._queued)
 
     def in_flight(self) -> int:
-        """Return how many requests are sent and not finished."""
+        """Return the number of requests sent and not finished."""
         return len(self._in_flight)
 
     def _queue_or_refuse(
         self,
         request: messages.AdmissionRequest,
-        line: account_queue.AccountQueue,
+        account: account_queue.AccountQueue,
         cost: float,
         now_s: float,
     ) -> messages.Decision:
-        in_lane = self._lanes[request.kind]
+        job_lane = self._lanes[request.kind]
         speed = self._speed(request.kind)
-        ahead_tokens = line.backlog_ahead(request.priority)
-        wait_s = self._wait_s(in_lane, line, ahead_tokens, speed, now_s)
+        ahead_tokens = account.backlog_ahead(request.priority)
+        wait_s = self._wait_s(job_lane, account, ahead_tokens, speed, now_s)
         latest_start_s = (
-            request.deadline_s - self._in_flight.pressure.first_token_s
+            request.deadline_s - self._in_flight.limit_controller.first_token_s
         )
-        slack_s = (latest_start_s - now_s) * line.caution
-        if in_lane.shares.moderate(line, now_s):
+        slack_s = (latest_start_s - now_s) * account.wait_factor
+        if job_lane.shares.is_within_share(account, now_s):
             slack_s *= self._settings.moderate_wait_margin
         else:
             slack_s *= self._settings.greedy_wait_margin
@@ -174,11 +177,11 @@
                 messages.RefusalReason.WOULD_MISS_TARGET,
                 wait_s - max(slack_s, 0.0),
             )
-        waiting = account_queue.Waiting(
+        waiting = account_queue.QueuedRequest(
             -request.priority, self._number, cost, request
         )
-        in_lane.add(line, waiting, now_s)
-        self._places[request.request_id] = _Place(request, self._number)
+        job_lane.add(account, waiting, now_s)
+        self._queued[request.request_id] = _QueuedEntry(request, self._number)
         heapq.heappush(
             self._latest_starts,
             (latest_start_s, self._number, request.request_id),
@@ -187,27 +190,27 @@
 
     def _wait_s(
         self,
-        in_lane: lane.Lane,
-        line: account_queue.AccountQueue,
+        job_lane: lane.Lane,
+        account: account_queue.AccountQueue,
         ahead_tokens: float,
         speed: float,
         now_s: float,
     ) -> float:
-        expected_rate = in_lane.shares.expected(line, speed, now_s)
-        floor_rate = speed * in_lane.fair_share(line)
+        expected_rate = job_lane.shares.expected_rate(account, speed, now_s)
+        floor_rate = speed * job_lane.fair_share(account)
         floor_rate *= 1.0 - self._settings.preferred_share
-        rate = line.rate_tokens_per_s(expected_rate, floor_rate, now_s)
+        rate = account.rate_tokens_per_s(expected_rate, floor_rate, now_s)
         if rate <= 0:
             return self._drain_time_s()
-        turn_s = in_lane.turn_in_s(line, speed)
+        turn_s = job_lane.time_to_turn_s(account, speed)
         return ahead_tokens / rate + turn_s
 
     def _speed(self, kind: messages.JobKind) -> float:
-        """Return what a lane may count on, in tokens a second."""
-        part = self._lanes.speed_part(kind, self._in_flight.limit())
-        # With more or fewer places than declared goes that much more or less.
+        """Return the throughput of a lane in tokens per second."""
+        part = self._lanes.speed_share(kind, self._in_flight.limit())
+        # Throughput is proportional to the in-flight limit.
         declared = part * self._capacity.tokens_per_s
-        return declared * self._in_flight.pressure.factor
+        return declared * self._in_flight.limit_controller.factor
 
     def _drain_time_s(self) -> float:
         speed = max(self._capacity.tokens_per_s, 1e-9)
@@ -217,43 +220,44 @@
         refused: list[messages.RefusedNow] = []
         while self._latest_starts and self._latest_starts[0][0] <= now_s:
             _, number, request_id = heapq.heappop(self._latest_starts)
-            place = self._places.get(request_id)
-            if place is None or place.number != number:
+            queued = self._queued.get(request_id)
+            if queued is None or queued.number != number:
                 continue
             self.withdraw(request_id)
-            self._lanes[place.request.kind].line(place.request).refused_late(
-                now_s
-            )
+            self._lanes[queued.request.kind].account(
+                queued.request
+            ).record_late_refusal(now_s)
             refused.append(
                 self._refusal(
-                    place.request,
+                    queued.request,
                     messages.RefusalReason.TARGET_PASSED,
                     self._drain_time_s(),
                 )
             )
         return refused
 
-    def _refuse_tails(
+    def _refuse_late_tails(
         self,
         kind: messages.JobKind,
         now_s: float,
         refused: list[messages.RefusedNow],
     ) -> None:
-        in_lane = self._lanes[kind]
+        job_lane = self._lanes[kind]
         speed = self._speed(kind)
-        for line in in_lane.lines.values():
-            while line.waiting:
-                (_, _, cost, request) = line.waiting[-1]
-                ahead = line.backlog_tokens - cost
-                wait_s = self._wait_s(in_lane, line, ahead, speed, now_s)
+        for account in job_lane.accounts.values():
+            while account.waiting:
+                (_, _, cost, request) = account.waiting[-1]
+                ahead = account.backlog_tokens - cost
+                wait_s = self._wait_s(job_lane, account, ahead, speed, now_s)
                 latest_start_s = (
-                    request.deadline_s - self._in_flight.pressure.first_token_s
+                    request.deadline_s
+                    - self._in_flight.limit_controller.first_token_s
                 )
                 if now_s + wait_s <= latest_start_s:
                     break
-                in_lane.remove_last(line)
-                line.refused_late(now_s)
-                del self._places[request.request_id]
+                job_lane.remove_last(account)
+                account.record_late_refusal(now_s)
+                del self._queued[request.request_id]
                 refused.append(
                     self._refusal(
                         request,
--- a/redwingvalve/admission/lane.py
+++ b/redwingvalve/admission/lane.py
@@ -1,14 +1,14 @@
 """One lane: weighted fair sharing between accounts, and preference by penalty.
 
-Load pattern: more asks than fit, from accounts of different weight, penalty
-and greed. Without it the greediest account takes what it asks for, and a fined
-request waits behind one that costs nothing.
+Load pattern: demand above capacity from accounts of different weight, penalty
+and demand. Without fair sharing, the account with the most demand gets all that
+it asks for, and a request with a penalty waits behind one without.
 
 Half of the service goes to the account that is furthest behind its fair share
 (start-time fair queueing), so that none starves. The other half goes by
-penalty, then priority (see preference.py), and is charged at only
-1/preference_bound of its cost, since a full charge would make the first half
-take back what the second one gave.
+penalty, then priority (see preference.py). It is charged at only
+1/preference_bound of its cost, since with the full charge the fair half would
+take back what the preferred half gave.
 """
 
 import heapq
@@ -20,196 +20,202 @@
     speed_shares,
 )
 
-# How long an unmet claim of an account is remembered.
-CLAIM_S = 1.0
-# A new job finds itself, on the mean, in the middle of a round of all lines.
-MEAN_ROUND = 0.5
+# An account that got less than its share may claim at most this much service.
+MAX_CLAIM_S = 1.0
+# On average, a new job arrives in the middle of a round of all accounts.
+MEAN_ROUND_SHARE = 0.5
 
 
 class Lane:
-    """Accounts that wait in one lane; every step is O(log accounts)."""
+    """The account queues of one lane; each operation is O(log accounts)."""
 
     def __init__(self, settings: messages.AdmissionSettings) -> None:
         """Start without accounts."""
         self.waiting_count = 0
         self.waiting_tokens = 0.0
         self.in_flight = 0
-        self.lines: dict[str, account_queue.AccountQueue] = {}
+        self.accounts: dict[str, account_queue.AccountQueue] = {}
         self._settings = settings
         self._active_weight = 0.0
         self._virtual_time = 0.0
-        self.shares = speed_shares.SpeedShares(settings)
+        self.shares = speed_shares.FairShares(settings)
         self._preferred_credit = 0.0
         self._credit_bound = 0.0
         self._fair: list[tuple[float, int, int]] = []
-        self._preference = preference.Preference(settings)
+        self._preference = preference.PreferenceQueue(settings)
         self._by_number: list[account_queue.AccountQueue] = []
 
     def add(
         self,
-        line: account_queue.AccountQueue,
-        waiting: account_queue.Waiting,
+        account: account_queue.AccountQueue,
+        waiting: account_queue.QueuedRequest,
         now_s: float,
     ) -> None:
-        """Let a request wait in the line of its account."""
+        """Add a request to the queue of its account."""
         (_, _, cost, request) = waiting
-        if not line.waiting:
-            self._activate(line, request)
-        line.add(waiting, now_s)
+        if not account.waiting:
+            self._activate(account, request)
+        account.add(waiting, now_s)
         self.waiting_count += 1
         self.waiting_tokens += cost
 
-    def line(
+    def account(
         self, request: messages.AdmissionRequest
     ) -> account_queue.AccountQueue:
-        """Return the line of a request's account."""
-        line = self.lines.get(request.account)
-        if line is not None:
-            return line
-        line = account_queue.AccountQueue(request.account, len(self._by_number))
-        line.weight = request.weight
-        line.penalty = request.penalty
-        self.lines[request.account] = line
-        self._by_number.append(line)
-        self._preference.know(line)
-        self.shares.know(line)
-        return line
-
-    def note_speed(self, tokens_per_s: float) -> None:
-        """Take over the speed that is shared here."""
+        """Return the queue of the account of a request, created if missing."""
+        account = self.accounts.get(request.account)
+        if account is not None:
+            return account
+        account = account_queue.AccountQueue(
+            request.account, len(self._by_number)
+        )
+        account.weight = request.weight
+        account.penalty = request.penalty
+        self.accounts[request.account] = account
+        self._by_number.append(account)
+        self._preference.add_account(account)
+        self.shares.add_account(account)
+        return account
+
+    def set_speed(self, tokens_per_s: float) -> None:
+        """Replace the speed that the accounts share."""
         self.shares.speed = tokens_per_s
         self._credit_bound = self._settings.preference_burst_s * tokens_per_s
 
-    def fair_share(self, line: account_queue.AccountQueue) -> float:
-        """Return the share of the lane that a line has by weight alone."""
+    def fair_share(self, account: account_queue.AccountQueue) -> float:
+        """Return the share of the lane that an account has by its weight."""
         weight = self._active_weight
-        if not line.waiting:
-            weight += line.weight
-        return line.weight / max(weight, line.weight)
+        if not account.waiting:
+            weight += account.weight
+        return account.weight / max(weight, account.weight)
 
-    def turn_in_s(
-        self, line: account_queue.AccountQueue, tokens_per_s: float
+    def time_to_turn_s(
+        self, account: account_queue.AccountQueue, tokens_per_s: float
     ) -> float:
-        """Return when a line's turn comes by fairness alone.
+        """Return the seconds until the turn of an account by fairness alone.
 
-        The first in a line has nobody before it and yet waits: for as long as
-        its account's last job was more than its share, or for the others.
+        The first request of an account waits too: as long as the last job of
+        the account exceeded its share, or for the turns of the others.
         """
         if not self.waiting_count or tokens_per_s <= 0:
             return 0.0
         weight = self._active_weight
-        if not line.waiting:
-            weight += line.weight
-        ahead = max(line.virtual_time - self._virtual_time, 0.0)
-        # One job of each line that waits goes in a round; for long jobs that
-        # is seconds, though nobody stands before the first of an account.
+        if not account.waiting:
+            weight += account.weight
+        ahead = max(account.virtual_time - self._virtual_time, 0.0)
+        # Each round serves one job of each account with queued requests; with
+        # long jobs this takes seconds, even for the first of an account.
         cost = self.waiting_tokens / self.waiting_count
-        around = MEAN_ROUND * cost / line.weight
-        return max(ahead, around) * weight / tokens_per_s
+        round_part = MEAN_ROUND_SHARE * cost / account.weight
+        return max(ahead, round_part) * weight / tokens_per_s
 
-    def choose(
+    def select(
         self, now_s: float
     ) -> tuple[account_queue.AccountQueue, bool] | None:
-        """Return the account whose turn it is, and whether by preference."""
+        """Return the next account to serve, and whether by preference."""
         if not self.waiting_count:
             return None
         if self._settings.preferred_share > 0 and self._preferred_credit >= 0:
-            line = self._preference.first(now_s, self._preferred_rate)
-            if line is not None:
-                return line, True
+            account = self._preference.first(now_s, self._preferred_rate)
+            if account is not None:
+                return account, True
         return self._first_fair(), False
 
-    def take(
+    def dispatch(
         self,
-        line: account_queue.AccountQueue,
+        account: account_queue.AccountQueue,
         *,
         by_preference: bool,
         now_s: float,
-    ) -> account_queue.Waiting:
-        """Remove the line's first request and charge the account for it."""
-        entry = line.take_first()
+    ) -> account_queue.QueuedRequest:
+        """Remove the first request of an account and charge it."""
+        entry = account.pop_first()
         cost = entry[2]
-        self._left(line, cost)
-        line.served(cost, now_s)
-        self._count_turn(cost, by_preference=by_preference)
-        # A line that this emptied has left the active weight already.
-        weight = max(self._active_weight, line.weight)
+        self._record_removal(account, cost)
+        account.record_dispatch(cost, now_s)
+        self._update_credit(cost, by_preference=by_preference)
+        # An account whose queue is now empty is no longer in the active weight.
+        weight = max(self._active_weight, account.weight)
         self._virtual_time += cost / weight
-        line.allowance.spend(cost)
+        account.allowance.spend(cost)
         if by_preference:
             cost /= self._settings.preference_bound
-        self.charge(line, cost)
+        self.charge(account, cost)
         return entry
 
     def remove(
-        self, line: account_queue.AccountQueue, priority: int, number: int
-    ) -> account_queue.Waiting | None:
-        """Remove one waiting request without serving it."""
-        entry = line.remove(priority, number)
+        self, account: account_queue.AccountQueue, priority: int, number: int
+    ) -> account_queue.QueuedRequest | None:
+        """Remove one queued request without serving it."""
+        entry = account.remove(priority, number)
         if entry is not None:
-            self._left(line, entry[2])
+            self._record_removal(account, entry[2])
         return entry
 
     def remove_last(
-        self, line: account_queue.AccountQueue
-    ) -> account_queue.Waiting:
-        """Remove the request of a line that would go last."""
-        entry = line.take_last()
-        self._left(line, entry[2])
+        self, account: account_queue.AccountQueue
+    ) -> account_queue.QueuedRequest:
+        """Remove the last request of an account."""
+        entry = account.pop_last()
+        self._record_removal(account, entry[2])
         return entry
 
-    def correct(self, line: account_queue.AccountQueue, cost: float) -> None:
-        """Charge what was used beyond the estimate, or give it back.
+    def correct(self, account: account_queue.AccountQueue, cost: float) -> None:
+        """Charge the use beyond the estimate, or refund it if negative.
 
-        The lane's own time moves along: otherwise accounts that overstate
-        would pull it ahead and be paid back a claim on the others.
+        The virtual time of the lane moves too: otherwise accounts that
+        overestimate would advance it and get a claim on the others by refunds.
         """
-        weight = max(self._active_weight, line.weight)
+        weight = max(self._active_weight, account.weight)
         self._virtual_time += cost / weight
-        self.charge(line, cost)
-
-    def charge(self, line: account_queue.AccountQueue, cost: float) -> None:
-        """Move an account's virtual time."""
-        # An account that got less than its share for long would otherwise
-        # hold a claim that shuts out the others for as long again.
-        oldest = self._virtual_time
-        oldest -= CLAIM_S * self.shares.speed / self.shares.weight
-        line.virtual_time = max(line.virtual_time + cost / line.weight, oldest)
-        line.version += 1
-        if line.waiting:
-            self._push_fair(line)
-
-    def pass_by(
-        self, line: account_queue.AccountQueue, cost: float, now_s: float
+        self.charge(account, cost)
+
+    def charge(self, account: account_queue.AccountQueue, cost: float) -> None:
+        """Advance the virtual time of an account."""
+        # Without this limit, an account that got less than its share for some
+        # time would block the others for as long again.
+        earliest = self._virtual_time
+        earliest -= MAX_CLAIM_S * self.shares.speed / self.shares.weight
+        account.virtual_time = max(
+            account.virtual_time + cost / account.weight, earliest
+        )
+        account.version += 1
+        if account.waiting:
+            self._push_fair(account)
+
+    def admit_directly(
+        self, account: account_queue.AccountQueue, cost: float, now_s: float
     ) -> None:
-        """Charge a request that was admitted without waiting."""
-        line.virtual_time = max(line.virtual_time, self._virtual_time)
-        line.virtual_time += cost / line.weight
-        line.served(cost, now_s)
-        line.allowance.spend(cost)
-        weight = max(self._active_weight, line.weight)
+        """Charge a request that was admitted without queueing."""
+        account.virtual_time = max(account.virtual_time, self._virtual_time)
+        account.virtual_time += cost / account.weight
+        account.record_dispatch(cost, now_s)
+        account.allowance.spend(cost)
+        weight = max(self._active_weight, account.weight)
         self._virtual_time += cost / weight
 
     def _activate(
         self,
-        line: account_queue.AccountQueue,
+        account: account_queue.AccountQueue,
         request: messages.AdmissionRequest,
     ) -> None:
-        # An account that was idle must not save up a claim: it would shut out
-        # the others for as long as it was away.
-        line.virtual_time = max(line.virtual_time, self._virtual_time)
-        line.weight = max(request.weight, 1e-6)
-        line.penalty = request.penalty
-        line.version += 1
-        self._active_weight += line.weight
-        self._push_fair(line)
-        self._preference.enter(line, request.priority)
-
-    def _left(self, line: account_queue.AccountQueue, cost: float) -> None:
+        # An idle account must not accumulate a claim: it would block the
+        # others for as long as it was idle.
+        account.virtual_time = max(account.virtual_time, self._virtual_time)
+        account.weight = max(request.weight, 1e-6)
+        account.penalty = request.penalty
+        account.version += 1
+        self._active_weight += account.weight
+        self._push_fair(account)
+        self._preference.activate(account, request.priority)
+
+    def _record_removal(
+        self, account: account_queue.AccountQueue, cost: float
+    ) -> None:
         self.waiting_count -= 1
         self.waiting_tokens -= cost
-        if not line.waiting:
-            self._active_weight -= line.weight
+        if not account.waiting:
+            self._active_weight -= account.weight
         if not self.waiting_count:
             self._reset()
 
@@ -219,27 +225,29 @@
         self._fair.clear()
         self._preference.clear()
 
-    def _push_fair(self, line: account_queue.AccountQueue) -> None:
+    def _push_fair(self, account: account_queue.AccountQueue) -> None:
         heapq.heappush(
-            self._fair, (line.virtual_time, line.number, line.version)
+            self._fair, (account.virtual_time, account.number, account.version)
         )
 
     def _first_fair(self) -> account_queue.AccountQueue:
         while True:
             _, number, version = self._fair[0]
-            line = self._by_number[number]
-            if line.waiting and line.version == version:
-                return line
+            account = self._by_number[number]
+            if account.waiting and account.version == version:
+                return account
             heapq.heappop(self._fair)
 
     def _preferred_rate(
-        self, line: account_queue.AccountQueue, now_s: float
+        self, account: account_queue.AccountQueue, now_s: float
     ) -> float:
-        return self._settings.preference_bound * self.shares.of(line, now_s)
+        return self._settings.preference_bound * self.shares.share_of(
+            account, now_s
+        )
 
-    def _count_turn(self, cost: float, *, by_preference: bool) -> None:
-        # The credit is bounded: turns that preference could not use must not
-        # pile up into a long run of preferred service later.
+    def _update_credit(self, cost: float, *, by_preference: bool) -> None:
+        # The credit is bounded: unused preferred turns must not add up to a
+        # long run of preferred service later.
         share = self._settings.preferred_share
         change = cost * share
         if by_preference:
--- a/redwingvalve/admission/lanes.py
+++ b/redwingvalve/admission/lanes.py
@@ -1,12 +1,12 @@
 """The three lanes together: light calls, short jobs, long jobs.
 
 Load pattern: a few jobs of tens of thousands of tokens among many short ones.
-Without lanes the long ones hold the whole batch for a minute, and
-short jobs and light calls miss their targets meanwhile.
+Without lanes, the long jobs occupy the whole batch for a minute, and short jobs
+and light calls miss their targets.
 
-Each lane is served up to its floor first, so that none starves; what is left
-goes in order of kind. Long jobs leave a reserve that follows the recent use of
-short ones, since what they hold comes back only after many seconds.
+Each lane is served up to its floor first, so that none starves; the rest goes
+in order of kind. Long jobs leave a reserve that follows the recent use of short
+ones, since a slot of a long job is released only after many seconds.
 """
 
 import typing
@@ -16,16 +16,16 @@
 KINDS = tuple(messages.JobKind)
 
 
-class Turn(typing.NamedTuple):
-    """Whose turn it is, and whether by preference."""
+class Selection(typing.NamedTuple):
+    """The next account to serve, and whether by preference."""
 
     kind: messages.JobKind
-    line: account_queue.AccountQueue
+    account: account_queue.AccountQueue
     by_preference: bool
 
 
 class LaneSet:
-    """One lane for each kind of job, and the order between them."""
+    """One lane for each kind of job, and the order of the lanes."""
 
     def __init__(self, settings: messages.AdmissionSettings) -> None:
         """Start with empty lanes."""
@@ -43,22 +43,22 @@
         return self._lanes[kind]
 
     def __iter__(self) -> typing.Iterator[lane.Lane]:
-        """Go over the lanes in their order."""
+        """Iterate over the lanes in order of kind."""
         return iter(self._lanes)
 
-    def choose(self, limit: float, now_s: float) -> Turn | None:
-        """Return whose turn it is under an in-flight bound."""
+    def select(self, limit: float, now_s: float) -> Selection | None:
+        """Return the next account to serve within an in-flight limit."""
         waiting = [kind for kind in KINDS if self._lanes[kind].waiting_count]
         for kind in waiting:
             if self._below_floor(kind, limit):
-                return self._turn(kind, now_s)
+                return self._select_from(kind, now_s)
         for other in waiting:
             if self._below_ceiling(other, limit):
-                return self._turn(other, now_s)
+                return self._select_from(other, now_s)
         return None
 
-    def nobody_before(self, kind: messages.JobKind, limit: float) -> bool:
-        """Tell whether a new job of a kind passes everything that waits."""
+    def can_bypass(self, kind: messages.JobKind, limit: float) -> bool:
+        """Tell whether a new job of a kind may bypass all queues."""
         (light, short, long) = self._lanes
         waiting = light.waiting_count + short.waiting_count + long.waiting_count
         if not waiting:
@@ -67,8 +67,8 @@
             return False
         return self._below_floor(kind, limit)
 
-    def note_short_use(self, now_s: float) -> None:
-        """Count a new job that is not long into the recent use."""
+    def record_short_use(self, now_s: float) -> None:
+        """Record the slots used by light and short jobs, a new one included."""
         (light, short, _) = self._lanes
         use = 1 + light.in_flight + light.waiting_count
         self._short_use.observed(
@@ -76,16 +76,16 @@
         )
 
     def waiting_tokens(self) -> float:
-        """Return the cost of all that waits."""
+        """Return the cost of all queued requests."""
         (light, short, long) = self._lanes
         tokens = light.waiting_tokens + short.waiting_tokens
         return tokens + long.waiting_tokens
 
-    def speed_part(self, kind: messages.JobKind, limit: float) -> float:
-        """Return the part of the speed that a lane may count on.
+    def speed_share(self, kind: messages.JobKind, limit: float) -> float:
+        """Return the share of the speed that is available to a lane.
 
-        What other lanes have in flight holds places for as long as it lasts;
-        a queue that counted on the whole speed would refuse late.
+        Jobs of other lanes hold their slots until they end; an estimate with
+        the whole speed would cause late refusals.
         """
         if limit <= 0:
             return 1.0
@@ -97,13 +97,15 @@
         return max(part, self._floors[kind])
 
     def _reserve(self, limit: float) -> float:
-        wanted = self._short_use.level / limit if limit else 1.0
-        reserve = max(self._settings.short_reserve_share, wanted)
+        recent_share = self._short_use.level / limit if limit else 1.0
+        reserve = max(self._settings.short_reserve_share, recent_share)
         return min(reserve, self._settings.max_short_reserve_share)
 
-    def _turn(self, kind: messages.JobKind, now_s: float) -> Turn | None:
-        chosen = self._lanes[kind].choose(now_s)
-        return Turn(kind, *chosen) if chosen else None
+    def _select_from(
+        self, kind: messages.JobKind, now_s: float
+    ) -> Selection | None:
+        chosen = self._lanes[kind].select(now_s)
+        return Selection(kind, *chosen) if chosen else None
 
     def _below_floor(self, kind: messages.JobKind, limit: float) -> bool:
         in_flight = self._lanes[kind].in_flight
--- a/redwingvalve/admission/messages.py
+++ b/redwingvalve/admission/messages.py
@@ -1,4 +1,4 @@
-"""What goes into an admission queue and what comes out of it."""
+"""Requests to an admission queue, and its decisions."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class JobKind(enum.IntEnum):
-    """The lane of a job; a smaller number goes first when all else is even."""
+    """The lane of a job; smaller numbers go first, other things equal."""
 
     LIGHT = 0
     SHORT = 1
@@ -14,7 +14,7 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Why a request was refused before it was sent anywhere."""
+    """Why a request was refused before it was sent."""
 
     WOULD_MISS_TARGET = 'would-miss-target'
     TARGET_PASSED = 'target-passed'
@@ -24,10 +24,10 @@
 
 @attrs.define(eq=False)
 class AdmissionRequest:
-    """One request that asks to be sent.
+    """A request for admission.
 
-    deadline_s is the moment by which its first token (or a service's answer)
-    must be with the caller; a greater priority and a greater penalty go first.
+    deadline_s is the time by which the caller must have the first token (or
+    the response of a service). Higher priority and higher penalty go first.
     """
 
     request_id: str
@@ -43,14 +43,14 @@
 
 @attrs.frozen
 class Admitted:
-    """Send it now."""
+    """The request may be sent now."""
 
     request_id: str
 
 
 @attrs.frozen
 class Queued:
-    """Keep the caller waiting; next_ready or expired will name it."""
+    """The request is queued; next_ready or expired returns it later."""
 
     request_id: str
     expected_wait_s: float
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class RefusedNow:
-    """Answer the caller at once; the request was not run."""
+    """The request is refused and was not run."""
 
     request_id: str
     reason: RefusalReason
--- a/redwingvalve/admission/preference.py
+++ b/redwingvalve/admission/preference.py
@@ -1,9 +1,9 @@
-"""Which accounts go by penalty, and how far.
+"""Preferred service of accounts by penalty, within an allowance.
 
 An account is preferred while it has an allowance, which grows at
 preference_bound times its share among all recent accounts and is spent by all
-its service. Beyond that a greedy account with a high penalty would push the
-moderate ones out.
+of its service. Without this limit, an account with a high penalty and high
+demand would displace those with moderate demand.
 """
 
 import heapq
@@ -11,74 +11,85 @@
 
 from redwingvalve.admission import account_queue, messages
 
-# After this an account without allowance is looked at again, at the earliest.
-MIN_PARKED_S = 0.001
+# Minimum time until an account without allowance is checked again.
+MIN_DEFER_S = 0.001
 
-Rates = collections_abc.Callable[[account_queue.AccountQueue, float], float]
+RateFunction = collections_abc.Callable[
+    [account_queue.AccountQueue, float], float
+]
 
 
-# Penalty and priority, both negative, then virtual time: equals take turns.
-Listed = tuple[float, int, float, int]
+# Negative penalty, negative priority, virtual time (accounts that are equal in
+# the first two take turns) and account number.
+HeapEntry = tuple[float, int, float, int]
 
 
-class Preference:
-    """Lines by penalty, then priority; every step is O(log accounts)."""
+class PreferenceQueue:
+    """Accounts by penalty, then priority; operations are O(log accounts)."""
 
     def __init__(self, settings: messages.AdmissionSettings) -> None:
-        """Start without lines."""
+        """Start without accounts."""
         self._settings = settings
-        self._lines: list[account_queue.AccountQueue] = []
-        self._listed: list[Listed] = []
-        self._parked: list[tuple[float, Listed]] = []
+        self._accounts: list[account_queue.AccountQueue] = []
+        self._ready: list[HeapEntry] = []
+        self._deferred: list[tuple[float, HeapEntry]] = []
 
-    def know(self, line: account_queue.AccountQueue) -> None:
-        """Take in a new line; its number is its place."""
-        self._lines.append(line)
+    def add_account(self, account: account_queue.AccountQueue) -> None:
+        """Add an account; its number is its index."""
+        self._accounts.append(account)
 
-    def enter(self, line: account_queue.AccountQueue, priority: int) -> None:
-        """List a line that has something waiting."""
-        if line.listed:
+    def activate(
+        self, account: account_queue.AccountQueue, priority: int
+    ) -> None:
+        """Add an account with queued requests to the heap."""
+        if account.is_listed:
             return
-        line.listed = True
+        account.is_listed = True
         heapq.heappush(
-            self._listed,
-            (-line.penalty, -priority, line.virtual_time, line.number),
+            self._ready,
+            (-account.penalty, -priority, account.virtual_time, account.number),
         )
 
     def first(
-        self, now_s: float, rate: Rates
+        self, now_s: float, rate: RateFunction
     ) -> account_queue.AccountQueue | None:
-        """Return the dearest line with an allowance; rate gives its growth."""
-        while self._parked and self._parked[0][0] <= now_s:
-            heapq.heappush(self._listed, heapq.heappop(self._parked)[1])
-        while self._listed:
-            listed = self._listed[0]
-            line = self._lines[listed[3]]
-            if not line.waiting:
-                heapq.heappop(self._listed)
-                line.listed = False
-            elif listed[2] < line.virtual_time:
-                moved = (listed[0], listed[1], line.virtual_time, listed[3])
-                heapq.heapreplace(self._listed, moved)
-            elif self._allowed(line, now_s, rate):
-                return line
+        """Return the account with the highest penalty and an allowance.
+
+        rate returns the rate at which an allowance grows.
+        """
+        while self._deferred and self._deferred[0][0] <= now_s:
+            heapq.heappush(self._ready, heapq.heappop(self._deferred)[1])
+        while self._ready:
+            entry = self._ready[0]
+            account = self._accounts[entry[3]]
+            if not account.waiting:
+                heapq.heappop(self._ready)
+                account.is_listed = False
+            elif entry[2] < account.virtual_time:
+                updated = (entry[0], entry[1], account.virtual_time, entry[3])
+                heapq.heapreplace(self._ready, updated)
+            elif self._has_allowance(account, now_s, rate):
+                return account
             else:
-                heapq.heappop(self._listed)
-                again_at_s = now_s + line.allowance.wait_s() + MIN_PARKED_S
-                heapq.heappush(self._parked, (again_at_s, listed))
+                heapq.heappop(self._ready)
+                retry_at_s = now_s + account.allowance.wait_s() + MIN_DEFER_S
+                heapq.heappush(self._deferred, (retry_at_s, entry))
         return None
 
-    def _allowed(
-        self, line: account_queue.AccountQueue, now_s: float, rate: Rates
+    def _has_allowance(
+        self,
+        account: account_queue.AccountQueue,
+        now_s: float,
+        rate: RateFunction,
     ) -> bool:
-        line.allowance.refill(
-            rate(line, now_s), self._settings.preference_burst_s, now_s
+        account.allowance.refill(
+            rate(account, now_s), self._settings.preference_burst_s, now_s
         )
-        return line.allowance.level > 0
+        return account.allowance.level > 0
 
     def clear(self) -> None:
-        """Forget all that is listed, when nothing waits any more."""
-        self._listed.clear()
-        self._parked.clear()
-        for line in self._lines:
-            line.listed = False
+        """Clear the heap once no request is queued."""
+        self._ready.clear()
+        self._deferred.clear()
+        for account in self._accounts:
+            account.is_listed = False
--- a/redwingvalve/admission/queue.py
+++ b/redwingvalve/admission/queue.py
@@ -1,7 +1,7 @@
 """The abstract admission queue that the entry calls.
 
-One queue stands before each deployment and one before each plain service, so
-that light calls to services never wait behind token generation.
+Each deployment and each plain service has its own queue, so that light calls to
+services never wait behind token generation.
 """
 
 import abc
@@ -10,16 +10,16 @@
 
 
 class AdmissionQueue(abc.ABC):
-    """Decides who is sent, who waits and who is refused.
+    """Decides which requests are sent, queued or refused.
 
-    The caller offers each request once, sends what is admitted, calls
-    next_ready until it gives nothing after each finished call, and answers
-    what expired returns at least every 50 ms.
+    The caller offers each request once and sends what is admitted. After each
+    call of finished it calls next_ready until that returns None, and at least
+    every 50 ms it refuses the requests that expired returns.
     """
 
     @abc.abstractmethod
     def resize(self, capacity: messages.Capacity, now_s: float) -> None:
-        """Take over what this entry may use from now on."""
+        """Replace the capacity of this entry."""
 
     @abc.abstractmethod
     def offer(
@@ -29,37 +29,37 @@
 
     @abc.abstractmethod
     def next_ready(self, now_s: float) -> messages.AdmissionRequest | None:
-        """Return the next waiting request to be sent, if one fits."""
+        """Return the next queued request to send, if one fits."""
 
     @abc.abstractmethod
     def first_token(self, request_id: str, now_s: float) -> None:
-        """Learn how long a sent request took to its first token."""
+        """Record the first-token delay of a request."""
 
     @abc.abstractmethod
     def finished(
         self, request_id: str, actual_tokens: float, now_s: float
     ) -> None:
-        """Free what a sent request held and correct its account's estimate.
+        """Release the capacity of a request and correct its estimate.
 
-        Call it once for every sent request, however it ended.
+        Call it once for every request sent, however it ended.
         """
 
     @abc.abstractmethod
     def withdraw(self, request_id: str) -> bool:
-        """Forget a waiting request whose caller hung up; False if unknown."""
+        """Remove a queued request whose caller hung up; False if unknown."""
 
     @abc.abstractmethod
     def expired(self, now_s: float) -> tuple[messages.RefusedNow, ...]:
-        """Remove and return waiting requests that can't meet their target."""
+        """Remove and return queued requests that can't meet their target."""
 
     @abc.abstractmethod
     def expected_tokens(self, request: messages.AdmissionRequest) -> float:
-        """Return the tokens to expect of a request; routing counts them."""
+        """Return the expected tokens of a request, as routing counts them."""
 
     @abc.abstractmethod
     def waiting(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of queued requests."""
 
     @abc.abstractmethod
     def in_flight(self) -> int:
-        """Return how many requests are sent and not finished."""
+        """Return the number of requests sent and not finished."""
--- a/redwingvalve/admission/tests/test_fair_queue.py
+++ b/redwingvalve/admission/tests/test_fair_queue.py
@@ -16,19 +16,19 @@
     )
 
 
-def fill(queue, count=10, now_s=0.0):
+def fill_slots(queue, count=10, now_s=0.0):
     for number in range(count):
         queue.offer(make_request(f'f{number}', 'filler', now_s=now_s), now_s)
 
 
-def test_what_would_be_late_is_refused_when_it_arrives():
-    """The caller learns at once, with when to come back, that it is too late.
+def test_a_request_that_would_be_late_is_refused_on_arrival():
+    """A request that can't meet its deadline is refused with a retry delay.
 
-    Ten jobs run and twenty wait for two seconds; the next would need more
-    than its two seconds. Waiting for its deadline first would help nobody.
+    Ten jobs run and twenty are queued for two seconds; the next would start
+    after its deadline of two seconds.
     """
     queue = fair_queue.make_admission_queue(CAPACITY)
-    fill(queue)
+    fill_slots(queue)
     decisions = [queue.offer(make_request(n), 0.0) for n in range(30)]
     assert isinstance(decisions[0], messages.Queued)
     refused = decisions[-1]
@@ -38,13 +38,13 @@
 
 
 def test_a_queued_request_is_refused_once_capacity_is_lost():
-    """Callers that wait are told as soon as their target is out of reach.
+    """Queued requests are refused as soon as they can't meet their target.
 
-    A dozen wait for replicas that then die: with a fiftieth of the speed all
-    but the first can't be served in time, and their callers hear so at once.
+    Replicas fail while a dozen requests are queued: at a fiftieth of the
+    speed, only the first can be served in time.
     """
     queue = fair_queue.make_admission_queue(CAPACITY)
-    fill(queue)
+    fill_slots(queue)
     for number in range(12):
         queue.offer(make_request(number, deadline_s=4.5), 0.0)
     assert queue.waiting() == 12
@@ -55,14 +55,14 @@
     assert queue.waiting() == 12 - len(refused)
 
 
-def test_a_greedy_account_leaves_the_others_their_share():
-    """Nine callers with one job each are served though one sent two hundred.
+def test_excessive_demand_leaves_other_accounts_their_share():
+    """Nine accounts with one job each are served beside one with 150 jobs.
 
-    The greedy jobs stand first and carry the same penalty; fair sharing lets
-    each other account's job through before the greedy one's second turn ends.
+    The 150 jobs are queued first and have the same penalty; fair sharing
+    serves the job of each other account before the second turn of that one.
     """
     queue = fair_queue.make_admission_queue(messages.Capacity(10, 10000))
-    fill(queue)
+    fill_slots(queue)
     for number in range(150):
         queue.offer(make_request(f'g{number}', 'greedy'), 0.0)
     for number in range(9):
@@ -85,14 +85,14 @@
     return order
 
 
-def test_the_fined_account_goes_first_and_the_other_is_not_starved():
-    """Two accounts want more than there is; the fined one gets most of it.
+def test_the_account_with_a_penalty_goes_first_without_starving_others():
+    """With excess demand of two accounts, the one with a penalty gets most.
 
-    Both keep forty jobs waiting. The preferred account is bounded to twice its
-    fair share, so the other still gets its guaranteed part.
+    Both keep forty jobs queued. The preferred account gets at most twice its
+    fair share, so the other still gets its guaranteed rate.
     """
     queue = fair_queue.make_admission_queue(messages.Capacity(10, 10000))
-    fill(queue)
+    fill_slots(queue)
     for number in range(60):
         queue.offer(make_request(f'c{number}', 'cheap'), 0.0)
         queue.offer(make_request(f'd{number}', 'dear', penalty=5.0), 0.0)
@@ -100,11 +100,11 @@
     assert 24 <= order.count('dear') <= 34
 
 
-def test_long_jobs_leave_room_for_short_and_light_ones():
-    """A short job and a light call start at once beside a pile of long jobs.
+def test_long_jobs_leave_a_reserve_for_short_and_light_ones():
+    """A short job and a light call start at once beside many long jobs.
 
-    Long jobs fill what they may; the reserve lets others start without
-    waiting the minute until a long one ends.
+    Long jobs use all slots but the reserve. Without it, others would wait up
+    to a minute until a long job ends.
     """
     queue = fair_queue.make_admission_queue(messages.Capacity(100, 1000))
     for number in range(200):
@@ -120,7 +120,7 @@
 
 
 def test_used_tokens_correct_the_estimate():
-    """An account that asks for little and uses much is charged what it used."""
+    """An account that underestimates is charged the tokens that it uses."""
     queue = fair_queue.make_admission_queue(messages.Capacity(100, 1000))
     for number in range(60):
         queue.offer(make_request(number), 0.0)
@@ -129,7 +129,7 @@
 
 
 class QueueMachine(stateful.RuleBasedStateMachine):
-    """Whatever comes in whatever order, no request is lost or served twice."""
+    """No order of operations loses a request or serves it twice."""
 
     def __init__(self):
         super().__init__()
@@ -172,7 +172,7 @@
             self.queue.finished(self.running.pop(), tokens, self.now_s)
 
     @stateful.rule()
-    def hang_up(self):
+    def cancel(self):
         if self.waiting:
             assert self.queue.withdraw(self.waiting.pop())
 
@@ -187,7 +187,7 @@
         assert self.queue.waiting() == len(self.waiting)
 
     def teardown(self):
-        # With nothing in flight all that waits can be drained: none is stuck.
+        # With nothing in flight, the queue drains completely.
         while self.running:
             self.finish(1)
         while self.waiting:
@@ -198,12 +198,12 @@
 TestQueueMachine = QueueMachine.TestCase
 
 
-def test_accounts_behind_others_hear_at_once_and_not_after_waiting():
-    """Ten accounts ask for half of what there is, then for five times that.
+def test_accounts_of_low_penalty_are_refused_on_arrival_and_not_late():
+    """Ten accounts ask for half of the capacity, then for five times that.
 
-    Half of the service goes by penalty, so that the cheap accounts get half a
-    share from then on. Promised a whole one, or the rate at which they were
-    served until then, their callers waited for a second and were refused.
+    Half of the service goes by penalty, so that accounts with a low penalty
+    then get half of their share. If the queue expected the full share, or the
+    rate before the overload, it would refuse them after a second of waiting.
     """
     queue = fair_queue.make_admission_queue(
         messages.Capacity(in_flight=50, tokens_per_s=5000),
@@ -213,7 +213,7 @@
     arrived, late, at_once = {}, 0, 0
     for tick in range(1, 450):
         now_s = tick / 50
-        # A job takes half a second of its place.
+        # A job holds its slot for half a second.
         while running and running[0][0] <= now_s:
             queue.finished(running.pop(0)[1], 50, now_s)
         late += sum(
@@ -235,24 +235,24 @@
     assert late < at_once / 50
 
 
-def test_an_entry_does_not_outgrow_its_part_within_seconds():
-    """First tokens come in time for five seconds while work waits.
+def test_the_limit_of_an_entry_does_not_double_within_seconds():
+    """First tokens are in time for seconds while requests are queued.
 
-    One entry that doubled its bound meanwhile took the replicas from the
-    others: their answers grew late, their bounds fell by a third, and callers
-    of accounts that asked for less than their share were refused there. What
-    was lost comes back sooner than more is taken.
+    An entry that doubles its limit in this time takes the replicas from the
+    others: their responses become late, their limits decrease by a third, and
+    they refuse accounts that stay within their share. A limit below the
+    declared one therefore recovers faster than it grows beyond.
     """
     settings = messages.AdmissionSettings()
-    pressure = estimates.Pressure(
+    limit_controller = estimates.LimitController(
         settings.first_token_s, settings.token_gap_s, 2.0
     )
-    pressure.factor = 0.66
+    limit_controller.factor = 0.66
     levels = []
     for tick in range(1, 700):
         now_s = tick / 100
-        pressure.observed(delay_s=0.1, allowed_s=1.7, now_s=now_s)
-        pressure.finished(0.03, now_s, waiting=True)
-        levels.append(pressure.factor)
+        limit_controller.observed(delay_s=0.1, allowed_s=1.7, now_s=now_s)
+        limit_controller.finished(0.03, now_s, waiting=True)
+        levels.append(limit_controller.factor)
     assert levels[200] >= 1.0
     assert 1.2 < levels[-1] < 1.3
--- a/redwingvalve/admission/tests/test_service_calls.py
+++ b/redwingvalve/admission/tests/test_service_calls.py
@@ -1,4 +1,4 @@
-"""Calls to plain services on the same addresses, light and long."""
+"""Light and long calls to plain services on the same addresses."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 class Calls:
-    """Calls to one service, and the queue before it."""
+    """Calls to one service through its admission queue."""
 
     def __init__(self):
         self.times = service_calls.CallDurations()
@@ -27,7 +27,7 @@
         )
         self.number = 0
 
-    def ended(self, path, ms, times=1):
+    def record_durations(self, path, ms, times=1):
         for _ in range(times):
             self.times.learn('parts', 'GET', path, ms)
 
@@ -51,29 +51,29 @@
 
 
 @pytest.mark.parametrize('known', [True, False])
-def test_exports_do_not_hold_up_light_calls(known):
-    """Exports of half a minute are asked for without end.
+def test_long_calls_do_not_delay_light_calls(known):
+    """Exports of half a minute are requested continuously.
 
-    They never take all ten places, also when no call has ended yet, so that
-    nothing is known of any; a light call goes at once.
+    They never take all ten slots, even before any call has ended and no
+    duration is known, so that a light call is sent at once.
     """
     calls = Calls()
     if known:
-        calls.ended('/parts/17', 5.0)
-        calls.ended('/parts/export/all', 30_000.0)
+        calls.record_durations('/parts/17', 5.0)
+        calls.record_durations('/parts/export/all', 30_000.0)
     first = [calls.offer('/parts/export/all') for _ in range(20)]
     assert sum(isinstance(one, messages.Admitted) for one in first) == 9
-    calls.ended('/parts/17', 5.0)
+    calls.record_durations('/parts/17', 5.0)
     assert isinstance(calls.offer('/parts/23'), messages.Admitted)
 
 
-def test_no_more_calls_are_sent_than_are_declared():
-    """Calls end in time while others wait, hundreds of times.
+def test_calls_in_flight_do_not_exceed_the_declared_limit():
+    """Hundreds of calls end in time while others are queued.
 
-    For a model the bound would grow; a service's is the operator's word.
+    The limit of a model would grow; that of a service is fixed by the operator.
     """
     calls = Calls()
-    calls.ended('/parts/17', 5.0)
+    calls.record_durations('/parts/17', 5.0)
     sent = [f'c{number}' for number in range(1, 11)]
     for _ in range(30):
         calls.offer('/parts/17')
@@ -86,21 +86,21 @@
 
 
 def test_a_call_that_would_be_late_is_refused_on_arrival():
-    """The service takes two seconds a call; 10 places, 10 s to answer."""
+    """Calls take two seconds each, with 10 slots and a deadline of 10 s."""
     calls = Calls()
-    calls.ended('/parts/17', 2000.0)
+    calls.record_durations('/parts/17', 2000.0)
     decisions = [calls.offer('/parts/17') for _ in range(60)]
     refused = [one for one in decisions if isinstance(one, messages.RefusedNow)]
     assert 20 < len(refused) < 50 and decisions[-1] in refused
     assert refused[0].reason == messages.RefusalReason.WOULD_MISS_TARGET
 
 
-def test_paths_that_name_things_are_one_kind_of_call():
-    """50,000 parts are asked for by name; exports stay known as long."""
+def test_paths_of_single_objects_share_one_duration():
+    """Calls for 50,000 named parts don't change the lane of exports."""
     calls = Calls()
-    calls.ended('/parts/17', 5.0)
-    calls.ended('/parts/export', 30_000.0)
+    calls.record_durations('/parts/17', 5.0)
+    calls.record_durations('/parts/export', 30_000.0)
     for number in range(50_000):
-        calls.ended(f'/parts/{number}', 6.0)
+        calls.record_durations(f'/parts/{number}', 6.0)
     assert calls.kind('/parts/export') == Kind.LONG
     assert calls.kind('/parts/new') == Kind.LIGHT
