--- a/redwingvalve/routing/__init__.py
+++ b/redwingvalve/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing: to which replica or address a request goes."""
+"""Routing: chooses the replica or address for a request."""
--- a/redwingvalve/routing/baselines.py
+++ b/redwingvalve/routing/baselines.py
@@ -1,4 +1,4 @@
-"""Plain routing policies, to compare with."""
+"""Baseline routing policies for benchmarks."""
 
 from collections import abc as collections_abc
 
@@ -6,7 +6,7 @@
 
 
 class _PlainPolicy(policy.RoutingPolicy):
-    """Keeps the candidates and the last reports, and learns nothing else."""
+    """Keeps the candidates and the last load reports, nothing else."""
 
     def __init__(self) -> None:
         """Start without candidates."""
@@ -19,25 +19,25 @@
         candidates: collections_abc.Sequence[messages.Candidate],
         now_s: float,
     ) -> None:
-        """Take over the candidates."""
+        """Replace the candidates."""
         self._candidates = tuple(candidates)
 
     def sent(
         self, request: messages.RouteRequest, name: str, now_s: float
     ) -> None:
-        """Learn nothing."""
+        """Do nothing."""
 
     def first_token(self, request_id: str, now_s: float) -> None:
-        """Learn nothing."""
+        """Do nothing."""
 
     def progressed(self, request_id: str, tokens: float, now_s: float) -> None:
-        """Learn nothing."""
+        """Do nothing."""
 
     def stalled(self, request_id: str, now_s: float) -> None:
-        """Learn nothing."""
+        """Do nothing."""
 
     def finished(self, request_id: str, now_s: float) -> None:
-        """Learn nothing."""
+        """Do nothing."""
 
     def load_reported(
         self, name: str, report: messages.LoadReport, now_s: float
@@ -46,13 +46,13 @@
         self._reports[name] = report.running + report.waiting
 
     def prefix_stored(self, name: str, prefix_hash: str) -> None:
-        """Learn nothing."""
+        """Do nothing."""
 
     def prefix_removed(self, name: str, prefix_hash: str) -> None:
-        """Learn nothing."""
+        """Do nothing."""
 
     def forget_prefixes(self, name: str) -> None:
-        """Learn nothing."""
+        """Do nothing."""
 
     def _allowed(
         self, request: messages.RouteRequest, permitted: policy.Permitted
@@ -65,7 +65,7 @@
 
 
 class RoundRobin(_PlainPolicy):
-    """Each candidate in turn."""
+    """Chooses each candidate in turn."""
 
     def choose(
         self,
@@ -80,7 +80,7 @@
 
 
 class LeastReported(_PlainPolicy):
-    """The candidate whose last report names the least load."""
+    """Chooses the candidate with the lowest load in its last report."""
 
     def choose(
         self,
@@ -88,7 +88,7 @@
         now_s: float,
         permitted: policy.Permitted = policy.permit_all,
     ) -> messages.Candidate | None:
-        """Return the least loaded by report, the first of equals."""
+        """Return the least loaded by report, the first of several."""
         allowed = self._allowed(request, permitted)
         return min(allowed, key=self._load, default=None)
 
--- a/redwingvalve/routing/cache_summary.py
+++ b/redwingvalve/routing/cache_summary.py
@@ -1,13 +1,13 @@
-"""What an entry tells the others of a region about prefix caches.
+"""Summaries of prefix caches that an entry sends to the others of its region.
 
-Load pattern: 480 replicas of a region, each read by one entry for all. Passing
-every event on to 72 members would be 10 KB a second for each replica. Only
-prefixes that callers ask for again and again are told, a few a replica, as a
-state and not as changes: a lost or late item is made good by the next one.
+Load pattern: 480 replicas of a region, each read by one entry for all others.
+Forwarding every event to 72 members would take 10 KB a second per replica. Only
+prefixes that callers request repeatedly are sent, a few per replica, as state
+and not as changes, so that the next item makes up for a lost or late one.
 
-A replica takes 8 bytes and 4 for each prefix: with 6 held and 2 removed at
-most, 480 replicas every 5 s are 3.8 KB a second to each member; unchanged
-items are told every 10 s. What isn't told any more for 25 s is forgotten.
+A replica takes 8 bytes and 4 for each prefix: with at most 6 held and 2 removed
+prefixes, 480 replicas every 5 s are 3.8 KB a second to each member. Unchanged
+items are sent every 10 s; replicas without an item for 25 s are forgotten.
 """
 
 import collections
@@ -22,118 +22,122 @@
 MARK_BYTES = 6
 HEAD = struct.Struct(f'!{MARK_BYTES}sBB')
 COUNT_BASE = 16
-MAX_HELD_TOLD = 6
-MAX_REMOVED_TOLD = 2
-# A removal is told in two rounds, so that one lost item doesn't hide it.
-REMOVED_TOLD_S = 12.0
-MAX_DOUBTS = 256
-# Prefixes asked for at least twice within the last few minutes are hot.
-HOT_FROM = 2.0
-MAX_ASKED = 4096
-FADE_EVERY = 8192
+MAX_HELD_SENT = 6
+MAX_REMOVED_SENT = 2
+# A removal is sent in two rounds, so that one lost item doesn't hide it.
+REMOVED_REPEAT_S = 12.0
+INVALIDATIONS_MODULUS = 256
+# Prefixes requested at least twice within the last few minutes are hot.
+HOT_COUNT = 2.0
+MAX_COUNTED_PREFIXES = 4096
+DECAY_INTERVAL = 8192
 
 
 @attrs.frozen
 class CacheSummary:
-    """What is told of one replica; a new doubts means: forget the rest."""
+    """Summary of one replica; new invalidations: forget earlier prefixes."""
 
     mark: bytes
-    doubts: int
+    invalidations: int
     held: tuple[bytes, ...]
     removed: tuple[bytes, ...]
 
 
 class PrefixPopularity:
-    """How often this entry's callers asked for each prefix lately."""
+    """Decaying request counts of the prefixes at this entry."""
 
     def __init__(self) -> None:
         """Start empty."""
         self._counts: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
-        self._asked = 0
+        self._recorded = 0
 
     def record(self, prefix_hashes: collections_abc.Iterable[str]) -> None:
-        """Count one request."""
+        """Count the prefixes of one request."""
         for prefix_hash in prefix_hashes:
             count = self._counts.pop(prefix_hash, 0.0)
             self._counts[prefix_hash] = count + 1
-            self._asked += 1
-        while len(self._counts) > MAX_ASKED:
+            self._recorded += 1
+        while len(self._counts) > MAX_COUNTED_PREFIXES:
             self._counts.popitem(last=False)
-        if self._asked >= FADE_EVERY:
-            self._asked = 0
+        if self._recorded >= DECAY_INTERVAL:
+            self._recorded = 0
             for prefix_hash in self._counts:
                 self._counts[prefix_hash] /= 2
 
     def hottest(
-        self, among: collections_abc.Iterable[str], most: int
+        self, candidates: collections_abc.Iterable[str], limit: int
     ) -> tuple[str, ...]:
-        """Return the ones asked for most often, the hottest first."""
+        """Return the most requested candidates, the hottest first."""
         hot = [
             (count, prefix_hash)
-            for prefix_hash in among
-            if (count := self._counts.get(prefix_hash, 0.0)) >= HOT_FROM
+            for prefix_hash in candidates
+            if (count := self._counts.get(prefix_hash, 0.0)) >= HOT_COUNT
         ]
         hot.sort(reverse=True)
-        return tuple(prefix_hash for _, prefix_hash in hot[:most])
+        return tuple(prefix_hash for _, prefix_hash in hot[:limit])
 
 
 def make_summary(
     mark: bytes,
     follower: cache_follower.CacheFollower,
     name: str,
-    asked: PrefixPopularity,
+    popularity: PrefixPopularity,
     now_s: float,
 ) -> CacheSummary:
-    """Return what to tell of one replica now."""
-    removed = follower.removed(name, now_s - REMOVED_TOLD_S)
+    """Return the summary of one replica at now_s."""
+    removed = follower.removed(name, now_s - REMOVED_REPEAT_S)
     return CacheSummary(
         mark=mark,
-        doubts=follower.doubts(name) % MAX_DOUBTS,
-        held=_short(asked.hottest(follower.held(name), MAX_HELD_TOLD)),
-        removed=_short(asked.hottest(removed, MAX_REMOVED_TOLD)),
+        invalidations=follower.invalidations(name) % INVALIDATIONS_MODULUS,
+        held=_short_hashes(
+            popularity.hottest(follower.held(name), MAX_HELD_SENT)
+        ),
+        removed=_short_hashes(popularity.hottest(removed, MAX_REMOVED_SENT)),
     )
 
 
-def _short(prefix_hashes: tuple[str, ...]) -> tuple[bytes, ...]:
+def _short_hashes(prefix_hashes: tuple[str, ...]) -> tuple[bytes, ...]:
     return tuple(
         bytes.fromhex(prefix_hash)[:HASH_BYTES] for prefix_hash in prefix_hashes
     )
 
 
 def short_hash(prefix_hash: str) -> str:
-    """Return the name by which entries know a prefix: its first 32 bits."""
+    """Return the hash that entries use for a prefix: its first 32 bits."""
     return prefix_hash[: HASH_BYTES * 2]
 
 
-def encode(words: collections_abc.Iterable[CacheSummary]) -> bytes:
-    """Return the body of one news item."""
+def encode(summaries: collections_abc.Iterable[CacheSummary]) -> bytes:
+    """Encode summaries as the body of one news item."""
     return b''.join(
         HEAD.pack(
-            word.mark,
-            word.doubts,
-            len(word.held) * COUNT_BASE + len(word.removed),
+            summary.mark,
+            summary.invalidations,
+            len(summary.held) * COUNT_BASE + len(summary.removed),
         )
-        + b''.join(word.held + word.removed)
-        for word in words
+        + b''.join(summary.held + summary.removed)
+        for summary in summaries
     )
 
 
 def decode(body: bytes) -> tuple[CacheSummary, ...]:
-    """Return the words up to the first part that cannot be read."""
-    words: list[CacheSummary] = []
+    """Decode summaries up to the first truncated one."""
+    summaries: list[CacheSummary] = []
     start = 0
     while start + HEAD.size <= len(body):
-        mark, doubts, counts = HEAD.unpack_from(body, start)
+        mark, invalidations, counts = HEAD.unpack_from(body, start)
         held, removed = divmod(counts, COUNT_BASE)
         start += HEAD.size
         hashes = tuple(
-            body[start + place * HASH_BYTES : start + (place + 1) * HASH_BYTES]
-            for place in range(held + removed)
+            body[start + index * HASH_BYTES : start + (index + 1) * HASH_BYTES]
+            for index in range(held + removed)
         )
         start += HASH_BYTES * len(hashes)
         if start > len(body):
             break
-        words.append(CacheSummary(mark, doubts, hashes[:held], hashes[held:]))
-    return tuple(words)
+        summaries.append(
+            CacheSummary(mark, invalidations, hashes[:held], hashes[held:])
+        )
+    return tuple(summaries)
--- a/redwingvalve/routing/cache_summary_reader.py
+++ b/redwingvalve/routing/cache_summary_reader.py
@@ -1,55 +1,60 @@
-"""Turns what entries tell about prefix caches into changes for routing.
+"""Applies the cache summaries of other entries to routing.
 
-An item that comes again changes nothing. A replica whose word is no longer
-there, since its entry died or lost sight of it, is forgotten as a whole.
+A repeated summary changes nothing. If the summary of a replica is missing, as
+after its entry failed or stopped seeing it, all its prefixes are forgotten.
 """
 
 from collections import abc as collections_abc
 
 from redwingvalve.routing import cache_summary, policy
 
-Routings = collections_abc.Callable[[str], policy.RoutingPolicy | None]
+RoutingLookup = collections_abc.Callable[[str], policy.RoutingPolicy | None]
 
 
 class CacheSummaryReader:
-    """Remembers the last word on each replica."""
+    """Keeps the last summary of each replica."""
 
     def __init__(self) -> None:
-        """Start with nothing told."""
-        self._told: dict[str, cache_summary.CacheSummary] = {}
+        """Start without summaries."""
+        self._received: dict[str, cache_summary.CacheSummary] = {}
 
     def apply(
         self,
-        words: collections_abc.Mapping[str, cache_summary.CacheSummary],
-        routing_of: Routings,
+        summaries: collections_abc.Mapping[str, cache_summary.CacheSummary],
+        find_routing: RoutingLookup,
     ) -> None:
-        """Tell routing what changed; words are by replica name."""
-        for name in self._told.keys() - words.keys():
-            routing = routing_of(name)
+        """Apply the changes to routing; summaries are by replica name."""
+        for name in self._received.keys() - summaries.keys():
+            routing = find_routing(name)
             if routing is not None:
                 routing.forget_prefixes(name)
-            del self._told[name]
-        for told_name, word in words.items():
-            told_routing = routing_of(told_name)
-            if told_routing is not None and word != self._told.get(told_name):
-                self._change(told_name, word, told_routing)
-
-    def _change(
+            del self._received[name]
+        for changed_name, summary in summaries.items():
+            changed_routing = find_routing(changed_name)
+            if changed_routing is not None and summary != self._received.get(
+                changed_name
+            ):
+                self._apply_changes(changed_name, summary, changed_routing)
+
+    def _apply_changes(
         self,
         name: str,
-        word: cache_summary.CacheSummary,
+        summary: cache_summary.CacheSummary,
         routing: policy.RoutingPolicy,
     ) -> None:
-        before = self._told.get(name)
-        self._told[name] = word
-        if before is not None and before.doubts != word.doubts:
+        previous = self._received.get(name)
+        self._received[name] = summary
+        if (
+            previous is not None
+            and previous.invalidations != summary.invalidations
+        ):
             routing.forget_prefixes(name)
-        # What is no longer told as held may have been pushed out by hotter
-        # ones; a removal is told as such.
-        known = () if before is None else before.removed
-        for removed in set(word.removed) - set(known):
+        # A prefix that is no longer listed as held may only be less popular
+        # than others; removals are listed separately.
+        known = () if previous is None else previous.removed
+        for removed in set(summary.removed) - set(known):
             routing.prefix_removed(name, removed.hex())
-        for held in word.held:
+        for held in summary.held:
             routing.prefix_stored(name, held.hex())
 
 
--- a/redwingvalve/routing/endpoint_state.py
+++ b/redwingvalve/routing/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What this entry knows of one endpoint: load, speed, age."""
+"""State of one endpoint at this entry: load, speed and age."""
 
 import math
 
@@ -6,21 +6,21 @@
 
 from redwingvalve.routing import messages
 
-# A fifth for each observation: five slow answers in a row show a straggler,
-# a single slow one does not move it past the dead zone below.
-SLOWNESS_STEP = 0.2
+# With a fifth per observation, five slow responses in a row show a straggler,
+# and a single one doesn't exceed the dead zone.
+SLOWNESS_AVERAGE_STEP = 0.2
 MAX_RATIO = 20.0
 MIN_RATIO = 0.05
-# Prompt lengths alone spread first-token delays by about this factor.
+# First-token delays vary by about this factor with the prompt length alone.
 DEAD_ZONE = 1.5
 
-# A request counts as stalled after three times the usual first-token delay.
+# Multiple of the typical first-token delay after which a request is stalled.
 STALL_FACTOR = 3.0
 
 
 @attrs.define(eq=False)
-class OwnRequest:
-    """A request of this entry at an endpoint."""
+class LocalRequest:
+    """A request that this entry sent to an endpoint."""
 
     state: 'EndpointState'
     tokens: float
@@ -30,28 +30,31 @@
     seen_at_s: float | None = None
 
     def gap_s(self, tokens: float, now_s: float) -> float | None:
-        """Return the mean gap since the last call, None on the first one."""
+        """Return the mean token gap since the last call or the first token.
+
+        None before the first token, or if no time has passed.
+        """
         since_s = self.seen_at_s
-        came = tokens - self.seen_tokens
+        received = tokens - self.seen_tokens
         if since_s is None:
             since_s = self.first_token_at_s
         if since_s is None or now_s <= since_s:
             return None
         self.seen_at_s = now_s
         self.seen_tokens = tokens
-        return (now_s - since_s) / max(came, 1.0)
+        return (now_s - since_s) / max(received, 1.0)
 
 
 class EndpointState:
-    """Counts own requests at once and others from reports."""
+    """Counts local requests at once and those of other entries by reports."""
 
     def __init__(self, candidate: messages.Candidate) -> None:
         """Start without load."""
         self.candidate = candidate
-        self.own_tokens = 0.0
-        self._own_sent: dict[str, float] = {}
-        self.others = 0.0
-        self.others_tokens = 0.0
+        self.local_tokens = 0.0
+        self._local_sent: dict[str, float] = {}
+        self.remote = 0.0
+        self.remote_tokens = 0.0
         self.distance_s = 0.0
         self._reported_at_s = -math.inf
         self._pending: dict[str, float] = {}
@@ -59,89 +62,94 @@
         self._slowness = 1.0
         self._slowness_at_s = 0.0
 
-    def sent(self, request_id: str, own: OwnRequest) -> None:
-        """Count an own request."""
-        self.own_tokens += own.tokens
-        self._own_sent[request_id] = own.sent_at_s
+    def sent(self, request_id: str, local: LocalRequest) -> None:
+        """Add a local request."""
+        self.local_tokens += local.tokens
+        self._local_sent[request_id] = local.sent_at_s
         if not self._pending:
-            self._oldest_pending_s = own.sent_at_s
-        self._pending[request_id] = own.sent_at_s
+            self._oldest_pending_s = local.sent_at_s
+        self._pending[request_id] = local.sent_at_s
 
     def answered(self, request_id: str) -> None:
-        """Note that the first token of an own request came."""
+        """Record the first token of a local request."""
         if self._pending.pop(request_id, None) is not None:
             self._oldest_pending_s = next(
                 iter(self._pending.values()), math.inf
             )
 
-    def finished(self, request_id: str, own: OwnRequest) -> None:
-        """Count an own request no longer."""
+    def finished(self, request_id: str, local: LocalRequest) -> None:
+        """Remove a local request."""
         self.answered(request_id)
-        self.own_tokens -= own.tokens
-        del self._own_sent[request_id]
-        if not self._own_sent:
-            self.own_tokens = 0.0
+        self.local_tokens -= local.tokens
+        del self._local_sent[request_id]
+        if not self._local_sent:
+            self.local_tokens = 0.0
 
     @property
-    def own_count(self) -> int:
-        """Return how many requests of this entry are here."""
-        return len(self._own_sent)
+    def local_count(self) -> int:
+        """Return the number of local requests at the endpoint."""
+        return len(self._local_sent)
 
     def reported(self, report: messages.LoadReport, smoothing: float) -> None:
-        """Take a report in; own requests sent before it are part of it.
+        """Apply a load report; it includes local requests sent before it.
 
-        Others' requests are averaged over some reports: entries that follow
-        each last report all send to the same idle replica at once.
+        The requests of other entries are averaged over some reports. If all
+        entries used only the last report, they would all send to the replica
+        that was idle in it.
         """
         if report.at_s < self._reported_at_s:
             return
-        own = [at_s for at_s in self._own_sent.values() if at_s <= report.at_s]
+        local = [
+            at_s for at_s in self._local_sent.values() if at_s <= report.at_s
+        ]
         total = report.running + report.waiting
-        others = float(max(total - len(own), 0))
+        remote = float(max(total - len(local), 0))
         if math.isinf(self._reported_at_s):
-            self.others = others
-        self.others += smoothing * (others - self.others)
+            self.remote = remote
+        self.remote += smoothing * (remote - self.remote)
         self._reported_at_s = report.at_s
 
     def load_tokens(self, mean_tokens: float, oldest_s: float) -> float:
-        """Return own load, and that of others unless its report is older."""
+        """Return the local load, plus the remote load if reported recently."""
         if self._reported_at_s < oldest_s:
-            return self.own_tokens
-        return self.own_tokens + self.others * mean_tokens
+            return self.local_tokens
+        return self.local_tokens + self.remote * mean_tokens
 
     def may_be_slow(self, stalled_before_s: float) -> bool:
-        """Tell whether slowness needs a look; most of the time it doesn't."""
+        """Tell whether slowness() may exceed 1; a cheap check."""
         if self._slowness >= DEAD_ZONE:
             return True
         return self._oldest_pending_s < stalled_before_s
 
-    def observed(self, ratio: float, now_s: float, half_life_s: float) -> None:
-        """Count how much slower than usual one answer was."""
+    def observe(self, ratio: float, now_s: float, half_life_s: float) -> None:
+        """Record the ratio of one delay to the typical delay."""
         bounded = min(max(ratio, MIN_RATIO), MAX_RATIO)
         old = self._decayed(now_s, half_life_s)
-        self._slowness = old + SLOWNESS_STEP * (bounded - old)
+        self._slowness = old + SLOWNESS_AVERAGE_STEP * (bounded - old)
         self._slowness_at_s = now_s
 
     def slowness(
-        self, now_s: float, usual_s: float, half_life_s: float
+        self, now_s: float, typical_s: float, half_life_s: float
     ) -> float:
-        """Return by how much this endpoint is slower than usual, from 1 up.
+        """Return the factor by which this endpoint is too slow, at least 1.
 
-        A request that still waits for its first token counts as it stands, so
-        that a stalled endpoint shows before it has answered anything.
+        A pending first token counts with its delay so far, so that a stalled
+        endpoint is noticed before it responds.
         """
         level = self._slowness
         if level >= DEAD_ZONE:
             level = self._decayed(now_s, half_life_s)
         if self._pending:
             waited_s = now_s - self._oldest_pending_s
-            level = max(level, waited_s / (STALL_FACTOR * usual_s + 1e-3))
+            level = max(level, waited_s / (STALL_FACTOR * typical_s + 1e-3))
         if level < DEAD_ZONE:
             return 1.0
         return min(level, MAX_RATIO)
 
-    def ramp(self, now_s: float, settings: messages.RoutingSettings) -> float:
-        """Return the share of its speed that a new endpoint is trusted with."""
+    def slow_start_factor(
+        self, now_s: float, settings: messages.RoutingSettings
+    ) -> float:
+        """Return the share of its speed to use while an endpoint is new."""
         age_s = now_s - self.candidate.serving_since_s
         if age_s >= settings.slow_start_s or not self.candidate.serving_since_s:
             return 1.0
@@ -149,8 +157,8 @@
         return max(grown, settings.slow_start_share)
 
     def _decayed(self, now_s: float, half_life_s: float) -> float:
-        # Without news an endpoint drifts back to normal and is tried again; if
-        # it is still slow, the first answers ease it off as far as before.
+        # Without observations, slowness decays to 1, so that the endpoint is
+        # tried again; if it is still slow, its first responses raise it again.
         elapsed_s = max(now_s - self._slowness_at_s, 0.0)
-        faded = math.exp2(-elapsed_s / half_life_s)
-        return 1.0 + (self._slowness - 1.0) * faded
+        decay = math.exp2(-elapsed_s / half_life_s)
+        return 1.0 + (self._slowness - 1.0) * decay
--- a/redwingvalve/routing/messages.py
+++ b/redwingvalve/routing/messages.py
@@ -1,4 +1,4 @@
-"""What routing is asked and what it learns."""
+"""Requests to a routing policy, and its inputs and settings."""
 
 import typing
 
@@ -7,9 +7,9 @@
 
 @attrs.frozen
 class Candidate:
-    """A replica or a service address that may be sent to.
+    """A replica or service address that requests may be sent to.
 
-    serving_since_s is when this entry first saw it serve, 0 for always.
+    serving_since_s is when this entry first saw it serve; 0 means always.
     """
 
     name: str
@@ -21,7 +21,7 @@
 
 
 class Prefix(typing.NamedTuple):
-    """A prefix of a prompt that an engine may hold, and its length."""
+    """A prompt prefix that an engine may have cached, and its length."""
 
     prefix_hash: str
     tokens: float
@@ -29,10 +29,10 @@
 
 @attrs.define(eq=False)
 class RouteRequest:
-    """What routing knows of a request.
+    """A request to route.
 
-    prefixes go from the longest to the shortest; draw is a random number of
-    64 bits, new for each choice.
+    prefixes are sorted from the longest to the shortest; draw is a random
+    64-bit number, new for each choice.
     """
 
     request_id: str
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class LoadReport:
-    """An endpoint's own word of its load; at_s on this entry's clock."""
+    """Load as reported by an endpoint; at_s is on the clock of this entry."""
 
     running: int
     waiting: int
@@ -56,9 +56,9 @@
 class RoutingSettings:
     """Figures an operator may set; docs/operating/who-is-served.md.
 
-    sample_size random candidates of a tier are weighed for each request. An
-    endpoint with a known prefix is preferred while its load is at most
-    preference_bound times that of the others weighed, plus one request.
+    sample_size random candidates of a tier are scored for each request. An
+    endpoint with a cached prefix is preferred while its load is at most
+    preference_bound times the mean of the scored endpoints, plus one request.
     """
 
     sample_size: int = 2
--- a/redwingvalve/routing/policy.py
+++ b/redwingvalve/routing/policy.py
@@ -14,10 +14,10 @@
 
 
 class RoutingPolicy(abc.ABC):
-    """Chooses an endpoint and learns from what becomes of requests.
+    """Chooses endpoints and observes the requests sent to them.
 
-    The caller reports sent right after a choice, first_token when it comes,
-    and finished once for every sent request.
+    The caller calls sent right after a choice, first_token on the first token,
+    and finished exactly once for every request sent.
     """
 
     @abc.abstractmethod
@@ -26,7 +26,7 @@
         candidates: collections_abc.Sequence[messages.Candidate],
         now_s: float,
     ) -> None:
-        """Take over the candidates; what is known of the old ones stays."""
+        """Replace the candidates; those that remain keep their state."""
 
     @abc.abstractmethod
     def choose(
@@ -35,47 +35,47 @@
         now_s: float,
         permitted: Permitted = permit_all,
     ) -> messages.Candidate | None:
-        """Return where to send, or None when nothing may be sent to."""
+        """Return the candidate to send to, or None if none is allowed."""
 
     @abc.abstractmethod
     def sent(
         self, request: messages.RouteRequest, name: str, now_s: float
     ) -> None:
-        """Count a request at an endpoint from now on."""
+        """Record that a request was sent to an endpoint."""
 
     @abc.abstractmethod
     def first_token(self, request_id: str, now_s: float) -> None:
-        """Learn when the first token of a request came."""
+        """Record the first token of a request."""
 
     @abc.abstractmethod
     def progressed(self, request_id: str, tokens: float, now_s: float) -> None:
-        """Learn how many tokens of a stream came so far.
+        """Record the number of tokens that a stream has delivered so far.
 
         Call it about once a second for each stream, not for each token.
         """
 
     @abc.abstractmethod
     def stalled(self, request_id: str, now_s: float) -> None:
-        """Learn that a stream stands still although it isn't finished."""
+        """Record that an unfinished stream has stalled."""
 
     @abc.abstractmethod
     def finished(self, request_id: str, now_s: float) -> None:
-        """Count a request no longer."""
+        """Record that a request has ended."""
 
     @abc.abstractmethod
     def load_reported(
         self, name: str, report: messages.LoadReport, now_s: float
     ) -> None:
-        """Take in what an endpoint says of its load."""
+        """Apply a load report of an endpoint."""
 
     @abc.abstractmethod
     def prefix_stored(self, name: str, prefix_hash: str) -> None:
-        """Learn that an endpoint holds a prefix."""
+        """Record that an endpoint holds a prefix."""
 
     @abc.abstractmethod
     def prefix_removed(self, name: str, prefix_hash: str) -> None:
-        """Learn that an endpoint gave up a prefix."""
+        """Record that an endpoint evicted a prefix."""
 
     @abc.abstractmethod
     def forget_prefixes(self, name: str) -> None:
-        """Forget what an endpoint holds, after a gap in its events."""
+        """Forget all prefixes of an endpoint, as after a gap in its events."""
--- a/redwingvalve/routing/prefix_index.py
+++ b/redwingvalve/routing/prefix_index.py
@@ -1,11 +1,12 @@
-"""Which endpoints hold which prefix, from late and gappy events.
+"""Index of the endpoints that hold a prefix, from late and incomplete events.
 
-Load pattern: many requests that share a long system prompt. Without the index
-each replica computes and stores the same prefix, and the caches turn over.
+Load pattern: many requests that share a long system prompt. Without the index,
+each replica computes and stores the same prefix, which evicts others from its
+cache.
 
-A wrong entry costs one recomputed prefix and nothing else, so events may be
-late or lost: a gap makes the index forget the endpoint, and what this entry
-sent itself counts as held at once.
+A wrong record only costs one recomputed prefix, so events may be late or lost:
+after a gap the index forgets the endpoint, and prefixes that this entry sent
+count as held at once.
 """
 
 import collections
@@ -13,10 +14,10 @@
 
 
 class PrefixIndex:
-    """Holders by prefix, newest last; the oldest prefixes are forgotten."""
+    """Holders by prefix; the least recently stored prefixes are dropped."""
 
     def __init__(self, max_prefixes: int, max_holders: int) -> None:
-        """Start empty with bounds on memory."""
+        """Start empty with limits on memory."""
         self._max_prefixes = max_prefixes
         self._max_holders = max_holders
         self._holders: collections.OrderedDict[str, list[str]] = (
@@ -40,7 +41,7 @@
         return name in self._holders.get(prefix_hash, ())
 
     def stored(self, name: str, prefix_hash: str) -> None:
-        """Note a holder; the one known longest makes room."""
+        """Add a holder; above max_holders, the oldest one is dropped."""
         holders = self._holders.setdefault(prefix_hash, [])
         if name not in holders:
             holders.append(name)
@@ -54,7 +55,7 @@
                 self._held[holder].discard(oldest)
 
     def removed(self, name: str, prefix_hash: str) -> None:
-        """Forget one holder of a prefix."""
+        """Remove one holder of a prefix."""
         self._held[name].discard(prefix_hash)
         holders = self._holders.get(prefix_hash)
         if holders is None or name not in holders:
@@ -64,7 +65,7 @@
             del self._holders[prefix_hash]
 
     def forget_endpoint(self, name: str) -> None:
-        """Forget all that an endpoint holds."""
+        """Remove all prefixes of an endpoint."""
         for prefix_hash in tuple(self._held.pop(name, ())):
             self.removed(name, prefix_hash)
         self._held.pop(name, None)
--- a/redwingvalve/routing/tests/test_cache_summary.py
+++ b/redwingvalve/routing/tests/test_cache_summary.py
@@ -1,4 +1,4 @@
-"""What is believed of prefix caches when their events come late and gappy."""
+"""Assumed content of prefix caches from late and incomplete events."""
 
 import pytest
 
@@ -19,8 +19,8 @@
     ]
 
 
-def followed(known=40):
-    """A follower that read known prefixes of one endpoint."""
+def make_follower(known=40):
+    """Return a follower that has read `known` prefixes of one endpoint."""
     follower = cache_follower.make_cache_follower()
     follower.follow({'r1': 1})
     fetch = follower.next_fetch(0.0)
@@ -30,22 +30,22 @@
 
 
 @pytest.mark.parametrize(('lost', 'believed'), [(0, True), (3, True), (9, 0)])
-def test_a_gap_leads_to_distrust(lost, believed):
-    """Events that never come may have been removals.
+def test_a_gap_drops_uncertain_prefixes(lost, believed):
+    """Lost events may have been removals.
 
-    A few of 40 leave the rest probable; a quarter of them does not, and
-    what was read before the gap is given up.
+    With a few of 40 lost, the prefixes before the gap are kept; with a quarter
+    lost, they are dropped.
     """
-    follower = followed(known=40)
+    follower = make_follower(known=40)
     fetch = follower.next_fetch(1.0)
     follower.record_page(fetch, events(41 + lost, 1), 500, 1.0)
     assert (HOT in follower.held('r1')) == bool(believed)
-    assert follower.doubts('r1') == (0 if believed else 1)
+    assert follower.invalidations('r1') == (0 if believed else 1)
     assert f'{41 + lost:08x}' in follower.held('r1')
 
 
-def test_a_removal_and_a_new_epoch_end_what_was_believed():
-    follower = followed()
+def test_a_removal_and_a_new_epoch_drop_prefixes():
+    follower = make_follower()
     gone = cache_follower.CacheEvent(41, HOT, False)
     follower.record_page(follower.next_fetch(1.0), [gone], 500, 1.0)
     assert HOT not in follower.held('r1')
@@ -55,10 +55,10 @@
     assert follower.next_fetch(5.0).after == 0
 
 
-def test_reading_keeps_to_its_budget_and_skips_openly():
-    """20 endpoints make 1,000 events a second each; 4 KB a second is read.
+def test_reading_stays_within_its_budget_and_counts_skipped_events():
+    """20 endpoints emit 1,000 events a second each; 4 KB a second are read.
 
-    What is skipped counts as lost, so that nothing old is believed.
+    Skipped events count as lost, so that no outdated prefix is kept.
     """
     follower = cache_follower.make_cache_follower()
     follower.follow({f'r{number}': 1 for number in range(20)})
@@ -71,34 +71,35 @@
             page = [event for event in page if event.number <= newest]
             read_bytes += 70 * len(page)
             follower.record_page(fetch, page, 70 * len(page), now_s)
-    # The last page may be one that the engine made as long as it could.
+    # The last page may have the maximum size of an engine.
     assert read_bytes < 4000 * 200 + 2000 * 70
     held = sorted(int(name, 16) for name in follower.held('r0'))
     assert held and held[-1] - held[0] < 2000
 
 
-def make_summary(name, held, removed=(), doubts=0):
+def build_summary(name, held, removed=(), invalidations=0):
     return cache_summary.CacheSummary(
         name.encode().rjust(6),
-        doubts,
+        invalidations,
         tuple(bytes.fromhex(one) for one in held),
         tuple(bytes.fromhex(one) for one in removed),
     )
 
 
-def test_a_region_of_480_replicas_stays_in_its_budget():
-    """Full words of 480 replicas each 5 s, in items that the board takes."""
-    words = [
-        make_summary(f'{number}', [HOT] * 6, [HOT] * 2) for number in range(480)
+def test_summaries_of_480_replicas_stay_within_the_budget():
+    """Full summaries of 480 replicas every 5 s, within the item size limit."""
+    summaries = [
+        build_summary(f'{number}', [HOT] * 6, [HOT] * 2)
+        for number in range(480)
     ]
-    body = cache_summary.encode(words)
+    body = cache_summary.encode(summaries)
     assert len(body) / 5 < 4000
     assert len(body) / 480 * 200 <= 8192
-    assert cache_summary.decode(body) == tuple(words)
-    assert cache_summary.decode(body[:-1]) == tuple(words[:-1])
+    assert cache_summary.decode(body) == tuple(summaries)
+    assert cache_summary.decode(body[:-1]) == tuple(summaries[:-1])
 
 
-class Learned:
+class RecordedCalls:
     def __init__(self):
         self.calls = []
 
@@ -106,34 +107,39 @@
         return lambda *arguments: self.calls.append((name, *arguments))
 
 
-def test_only_changes_reach_routing_and_silence_is_distrust():
-    """The word comes twice, then with a removal, with doubts, then no more."""
-    reader, learned = cache_summary_reader.make_summary_reader(), Learned()
+def test_only_changes_reach_routing_and_a_missing_summary_clears_it():
+    """A summary is repeated, has a removal, is invalidated and is gone."""
+    reader, routing = (
+        cache_summary_reader.make_summary_reader(),
+        RecordedCalls(),
+    )
     steps = (
-        ({'r1': make_summary('r1', [HOT])}, [('prefix_stored', 'r1', HOT)]),
-        ({'r1': make_summary('r1', [HOT])}, []),
+        ({'r1': build_summary('r1', [HOT])}, [('prefix_stored', 'r1', HOT)]),
+        ({'r1': build_summary('r1', [HOT])}, []),
         (
-            {'r1': make_summary('r1', [], [HOT])},
+            {'r1': build_summary('r1', [], [HOT])},
             [('prefix_removed', 'r1', HOT)],
         ),
         (
-            {'r1': make_summary('r1', [], [HOT], doubts=1)},
+            {'r1': build_summary('r1', [], [HOT], invalidations=1)},
             [('forget_prefixes', 'r1')],
         ),
         ({}, [('forget_prefixes', 'r1')]),
     )
-    for words, wanted in steps:
-        learned.calls.clear()
-        reader.apply(words, lambda name: learned)
-        assert learned.calls == wanted
-
-
-def test_only_what_callers_ask_for_again_is_told():
-    asked = cache_summary.PrefixPopularity()
-    asked.record(['once', HOT])
-    asked.record([HOT])
-    word = cache_summary.make_summary(b'marked', followed(), 'r1', asked, 0.0)
-    assert word.held == (bytes.fromhex(HOT),)
+    for summaries, wanted in steps:
+        routing.calls.clear()
+        reader.apply(summaries, lambda name: routing)
+        assert routing.calls == wanted
+
+
+def test_only_prefixes_requested_again_are_sent():
+    popularity = cache_summary.PrefixPopularity()
+    popularity.record(['once', HOT])
+    popularity.record([HOT])
+    summary = cache_summary.make_summary(
+        b'marked', make_follower(), 'r1', popularity, 0.0
+    )
+    assert summary.held == (bytes.fromhex(HOT),)
 
 
 def test_prompts_with_the_same_beginning_share_their_hashes():
--- a/redwingvalve/routing/tests/test_routing_machine.py
+++ b/redwingvalve/routing/tests/test_routing_machine.py
@@ -6,15 +6,15 @@
 from redwingvalve.routing import messages, scored
 
 NAMES = st.sampled_from([f'r{number}' for number in range(8)])
-PLACES = ('near', 'far')
+DATA_CENTRES = ('near', 'far')
 
 
 class RoutingMachine(stateful.RuleBasedStateMachine):
-    """Counts stay right whatever comes when, and no ban is ever broken."""
+    """Load counts stay correct and exclusions hold in any order of events."""
 
     def __init__(self):
         super().__init__()
-        distances = dict(zip(PLACES, (0.0, 0.001), strict=True))
+        distances = dict(zip(DATA_CENTRES, (0.0, 0.001), strict=True))
         self.policy = scored.make_routing_policy(distances.get)
         self.present, self.sent = set(), {}
         self.number, self.now_s = 0, 0.0
@@ -24,26 +24,26 @@
         self.present = names
         self.policy.replace_candidates(
             [
-                messages.Candidate(name, PLACES[int(name[1:]) % 2], epoch)
+                messages.Candidate(name, DATA_CENTRES[int(name[1:]) % 2], epoch)
                 for name in sorted(names)
             ],
             self.now_s,
         )
 
-    @stateful.rule(draw=st.integers(0, 2**64 - 1), banned=st.sets(NAMES))
-    def send(self, draw, banned):
+    @stateful.rule(draw=st.integers(0, 2**64 - 1), excluded=st.sets(NAMES))
+    def send(self, draw, excluded):
         self.number += 1
         request = messages.RouteRequest(
             f'q{self.number}',
             draw,
             prefixes=(messages.Prefix(f'p{draw % 3}', 50),),
-            excluded=frozenset(banned),
+            excluded=frozenset(excluded),
         )
         chosen = self.policy.choose(request, self.now_s)
         if chosen is None:
-            assert self.present <= banned
+            assert self.present <= excluded
             return
-        assert chosen.name in self.present - banned
+        assert chosen.name in self.present - excluded
         self.policy.sent(request, chosen.name, self.now_s)
         self.sent[request.request_id] = chosen.name
 
@@ -71,11 +71,11 @@
             self.policy.prefix_removed(name, f'p{number}')
 
     @stateful.invariant()
-    def tiers_count_what_their_replicas_carry(self):
+    def tier_loads_equal_the_sum_of_their_replicas(self):
         for tier in self.policy._tiers:
             counted = tier.counted_tokens()
             assert math.isclose(tier.tokens, counted, abs_tol=1e-3)
-            assert all(state.own_tokens >= 0 for state in tier.states)
+            assert all(state.local_tokens >= 0 for state in tier.states)
 
 
 TestRoutingMachine = RoutingMachine.TestCase
--- a/redwingvalve/routing/tests/test_scored.py
+++ b/redwingvalve/routing/tests/test_scored.py
@@ -19,12 +19,12 @@
 class Caller:
     def __init__(self, policy):
         self.policy = policy
-        self.random = random.Random(7)
+        self.rng = random.Random(7)
         self.number = 0
 
     def send(self, now_s=0.0, **more):
         self.number += 1
-        draw = self.random.getrandbits(64)
+        draw = self.rng.getrandbits(64)
         request = messages.RouteRequest(f'r{self.number}', draw, **more)
         chosen = self.policy.choose(request, now_s)
         self.policy.sent(request, chosen.name, now_s)
@@ -35,22 +35,22 @@
         self.policy.finished(request_id, now_s)
 
 
-def test_own_requests_count_before_any_report():
-    """A burst between two reports spreads over the replicas.
+def test_local_requests_count_before_any_report():
+    """A burst between two reports is spread over the replicas.
 
-    No report comes in while 120 requests go out; own requests count at once,
-    so none of the 12 replicas gets much more than its 10.
+    120 requests are sent without a report in between; local requests count at
+    once, so none of the 12 replicas gets much more than 10.
     """
     caller = Caller(make_policy())
     counts = collections.Counter(caller.send()[1] for _ in range(120))
     assert max(counts.values()) <= 13
 
 
-def test_entries_with_the_same_old_report_do_not_herd():
-    """Seven entries read the same report that one of 60 replicas is idle.
+def test_entries_with_the_same_old_report_choose_differently():
+    """Seven entries have the same reports, with one of 60 replicas idle.
 
-    Each sees 59 replicas with ten requests and one with none. Weighing random
-    few, only about a tenth of their next requests go to the idle one.
+    The other 59 have ten requests each. Since each entry scores only a few
+    random replicas, about a tenth of the next requests go to the idle one.
     """
     counts = collections.Counter()
     for entry in range(7):
@@ -60,16 +60,16 @@
                 f'near{number}', messages.LoadReport(10, 0, 0.0), 0.0
             )
         caller = Caller(policy)
-        caller.random.seed(entry)
+        caller.rng.seed(entry)
         counts.update(caller.send()[1] for _ in range(10))
     assert counts['near0'] <= 21
 
 
-def test_a_hot_prefix_goes_to_holders_but_not_past_the_bound():
-    """Callers of one long prompt mostly meet a replica that holds it.
+def test_a_hot_prefix_goes_to_holders_up_to_the_load_bound():
+    """Requests with the same long prompt mostly go to a replica that holds it.
 
-    When the holders carry half again the mean load, others take over and
-    become holders too, so no replica is buried under the hot prefix.
+    At 1.5 times the mean load of the holders, other replicas are chosen and
+    become holders too, so that no replica is overloaded by the hot prefix.
     """
     caller = Caller(make_policy())
     prefix = (messages.Prefix('hot', 4000),)
@@ -84,11 +84,10 @@
     assert len(set(more)) >= 4
 
 
-def test_a_straggler_is_eased_off_and_probed_back():
-    """A replica that answers ten times slower gets little, then its share.
+def test_a_straggler_gets_little_load_and_recovers():
+    """A replica that responds ten times slower gets less than 4 % of requests.
 
-    Easing follows the observed delays; once its answers are as quick as the
-    others', it gets work as before.
+    Once its delays are as short as those of the others, it gets its share.
     """
     caller = Caller(make_policy(6))
     due = []
@@ -113,8 +112,8 @@
     assert run(600, 70.0, 1) > 0.10
 
 
-def test_a_new_replica_starts_slowly():
-    """A replica that has just come is not buried by those that see it idle."""
+def test_a_new_replica_starts_with_little_load():
+    """A new replica is not overloaded although it is idle."""
     caller = Caller(make_policy(5))
     for _ in range(50):
         caller.send()
@@ -127,8 +126,8 @@
     assert early.count('near5') <= 5
 
 
-def test_the_nearest_data_centre_is_filled_first_then_work_spills_over():
-    """Callers are served next door until that is fuller than elsewhere."""
+def test_requests_spill_over_once_the_nearest_data_centre_is_loaded():
+    """The nearest data centre is used until its load exceeds the margin."""
     policy = scored.make_routing_policy(DISTANCES.get)
     candidates = [
         messages.Candidate(f'{place}{n}', place)
@@ -142,8 +141,8 @@
     assert 60 <= sum(name.startswith('far') for name in names) <= 100
 
 
-def test_what_is_not_permitted_is_never_chosen_and_the_rest_is_found():
-    """One replica of 60 has fresh evidence; it is found and no other used."""
+def test_only_permitted_candidates_are_chosen():
+    """The only permitted one of 60 replicas is found, and no other chosen."""
     policy = make_policy(60)
     request = messages.RouteRequest('r', 99)
     chosen = policy.choose(request, 0.0, lambda some: some.name == 'near41')
@@ -152,7 +151,7 @@
 
 
 def test_an_epoch_change_forgets_load_and_prefixes():
-    """Requests of the old epoch end without counting against the new one."""
+    """Requests of the old epoch are not counted for the new one."""
     caller = Caller(make_policy(1))
     request_id, _ = caller.send(prefixes=(messages.Prefix('p', 50),))
     fresh = [messages.Candidate('near0', 'near', epoch=2)]
