--- a/redwingvalve/admission/lane.py
+++ b/redwingvalve/admission/lane.py
@@ -15,9 +15,9 @@
 
 from redwingvalve.admission import (
     account_queue,
+    fair_shares,
     messages,
     preference,
-    speed_shares,
 )
 
 # An account that got less than its share may claim at most this much service.
@@ -38,7 +38,7 @@
         self._settings = settings
         self._active_weight = 0.0
         self._virtual_time = 0.0
-        self.shares = speed_shares.FairShares(settings)
+        self.shares = fair_shares.FairShares(settings)
         self._preferred_credit = 0.0
         self._credit_bound = 0.0
         self._fair: list[tuple[float, int, int]] = []
