--- a/redwingvalve/retries/__init__.py
+++ b/redwingvalve/retries/__init__.py
@@ -1,1 +1,1 @@
-"""Retries: what may be sent again, how often, and how a stream resumes."""
+"""Retries: which requests are retried, how often, and stream resumption."""
--- a/redwingvalve/retries/budget.py
+++ b/redwingvalve/retries/budget.py
@@ -1,13 +1,13 @@
-"""A retry budget as a share of successes.
+"""Retry budget as a share of successful requests.
 
-Load pattern: many requests fail at once, because replicas died or all are
-overloaded. Without a budget each failure is sent again, a third of the fleet
-lost becomes half again as much work for the rest, and that fails too.
+Load pattern: many requests fail at once, because replicas failed or all are
+overloaded. Without a budget, every failure is retried: the loss of a third of
+the fleet becomes half again as much work for the rest, which fails too.
 
-Each success earns a tenth of a retry, so that over any time at most a tenth of
-the answered work is sent twice. The small reserve lets an entry that has just
-started retry what two replicas take along when they die (2 times 60 streams
-over seven entries); it refills slowly, so that it can't carry a storm.
+Each success earns a tenth of a retry, so that over any period at most a tenth
+of the successful work is sent twice. The small reserve lets an entry that has
+just started retry the streams of two failed replicas (2 times 60 streams over
+seven entries); it refills too slowly to sustain a retry storm.
 """
 
 import attrs
@@ -24,45 +24,45 @@
 
 
 class RetryBudget:
-    """Earned by successes, spent by retries, resumptions and hedges."""
+    """Earned by successes; spent by retries, resumptions and hedges."""
 
     def __init__(self, settings: BudgetSettings | None = None) -> None:
         """Start with the reserve."""
         self._settings = settings or BudgetSettings()
-        self._saved = self._settings.reserve
+        self._balance = self._settings.reserve
         self._refilled_at_s: float | None = None
 
     def succeeded(self) -> None:
-        """Earn a share of a retry."""
-        self._saved = min(
-            self._saved + self._settings.success_share,
+        """Record a success, which earns a share of a retry."""
+        self._balance = min(
+            self._balance + self._settings.success_share,
             self._settings.max_saved,
         )
 
     def try_spend(self, now_s: float) -> bool:
-        """Take one retry if there is one."""
+        """Spend one retry; False if none is available."""
         self._refill(now_s)
-        if self._saved < 1:
+        if self._balance < 1:
             return False
-        self._saved -= 1
+        self._balance -= 1
         return True
 
     def available(self, now_s: float) -> float:
-        """Return how many retries could be spent now."""
+        """Return the number of retries available now."""
         self._refill(now_s)
-        return self._saved
+        return self._balance
 
     def _refill(self, now_s: float) -> None:
         if self._refilled_at_s is None:
             self._refilled_at_s = now_s
         earned = (now_s - self._refilled_at_s) * self._settings.reserve_per_s
         self._refilled_at_s = now_s
-        if self._saved < self._settings.reserve:
-            self._saved = min(self._saved + earned, self._settings.reserve)
+        if self._balance < self._settings.reserve:
+            self._balance = min(self._balance + earned, self._settings.reserve)
 
 
 class UnboundedBudget(RetryBudget):
-    """Retries without a bound, to compare with."""
+    """Unlimited retries, as a baseline for benchmarks."""
 
     def try_spend(self, now_s: float) -> bool:
         """Allow every retry."""
@@ -70,5 +70,5 @@
 
 
 def make_retry_budget(settings: BudgetSettings | None = None) -> RetryBudget:
-    """Return a budget; one is kept for each deployment at an entry."""
+    """Return a budget; an entry has one for each deployment."""
     return RetryBudget(settings)
--- a/redwingvalve/retries/decisions.py
+++ b/redwingvalve/retries/decisions.py
@@ -1,8 +1,8 @@
-"""What to do after an attempt failed, and the outcome to tell the caller.
+"""Decides what follows a failed attempt, and the outcome for the caller.
 
-A request that surely did not run may always be sent again, whatever it is. One
-that may have run may only be repeated if it is idempotent. Everything else ends
-with the truth as far as it is known.
+A request that certainly did not run may always be retried. One that may have
+run may be retried only if it is idempotent. Otherwise the caller gets the
+outcome as far as it is known.
 """
 
 import enum
@@ -22,7 +22,7 @@
 
 
 class GiveUpReason(enum.StrEnum):
-    """Why a request is not sent again."""
+    """Why a request is not retried."""
 
     MAY_HAVE_RUN = 'may-have-run'
     DEADLINE = 'deadline'
@@ -32,11 +32,12 @@
 
 @attrs.frozen
 class FailedAttempt:
-    """One failed attempt and what is known of its request.
+    """A failed attempt and the state of its request.
 
-    surely_not_run means that no byte reached the endpoint, or that it said
-    that it did not start. earlier_unknown is set when an earlier attempt of
-    the same request may have run. paid is set once pay_ahead took the budget.
+    surely_not_run means that no byte reached the endpoint, or that the endpoint
+    reported that it did not start the request. earlier_unknown is set if an
+    earlier attempt of the same request may have run. budget_spent is set after
+    try_reserve_retry has spent the budget.
     """
 
     idempotent: bool
@@ -51,7 +52,7 @@
 
 @attrs.frozen
 class RetryDecision:
-    """The next step; outcome is what to say when it is GIVE_UP."""
+    """The next step; outcome is for the caller if it is GIVE_UP."""
 
     step: NextStep
     outcome: outcomes.Outcome
@@ -68,21 +69,21 @@
 
 
 class RetryPolicy:
-    """Decides with a budget; pure but for the budget's count."""
+    """Decides within a retry budget; its only state is the budget."""
 
     def __init__(
         self,
-        spending: budget.RetryBudget,
+        retry_budget: budget.RetryBudget,
         settings: RetrySettings | None = None,
     ) -> None:
-        """Use one budget for all that is sent twice."""
-        self._budget = spending
+        """Use one budget for retries, resumptions and hedges."""
+        self._budget = retry_budget
         self._settings = settings or RetrySettings()
 
     def after_failure(
         self, attempt: FailedAttempt, now_s: float
     ) -> RetryDecision:
-        """Decide what becomes of a request whose attempt failed."""
+        """Return the next step of a request whose attempt failed."""
         outcome = _outcome(attempt)
         if outcome != outcomes.Outcome.NOT_RUN and not attempt.idempotent:
             return _give_up(outcome, GiveUpReason.MAY_HAVE_RUN)
@@ -101,11 +102,12 @@
         return RetryDecision(step, outcome)
 
     def try_reserve_retry(self, attempt: FailedAttempt, now_s: float) -> bool:
-        """Spend for a repetition before the attempt is given up.
+        """Spend the budget for a retry before the attempt is given up.
 
-        A stalled stream that can't go on elsewhere is better waited for. Asked
-        without spending, all streams of a hung replica would be given up at
-        one look, and those beyond the budget would end in errors.
+        It is better to wait for a stalled stream that can't resume elsewhere.
+        If the budget were only checked and not spent, all streams of a hung
+        replica would be given up by the same check, and those beyond the
+        budget would end in errors.
         """
         outcome = _outcome(attempt)
         if outcome != outcomes.Outcome.NOT_RUN and not attempt.idempotent:
@@ -124,11 +126,11 @@
         usual_s: float,
         now_s: float,
     ) -> bool:
-        """Tell whether to send a second copy of a request without an answer.
+        """Tell whether to send a second copy of a request without a response.
 
-        Hedges leave a part of the budget to retries, and only go out after a
-        multiple of the usual delay, so that they follow stragglers and not
-        overload, in which everything is slow.
+        Hedges leave a reserve of the budget to retries. They are sent only
+        after a multiple of the usual delay, so that they respond to stragglers
+        and not to overload, in which all requests are slow.
         """
         if not idempotent:
             return False
@@ -152,8 +154,8 @@
 
 
 def make_retry_policy(
-    spending: budget.RetryBudget | None = None,
+    retry_budget: budget.RetryBudget | None = None,
     settings: RetrySettings | None = None,
 ) -> RetryPolicy:
     """Return the policy for one deployment at an entry."""
-    return RetryPolicy(spending or budget.make_retry_budget(), settings)
+    return RetryPolicy(retry_budget or budget.make_retry_budget(), settings)
--- a/redwingvalve/retries/resumption.py
+++ b/redwingvalve/retries/resumption.py
@@ -1,24 +1,25 @@
-"""How an interrupted stream goes on elsewhere: recompute or move its KV cache.
+"""Resumes an interrupted stream elsewhere: recompute or move its KV cache.
 
-Recomputing costs the prompt and the delivered tokens at prefill speed, less
-what the new endpoint has cached. Moving costs the export, the transfer and the
-import of the KV cache. A dead endpoint can't export, so moving is for planned
-stops and for endpoints that still answer.
+Recomputing costs the prompt and the delivered tokens at prefill speed, less the
+tokens that the new endpoint has cached. Moving costs the export, transfer and
+import of the KV cache. A failed endpoint can't export, so moving is used for
+planned stops and for endpoints that still respond.
 """
 
 import enum
 
 import attrs
 
-# Fixed cost of an export and an import: two HTTP exchanges and the engine's
-# pause between steps, of the order of a few tens of milliseconds.
+# Fixed cost of an export and an import: two HTTP requests and the pause of the
+# engine between steps, a few tens of milliseconds in all.
 MOVE_OVERHEAD_S = 0.05
-# A quarter in favour of recomputing, which needs no help of the old endpoint.
+# Moving must be faster by a quarter, since recomputing doesn't depend on the
+# old endpoint.
 MOVE_MARGIN = 1.25
 
 
-class Way(enum.StrEnum):
-    """How the new endpoint gets the state of a stream."""
+class ResumptionMethod(enum.StrEnum):
+    """How the new endpoint obtains the state of a stream."""
 
     RECOMPUTE = 'recompute'
     MOVE_KV = 'move-kv'
@@ -26,7 +27,7 @@
 
 @attrs.frozen
 class StreamState:
-    """How far a stream has come."""
+    """Progress of a stream."""
 
     prompt_tokens: int
     delivered_tokens: int
@@ -34,7 +35,7 @@
 
 @attrs.frozen
 class MoveCosts:
-    """What the engines and the network between them can do."""
+    """Performance of the engines and of the network between them."""
 
     prefill_tokens_per_s: float = 20000.0
     kv_bytes_per_token: float = 160_000.0
@@ -45,24 +46,28 @@
 
 @attrs.frozen
 class ResumptionPlan:
-    """Where to go on, and the delay that it will cost.
+    """How and where to resume, and the expected delay.
 
-    skip_tokens have been delivered already: the new endpoint goes on after
-    them, and what repeats them is dropped and never delivered.
+    skip_tokens have been delivered already: the new endpoint continues after
+    them, and tokens that repeat them are dropped and never delivered.
     """
 
-    way: Way
+    method: ResumptionMethod
     skip_tokens: int
     delay_s: float
 
 
 def plan_resumption(stream: StreamState, costs: MoveCosts) -> ResumptionPlan:
-    """Return the cheaper way to go on."""
+    """Return the faster way to resume a stream."""
     tokens = stream.prompt_tokens + stream.delivered_tokens
-    fresh = max(tokens - costs.cached_tokens, 0)
-    recompute_s = fresh / costs.prefill_tokens_per_s
+    uncached_tokens = max(tokens - costs.cached_tokens, 0)
+    recompute_s = uncached_tokens / costs.prefill_tokens_per_s
     move_bytes = tokens * costs.kv_bytes_per_token
     move_s = MOVE_OVERHEAD_S + move_bytes / costs.bandwidth_bytes_per_s
     if costs.source_answers and move_s * MOVE_MARGIN < recompute_s:
-        return ResumptionPlan(Way.MOVE_KV, stream.delivered_tokens, move_s)
-    return ResumptionPlan(Way.RECOMPUTE, stream.delivered_tokens, recompute_s)
+        return ResumptionPlan(
+            ResumptionMethod.MOVE_KV, stream.delivered_tokens, move_s
+        )
+    return ResumptionPlan(
+        ResumptionMethod.RECOMPUTE, stream.delivered_tokens, recompute_s
+    )
--- a/redwingvalve/retries/tests/test_retries.py
+++ b/redwingvalve/retries/tests/test_retries.py
@@ -40,33 +40,34 @@
         (make_attempt(expected_time_s=10), Step.GIVE_UP, Outcome.UNKNOWN),
     ],
 )
-def test_only_what_may_run_again_is_sent_again(attempt, step, outcome):
-    """A quote that may have run is never repeated, and the answer says so.
+def test_only_requests_that_may_run_again_are_retried(attempt, step, outcome):
+    """A non-idempotent request that may have run is not retried.
 
-    The last sure attempt does not hide that an earlier one may have run.
+    This holds too if the last attempt certainly didn't run but an earlier one
+    may have; the outcome says so.
     """
     decision = decisions.make_retry_policy().after_failure(attempt, 1.0)
     assert (decision.step, decision.outcome) == (step, outcome)
 
 
-def test_a_storm_of_failures_is_not_multiplied():
+def test_retries_of_many_failures_are_limited():
     """A thousand requests succeed, then a thousand fail at once.
 
-    Just a tenth of the successes and the reserve are sent again; the other
-    callers get their answer at once instead of loading what is left.
+    Only a tenth of the successes plus the reserve are retried; the others fail
+    at once instead of adding load to the remaining replicas.
     """
-    policy = decisions.make_retry_policy(spending := budget.RetryBudget())
+    policy = decisions.make_retry_policy(retry_budget := budget.RetryBudget())
     for _ in range(1000):
-        spending.succeeded()
+        retry_budget.succeeded()
     steps = [
         policy.after_failure(make_attempt(), 1.0).step for _ in range(1000)
     ]
-    # 1,000 times 0.1 is a hair below 100 in floating point.
+    # 1,000 times 0.1 is slightly below 100 in floating point.
     assert steps.count(Step.RETRY) in {119, 120}
 
 
-def test_hedging_is_for_idempotent_work_and_stops_under_overload():
-    """A second copy goes out for a straggler, not when everything is slow."""
+def test_hedging_is_limited_to_idempotent_requests_and_the_budget():
+    """A hedge is sent for a straggler, until the reserve for retries is met."""
     policy = decisions.make_retry_policy()
 
     def hedge(idempotent, waited_s):
@@ -81,16 +82,19 @@
 
 
 def test_kv_is_moved_only_where_that_beats_recomputing():
-    """A long stream of an endpoint that still answers is moved, others not."""
+    """Only a long stream of an endpoint that still responds is moved."""
     stream = resumption.StreamState(30_000, 500)
     slow_prefill = resumption.MoveCosts(
         prefill_tokens_per_s=5000, source_answers=True
     )
     moved = resumption.plan_resumption(stream, slow_prefill)
-    assert (moved.way, moved.skip_tokens) == (resumption.Way.MOVE_KV, 500)
+    assert (moved.method, moved.skip_tokens) == (
+        resumption.ResumptionMethod.MOVE_KV,
+        500,
+    )
     dead = resumption.MoveCosts(prefill_tokens_per_s=5000)
     recomputed = resumption.plan_resumption(stream, dead)
-    assert recomputed.way == resumption.Way.RECOMPUTE
+    assert recomputed.method == resumption.ResumptionMethod.RECOMPUTE
     cached = resumption.MoveCosts(
         prefill_tokens_per_s=5000, cached_tokens=30_000, source_answers=True
     )
--- a/redwingvalve/retries/tests/test_stalls.py
+++ b/redwingvalve/retries/tests/test_stalls.py
@@ -1,4 +1,4 @@
-"""Which streams are taken for stalled, and which only look so."""
+"""Streams that have stalled, and streams that are only slow or paused."""
 
 import pytest
 
@@ -6,72 +6,72 @@
 
 
 class Streams:
-    """Streams of some replicas that get their tokens look by look."""
+    """Streams of three replicas that receive tokens between checks."""
 
     def __init__(self, count, **more):
         self.now_s = 0.0
         self.detector = stalls.make_stall_detector()
-        self.pulses = [
+        self.streams = [
             stalls.MonitoredStream(f'r{number % 3}', **more)
             for number in range(count)
         ]
-        for pulse in self.pulses:
-            self.detector.add(pulse)
+        for stream in self.streams:
+            self.detector.add(stream)
 
-    def go_on(self, looks, tokens=10, quiet=()):
-        """Give every stream tokens a look, but for quiet ones."""
+    def advance(self, checks, tokens=10, silent=()):
+        """Add tokens before each check to all streams but the silent ones."""
         found = []
-        for _ in range(looks):
-            for pulse in self.pulses:
-                pulse.tokens += 0 if pulse in quiet else tokens
+        for _ in range(checks):
+            for stream in self.streams:
+                stream.tokens += 0 if stream in silent else tokens
             self.now_s += stalls.CHECK_INTERVAL_S
             found += self.detector.check(self.now_s)
         return found
 
 
-def test_a_stream_without_tokens_is_found_after_the_floor():
-    """A replica hangs while its connection stands; its peers go on."""
+def test_a_stream_without_tokens_is_stalled_after_the_minimum_time():
+    """A replica hangs with an open connection; the others continue."""
     streams = Streams(6)
-    assert not streams.go_on(20)
-    hung = streams.pulses[0]
-    assert not streams.go_on(8, quiet=(hung,))
-    assert streams.go_on(1, quiet=(hung,)) == [hung]
+    assert not streams.advance(20)
+    hung = streams.streams[0]
+    assert not streams.advance(8, silent=(hung,))
+    assert streams.advance(1, silent=(hung,)) == [hung]
 
 
 def test_a_straggler_is_slow_and_not_stalled():
-    """A replica gives a token a second, fifty times slower than usual.
+    """A replica emits a token a second, fifty times slower than usual.
 
-    Its stream is quiet for several looks again and again; taking it for
-    stalled would recompute its prompt elsewhere every few seconds.
+    Its stream repeatedly has no token for several checks; if it counted as
+    stalled, its prompt would be recomputed elsewhere every few seconds.
     """
     streams = Streams(2)
-    slow = streams.pulses[1]
-    streams.go_on(12)
+    slow = streams.streams[1]
+    streams.advance(12)
     found = []
-    for gap_looks in (2, 3, 4, *[4] * 30, *[10] * 3):
-        found += streams.go_on(gap_looks - 1, quiet=(slow,))
-        found += streams.go_on(1, tokens=1)
+    for gap_checks in (2, 3, 4, *[4] * 30, *[10] * 3):
+        found += streams.advance(gap_checks - 1, silent=(slow,))
+        found += streams.advance(1, tokens=1)
     assert not found
 
 
-def test_a_pause_of_the_entry_is_not_a_stall_of_every_stream():
-    """The process stands still for a minute; no byte could be read."""
+def test_a_pause_of_the_process_is_no_stall():
+    """The process is paused for a minute and reads nothing in that time."""
     streams = Streams(6)
-    streams.go_on(12)
+    streams.advance(12)
     streams.now_s += 60.0
-    assert not streams.go_on(4, quiet=streams.pulses)
+    assert not streams.advance(4, silent=streams.streams)
 
 
-def test_a_caller_that_reads_slowly_stalls_nobody():
-    """The entry waits for the caller and so doesn't read the replica."""
+def test_a_slow_caller_is_no_stall():
+    """While the entry waits for the caller, it doesn't read the replica."""
     streams = Streams(2)
-    streams.go_on(12)
-    streams.pulses[0].is_paused = True
-    assert not streams.go_on(40, quiet=(streams.pulses[0],))
+    streams.advance(12)
+    streams.streams[0].is_paused = True
+    assert not streams.advance(40, silent=(streams.streams[0],))
 
 
-@pytest.mark.parametrize(('prompt', 'looks'), [(0, 26), (20_000, 66)])
-def test_a_first_token_may_take_longer_for_a_longer_prompt(prompt, looks):
+@pytest.mark.parametrize(('prompt', 'checks'), [(0, 26), (20_000, 66)])
+def test_a_first_token_may_take_longer_for_a_longer_prompt(prompt, checks):
     streams = Streams(1, prompt_tokens=prompt)
-    assert not streams.go_on(looks - 1, quiet=streams.pulses)
-    assert streams.go_on(1, quiet=streams.pulses) == streams.pulses
+    assert not streams.advance(checks - 1, silent=streams.streams)
+    assert streams.advance(1, silent=streams.streams) == streams.streams
