--- a/redwingvalve/limits/__init__.py
+++ b/redwingvalve/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Fleet-wide limits of accounts, held in shares per entry."""
+"""Fleet-wide limits of accounts, divided into shares of the entries."""
--- a/redwingvalve/limits/account_limits.py
+++ b/redwingvalve/limits/account_limits.py
@@ -1,7 +1,7 @@
 """The limits of all accounts at one entry.
 
-ask() is called for each request and needs nothing but this process; update()
-is called about every half second with what the others published.
+ask() is called for each request and uses only local state; update() is called
+about every half second with the reports of the other entries.
 """
 
 import collections
@@ -14,8 +14,8 @@
 
 
 @attrs.define(eq=False)
-class _Limited:
-    """One account's limit here."""
+class _LimitedAccount:
+    """The limit of one account at this entry."""
 
     limit_per_s: float
     share: shares.AccountShare
@@ -32,13 +32,13 @@
         """Start without limits."""
         self._entry = entry
         self._settings = settings or shares.ShareSettings()
-        self._limited: dict[str, _Limited] = {}
+        self._limited: dict[str, _LimitedAccount] = {}
 
     def replace_limits(
         self, limits_per_s: collections_abc.Mapping[str, float]
     ) -> None:
-        """Take over the limits; nought means that an account has none."""
-        limited: dict[str, _Limited] = {}
+        """Replace the limits; 0 means that an account has none."""
+        limited: dict[str, _LimitedAccount] = {}
         for account, limit_per_s in limits_per_s.items():
             if limit_per_s <= 0:
                 continue
@@ -48,18 +48,18 @@
         self._limited = limited
 
     def ask(self, account: str, amount: float, now_s: float) -> float:
-        """Take amount and return 0, or return the seconds to come back in."""
+        """Take amount and return 0, or return the seconds until a retry."""
         limited = self._limited.get(account)
         if limited is None:
             return 0.0
-        limited.demand.asked(amount, now_s)
+        limited.demand.record(amount, now_s)
         wait_s = limited.bucket.take(
             amount, limited.share.usable_per_s(now_s), now_s
         )
         return min(wait_s, self._settings.settle_s * 2)
 
     def correct(self, account: str, amount: float) -> None:
-        """Charge the difference between what was used and estimated."""
+        """Charge the difference between used and estimated amount."""
         limited = self._limited.get(account)
         if limited is not None:
             limited.bucket.correct(amount)
@@ -70,48 +70,48 @@
         bodies: collections_abc.Iterable[tuple[str, bytes, float]],
         now_s: float,
     ) -> bytes:
-        """Follow what the others published and return what to publish.
+        """Apply the reports of other entries and return the local report.
 
         bodies are (entry, body, age_s) as read from the news board; entries
-        is the configured list, this entry included.
+        is the configured list, including this entry.
         """
-        heard = _by_account(entries, bodies)
+        received = _by_account(entries, bodies)
         published: dict[str, shares.ShareReport] = {}
         for account, limited in self._limited.items():
             demand = limited.demand.rate_per_s(now_s)
-            situation = shares.Situation(
+            inputs = shares.ShareInputs(
                 limited.limit_per_s,
                 entries,
-                tuple(heard.get(reports.number_of(account), ())),
+                tuple(received.get(reports.hash_name(account), ())),
                 demand,
             )
-            limited.share.update(situation, now_s)
+            limited.share.update(inputs, now_s)
             limited.bucket.fill(limited.share.usable_per_s(now_s), now_s)
-            if limited.share.worth_saying(situation):
+            if limited.share.must_publish(inputs):
                 published[account] = self._report(limited, demand)
         return reports.encode(published)
 
     def usable_per_s(self, account: str, now_s: float) -> float:
-        """Return an account's share here; infinite without a limit."""
+        """Return the share of an account here; infinite without a limit."""
         limited = self._limited.get(account)
         return (
             math.inf if limited is None else limited.share.usable_per_s(now_s)
         )
 
     def _report(
-        self, limited: _Limited, demand_per_s: float
+        self, limited: _LimitedAccount, demand_per_s: float
     ) -> shares.ShareReport:
-        # Grants travel as single floats, which may round up; the lender's own
-        # sum keeps double precision, so they are made smaller by more than
-        # the rounding.
+        # Grants are sent as single-precision floats, which may be rounded up,
+        # while the lender adds them in double precision. They are reduced by
+        # more than the rounding error.
         grants_per_s = {
-            entry: granted * (1 - shares.ROUNDING_SHARE)
+            entry: granted * (1 - shares.ROUNDING_TOLERANCE)
             for entry, granted in limited.share.grants_per_s.items()
         }
         return shares.ShareReport(self._entry, demand_per_s, grants_per_s)
 
-    def _make(self, limit_per_s: float) -> _Limited:
-        return _Limited(
+    def _make(self, limit_per_s: float) -> _LimitedAccount:
+        return _LimitedAccount(
             limit_per_s,
             shares.AccountShare(self._entry, self._settings),
             bucket.TokenBucket(self._settings.burst_s),
@@ -122,18 +122,20 @@
     entries: tuple[str, ...],
     bodies: collections_abc.Iterable[tuple[str, bytes, float]],
 ) -> dict[int, list[shares.ShareReport]]:
-    """Return what others say of each account, by its number."""
-    names = {reports.number_of(name): name for name in entries}
-    heard: dict[int, list[shares.ShareReport]] = collections.defaultdict(list)
+    """Return the reports of other entries by account hash."""
+    names = {reports.hash_name(name): name for name in entries}
+    received: dict[int, list[shares.ShareReport]] = collections.defaultdict(
+        list
+    )
     for entry, body, age_s in bodies:
         decoded = reports.decode(body, entry, age_s, names)
         for number, report in decoded.items():
-            heard[number].append(report)
-    return heard
+            received[number].append(report)
+    return received
 
 
 def make_account_limits(
     entry: str, settings: shares.ShareSettings | None = None
 ) -> AccountLimits:
-    """Return the limits of one entry; requests and tokens use one each."""
+    """Return the limits of one entry; requests and tokens have one each."""
     return AccountLimits(entry, settings)
--- a/redwingvalve/limits/reports.py
+++ b/redwingvalve/limits/reports.py
@@ -1,8 +1,8 @@
-"""Share reports as bytes: all accounts of an entry in one news item.
+"""Wire format of share reports: all accounts of an entry in one news item.
 
-Accounts and entries are named by the CRC-32 of their names. An account takes 9
-bytes and 8 for each grant; accounts that nobody asks for and that lend nothing
-are left out.
+Accounts and entries are identified by the CRC-32 of their names. An account
+takes 9 bytes and 8 for each grant; accounts without demand and grants are
+omitted.
 """
 
 import struct
@@ -26,25 +26,25 @@
 )
 
 
-def number_of(name: str) -> int:
-    """Return the number that stands for a name in reports."""
+def hash_name(name: str) -> int:
+    """Return the hash that identifies a name in reports."""
     return zlib.crc32(name.encode())
 
 
 def encode(
     by_account: collections_abc.Mapping[str, shares.ShareReport],
 ) -> bytes:
-    """Return the reports of one entry as bytes."""
+    """Encode the reports of one entry."""
     parts: list[bytes] = []
     for account, report in by_account.items():
         grants = report.grants_per_s
         if not grants and report.demand_per_s < NO_DEMAND_PER_S:
             continue
         parts.append(
-            ACCOUNT.pack(number_of(account), report.demand_per_s, len(grants))
+            ACCOUNT.pack(hash_name(account), report.demand_per_s, len(grants))
         )
         parts.extend(
-            GRANT.pack(number_of(entry), granted)
+            GRANT.pack(hash_name(entry), granted)
             for entry, granted in grants.items()
         )
     return b''.join(parts)
@@ -56,23 +56,23 @@
     age_s: float,
     names: collections_abc.Mapping[int, str],
 ) -> dict[int, shares.ShareReport]:
-    """Return the reports of one entry by account number.
+    """Decode the reports of one entry by account hash.
 
-    names are those behind the entries' numbers; grants to others are left out.
+    names maps hashes to entries; grants to unknown entries are omitted.
     """
-    found: dict[int, shares.ShareReport] = {}
-    place = 0
-    while place + ACCOUNT.size <= len(body):
-        number, demand, count = ACCOUNT.unpack_from(body, place)
-        place += ACCOUNT.size
-        end = place + count * GRANT.size
+    decoded: dict[int, shares.ShareReport] = {}
+    offset = 0
+    while offset + ACCOUNT.size <= len(body):
+        number, demand, count = ACCOUNT.unpack_from(body, offset)
+        offset += ACCOUNT.size
+        end = offset + count * GRANT.size
         if end > len(body):
             break
         grants = {
             names[to]: granted
-            for to, granted in GRANT.iter_unpack(body[place:end])
+            for to, granted in GRANT.iter_unpack(body[offset:end])
             if to in names
         }
-        place = end
-        found[number] = shares.ShareReport(entry, demand, grants, age_s)
-    return found
+        offset = end
+        decoded[number] = shares.ShareReport(entry, demand, grants, age_s)
+    return decoded
