--- a/redwingvalve/poison/__init__.py
+++ b/redwingvalve/poison/__init__.py
@@ -1,1 +1,1 @@
-"""Poison requests: found by the endpoints that die under them."""
+"""Poison requests: detected by the endpoints that fail while running them."""
--- a/redwingvalve/poison/facts.py
+++ b/redwingvalve/poison/facts.py
@@ -1,9 +1,8 @@
-"""What is known of deaths and of what ran then, mergeable in any order.
+"""Mergeable facts about endpoint failures and the requests involved.
 
-A fact joins a request digest to a death of an endpoint, or to a trial: an entry
-runs the suspect once more, alone. Facts are only ever added; closing one adds a
-mark to it. The union of two ledgers is therefore the same whichever comes first
-and however often (a two-phase set).
+A fact links a request digest to a failure of an endpoint, or to a trial: an
+entry runs the suspect once more, alone. Facts are only added; closing one sets
+a flag. Merging is therefore commutative and idempotent (a two-phase set).
 """
 
 import hashlib
@@ -17,12 +16,12 @@
 RECORD = struct.Struct('>8s8sB')
 CLOSED = 1
 TRIAL = 2
-# 17 bytes each: a body of 6.8 KB, sent only when it changes.
+# 17 bytes each, 6.8 KB in all; published only on changes.
 MAX_ENCODED_FACTS = 400
 
 
 class Fact(typing.NamedTuple):
-    """A request was running when an endpoint died, or is tried again."""
+    """A request ran on an endpoint when it failed, or is on trial."""
 
     digest: bytes
     event: bytes
@@ -31,21 +30,22 @@
 
 @attrs.define
 class FactState:
-    """When this entry learned a fact, and whether it still counts.
+    """When this entry recorded a fact, and whether it is closed.
 
-    among_many tells that many endpoints died at that time, as with a rack.
+    is_mass_failure is set if many endpoints failed at that time, as with a
+    lost rack.
     """
 
-    learned_at_s: float
+    recorded_at_s: float
     closed: bool = False
-    among_many: bool = False
+    is_mass_failure: bool = False
 
 
 def make_digest(*parts: bytes) -> bytes:
-    """Return the digest of what an engine computes from a request.
+    """Return the digest of those parts of a request that an engine processes.
 
-    Give it the account, the model and the canonical prompt, and leave out what
-    a caller changes when it sends again, such as ids and time stamps.
+    Pass the account, the model and the canonical prompt; omit everything that
+    changes when a caller retries, such as ids and time stamps.
     """
     state = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in parts:
@@ -55,9 +55,9 @@
 
 
 def make_failure_id(endpoint: str, epoch: int, earlier: int) -> bytes:
-    """Return the id of a death, the same at every entry that saw it.
+    """Return the id of a failure, the same at every entry that saw it.
 
-    earlier counts the deaths of this endpoint and epoch that are known for the
+    earlier is the number of known failures of this endpoint and epoch for the
     same request, since a plain service restarts without a new epoch.
     """
     return make_digest(
@@ -68,10 +68,10 @@
 def encode(
     states: collections_abc.Mapping[Fact, FactState], max_facts: int
 ) -> bytes:
-    """Return the newest facts as bytes."""
-    newest = sorted(states, key=lambda fact: -states[fact].learned_at_s)
+    """Encode the newest facts."""
+    newest = sorted(states, key=lambda fact: -states[fact].recorded_at_s)
     return b''.join(
-        RECORD.pack(fact.digest, fact.event, _marks(fact, states[fact]))
+        RECORD.pack(fact.digest, fact.event, _flags(fact, states[fact]))
         for fact in newest[:max_facts]
     )
 
@@ -79,13 +79,13 @@
 def decode(
     body: bytes,
 ) -> collections_abc.Iterator[tuple[Fact, bool]]:
-    """Give each fact of a body; a cut record at its end is left out."""
+    """Yield each fact of a body; a truncated last record is ignored."""
     whole = len(body) - len(body) % RECORD.size
-    for digest, event, marks in RECORD.iter_unpack(body[:whole]):
-        fact = Fact(digest, event, trial=bool(marks & TRIAL))
-        yield fact, bool(marks & CLOSED)
+    for digest, event, flags in RECORD.iter_unpack(body[:whole]):
+        fact = Fact(digest, event, trial=bool(flags & TRIAL))
+        yield fact, bool(flags & CLOSED)
 
 
-def _marks(fact: Fact, state: FactState) -> int:
-    marks = CLOSED if state.closed else 0
-    return marks | TRIAL if fact.trial else marks
+def _flags(fact: Fact, state: FactState) -> int:
+    flags = CLOSED if state.closed else 0
+    return flags | TRIAL if fact.trial else flags
--- a/redwingvalve/poison/recent_failures.py
+++ b/redwingvalve/poison/recent_failures.py
@@ -1,12 +1,12 @@
-"""Whether many endpoints die at the moment, as when a rack is lost.
+"""Detects mass failures: many endpoints fail at once, as with a lost rack.
 
-Load pattern: a rack or data centre goes within seconds. Requests that were sent
-again to a second endpoint of it see two deaths; counted as poison, honest
-requests would be refused for an hour.
+Load pattern: a rack or data centre fails within seconds. Requests that were
+retried on a second endpoint of it are involved in two failures; if they counted
+as poison, harmless requests would be refused for an hour.
 
-A death counts as one among many only by deaths that the same request had no
-part in. Counted by all, a poison request that came within seconds of two
-unrelated deaths passed for a victim and killed a third endpoint.
+A failure is part of a mass failure only by failures that did not involve the
+same request. If all were counted, a poison request within seconds of two
+unrelated failures would pass as harmless and crash a third endpoint.
 """
 
 import collections
@@ -17,61 +17,63 @@
 
 
 @attrs.define
-class _Event:
-    """One death: when it was learned, and who ran there."""
+class _Failure:
+    """One failure: when it was recorded, and the requests involved."""
 
     at_s: float
     digests: set[bytes] = attrs.field(factory=set)
 
 
 class RecentFailures:
-    """The deaths of the last seconds, and the facts that came with them."""
+    """Failures within a time window, and their facts."""
 
-    def __init__(self, many: int, window_s: float) -> None:
-        """Call it many from so many deaths of others within window_s."""
-        self._many = many
+    def __init__(self, min_failures: int, window_s: float) -> None:
+        """Use min_failures within window_s as the threshold."""
+        self._threshold = min_failures
         self._window_s = window_s
-        self._events: dict[bytes, _Event] = {}
-        self._own: collections.Counter[bytes] = collections.Counter()
-        self._single: collections.deque[tuple[facts.Fact, facts.FactState]] = (
-            collections.deque()
+        self._events: dict[bytes, _Failure] = {}
+        self._counts_by_digest: collections.Counter[bytes] = (
+            collections.Counter()
         )
+        self._isolated: collections.deque[
+            tuple[facts.Fact, facts.FactState]
+        ] = collections.deque()
 
-    def note(
+    def record(
         self, fact: facts.Fact, state: facts.FactState, now_s: float
     ) -> None:
-        """Take a new fact in, and mark those that are one among many."""
-        self._forget(now_s)
-        event = self._events.setdefault(fact.event, _Event(now_s))
+        """Record a fact and mark the facts that are part of a mass failure."""
+        self._drop_old(now_s)
+        event = self._events.setdefault(fact.event, _Failure(now_s))
         if fact.digest not in event.digests:
             event.digests.add(fact.digest)
-            self._own[fact.digest] += 1
-        self._single.append((fact, state))
-        if len(self._events) >= self._many:
-            self._mark()
+            self._counts_by_digest[fact.digest] += 1
+        self._isolated.append((fact, state))
+        if len(self._events) >= self._threshold:
+            self._mark_mass_failures()
 
-    def many(self, now_s: float) -> bool:
-        """Tell whether many endpoints died in the last seconds."""
-        self._forget(now_s)
-        return len(self._events) >= self._many
+    def is_mass_failure(self, now_s: float) -> bool:
+        """Tell whether many endpoints failed within the window."""
+        self._drop_old(now_s)
+        return len(self._events) >= self._threshold
 
-    def _mark(self) -> None:
-        still_single = collections.deque()
-        for fact, state in self._single:
-            others = len(self._events) - self._own[fact.digest]
-            if others >= self._many:
-                state.among_many = True
+    def _mark_mass_failures(self) -> None:
+        still_isolated = collections.deque()
+        for fact, state in self._isolated:
+            others = len(self._events) - self._counts_by_digest[fact.digest]
+            if others >= self._threshold:
+                state.is_mass_failure = True
             else:
-                still_single.append((fact, state))
-        self._single = still_single
+                still_isolated.append((fact, state))
+        self._isolated = still_isolated
 
-    def _forget(self, now_s: float) -> None:
+    def _drop_old(self, now_s: float) -> None:
         oldest_s = now_s - self._window_s
-        while self._single and self._single[0][1].learned_at_s < oldest_s:
-            self._single.popleft()
+        while self._isolated and self._isolated[0][1].recorded_at_s < oldest_s:
+            self._isolated.popleft()
         for name, event in tuple(self._events.items()):
             if event.at_s < oldest_s:
                 del self._events[name]
-                self._own.subtract(event.digests)
+                self._counts_by_digest.subtract(event.digests)
         if not self._events:
-            self._own.clear()
+            self._counts_by_digest.clear()
--- a/redwingvalve/poison/suspect_table.py
+++ b/redwingvalve/poison/suspect_table.py
@@ -1,21 +1,21 @@
-"""Suspects: held to one endpoint at a time, refused after the second death.
+"""Suspect requests: isolated to one endpoint, refused after a second failure.
 
 Load pattern: a single request crashes each endpoint that runs it, and its
-caller sends it again, every second, to any entry. Without the ledger one such
-request takes down a replica of four VMs a second until none is left.
-
-All that ran on an endpoint when it died is suspect after one death. A suspect
-runs alone of its kind on an endpoint, so that a second death names it and no
-other; the innocent finish elsewhere and are cleared. Two deaths refuse it; two
-of a rack that is lost within seconds, with three more that the request had no
-part in, count as one.
-Entries place suspects on disjoint sets of endpoints (rendezvous hashing), so
-that two of them do not put two suspects together without knowing.
-
-Figures: news spreads within a second inside a region; a caller's resend of a
-suspect therefore waits settle_s, only its home entry runs it, and never while
-another entry has it on trial. What remains: runs that started before the first
-death was known elsewhere may add deaths.
+caller retries it every second at any entry. Without the table, one such request
+takes down a replica of four VMs a second until none is left.
+
+All requests that ran on an endpoint when it failed are suspect. A suspect is
+the only suspect on its endpoint, so that a second failure identifies it;
+harmless requests finish elsewhere and are cleared. After two failures a request
+is refused. Failures of a rack that is lost within seconds, with at least three
+that did not involve the request, count as one.
+Entries run suspects on disjoint sets of endpoints (rendezvous hashing), so that
+two entries don't put two suspects on the same endpoint.
+
+Facts reach the entries of a region within a second. When a caller retries a
+suspect, it therefore waits settle_s, only its home entry runs it, and never
+while it is on trial at another entry. Remaining risk: runs that started before
+the first failure was known elsewhere may cause further failures.
 """
 
 import enum
@@ -28,14 +28,14 @@
 from redwingvalve.membership import rendezvous
 from redwingvalve.poison import facts, recent_failures
 
-DEATHS_TO_REFUSE = 2
-# Entries notice one death within seconds of each other; a plain service needs
-# longer than this to come back and die again under the same request.
-SAME_DEATH_S = 10.0
+FAILURES_TO_REFUSE = 2
+# Entries notice the same failure within seconds of each other; a plain service
+# needs longer than this to restart and fail again with the same request.
+SAME_FAILURE_S = 10.0
 
 
 class Verdict(enum.StrEnum):
-    """What may be done with a request."""
+    """How a request may be run."""
 
     FREE = 'free'
     ISOLATE = 'isolate'
@@ -59,7 +59,7 @@
 
 @attrs.frozen
 class EndpointFailure:
-    """An endpoint died with these requests of this entry running on it."""
+    """An endpoint failed while it ran these requests of this entry."""
 
     endpoint: str
     epoch: int
@@ -67,7 +67,7 @@
 
 
 class SuspectTable:
-    """What one entry knows of suspects; merges with that of others."""
+    """The suspects known to one entry; can be merged with other tables."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
         safeguards: invariants.SafeguardSwitches | None = None,
         incarnation: int = 0,
     ) -> None:
-        """Start without suspects; entry is this entry's own name."""
+        """Start without suspects; entry is the name of this entry."""
         self._incarnation = incarnation
         self._entry = entry
         self._settings = settings or PoisonSettings()
@@ -86,29 +86,32 @@
         self._running: dict[str, set[bytes]] = {}
         self._trials: dict[bytes, facts.Fact] = {}
         self._trial_numbers = itertools.count()
-        self._recent = recent_failures.RecentFailures(
+        self._recent_failures = recent_failures.RecentFailures(
             self._settings.mass_deaths, self._settings.mass_window_s
         )
         self.revision = 0
 
-    def record_failure(self, death: EndpointFailure, now_s: float) -> None:
-        """Suspect all requests that ran there; publish encode() at once."""
-        for tried in self._running.pop(death.endpoint, ()):
-            self.abandon_trial(tried, now_s)
-        for digest in death.digests:
-            self._learn(self._fact(digest, death, now_s), now_s, closed=False)
+    def record_failure(self, failure: EndpointFailure, now_s: float) -> None:
+        """Mark the requests involved as suspect; publish encode() at once."""
+        for suspect in self._running.pop(failure.endpoint, ()):
+            self.abandon_trial(suspect, now_s)
+        for digest in failure.digests:
+            self._add_fact(
+                self._make_fact(digest, failure, now_s), now_s, closed=False
+            )
 
     def classify(self, digest: bytes, home: str, now_s: float) -> Verdict:
-        """Judge a request as a caller sends it.
+        """Return the verdict on a request from a caller.
 
-        home is the entry that runs a resent suspect, by home_entry(); at any
-        other the caller is told to wait or is sent there.
+        home is the entry that runs a retried suspect, by home_entry(); at any
+        other entry the caller must wait or use home.
         """
         verdict = self.classify_retry(digest, now_s)
         if verdict != Verdict.ISOLATE:
             return verdict
         newest_s = max(
-            self._states[fact].learned_at_s for fact in self._deaths(digest)
+            self._states[fact].recorded_at_s
+            for fact in self._open_failures(digest)
         )
         settled = now_s - newest_s >= self._settings.settle_s
         if home != self._entry or not settled or digest in self._trials:
@@ -116,13 +119,13 @@
         return verdict
 
     def classify_retry(self, digest: bytes, now_s: float) -> Verdict:
-        """Judge a request that this entry itself wants to send again."""
+        """Return the verdict on a request that this entry may retry."""
         if digest not in self._by_digest:
             return Verdict.FREE
-        deaths = self._counted_deaths(digest)
-        if not deaths:
+        failure_count = self._count_failures(digest)
+        if not failure_count:
             return Verdict.FREE
-        if deaths < DEATHS_TO_REFUSE:
+        if failure_count < FAILURES_TO_REFUSE:
             elsewhere = self._on_trial_elsewhere(digest, now_s)
             return Verdict.WAIT if elsewhere else Verdict.ISOLATE
         if self._safeguards.enabled(invariants.Safeguard.POISON_REFUSED):
@@ -130,26 +133,26 @@
         return Verdict.ISOLATE
 
     def free_endpoints(
-        self, own_endpoints: collections_abc.Iterable[str], now_s: float
+        self, local_endpoints: collections_abc.Iterable[str], now_s: float
     ) -> frozenset[str]:
-        """Return the endpoints where a suspect may be put now.
+        """Return the endpoints on which a suspect may run now.
 
-        own_endpoints are those of own_share(). When many endpoints died at
-        once, as with a rack, nearly all suspects are innocent and too many to
-        run one at a time; they then share an endpoint, and the price is that
-        a poison request among them takes its few neighbours along.
+        local_endpoints are those of trial_endpoints(). After a mass failure, as
+        of a rack, nearly all suspects are harmless and too many to run one at a
+        time. They then share endpoints; a poison request among them makes the
+        few others on its endpoint fail too.
         """
-        room = 1
-        if self._recent.many(now_s):
-            room = self._settings.mass_sharing
+        capacity = 1
+        if self._recent_failures.is_mass_failure(now_s):
+            capacity = self._settings.mass_sharing
         return frozenset(
             name
-            for name in own_endpoints
-            if len(self._running.get(name, ())) < room
+            for name in local_endpoints
+            if len(self._running.get(name, ())) < capacity
         )
 
     def started(self, digest: bytes, endpoint: str, now_s: float) -> None:
-        """Note that a suspect runs on an endpoint; publish encode() at once."""
+        """Record that a suspect runs somewhere; publish encode() at once."""
         invariants.require(
             not self.running(digest),
             'suspect-on-one-endpoint',
@@ -159,10 +162,10 @@
         self.reserve_trial(digest, now_s)
 
     def reserve_trial(self, digest: bytes, now_s: float) -> None:
-        """Claim the next trial of a suspect, before it has an endpoint.
+        """Reserve the next trial of a suspect before it has an endpoint.
 
-        An entry that retries what it lost calls this right after the death
-        and publishes both; otherwise the home could try it meanwhile.
+        An entry that retries a request calls this right after the failure and
+        publishes both; otherwise the home entry could run it at the same time.
         """
         if digest in self._trials:
             return
@@ -171,68 +174,70 @@
         )
         trial = facts.Fact(digest, trial_id, trial=True)
         self._trials[digest] = trial
-        self._learn(trial, now_s, closed=False)
+        self._add_fact(trial, now_s, closed=False)
 
     def abandon_trial(self, digest: bytes, now_s: float) -> None:
-        """Leave a suspect to its home; the caller may send it again."""
+        """Leave a suspect to its home entry, where the caller may retry it."""
         trial = self._trials.pop(digest, None)
         if trial is not None:
-            self._learn(trial, now_s, closed=True)
+            self._add_fact(trial, now_s, closed=True)
 
     def ended(
         self, digest: bytes, endpoint: str, now_s: float, *, whole: bool
     ) -> None:
-        """Note that a suspect ended; a whole answer clears it."""
+        """Record the end of a suspect; a complete response clears it."""
         self._running.get(endpoint, set()).discard(digest)
         self.abandon_trial(digest, now_s)
         if not whole:
             return
-        for fact in self._deaths(digest):
-            self._learn(fact, now_s, closed=True)
+        for fact in self._open_failures(digest):
+            self._add_fact(fact, now_s, closed=True)
 
     def running(self, digest: bytes) -> bool:
         """Tell whether a suspect runs at this entry."""
-        return any(digest in tried for tried in self._running.values())
+        return any(digest in suspects for suspects in self._running.values())
 
     def encode(self) -> bytes:
-        """Return what to publish; revision says when it has changed."""
+        """Encode the facts to publish; revision changes with them."""
         return facts.encode(self._states, self._settings.max_encoded_facts)
 
     def merge(self, body: bytes, now_s: float) -> None:
-        """Take in what another entry published; any order, any number."""
+        """Merge the facts of another entry, in any order and repeatedly."""
         for fact, closed in facts.decode(body):
-            self._learn(fact, now_s, closed=closed)
+            self._add_fact(fact, now_s, closed=closed)
 
     def forget_old(self, now_s: float) -> None:
-        """Drop what is too old; call it about once a minute."""
+        """Drop expired and surplus facts; call it about once a minute."""
         oldest_s = now_s - self._settings.forget_after_s
-        by_age = sorted(self._states.items(), key=_learned_at_s)
+        by_age = sorted(self._states.items(), key=_recorded_at_s)
         surplus = len(by_age) - self._settings.max_facts
-        for place, (fact, state) in enumerate(by_age):
-            if place < surplus or state.learned_at_s < oldest_s:
+        for index, (fact, state) in enumerate(by_age):
+            if index < surplus or state.recorded_at_s < oldest_s:
                 self._drop(fact)
 
-    def _fact(
-        self, digest: bytes, death: EndpointFailure, now_s: float
+    def _make_fact(
+        self, digest: bytes, failure: EndpointFailure, now_s: float
     ) -> facts.Fact:
         earlier = 0
         while True:
-            death_id = facts.make_failure_id(
-                death.endpoint, death.epoch, earlier
+            failure_id = facts.make_failure_id(
+                failure.endpoint, failure.epoch, earlier
             )
-            fact = facts.Fact(digest, death_id)
+            fact = facts.Fact(digest, failure_id)
             state = self._states.get(fact)
-            if state is None or now_s - state.learned_at_s < SAME_DEATH_S:
+            if state is None or now_s - state.recorded_at_s < SAME_FAILURE_S:
                 return fact
             earlier += 1
 
-    def _learn(self, fact: facts.Fact, now_s: float, *, closed: bool) -> None:
+    def _add_fact(
+        self, fact: facts.Fact, now_s: float, *, closed: bool
+    ) -> None:
         state = self._states.get(fact)
         if state is None:
             state = facts.FactState(now_s, closed)
             self._states[fact] = state
             if not fact.trial:
-                self._recent.note(fact, state, now_s)
+                self._recent_failures.record(fact, state, now_s)
             self._by_digest.setdefault(fact.digest, set()).add(fact)
             self.revision += 1
             return
@@ -240,19 +245,21 @@
             state.closed = True
             self.revision += 1
 
-    def _deaths(self, digest: bytes) -> list[facts.Fact]:
+    def _open_failures(self, digest: bytes) -> list[facts.Fact]:
         return [
             fact
             for fact in self._by_digest.get(digest, ())
             if not fact.trial and not self._states[fact].closed
         ]
 
-    def _counted_deaths(self, digest: bytes) -> int:
-        among_many = [
-            self._states[fact].among_many for fact in self._deaths(digest)
+    def _count_failures(self, digest: bytes) -> int:
+        is_mass_failure = [
+            self._states[fact].is_mass_failure
+            for fact in self._open_failures(digest)
         ]
-        # All deaths of a lost rack are one event and not the request's doing.
-        return among_many.count(False) + any(among_many)
+        # All failures of a lost rack count as one, since the request didn't
+        # cause them.
+        return is_mass_failure.count(False) + any(is_mass_failure)
 
     def _on_trial_elsewhere(self, digest: bytes, now_s: float) -> bool:
         if digest in self._trials:
@@ -261,20 +268,20 @@
         return any(
             fact.trial
             and not self._states[fact].closed
-            and self._states[fact].learned_at_s >= oldest_s
+            and self._states[fact].recorded_at_s >= oldest_s
             for fact in self._by_digest[digest]
         )
 
     def _drop(self, fact: facts.Fact) -> None:
         del self._states[fact]
-        known = self._by_digest[fact.digest]
-        known.discard(fact)
-        if not known:
+        remaining = self._by_digest[fact.digest]
+        remaining.discard(fact)
+        if not remaining:
             del self._by_digest[fact.digest]
 
 
 def home_entry(digest: bytes, entries: collections_abc.Iterable[str]) -> str:
-    """Return the entry that runs a resent suspect (rendezvous hashing)."""
+    """Return the entry that runs a retried suspect (rendezvous hashing)."""
     return rendezvous.select(tuple(entries), digest.hex(), 1)[0]
 
 
@@ -283,10 +290,10 @@
     entries: collections_abc.Collection[str],
     endpoints: collections_abc.Iterable[str],
 ) -> frozenset[str]:
-    """Return the endpoints on which an entry may put suspects.
+    """Return the endpoints on which an entry may run suspects.
 
-    The shares of all entries are disjoint while they agree on who is alive.
-    Keep the result until entries or endpoints change.
+    The sets of all entries are disjoint while their views of the live entries
+    agree. Keep the result until entries or endpoints change.
     """
     return frozenset(
         endpoint
@@ -295,8 +302,8 @@
     )
 
 
-def _learned_at_s(item: tuple[facts.Fact, facts.FactState]) -> float:
-    return item[1].learned_at_s
+def _recorded_at_s(item: tuple[facts.Fact, facts.FactState]) -> float:
+    return item[1].recorded_at_s
 
 
 def make_suspect_table(
@@ -305,5 +312,5 @@
     safeguards: invariants.SafeguardSwitches | None = None,
     incarnation: int = 0,
 ) -> SuspectTable:
-    """Return the ledger of one entry."""
+    """Return the table of one entry."""
     return SuspectTable(entry, settings, safeguards, incarnation)
--- a/redwingvalve/poison/tests/test_suspect_table.py
+++ b/redwingvalve/poison/tests/test_suspect_table.py
@@ -8,42 +8,42 @@
 POISON, INNOCENT, OTHER = b'poison!!', b'innocent', b'stranger'
 
 
-def make_ledger(entry='e1'):
+def make_table(entry='e1'):
     return suspect_table.make_suspect_table(entry)
 
 
-def die(where, endpoint, *digests, now_s=0.0):
+def fail(where, endpoint, *digests, now_s=0.0):
     where.record_failure(
         suspect_table.EndpointFailure(endpoint, 1, frozenset(digests)), now_s
     )
 
 
-def test_a_poison_request_is_refused_after_its_second_death_everywhere():
-    """The caller of a poison request is refused wherever it sends it next.
+def test_a_poison_request_is_refused_everywhere_after_two_failures():
+    """A poison request is refused at every entry after two failures.
 
-    It kills a replica through e1, which tries it once more alone; that kills
-    a second. e2 and e3 have only read the news and refuse it too.
+    It crashes a replica through e1, which runs it once more alone; that crashes
+    a second one. e2 and e3 have only the published facts and refuse it too.
     """
-    first, second = make_ledger('e1'), make_ledger('e2')
-    die(first, 'r1', POISON)
+    first, second = make_table('e1'), make_table('e2')
+    fail(first, 'r1', POISON)
     assert first.classify_retry(POISON, 0.0) == Verdict.ISOLATE
     first.started(POISON, 'r2', 0.0)
-    die(first, 'r2', POISON, now_s=1.0)
+    fail(first, 'r2', POISON, now_s=1.0)
     assert first.classify_retry(POISON, 1.0) == Verdict.REFUSE
     second.merge(first.encode(), 1.5)
     assert second.classify(POISON, 'e2', 1.5) == Verdict.REFUSE
-    third = make_ledger('e3')
+    third = make_table('e3')
     third.merge(second.encode(), 2.0)
     assert third.classify(POISON, 'e1', 2.0) == Verdict.REFUSE
 
 
-def test_an_innocent_that_shared_the_endpoint_is_cleared_everywhere():
-    """Who merely shared the replica is served as before once it has finished.
+def test_a_request_that_shared_the_endpoint_is_cleared_everywhere():
+    """A request that only shared the replica is cleared once it finishes.
 
-    The clearing wins over the suspicion even where it arrives first.
+    The clearing overrides the suspicion even if it arrives first.
     """
-    first, second = make_ledger('e1'), make_ledger('e2')
-    die(first, 'r1', POISON, INNOCENT)
+    first, second = make_table('e1'), make_table('e2')
+    fail(first, 'r1', POISON, INNOCENT)
     before = first.encode()
     first.started(INNOCENT, 'r2', 0.0)
     first.ended(INNOCENT, 'r2', 1.0, whole=True)
@@ -54,29 +54,29 @@
     assert second.classify(POISON, 'e2', 9.0) == Verdict.ISOLATE
 
 
-def test_a_resent_suspect_waits_for_news_and_runs_only_at_its_home():
-    """A caller that sends a suspect to another entry is told to come back.
+def test_a_resent_suspect_waits_and_runs_only_at_its_home():
+    """A caller that retries a suspect at another entry must wait.
 
-    Were every entry to try it, each would lose an endpoint before the news of
-    the second death arrives.
+    If every entry ran it, each would lose an endpoint before the fact of the
+    second failure arrives.
     """
     home = suspect_table.home_entry(POISON, ENTRIES)
     for entry in ENTRIES:
-        where = make_ledger(entry)
-        die(where, 'r1', POISON)
+        where = make_table(entry)
+        fail(where, 'r1', POISON)
         assert where.classify(POISON, home, 0.5) == Verdict.WAIT
         later = where.classify(POISON, home, 3.0)
         assert later == (Verdict.ISOLATE if entry == home else Verdict.WAIT)
 
 
 def test_a_suspect_on_trial_elsewhere_is_not_tried_at_its_home():
-    """The home waits while the entry that saw the death still tries it.
+    """The home entry waits while the entry that saw the failure runs a trial.
 
-    Two trials at a time could cost two endpoints, a third death in all.
+    Two trials at a time could crash two endpoints, three in all.
     """
     home = suspect_table.home_entry(POISON, ENTRIES)
-    first, second = make_ledger('other'), make_ledger(home)
-    die(first, 'r1', POISON)
+    first, second = make_table('other'), make_table(home)
+    fail(first, 'r1', POISON)
     first.reserve_trial(POISON, 0.1)
     second.merge(first.encode(), 0.5)
     assert second.classify(POISON, home, 5.0) == Verdict.WAIT
@@ -89,51 +89,50 @@
     assert second.classify(POISON, home, 7.0) == Verdict.ISOLATE
 
 
-def test_suspects_do_not_share_an_endpoint_unless_very_many_died():
-    """One suspect an endpoint after one death; a few after a rack's loss."""
-    where = make_ledger()
-    die(where, 'r1', POISON, INNOCENT)
+def test_suspects_share_an_endpoint_only_after_a_mass_failure():
+    """One suspect per endpoint after one failure; a few after a lost rack."""
+    where = make_table()
+    fail(where, 'r1', POISON, INNOCENT)
     where.started(POISON, 'r2', 0.0)
     assert where.free_endpoints(['r2', 'r3'], 0.0) == {'r3'}
     for number in range(2):
-        die(where, f'x{number}', INNOCENT)
+        fail(where, f'x{number}', INNOCENT)
     assert where.free_endpoints(['r2', 'r3'], 0.0) == {'r2', 'r3'}
 
 
-def test_a_lost_rack_does_not_make_its_requests_poison():
-    """A caller's request is lost twice within seconds as a rack goes.
+def test_a_lost_rack_does_not_refuse_its_requests():
+    """A request fails twice within seconds as its rack is lost.
 
-    It was sent again to a replica of the same rack. Deaths so close that it
-    had no part in are no request's doing: it is isolated, and refused only
-    after one more death.
+    It was retried on a replica of the same rack. With so many failures that
+    did not involve it, it is only isolated, and refused after one more failure.
     """
-    where = make_ledger()
+    where = make_table()
     for number in range(3):
-        die(where, f'r{number}', OTHER, now_s=float(number))
+        fail(where, f'r{number}', OTHER, now_s=float(number))
     for number in range(3, 5):
-        die(where, f'r{number}', INNOCENT, now_s=2.0)
+        fail(where, f'r{number}', INNOCENT, now_s=2.0)
     assert where.classify_retry(INNOCENT, 3.0) == Verdict.ISOLATE
-    die(where, 'r9', INNOCENT, now_s=60.0)
+    fail(where, 'r9', INNOCENT, now_s=60.0)
     assert where.classify_retry(INNOCENT, 60.0) == Verdict.REFUSE
 
 
-def test_deaths_of_others_do_not_buy_a_poison_request_a_third():
-    """Two replicas die by themselves; seconds later a poison request comes.
+def test_unrelated_failures_do_not_allow_a_poison_request_a_third():
+    """Two replicas fail by themselves; seconds later a poison request arrives.
 
-    It kills two more. Counted with them, its deaths passed for those of a
-    lost rack and it killed a third endpoint (soak seed 205, processes).
+    It crashes two more. If all four counted as a lost rack, it would crash a
+    third endpoint (found by soak seed 205, processes).
     """
-    where = make_ledger()
-    die(where, 'r1', INNOCENT, now_s=0.0)
-    die(where, 'r2', INNOCENT, now_s=1.7)
-    die(where, 'r3', POISON, now_s=2.9)
+    where = make_table()
+    fail(where, 'r1', INNOCENT, now_s=0.0)
+    fail(where, 'r2', INNOCENT, now_s=1.7)
+    fail(where, 'r3', POISON, now_s=2.9)
     assert where.classify_retry(POISON, 2.9) == Verdict.ISOLATE
-    die(where, 'r4', POISON, now_s=2.91)
+    fail(where, 'r4', POISON, now_s=2.91)
     assert where.classify_retry(POISON, 2.91) == Verdict.REFUSE
 
 
 def test_entries_put_suspects_on_disjoint_endpoints():
-    """No two entries put suspects together, and every endpoint is used."""
+    """The sets of the entries are disjoint and cover every endpoint."""
     endpoints = [f'r{number}' for number in range(60)]
     shares = [
         suspect_table.trial_endpoints(e, ENTRIES, endpoints) for e in ENTRIES
@@ -142,17 +141,17 @@
     assert len(frozenset().union(*shares)) == 60
 
 
-def test_a_death_that_two_entries_saw_counts_once():
-    """Two entries report the same death; the request is not refused for it.
+def test_a_failure_that_two_entries_report_counts_once():
+    """Two entries report the same failure; the request is not refused for it.
 
-    A service at the same address that dies again a minute later counts anew.
+    If a service at the same address fails a minute later, that counts again.
     """
-    first, second = make_ledger('e1'), make_ledger('e2')
-    die(first, 'r1', INNOCENT)
-    die(second, 'r1', INNOCENT, now_s=1.0)
+    first, second = make_table('e1'), make_table('e2')
+    fail(first, 'r1', INNOCENT)
+    fail(second, 'r1', INNOCENT, now_s=1.0)
     first.merge(second.encode(), 2.0)
     assert first.classify_retry(INNOCENT, 2.0) == Verdict.ISOLATE
-    die(first, 'r1', INNOCENT, now_s=60.0)
+    fail(first, 'r1', INNOCENT, now_s=60.0)
     assert first.classify_retry(INNOCENT, 60.0) == Verdict.REFUSE
 
 
@@ -169,19 +168,19 @@
 
 @hypothesis.given(STEPS, st.permutations(range(3)))
 def test_merging_is_commutative_and_idempotent(steps, order):
-    """Entries that have heard the same news judge alike, in any order."""
-    sources = [make_ledger(entry) for entry in ENTRIES]
+    """Entries with the same facts reach the same verdicts in any order."""
+    sources = [make_table(entry) for entry in ENTRIES]
     for number, endpoint, digest, clears in steps:
         if clears:
             sources[number].ended(digest, endpoint, 0.0, whole=True)
         else:
-            die(sources[number], endpoint, digest)
+            fail(sources[number], endpoint, digest)
     bodies = [source.encode() for source in sources]
-    one, other = make_ledger('a'), make_ledger('b')
+    one, other = make_table('a'), make_table('b')
     for body in bodies:
         one.merge(body, 0.0)
-    for place in (*order, *order):
-        other.merge(bodies[place], 0.0)
+    for index in (*order, *order):
+        other.merge(bodies[index], 0.0)
     for digest in (POISON, INNOCENT):
         assert one.classify_retry(digest, 0.0) == other.classify_retry(
             digest, 0.0
