--- a/redwingvalve/at_most_once/__init__.py
+++ b/redwingvalve/at_most_once/__init__.py
@@ -1,1 +1,1 @@
-"""At most once: which entry may run a non-idempotent request, and when."""
+"""At-most-once execution of non-idempotent requests across entries."""
--- a/redwingvalve/at_most_once/claim_table.py
+++ b/redwingvalve/at_most_once/claim_table.py
@@ -1,15 +1,15 @@
-"""The claims that one entry has granted, kept in memory for a fixed time.
-
-Load pattern: some requests a second, each with a key of its own, and now and
-then the same key again within seconds or minutes. Without the ledger a resend
-runs a second time: a quote is billed twice. A claim is kept for an hour after
-the last word on it, so that 22,000 requests a second on 360 entries, one in
-ten with a key and each known to five of them, need about 110,000 claims of some
-400 bytes on each. Beyond MAX_CLAIMS new claims are refused; forgetting
-an old one would let it run again.
-
-Copies are handed out in pages: 100,000 claims in one answer would hold up the
-requests of the voter that packs them for seconds, and never arrive in time.
+"""The claims that one voter has granted, kept in memory for a fixed time.
+
+Load pattern: some requests a second, each with its own key, and occasionally a
+key again within seconds or minutes. Without the table a retry runs a second
+time: a quote is billed twice. A claim is kept for an hour after its last
+update. With 22,000 requests a second on 360 entries, one in ten with a key and
+each known to five voters, each voter keeps about 110,000 claims of some 400
+bytes. Beyond MAX_CLAIMS new claims are refused, since dropping an old one would
+let it run again.
+
+Claims are copied in pages: encoding 100,000 claims in one response would block
+the requests of the voter for seconds, and the response would always time out.
 """
 
 import collections
@@ -20,7 +20,7 @@
 from redwingvalve.at_most_once import messages
 from redwingvalve.core import invariants, outcomes
 
-MEMORY_S = 3600.0
+RETENTION_S = 3600.0
 MAX_CLAIMS = 150_000
 PAGE_CLAIMS = 200
 
@@ -29,10 +29,10 @@
 
 @attrs.define
 class GrantedClaim:
-    """A granted claim and what became of it."""
+    """A granted claim and its outcome."""
 
     claim: messages.Claim
-    granted_s: float
+    updated_s: float
     number: int
     outcome: outcomes.Outcome = outcomes.Outcome.UNKNOWN
 
@@ -40,9 +40,9 @@
 class ClaimTable:
     """Grants each key to one claim."""
 
-    def __init__(self, memory_s: float = MEMORY_S) -> None:
+    def __init__(self, retention_s: float = RETENTION_S) -> None:
         """Start empty; claims are kept for memory_s."""
-        self._memory_s = memory_s
+        self._retention_s = retention_s
         self._granted: collections.OrderedDict[ClaimKey, GrantedClaim] = (
             collections.OrderedDict()
         )
@@ -50,14 +50,14 @@
         self._by_number: dict[int, GrantedClaim] = {}
 
     def vote(self, claim: messages.Claim, now_s: float) -> messages.Vote:
-        """Grant the claim if its key is free, and remember it."""
-        self._forget_old(now_s)
+        """Grant and store the claim if its key is free."""
+        self._drop_expired(now_s)
         key = (claim.account, claim.request_key)
         earlier = self._granted.get(key)
         if earlier is None:
             return self._grant(key, claim, now_s)
         if earlier.claim.claim_id == claim.claim_id:
-            # The same claim asked again after a lost answer.
+            # The same claim was sent again after a lost response.
             return messages.Vote(messages.Verdict.RUN)
         reason = 'the key was used before'
         if earlier.claim.digest != claim.digest:
@@ -69,7 +69,7 @@
     def report(
         self, claim: messages.Claim, outcome: outcomes.Outcome, now_s: float
     ) -> None:
-        """Take the claimant's word on the end; NOT_RUN frees the key."""
+        """Record the reported outcome; NOT_RUN frees the key."""
         key = (claim.account, claim.request_key)
         granted = self._granted.get(key)
         if granted is None or granted.claim.claim_id != claim.claim_id:
@@ -83,12 +83,12 @@
             self._drop(key)
             return
         granted.outcome = outcome
-        granted.granted_s = now_s
+        granted.updated_s = now_s
         self._granted.move_to_end(key)
 
     def page(self, after: int, now_s: float) -> tuple[GrantedClaim, ...]:
         """Return the next claims by number, at most PAGE_CLAIMS."""
-        self._forget_old(now_s)
+        self._drop_expired(now_s)
         later = (
             granted
             for number, granted in self._by_number.items()
@@ -101,14 +101,14 @@
         copied: tuple[tuple[messages.Claim, outcomes.Outcome], ...],
         now_s: float,
     ) -> None:
-        """Remember claims that another voter granted."""
+        """Store claims that another voter granted."""
         for claim, outcome in copied:
             key = (claim.account, claim.request_key)
             if key not in self._granted:
-                self._keep(key, claim, now_s, outcome)
+                self._store(key, claim, now_s, outcome)
 
     def __len__(self) -> int:
-        """Return how many claims are remembered."""
+        """Return the number of claims."""
         return len(self._granted)
 
     def _grant(
@@ -118,10 +118,10 @@
             return messages.Vote(
                 messages.Verdict.UNKNOWN, reason='too many keys are remembered'
             )
-        self._keep(key, claim, now_s, outcomes.Outcome.UNKNOWN)
+        self._store(key, claim, now_s, outcomes.Outcome.UNKNOWN)
         return messages.Vote(messages.Verdict.RUN)
 
-    def _keep(
+    def _store(
         self,
         key: ClaimKey,
         claim: messages.Claim,
@@ -137,9 +137,9 @@
         granted = self._granted.pop(key)
         self._by_number.pop(granted.number)
 
-    def _forget_old(self, now_s: float) -> None:
+    def _drop_expired(self, now_s: float) -> None:
         while self._granted:
             key, oldest = next(iter(self._granted.items()))
-            if now_s - oldest.granted_s <= self._memory_s:
+            if now_s - oldest.updated_s <= self._retention_s:
                 return
             self._drop(key)
--- a/redwingvalve/at_most_once/keys.py
+++ b/redwingvalve/at_most_once/keys.py
@@ -1,8 +1,8 @@
-"""Request keys: those that an entry issued, and those that callers chose.
+"""Request keys: issued by an entry, or chosen by a caller.
 
-An issued key names the entry and the incarnation that decide about it. A
-caller's own key may carry the time at which it was first made; entries that
-were started before that time need no memory of what came earlier.
+An issued key names the entry and the incarnation that decide about it. A key
+chosen by a caller may contain the time of its creation; voters that have been
+voters since before that time need no earlier claims to decide about it.
 """
 
 import re
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class IssuedKey:
-    """A key of the system's own; issued_ms is on the issuer's own clock."""
+    """A key issued by an entry; issued_ms is on the clock of that entry."""
 
     entry: str
     incarnation: int
@@ -26,7 +26,7 @@
     number: int
 
     def __str__(self) -> str:
-        """Return the key as callers send it."""
+        """Return the key in the form that callers send."""
         return (
             f'rwk1.{self.entry}.{self.incarnation}'
             f'.{self.issued_ms}.{self.number}'
@@ -34,7 +34,7 @@
 
 
 def parse_issued(text: str) -> IssuedKey | None:
-    """Return the issued key that text is, or None for a caller's own."""
+    """Parse an issued key; None for a key chosen by a caller."""
     matched = ISSUED_PATTERN.fullmatch(text)
     if matched is None:
         return None
@@ -42,7 +42,7 @@
     return IssuedKey(entry, int(incarnation), int(issued_ms), int(number))
 
 
-def made_at_s(text: str) -> float | None:
-    """Return the wall clock time that a caller's key carries, if any."""
+def created_at_s(text: str) -> float | None:
+    """Return the wall clock time in a key chosen by a caller, if any."""
     matched = DATED_PATTERN.fullmatch(text)
     return float(matched.group(1)) if matched else None
--- a/redwingvalve/at_most_once/messages.py
+++ b/redwingvalve/at_most_once/messages.py
@@ -1,4 +1,4 @@
-"""What entries ask each other about a request key."""
+"""Messages between the voters of a request key."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class Verdict(enum.StrEnum):
-    """What one voter says to a claim."""
+    """The answer of one voter to a claim."""
 
     RUN = 'run'
     DUPLICATE = 'duplicate'
@@ -17,12 +17,12 @@
 
 @attrs.frozen
 class Claim:
-    """An entry's wish to run one request under a key.
+    """The claim of an entry to run one request under a key.
 
-    send_id is unique to the claim: the same caller sending again makes
-    another claim. digest is of the body, to find a key used for two requests.
-    voters are those that the claimant asks; a voter that would name others
-    says nothing, since two sets of voters need not share one.
+    claim_id is unique to the claim: a retry of the same caller is another
+    claim. digest is of the body, to detect a key used for two requests. voters
+    are those that the claimant asks; a voter that computes other voters doesn't
+    decide, since two different sets need not have a voter in common.
     """
 
     account: str
@@ -36,9 +36,9 @@
 
 @attrs.frozen
 class Vote:
-    """A voter's word; outcome is what it knows of the earlier request.
+    """The vote of one voter; outcome is that of an earlier request.
 
-    wait_s is how long an undecided voter stays so at most, 0 if it can't tell.
+    wait_s is the longest time until an undecided voter decides, 0 if unknown.
     """
 
     verdict: Verdict
@@ -49,13 +49,13 @@
 
 @attrs.frozen
 class ClaimPage:
-    """A page of a voter's claims, for one that has just become a voter.
+    """A page of the claims of a voter, for a process that became a voter.
 
-    An incarnation numbers its claims; the page ends with reached, and more
-    says that another one follows.
+    An incarnation numbers its claims; the last one of the page is reached, and
+    more means that another page follows.
 
-    whole says that the voter has lost none that its name ever granted;
-    complete, that it has all that were granted before these names held.
+    whole means that the voter has all claims that its name ever granted;
+    complete, that it has all that were granted before these names took effect.
     """
 
     claims: tuple[tuple[Claim, outcomes.Outcome], ...]
--- a/redwingvalve/at_most_once/peers.py
+++ b/redwingvalve/at_most_once/peers.py
@@ -1,4 +1,4 @@
-"""How an entry asks the others about request keys; thrift or a fake."""
+"""Interface for calls between voters; implemented by thrift and a fake."""
 
 import abc
 
@@ -10,13 +10,13 @@
 
 
 class KeyPeers(abc.ABC):
-    """Calls to other entries; an Error says why no answer came."""
+    """Calls to other voters; an Error says why there is no response."""
 
     @abc.abstractmethod
     async def claim(
         self, member: members.Member, claim: messages.Claim
     ) -> Result[messages.Vote, str]:
-        """Ask for a vote."""
+        """Request a vote."""
 
     @abc.abstractmethod
     async def report(
@@ -25,10 +25,10 @@
         claim: messages.Claim,
         outcome: outcomes.Outcome,
     ) -> Result[None, str]:
-        """Tell what became of a claimed request."""
+        """Report the outcome of a claimed request."""
 
     @abc.abstractmethod
     async def copy(
         self, member: members.Member, names: tuple[str, ...], after: int
     ) -> Result[messages.ClaimPage, str]:
-        """Copy a page of a voter's claims; names are the voters we know of."""
+        """Copy a page of claims; names are the voters known to this process."""
--- a/redwingvalve/at_most_once/tests/fleet.py
+++ b/redwingvalve/at_most_once/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Voters on one loop, with links that may be cut and clocks that may stop."""
+"""Simulated fleet of voters with partitions, crashes and pauses."""
 
 import collections
 
@@ -18,27 +18,27 @@
 from redwingvalve.core import clock, invariants, outcomes
 from redwingvalve.membership import members
 
-BASE_NAMES = ('e1', 'e2', 'e3', 'e4', 'e5')
-WITH_CONTROLS = ('e1', 'e2', 'e3', 'c1', 'c2')
+ENTRY_NAMES = ('e1', 'e2', 'e3', 'e4', 'e5')
+MIXED_NAMES = ('e1', 'e2', 'e3', 'c1', 'c2')
 KEYS = ('k1', 'k2', 'k3', 'k4')
-MEMORY_S = claim_table.MEMORY_S
-# All voters settle, look at each other twice and copy.
+RETENTION_S = claim_table.RETENTION_S
+# All voters settle, sync twice and copy.
 READY_S = 10
 RUN = invariants.Safeguard.RUN_AT_MOST_ONCE
 
 
 @pytest.fixture(autouse=True, scope='module')
 def small_pages():
-    """Copies take several pages, with anything in between."""
+    """Use small pages, so that other events happen between two pages."""
     with pytest.MonkeyPatch.context() as patched:
         patched.setattr(claim_table, 'PAGE_CLAIMS', 2)
         yield
 
 
 class Fleet:
-    """Entries in one process; a link is up when both ends share a side."""
+    """Voters in one process; those on the same side can reach each other."""
 
-    def __init__(self, names=BASE_NAMES, disabled=(), resend_s=MEMORY_S):
+    def __init__(self, names=ENTRY_NAMES, disabled=(), resend_s=RETENTION_S):
         self.resend_s = resend_s
         self.paused = set()
         self.seen_s = {}
@@ -60,14 +60,14 @@
         now_s = self.clock.monotonic_s()
         if store:
             self.seen_s[name] = now_s
-        oldest_s = now_s - roster.LONGEST_ABSENCE_S
+        oldest_s = now_s - roster.MAX_ABSENCE_S
         names = [key for key, seen in self.seen_s.items() if seen >= oldest_s]
         self.incarnations[name] += 1
         self.side.setdefault(name, 0)
         me = members.Member(
             name, self.incarnations[name], role_of(name), 'h', 1, 2, 'dc', 'r'
         )
-        known = View(self, me)
+        known = MembersView(self, me)
         own = voter.make_voter(
             me,
             self.clock,
@@ -85,29 +85,29 @@
         self.paused.discard(name)
 
     def crash_together(self, names):
-        """Lose the memory of all names before any of them is back."""
+        """Crash all of these voters before any of them restarts."""
         for name in names:
             self.crash(name)
         for name in names:
             self.start(name)
 
-    def awake(self):
+    def running_names(self):
         return sorted(self.entries.keys() - self.paused)
 
-    def reach(self, one, other):
+    def can_reach(self, one, other):
         there = other in self.entries and other not in self.paused
         return there and self.side[one] == self.side[other]
 
     def settle(self, rounds=8):
-        """Let the entries look at each other for some seconds."""
+        """Let the running voters sync once a second."""
         for _ in range(rounds):
             self.clock.advance(1.0)
-            for name in self.awake():
+            for name in self.running_names():
                 self.seen_s[name] = self.clock.monotonic_s()
                 anyio.run(self.entries[name].sync_once)
 
     def advance(self, duration_s):
-        """Let a long time pass in which everybody looks now and then."""
+        """Let a long time pass, with syncs before and after it."""
         self.settle(2)
         self.clock.advance(duration_s)
         self.settle()
@@ -120,7 +120,7 @@
         return anyio.run(self.entries[name].claim, claim)
 
     def run(self, name, grant):
-        """Run under a grant if it is still good; count the run."""
+        """Run under a grant if it is still valid, and record the run."""
         if not self.entries[name].check(grant):
             return False
         self.runs[grant.claim.request_key].append(self.clock.monotonic_s())
@@ -143,7 +143,7 @@
 
 
 @attrs.define
-class View(members.Members):
+class MembersView(members.Members):
     fleet: Fleet
     me: members.Member
 
@@ -161,7 +161,9 @@
                 name=name,
                 role=role_of(name),
                 incarnation=number,
-                state=alive if self.fleet.reach(self.me.name, name) else dead,
+                state=alive
+                if self.fleet.can_reach(self.me.name, name)
+                else dead,
             )
             for name, number in self.fleet.incarnations.items()
         )
@@ -174,7 +176,7 @@
 
     async def _call(self, member, method, *arguments):
         await anyio.lowlevel.checkpoint()
-        if not self.fleet.reach(self.name, member.name):
+        if not self.fleet.can_reach(self.name, member.name):
             return Error('unreachable')
         target = self.fleet.entries[member.name].voter
         return Ok(getattr(target, method)(*arguments))
--- a/redwingvalve/at_most_once/tests/test_fleet.py
+++ b/redwingvalve/at_most_once/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of voters under partitions, crashes, pauses and replacements."""
+"""A fleet of voters with partitions, crashes, pauses and replacements."""
 
 import itertools
 
@@ -12,38 +12,38 @@
 from redwingvalve.at_most_once.tests import fleet as fleets
 from redwingvalve.core import outcomes
 
-# Copies take several pages in this module too.
+# Small pages apply in this module too.
 small_pages = fleets.small_pages
 
 
-@pytest.mark.parametrize('lost', fleets.BASE_NAMES)
-def test_a_resend_to_another_entry_after_a_crash_does_not_run(lost):
-    """The caller sees a refusal with outcome ran for its second try.
+@pytest.mark.parametrize('lost', fleets.ENTRY_NAMES)
+def test_a_retry_at_another_entry_after_a_crash_does_not_run(lost):
+    """A retry with the same key at any entry is refused with outcome ran.
 
-    It sends with a key of its own; an entry dies, maybe the one that ran the
-    request or a voter, and comes back without memory. The caller sends again
-    elsewhere. Any two of the three voters share one that remembers.
+    After the first run, an entry crashes and restarts without its claims; it
+    may be the one that ran the request, or a voter. Any two majorities of the
+    voters share one that still has the claim.
     """
     fleet = fleets.Fleet()
     assert fleet.send('e1', 'quote-7') == 'ran'
     fleet.crash(lost)
     fleet.start(lost)
     fleet.settle()
-    for name in fleets.BASE_NAMES:
+    for name in fleets.ENTRY_NAMES:
         refused = fleet.send(name, 'quote-7')
         assert refused.outcome == outcomes.Outcome.RAN
     assert len(fleet.runs['quote-7']) == 1
 
 
-def test_only_the_larger_side_of_a_partition_decides():
-    """Callers of the smaller side see outcome unknown; nothing runs there.
+def test_only_the_majority_side_of_a_partition_decides():
+    """On the minority side of a partition, nothing runs.
 
-    The fleet splits three to two. Both sides are asked with the same key, for
-    longer than claims are remembered.
+    The fleet is split three to two for longer than claims are kept. The same
+    keys are used on both sides.
     """
     fleet = fleets.Fleet()
     fleet.side.update(e4=1, e5=1)
-    fleet.advance(claim_table.MEMORY_S)
+    fleet.advance(claim_table.RETENTION_S)
     answers = [
         fleet.send(name, f'k{i}') for i in range(20) for name in ('e4', 'e1')
     ]
@@ -52,52 +52,52 @@
 
 
 def test_a_restarted_entry_votes_again_at_once():
-    """Callers notice nothing of a rolling restart of all entries.
+    """A rolling restart of all entries has no effect on callers.
 
-    Each entry restarts and copies the claims of the others before the next
-    one does. Every earlier key is still refused, every new key runs.
+    Each entry restarts and copies the claims of the others before the next one
+    restarts. Every earlier key is still refused, and every new key runs.
     """
     fleet = fleets.Fleet()
-    for name in fleets.BASE_NAMES:
+    for name in fleets.ENTRY_NAMES:
         assert fleet.send(name, f'before-{name}') == 'ran'
         fleet.crash(name)
         fleet.start(name)
         fleet.settle()
-    for name in fleets.BASE_NAMES:
+    for name in fleets.ENTRY_NAMES:
         assert fleet.send('e1', f'before-{name}').duplicate
         assert fleet.send(name, f'after-{name}') == 'ran'
 
 
 @pytest.mark.parametrize(
-    'lost', tuple(itertools.combinations(fleets.WITH_CONTROLS, 2))
+    'lost', tuple(itertools.combinations(fleets.MIXED_NAMES, 2))
 )
-def test_two_that_die_together_hold_no_key_up(lost):
-    """The caller of a new key is served seconds after the two are back.
+def test_two_simultaneous_crashes_block_no_key(lost):
+    """New keys run within seconds after two voters have restarted.
 
-    Two of three entries and two controllers die before either has copied the
-    claims of the other. The three others hold every claim that a majority
-    granted: earlier keys stay refused, also after a third has died since.
+    Two of three entries and two controllers crash before either has copied the
+    claims of the other. The remaining three have every claim that a majority
+    granted: earlier keys are still refused, even after a third one crashes.
     """
-    fleet = fleets.Fleet(fleets.WITH_CONTROLS)
+    fleet = fleets.Fleet(fleets.MIXED_NAMES)
     assert fleet.send('e1', 'before') == 'ran'
     fleet.crash_together(lost)
     fleet.settle(fleets.READY_S)
-    for name in fleets.WITH_CONTROLS:
+    for name in fleets.MIXED_NAMES:
         assert fleet.send(name, 'before').outcome == outcomes.Outcome.RAN
         assert fleet.send(name, f'after-{name}') == 'ran'
-    third = next(name for name in fleets.WITH_CONTROLS if name not in lost)
+    third = next(name for name in fleets.MIXED_NAMES if name not in lost)
     fleet.crash_together([third])
     fleet.settle(fleets.READY_S)
-    for name in fleets.WITH_CONTROLS:
+    for name in fleets.MIXED_NAMES:
         assert fleet.send(name, f'after-{name}').outcome == 'ran'
     assert fleet.send(third, 'last') == 'ran'
 
 
-def test_newcomers_beside_a_cut_off_voter_do_not_outvote_the_others():
-    """The caller that sends again on the smaller side sees no second run.
+def test_new_voters_beside_an_isolated_voter_form_no_majority():
+    """A retry on the side of an isolated voter doesn't run again.
 
-    e3 is cut off while e1 and e2 run quotes. Two new voters start on its side
-    and make three of five with it; none of them knows of the quotes.
+    e3 is isolated while e1 and e2 run quotes. Two new voters start on its side,
+    three of five in all, and none of them has the claims of the quotes.
     """
     fleet = fleets.Fleet(('e1', 'e2', 'e3'))
     fleet.side['e3'] = 1
@@ -114,10 +114,10 @@
 
 
 def test_a_source_that_restarts_between_pages_is_copied_from_the_start():
-    """The caller that sends again is refused; new keys are decided.
+    """Claims are copied from the start if the source restarts in between.
 
-    e1 restarts and copies two pages of e2's claims; then e2 restarts too and
-    numbers its claims anew, which must not be taken for the rest.
+    e1 restarts and copies two pages of the claims of e2. Then e2 restarts too
+    and numbers its claims from one, which are not the rest of the first copy.
     """
     fleet = fleets.Fleet()
     quotes = [f'quote-{number}' for number in range(9)]
@@ -134,18 +134,18 @@
     fleet.crash_together(['e1'])
     fleet.settle(2 * fleets.READY_S)
     assert pages.count('e2') == 3
-    for name in fleets.BASE_NAMES:
+    for name in fleets.ENTRY_NAMES:
         assert fleet.entries[name].voter.remembered() == len(quotes)
         assert fleet.send(name, 'quote-8').outcome == outcomes.Outcome.RAN
     assert fleet.send('e2', 'new') == 'ran'
 
 
-def test_a_claim_that_a_restart_falls_into_is_not_half_forgotten():
-    """The caller that sends again is refused; its first send had its votes.
+def test_a_restart_during_a_claim_does_not_lose_its_votes():
+    """A retry is refused if a voter restarted during the votes of the first.
 
-    e1 votes and dies. It is back within a second and looks at the others before
-    the votes of e2 and e3 are asked. Had it copied them then, it would let
-    e4 and e5 run with it what ran under the votes of e1, e2 and e3.
+    e1 votes and crashes. It restarts within a second and syncs before e2 and e3
+    vote. If it copied their claims then, it would form a majority with e4 and
+    e5 for a request that ran with the votes of e1, e2 and e3.
     """
     fleet = fleets.Fleet()
     chosen = fleet.entries['e4'].voter.roster.voters('shop', 'quote')
@@ -162,11 +162,11 @@
     assert fleet.send('e5', 'other') == 'ran'
 
 
-def test_votes_that_come_late_are_not_counted():
-    """The caller sees a refusal, and its next send runs.
+def test_late_votes_are_not_counted():
+    """A claim with delayed votes is refused, and the next one runs.
 
-    The claimant is held up between its questions. A voter that answered first
-    may have restarted and copied the others by the time the last is asked.
+    The claimant is delayed between its calls. A voter that voted first may have
+    restarted and copied the others by the time the last one votes.
     """
     fleet = fleets.Fleet()
     fleet.on_vote = lambda: fleet.clock.advance(0.6)
@@ -183,14 +183,15 @@
         (('e1', 'e2', 'e3'), ('e4', 'e5'), ('n6', 'n7')),
     ],
 )
-def test_newcomers_do_not_run_what_died_with_an_earlier_majority(
+def test_new_voters_do_not_run_what_a_crashed_majority_granted(
     majority, others, newcomers
 ):
-    """The caller that sends again sees unknown; only the dead knew its quote.
+    """A retry is undecided if only crashed voters had its claim.
 
-    A majority runs a quote while the others are cut off. Newcomers start on
-    their side, then the majority dies and restarts, and all meet. Most have
-    lost nothing that their names granted, and none has the quote.
+    A majority runs a quote while the others are isolated. New voters start on
+    the side of the others, then the majority crashes and restarts, and the
+    partition heals. Most voters have all grants of their names, and none has
+    the claim of the quote.
     """
     fleet = fleets.Fleet(majority + others)
     fleet.side.update(dict.fromkeys(others, 1))
@@ -205,15 +206,15 @@
     fleet.side = dict.fromkeys(fleet.side, 0)
     fleet.settle(fleets.READY_S)
     for quote in quotes:
-        for name in fleet.awake():
+        for name in fleet.running_names():
             assert fleet.send(name, quote) != 'ran'
 
 
-def test_newcomers_that_see_only_each_other_are_no_fleet():
-    """The caller sends again to a newcomer while all others are paused.
+def test_new_voters_that_see_only_each_other_do_not_decide():
+    """Two new voters don't decide while the three others are paused.
 
-    The newcomers have never met the others and see a fleet of their own. The
-    store's names tell them that they are two of five.
+    The new voters have never seen the others. From the names in the store they
+    know that they are two of five.
     """
     fleet = fleets.Fleet(('e1', 'e2', 'e3'))
     assert fleet.send('e1', 'quote') == 'ran'
@@ -228,10 +229,10 @@
     assert fleet.send('n5', 'other') == 'ran'
 
 
-def test_three_of_nine_that_die_together_hold_only_their_own_keys_up():
-    """Callers see unknown only where a majority of a key's voters is lost.
+def test_three_of_nine_crashes_block_only_the_keys_they_decide():
+    """Keys are undecided only if a majority of their voters crashed.
 
-    A data centre of three of nine processes loses its power and comes back.
+    A data centre with three of nine processes loses power and recovers.
     """
     lost = {'e1', 'e2', 'c1'}
     fleet = fleets.Fleet(('e1', 'e2', 'e3', 'e4', 'e5', 'e6', 'c1', 'c2', 'c3'))
@@ -246,16 +247,16 @@
 
 
 @pytest.mark.parametrize('lost', (3, 4, 5))
-def test_a_lost_majority_decides_again_when_callers_have_given_up(lost):
-    """The caller of a key without a time is told unknown for resend_s.
+def test_a_crashed_majority_decides_again_after_resend_s(lost):
+    """Keys without a time are undecided for resend_s after a majority crash.
 
-    Three or more of five lose their memory at once: some earlier key may be
-    known to nobody. Once no caller sends an earlier key any more, new ones
-    run; a key that still comes within that time doesn't run again.
+    If three or more of five voters crash at once, the claim of an earlier key
+    may be lost. After resend_s no caller retries an earlier key, so keys run
+    again; a key that arrives before that doesn't run.
     """
-    fleet = fleets.Fleet(fleets.WITH_CONTROLS, resend_s=60)
+    fleet = fleets.Fleet(fleets.MIXED_NAMES, resend_s=60)
     assert fleet.send('e1', 'before') == 'ran'
-    fleet.crash_together(fleets.WITH_CONTROLS[-lost:])
+    fleet.crash_together(fleets.MIXED_NAMES[-lost:])
     fleet.settle(50)
     assert fleet.send('e1', 'before') != 'ran'
     refused = fleet.send('e1', 'new')
@@ -265,17 +266,17 @@
     assert fleet.send('e1', 'new') == 'ran'
 
 
-def test_a_restart_of_the_whole_fleet_forgets_nothing_silently():
-    """The caller sees outcome unknown: nobody remembers, so nothing runs.
+def test_after_a_restart_of_the_fleet_earlier_keys_are_undecided():
+    """After all entries restart at once, earlier keys are undecided.
 
-    All entries restart at once. A key dated after the restart is surely new
-    and runs; for any other nobody can know.
+    A key with a time after the restart is certainly new and runs; no voter can
+    decide about any other key.
     """
     fleet = fleets.Fleet()
     fleet.send('e1', 'old')
-    for name in fleets.BASE_NAMES:
+    for name in fleets.ENTRY_NAMES:
         fleet.crash(name)
-    for name in fleets.BASE_NAMES:
+    for name in fleets.ENTRY_NAMES:
         fleet.start(name)
     fleet.advance(30)
     assert not fleet.send('e2', 'old').duplicate
@@ -284,11 +285,11 @@
     assert fleet.send('e3', dated).duplicate
 
 
-def test_an_issued_key_lives_and_dies_with_its_issuer():
-    """The caller sees unknown once the issuer is gone; nothing runs then.
+def test_an_issued_key_is_valid_only_with_its_issuer():
+    """An issued key is undecided once its issuer has ended.
 
-    The key names an entry and incarnation. Another entry may run the request
-    after asking it, once; a new incarnation of the same name decides nothing.
+    The key names an entry and an incarnation. Another entry may run the request
+    once by the vote of the issuer; a new incarnation doesn't decide about it.
     """
     fleet = fleets.Fleet()
     issue = fleet.entries['e1'].voter.issue
@@ -302,18 +303,18 @@
     assert not fleet.runs[unused]
 
 
-def test_without_the_safeguard_the_breach_is_found():
+def test_without_the_safeguard_a_key_runs_twice():
     fleet = fleets.Fleet(disabled=(fleets.RUN,))
     assert fleet.send('e1', 'k') == 'ran' == fleet.send('e2', 'k')
     assert len(fleet.runs['k']) == 2
 
 
-def test_a_voter_that_knows_a_newcomer_is_silent_to_old_voters():
-    """The caller sees a refusal and sends again; nothing can run twice.
+def test_a_voter_that_knows_a_new_voter_rejects_outdated_voter_sets():
+    """A claim with an outdated set of voters is not granted.
 
-    A new entry has joined; one voter knows it and has told it its claims, the
-    claimant does not. A grant by the old voters after that would be unknown
-    to the newcomer, which may then vote for a second run.
+    A new entry has joined and copied the claims of one voter, but the claimant
+    doesn't know the new entry. A later grant by the old voters would be unknown
+    to the new entry, which might vote for a second run.
     """
     fleet = fleets.Fleet()
     fleet.start('n6')
--- a/redwingvalve/at_most_once/tests/test_fleet_machine.py
+++ b/redwingvalve/at_most_once/tests/test_fleet_machine.py
@@ -1,4 +1,4 @@
-"""A fleet of voters under any order of faults."""
+"""A fleet of voters under faults in any order."""
 
 import itertools
 import random
@@ -13,25 +13,25 @@
 )
 from redwingvalve.at_most_once.tests import fleet as fleets
 
-# Copies take several pages in this module too.
+# Small pages apply in this module too.
 small_pages = fleets.small_pages
 
 
 class FleetMachine(stateful.RuleBasedStateMachine):
-    """Callers send the same few keys again and again, everywhere."""
+    """Callers repeat the same few keys at all entries."""
 
     def __init__(self):
         super().__init__()
         self.fleet = fleets.Fleet()
         self.grants = []
-        self.fresh = itertools.count()
+        self.new_key_numbers = itertools.count()
 
-    @stateful.initialize(resend_s=st.sampled_from((600, fleets.MEMORY_S)))
+    @stateful.initialize(resend_s=st.sampled_from((600, fleets.RETENTION_S)))
     def declare(self, resend_s):
         self.fleet = fleets.Fleet(resend_s=resend_s)
 
     def pick(self, number):
-        names = self.fleet.awake()
+        names = self.fleet.running_names()
         return names[number % len(names)]
 
     @stateful.rule(number=st.integers(0, 9), key=st.sampled_from(fleets.KEYS))
@@ -48,7 +48,7 @@
     @stateful.rule()
     def wake_up(self):
         for name, grant in self.grants:
-            if name in self.fleet.awake():
+            if name in self.fleet.running_names():
                 self.fleet.run(name, grant)
         self.grants.clear()
 
@@ -56,7 +56,7 @@
         number=st.integers(0, 9), restart=st.booleans(), store=st.booleans()
     )
     def crash(self, number, restart, store):
-        if len(self.fleet.awake()) < 2:
+        if len(self.fleet.running_names()) < 2:
             return
         name = self.pick(number)
         self.fleet.crash(name)
@@ -64,52 +64,52 @@
         if restart:
             self.fleet.start(name, store)
 
-    def several(self, seed):
-        """Some that are awake, mostly a majority; one is left."""
-        names = self.fleet.awake()
-        chance = random.Random(seed)
+    def pick_several(self, seed):
+        """Return some running voters, mostly a majority, but not all."""
+        names = self.fleet.running_names()
+        rng = random.Random(seed)
         most = len(names) - 1
-        return chance.sample(names, min(most, chance.choice((2, 3, 3, 4))))
+        return rng.sample(names, min(most, rng.choice((2, 3, 3, 4))))
 
     @stateful.rule(seed=st.integers(0, 999))
     def crash_together(self, seed):
-        gone = self.several(seed)
+        gone = self.pick_several(seed)
         self.fleet.crash_together(gone)
         self.grants = [held for held in self.grants if held[0] not in gone]
 
     @stateful.rule(seed=st.integers(0, 999))
     def pause_together(self, seed):
-        self.fleet.paused.update(self.several(seed))
+        self.fleet.paused.update(self.pick_several(seed))
 
     @stateful.rule()
     def resume(self):
         self.fleet.paused.clear()
 
     @stateful.rule(number=st.integers(0, 9))
-    def fresh_keys_run_once_all_were_up_for_the_bound(self, number):
-        self.bring_back()
+    def new_keys_run_after_all_were_up_for_resend_s(self, number):
+        self.restore_all()
         self.fleet.advance(self.fleet.resend_s + fleets.READY_S)
-        assert self.fleet.send(self.pick(number), self.fresh_key()) == 'ran'
+        assert self.fleet.send(self.pick(number), self.new_key()) == 'ran'
 
     @stateful.rule(seed=st.integers(0, 999))
-    def two_that_die_together_hold_nothing_up(self, seed):
-        self.bring_back()
+    def two_simultaneous_crashes_block_nothing(self, seed):
+        self.restore_all()
         self.fleet.advance(self.fleet.resend_s + fleets.READY_S)
-        gone = random.Random(seed).sample(self.fleet.awake(), 2)
+        gone = random.Random(seed).sample(self.fleet.running_names(), 2)
         self.fleet.crash_together(gone)
         self.grants = [held for held in self.grants if held[0] not in gone]
         self.fleet.settle(fleets.READY_S)
-        for name in self.fleet.awake():
-            assert self.fleet.send(name, self.fresh_key()) == 'ran'
+        for name in self.fleet.running_names():
+            assert self.fleet.send(name, self.new_key()) == 'ran'
 
-    def bring_back(self):
+    def restore_all(self):
         self.fleet.paused.clear()
         self.heal()
         for name in self.fleet.incarnations.keys() - self.fleet.entries.keys():
             self.fleet.start(name)
 
-    def fresh_key(self):
-        return f'fresh-{next(self.fresh)}'
+    def new_key(self):
+        return f'fresh-{next(self.new_key_numbers)}'
 
     @stateful.rule(store=st.booleans())
     def replace(self, store):
@@ -118,9 +118,9 @@
 
     @stateful.rule(seed=st.integers(0, 999))
     def partition(self, seed):
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         for name in self.fleet.side:
-            self.fleet.side[name] = chance.choice((0, 0, 1))
+            self.fleet.side[name] = rng.choice((0, 0, 1))
 
     @stateful.rule()
     def heal(self):
@@ -131,7 +131,7 @@
         self.fleet.settle()
 
     @stateful.rule(number=st.integers(0, 9))
-    def one_looks(self, number):
+    def one_syncs(self, number):
         self.fleet.clock.advance(0.5)
         anyio.run(self.fleet.entries[self.pick(number)].sync_once)
 
@@ -141,10 +141,10 @@
 
     @stateful.invariant()
     def no_key_runs_twice_while_it_is_remembered(self):
-        apart_s = self.fleet.resend_s - claims.GRANT_VALID_S
+        min_interval_s = self.fleet.resend_s - claims.GRANT_VALIDITY_S
         for times in self.fleet.runs.values():
             for earlier, later in itertools.pairwise(times):
-                assert later - earlier > apart_s
+                assert later - earlier > min_interval_s
 
 
 FleetMachine.TestCase.settings = hypothesis.settings(
--- a/redwingvalve/at_most_once/tests/test_thrift_peers.py
+++ b/redwingvalve/at_most_once/tests/test_thrift_peers.py
@@ -1,4 +1,4 @@
-"""Claims between two entries over real sockets of the loopback."""
+"""Claims between two voters over loopback sockets."""
 
 import anyio
 import attrs
@@ -13,7 +13,7 @@
 
 
 def test_votes_reports_and_copies_survive_the_wire():
-    """A second claim hears that the first ran; a copy holds both facts."""
+    """A second claim gets the outcome of the first; so does a copy."""
 
     async def scenario():
         timers = clock.make_system_clock()
--- a/redwingvalve/at_most_once/tests/test_voter_registration.py
+++ b/redwingvalve/at_most_once/tests/test_voter_registration.py
@@ -1,4 +1,4 @@
-"""What a voter learns from the store when it starts."""
+"""Registration of voters in the store."""
 
 import anyio
 
@@ -8,8 +8,8 @@
 HOUR_S = 3600.0
 
 
-def test_a_voter_learns_who_else_votes_and_whether_it_did_before():
-    """Long gone names are left out, and outdated ones may be deleted."""
+def test_registration_returns_the_voters_and_whether_it_is_the_first():
+    """Names not refreshed for long are omitted, later deletable."""
 
     async def scenario():
         store = memory_store.make_memory_object_api()
@@ -17,12 +17,12 @@
         second = await voter_registration.register(store, 'e2', HOUR_S)
         again = await voter_registration.register(store, 'e1', HOUR_S)
         assert await voter_registration.refresh(store, 'e1', HOUR_S)
-        later_s = HOUR_S + roster.LONGEST_ABSENCE_S + 1
+        later_s = HOUR_S + roster.MAX_ABSENCE_S + 1
         assert await voter_registration.refresh(store, 'e2', later_s)
         late = await voter_registration.register(store, 'e3', later_s)
         kept = (await store.list(voter_registration.KIND)).ok.objects
         gone = voter_registration.find_expired(
-            kept, HOUR_S + voter_registration.KEEP_S + 1
+            kept, HOUR_S + voter_registration.OBJECT_RETENTION_S + 1
         )
         store.set_outage(outage=True)
         assert not await voter_registration.refresh(store, 'e2', later_s)
--- a/redwingvalve/at_most_once/thrift_peers.py
+++ b/redwingvalve/at_most_once/thrift_peers.py
@@ -1,4 +1,4 @@
-"""Claims of request keys between entries, over the Peer service."""
+"""Claims of request keys over the Peer service."""
 
 import typing
 
@@ -14,16 +14,16 @@
 
 
 class ThriftKeyPeers(peers.KeyPeers):
-    """Asks other entries through the process's peer caller."""
+    """Calls other voters through the peer caller of the process."""
 
     def __init__(self, caller: rpc.PeerCaller) -> None:
-        """Ask through caller."""
+        """Use caller for all calls."""
         self._caller = caller
 
     async def claim(
         self, member: members.Member, claim: messages.Claim
     ) -> Result[messages.Vote, str]:
-        """Ask for a vote."""
+        """Request a vote."""
         called = await self._call(member, 'claim_key', _to_wire(claim))
         if called.is_error():
             return Error(called.error)
@@ -43,7 +43,7 @@
         claim: messages.Claim,
         outcome: outcomes.Outcome,
     ) -> Result[None, str]:
-        """Tell what became of a claimed request."""
+        """Report the outcome of a claimed request."""
         report = wire.KeyReport(claim=_to_wire(claim), outcome=outcome.value)
         called = await self._call(member, 'report_key', report)
         return Error(called.error) if called.is_error() else Ok(None)
@@ -51,7 +51,7 @@
     async def copy(
         self, member: members.Member, names: tuple[str, ...], after: int
     ) -> Result[messages.ClaimPage, str]:
-        """Copy a page of a voter's claims."""
+        """Copy a page of the claims of a voter."""
         request = wire.KeyCopyRequest(names=list(names), after=after)
         called = await self._call(member, 'copy_keys', request)
         if called.is_error():
@@ -84,11 +84,11 @@
 
 
 class VoterHandler(handlers.KeyClaimHandler, handlers.KeyMemoryHandler):
-    """Answers other entries from this entry's voter."""
+    """Handles calls of other voters with the local voter."""
 
-    def __init__(self, own_voter: voter.Voter) -> None:
-        """Answer from own_voter."""
-        self._voter = own_voter
+    def __init__(self, local_voter: voter.Voter) -> None:
+        """Use local_voter for all calls."""
+        self._voter = local_voter
 
     async def claim_key(self, claim: wire.KeyClaim) -> wire.KeyVerdict:
         """Vote on a claim."""
@@ -101,14 +101,14 @@
         )
 
     async def report_key(self, report: wire.KeyReport) -> bool:
-        """Take the claimant's word on the end of its request."""
+        """Record the outcome that a claimant reports."""
         self._voter.report(
             _from_wire(report.claim), outcomes.Outcome(report.outcome)
         )
         return True
 
     async def copy_keys(self, request: wire.KeyCopyRequest) -> wire.KeyCopy:
-        """Hand out a page of claims."""
+        """Return a page of claims."""
         copied = self._voter.copy(tuple(request.names), request.after or 0)
         return wire.KeyCopy(
             claims=[
@@ -149,5 +149,5 @@
 
 
 def make_thrift_key_peers(caller: rpc.PeerCaller) -> peers.KeyPeers:
-    """Return calls to other entries."""
+    """Return an interface to the other voters."""
     return ThriftKeyPeers(caller)
--- a/redwingvalve/at_most_once/voter_registration.py
+++ b/redwingvalve/at_most_once/voter_registration.py
@@ -1,11 +1,11 @@
-"""What a starting voter must know of the time before it, from the store.
-
-What an earlier incarnation granted is lost with its memory. A process can't
-know by itself that it had one, nor which others vote that it can't reach: new
-voters that see only each other would make a fleet of their own and run again
-what the others ran. Each name therefore keeps one object in the store: a write
-a start and one each half hour, so 360 nodes write 0.2 a second, and nothing is
-written for a request.
+"""Registration of voters in the store.
+
+The grants of an earlier incarnation are lost with its memory. A process can't
+know by itself whether it had one, nor which voters exist that it can't reach:
+new voters that see only each other would decide as a fleet of their own and run
+requests again. Each name therefore has one object in the store, written at each
+start and every half hour: 360 nodes make 0.2 writes a second, and no request
+causes a write.
 """
 
 from collections import abc as collections_abc
@@ -17,16 +17,16 @@
 from redwingvalve.platform_api import object_api
 
 KIND = 'keyvoters'
-REFRESH_S = 1800.0
-# After an outage of the store all objects look old until they are refreshed.
-RETRY_S = 5.0
-# Far longer than claims are remembered: the name then starts as a new one.
-KEEP_S = 86_400.0
+REFRESH_INTERVAL_S = 1800.0
+# After an outage of the store, all objects look old until they are refreshed.
+RETRY_INTERVAL_S = 5.0
+# Much longer than claims are kept; afterwards the name counts as new.
+OBJECT_RETENTION_S = 86_400.0
 
 
 @attrs.frozen
 class Registration:
-    """first: no process had this name; names: who may vote, seen or not."""
+    """first: no process had this name before; names: all possible voters."""
 
     first: bool
     names: frozenset[str] = frozenset()
@@ -35,7 +35,7 @@
 async def register(
     objects: object_api.ObjectApi, name: str, wall_s: float
 ) -> Registration:
-    """Write down that a voter starts; an outage counts as a restart."""
+    """Register a starting voter; an outage of the store counts as a restart."""
     created = await objects.create(KIND, name, _body(name, wall_s))
     if created.is_error() and not isinstance(
         created.error, object_api.Conflict
@@ -44,7 +44,7 @@
     listed = await objects.list(KIND)
     if listed.is_error():
         return Registration(first=False)
-    oldest_s = wall_s - roster.LONGEST_ABSENCE_S
+    oldest_s = wall_s - roster.MAX_ABSENCE_S
     names = frozenset(
         stored.name
         for stored in listed.ok.objects
@@ -56,7 +56,7 @@
 async def refresh(
     objects: object_api.ObjectApi, name: str, wall_s: float
 ) -> bool:
-    """Write down that a voter is still there; False when that failed."""
+    """Refresh the object of a running voter; False if that failed."""
     held = await objects.get(KIND, name)
     body = _body(name, wall_s)
     if held.is_ok():
@@ -70,22 +70,22 @@
 async def keep_refreshed(
     objects: object_api.ObjectApi, name: str, time_source: clock.Clock
 ) -> None:
-    """Refresh the object of a voter that runs, until cancelled.
+    """Refresh the object of a running voter until cancelled.
 
-    It begins soon: a start while the store was away has written nothing.
+    The first refresh follows soon: a start during an outage wrote nothing.
     """
-    pause_s = RETRY_S
+    pause_s = RETRY_INTERVAL_S
     while True:
         await time_source.sleep(pause_s)
         fresh = await refresh(objects, name, time_source.wall_s())
-        pause_s = REFRESH_S if fresh else RETRY_S
+        pause_s = REFRESH_INTERVAL_S if fresh else RETRY_INTERVAL_S
 
 
 def find_expired(
     kept: collections_abc.Iterable[object_api.StoredObject], wall_s: float
 ) -> tuple[object_api.StoredObject, ...]:
-    """Return the objects of names that are long gone."""
-    oldest_s = wall_s - KEEP_S
+    """Return the objects that were not refreshed for OBJECT_RETENTION_S."""
+    oldest_s = wall_s - OBJECT_RETENTION_S
     return tuple(stored for stored in kept if _seen_s(stored) < oldest_s)
 
 
--- a/redwingvalve/at_most_once/voters.py
+++ b/redwingvalve/at_most_once/voters.py
@@ -1,15 +1,15 @@
-"""Which processes decide about a caller's own key.
+"""Selection of the voters of a key chosen by a caller.
 
-Entries and controllers both vote: what is remembered is in memory only, and
-two that die within seconds of each other must not take a majority along.
+Both entries and controllers vote. Claims are kept in memory only, so the
+failure of two processes within seconds must not include a majority.
 """
 
 from collections import abc as collections_abc
 
 from redwingvalve.membership import rendezvous
 
-# A majority of five outlives any two of them; three did not. A request asks
-# two voters more, at the same time as the others.
+# A majority of five survives the loss of any two; one of three doesn't. The two
+# additional voters are asked in parallel with the others.
 VOTERS_PER_KEY = 5
 ROLES = frozenset(('entry', 'control'))
 
@@ -17,7 +17,7 @@
 def voters_of(
     names: collections_abc.Iterable[str], account: str, request_key: str
 ) -> tuple[str, ...]:
-    """Return the names of the voters by rendezvous hashing, first is first.
+    """Return the voters by rendezvous hashing, the highest rank first.
 
     Adding or removing a name moves only the keys that it votes on.
     """
@@ -25,5 +25,5 @@
 
 
 def votes_needed(voters: int) -> int:
-    """Return a majority, so that any two of them share a voter."""
+    """Return the size of a majority; any two majorities share a voter."""
     return voters // 2 + 1
