--- a/redwingvalve/admission/baselines.py
+++ b/redwingvalve/admission/baselines.py
@@ -59,7 +59,7 @@
         return ()
 
     def expected_tokens(self, request: messages.AdmissionRequest) -> float:
-        """Return the caller's own estimate."""
+        """Return the estimate of the caller."""
         return request.estimated_tokens
 
     def waiting(self) -> int:
--- a/redwingvalve/admission/messages.py
+++ b/redwingvalve/admission/messages.py
@@ -70,11 +70,11 @@
 
 @attrs.frozen
 class Capacity:
-    """What this entry may use of a deployment or a service.
+    """The capacity of a deployment or service that is available to this entry.
 
-    in_flight bounds the jobs sent and not yet finished; tokens_per_s is the
-    declared speed behind them. For a service a token is a millisecond for
-    which a call holds its place.
+    in_flight limits the jobs sent and not yet finished; tokens_per_s is the
+    declared speed at that limit. For a service, a token is one millisecond for
+    which a call holds its slot.
     """
 
     in_flight: float
@@ -83,7 +83,7 @@
 
 @attrs.frozen
 class AdmissionSettings:
-    """Figures an operator may set; docs/operating/who-is-served.md."""
+    """Settings for operators; see docs/operating/who-is-served.md."""
 
     preferred_share: float = 0.5
     preference_bound: float = 2.0
--- a/redwingvalve/admission/tests/test_fair_queue.py
+++ b/redwingvalve/admission/tests/test_fair_queue.py
@@ -64,11 +64,11 @@
     queue = fair_queue.make_admission_queue(messages.Capacity(10, 10000))
     fill_slots(queue)
     for number in range(150):
-        queue.offer(make_request(f'g{number}', 'greedy'), 0.0)
+        queue.offer(make_request(f'g{number}', 'excessive'), 0.0)
     for number in range(9):
-        queue.offer(make_request(f'i{number}', f'innocent{number}'), 0.0)
+        queue.offer(make_request(f'i{number}', f'small{number}'), 0.0)
     order = serve(queue, 30)
-    assert sum(name == 'greedy' for name in order[:20]) <= 11
+    assert sum(name == 'excessive' for name in order[:20]) <= 11
 
 
 def serve(queue, count):
@@ -94,10 +94,10 @@
     queue = fair_queue.make_admission_queue(messages.Capacity(10, 10000))
     fill_slots(queue)
     for number in range(60):
-        queue.offer(make_request(f'c{number}', 'cheap'), 0.0)
-        queue.offer(make_request(f'd{number}', 'dear', penalty=5.0), 0.0)
+        queue.offer(make_request(f'c{number}', 'low'), 0.0)
+        queue.offer(make_request(f'd{number}', 'high', penalty=5.0), 0.0)
     order = serve(queue, 40)
-    assert 24 <= order.count('dear') <= 34
+    assert 24 <= order.count('high') <= 34
 
 
 def test_long_jobs_leave_a_reserve_for_short_and_light_ones():
--- a/redwingvalve/at_most_once/tests/fleet.py
+++ b/redwingvalve/at_most_once/tests/fleet.py
@@ -68,7 +68,7 @@
             name, self.incarnations[name], role_of(name), 'h', 1, 2, 'dc', 'r'
         )
         known = MembersView(self, me)
-        own = voter.make_voter(
+        local_voter = voter.make_voter(
             me,
             self.clock,
             self.switches,
@@ -77,7 +77,7 @@
             resend_s=self.resend_s,
         )
         self.entries[name] = claims.make_claims(
-            own, Link(self, name), known, self.clock
+            local_voter, Link(self, name), known, self.clock
         )
 
     def crash(self, name):
--- a/redwingvalve/at_most_once/tests/test_fleet_machine.py
+++ b/redwingvalve/at_most_once/tests/test_fleet_machine.py
@@ -73,9 +73,9 @@
 
     @stateful.rule(seed=st.integers(0, 999))
     def crash_together(self, seed):
-        gone = self.pick_several(seed)
-        self.fleet.crash_together(gone)
-        self.grants = [held for held in self.grants if held[0] not in gone]
+        crashed = self.pick_several(seed)
+        self.fleet.crash_together(crashed)
+        self.grants = [held for held in self.grants if held[0] not in crashed]
 
     @stateful.rule(seed=st.integers(0, 999))
     def pause_together(self, seed):
@@ -95,9 +95,9 @@
     def two_simultaneous_crashes_block_nothing(self, seed):
         self.restore_all()
         self.fleet.advance(self.fleet.resend_s + fleets.READY_S)
-        gone = random.Random(seed).sample(self.fleet.running_names(), 2)
-        self.fleet.crash_together(gone)
-        self.grants = [held for held in self.grants if held[0] not in gone]
+        crashed = random.Random(seed).sample(self.fleet.running_names(), 2)
+        self.fleet.crash_together(crashed)
+        self.grants = [held for held in self.grants if held[0] not in crashed]
         self.fleet.settle(fleets.READY_S)
         for name in self.fleet.running_names():
             assert self.fleet.send(name, self.new_key()) == 'ran'
--- a/redwingvalve/at_most_once/tests/test_thrift_peers.py
+++ b/redwingvalve/at_most_once/tests/test_thrift_peers.py
@@ -17,7 +17,7 @@
 
     async def scenario():
         timers = clock.make_system_clock()
-        own = voter.make_voter(
+        local_voter = voter.make_voter(
             ME,
             timers,
             invariants.SafeguardSwitches(),
@@ -25,27 +25,27 @@
             alone=True,
         )
         handler = handlers.make_peer_handler()
-        answers = thrift_peers.VoterHandler(own)
-        handler.key_claim_handler = answers
-        handler.key_memory_handler = answers
-        listening = server.make_peer_server(handler)
-        await listening.start('127.0.0.1', 0)
+        voter_handler = thrift_peers.VoterHandler(local_voter)
+        handler.key_claim_handler = voter_handler
+        handler.key_memory_handler = voter_handler
+        peer_server = server.make_peer_server(handler)
+        await peer_server.start('127.0.0.1', 0)
         caller = rpc.make_peer_caller(timers)
-        asked = thrift_peers.make_thrift_key_peers(caller)
-        member = attrs.evolve(ME, peer_port=listening.port)
-        first = await asked.claim(member, CLAIM)
-        await asked.report(member, CLAIM, outcomes.Outcome.RAN)
-        again = await asked.claim(member, attrs.evolve(CLAIM, claim_id='x'))
-        copied = await asked.copy(member, ('e1',), 0)
-        await listening.aclose()
-        gone = await asked.claim(member, CLAIM)
+        key_peers = thrift_peers.make_thrift_key_peers(caller)
+        member = attrs.evolve(ME, peer_port=peer_server.port)
+        first = await key_peers.claim(member, CLAIM)
+        await key_peers.report(member, CLAIM, outcomes.Outcome.RAN)
+        again = await key_peers.claim(member, attrs.evolve(CLAIM, claim_id='x'))
+        copied = await key_peers.copy(member, ('e1',), 0)
+        await peer_server.aclose()
+        unreachable = await key_peers.claim(member, CLAIM)
         caller.close_idle()
-        return first.ok, again.ok, copied.ok, gone
+        return first.ok, again.ok, copied.ok, unreachable
 
-    first, again, copied, gone = anyio.run(scenario)
+    first, again, copied, unreachable = anyio.run(scenario)
     assert first.verdict == messages.Verdict.RUN
     assert again.verdict == messages.Verdict.DUPLICATE
     assert again.outcome == outcomes.Outcome.RAN
     assert copied.claims == ((CLAIM, outcomes.Outcome.RAN),) and copied.whole
     assert (copied.incarnation, copied.reached, copied.more) == (7, 1, False)
-    assert gone.is_error()
+    assert unreachable.is_error()
--- a/redwingvalve/at_most_once/tests/test_voter_registration.py
+++ b/redwingvalve/at_most_once/tests/test_voter_registration.py
@@ -21,7 +21,7 @@
         assert await voter_registration.refresh(store, 'e2', later_s)
         late = await voter_registration.register(store, 'e3', later_s)
         kept = (await store.list(voter_registration.KIND)).ok.objects
-        gone = voter_registration.find_expired(
+        expired = voter_registration.find_expired(
             kept, HOUR_S + voter_registration.OBJECT_RETENTION_S + 1
         )
         store.set_outage(outage=True)
@@ -31,13 +31,13 @@
             second,
             again,
             late,
-            gone,
+            expired,
             await voter_registration.register(store, 'e4', later_s),
         )
 
-    first, second, again, late, gone, away = anyio.run(scenario)
+    first, second, again, late, expired, away = anyio.run(scenario)
     assert (first.first, second.first, again.first) == (True, True, False)
     assert second.names == again.names == {'e1', 'e2'}
     assert late.names == {'e2', 'e3'}
-    assert [stored.name for stored in gone] == ['e1']
+    assert [stored.name for stored in expired] == ['e1']
     assert away == voter_registration.Registration(first=False)
--- a/redwingvalve/limits/shares.py
+++ b/redwingvalve/limits/shares.py
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class ShareSettings:
-    """Figures an operator may set; docs/operating/who-is-served.md."""
+    """Settings for operators; see docs/operating/who-is-served.md."""
 
     report_max_age_s: float = 3.0
     settle_s: float = 4.0
@@ -155,7 +155,7 @@
         account would be 430 KB a second to every entry; an account whose
         callers are spread over the entries needs none. Since a lender publishes
         nothing until it lends, the first grants are larger than needed, but
-        never larger than its own share.
+        never larger than the share of the lender.
         """
         if self.grants_per_s:
             return True
--- a/redwingvalve/poison/suspect_table.py
+++ b/redwingvalve/poison/suspect_table.py
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class PoisonSettings:
-    """Figures an operator may set; docs/operating/who-is-served.md."""
+    """Settings for operators; see docs/operating/who-is-served.md."""
 
     settle_s: float = 2.0
     trial_max_s: float = 600.0
--- a/redwingvalve/poison/tests/test_suspect_table.py
+++ b/redwingvalve/poison/tests/test_suspect_table.py
@@ -5,7 +5,7 @@
 
 Verdict = suspect_table.Verdict
 ENTRIES = ('e1', 'e2', 'e3')
-POISON, INNOCENT, OTHER = b'poison!!', b'innocent', b'stranger'
+POISON, HARMLESS, OTHER = b'poison!!', b'harmless', b'stranger'
 
 
 def make_table(entry='e1'):
@@ -43,14 +43,14 @@
     The clearing overrides the suspicion even if it arrives first.
     """
     first, second = make_table('e1'), make_table('e2')
-    fail(first, 'r1', POISON, INNOCENT)
+    fail(first, 'r1', POISON, HARMLESS)
     before = first.encode()
-    first.started(INNOCENT, 'r2', 0.0)
-    first.ended(INNOCENT, 'r2', 1.0, whole=True)
-    assert first.classify(INNOCENT, 'e1', 1.0) == Verdict.FREE
+    first.started(HARMLESS, 'r2', 0.0)
+    first.ended(HARMLESS, 'r2', 1.0, whole=True)
+    assert first.classify(HARMLESS, 'e1', 1.0) == Verdict.FREE
     second.merge(first.encode(), 1.0)
     second.merge(before, 2.0)
-    assert second.classify(INNOCENT, 'e2', 9.0) == Verdict.FREE
+    assert second.classify(HARMLESS, 'e2', 9.0) == Verdict.FREE
     assert second.classify(POISON, 'e2', 9.0) == Verdict.ISOLATE
 
 
@@ -92,11 +92,11 @@
 def test_suspects_share_an_endpoint_only_after_a_mass_failure():
     """One suspect per endpoint after one failure; a few after a lost rack."""
     where = make_table()
-    fail(where, 'r1', POISON, INNOCENT)
+    fail(where, 'r1', POISON, HARMLESS)
     where.started(POISON, 'r2', 0.0)
     assert where.free_endpoints(['r2', 'r3'], 0.0) == {'r3'}
     for number in range(2):
-        fail(where, f'x{number}', INNOCENT)
+        fail(where, f'x{number}', HARMLESS)
     assert where.free_endpoints(['r2', 'r3'], 0.0) == {'r2', 'r3'}
 
 
@@ -110,10 +110,10 @@
     for number in range(3):
         fail(where, f'r{number}', OTHER, now_s=float(number))
     for number in range(3, 5):
-        fail(where, f'r{number}', INNOCENT, now_s=2.0)
-    assert where.classify_retry(INNOCENT, 3.0) == Verdict.ISOLATE
-    fail(where, 'r9', INNOCENT, now_s=60.0)
-    assert where.classify_retry(INNOCENT, 60.0) == Verdict.REFUSE
+        fail(where, f'r{number}', HARMLESS, now_s=2.0)
+    assert where.classify_retry(HARMLESS, 3.0) == Verdict.ISOLATE
+    fail(where, 'r9', HARMLESS, now_s=60.0)
+    assert where.classify_retry(HARMLESS, 60.0) == Verdict.REFUSE
 
 
 def test_unrelated_failures_do_not_allow_a_poison_request_a_third():
@@ -123,8 +123,8 @@
     third endpoint (found by soak seed 205, processes).
     """
     where = make_table()
-    fail(where, 'r1', INNOCENT, now_s=0.0)
-    fail(where, 'r2', INNOCENT, now_s=1.7)
+    fail(where, 'r1', HARMLESS, now_s=0.0)
+    fail(where, 'r2', HARMLESS, now_s=1.7)
     fail(where, 'r3', POISON, now_s=2.9)
     assert where.classify_retry(POISON, 2.9) == Verdict.ISOLATE
     fail(where, 'r4', POISON, now_s=2.91)
@@ -147,19 +147,19 @@
     If a service at the same address fails a minute later, that counts again.
     """
     first, second = make_table('e1'), make_table('e2')
-    fail(first, 'r1', INNOCENT)
-    fail(second, 'r1', INNOCENT, now_s=1.0)
+    fail(first, 'r1', HARMLESS)
+    fail(second, 'r1', HARMLESS, now_s=1.0)
     first.merge(second.encode(), 2.0)
-    assert first.classify_retry(INNOCENT, 2.0) == Verdict.ISOLATE
-    fail(first, 'r1', INNOCENT, now_s=60.0)
-    assert first.classify_retry(INNOCENT, 60.0) == Verdict.REFUSE
+    assert first.classify_retry(HARMLESS, 2.0) == Verdict.ISOLATE
+    fail(first, 'r1', HARMLESS, now_s=60.0)
+    assert first.classify_retry(HARMLESS, 60.0) == Verdict.REFUSE
 
 
 STEPS = st.lists(
     st.tuples(
         st.integers(0, 2),
         st.sampled_from(['r1', 'r2', 'r3']),
-        st.sampled_from([POISON, INNOCENT]),
+        st.sampled_from([POISON, HARMLESS]),
         st.booleans(),
     ),
     max_size=12,
@@ -181,7 +181,7 @@
         one.merge(body, 0.0)
     for index in (*order, *order):
         other.merge(bodies[index], 0.0)
-    for digest in (POISON, INNOCENT):
+    for digest in (POISON, HARMLESS):
         assert one.classify_retry(digest, 0.0) == other.classify_retry(
             digest, 0.0
         )
--- a/redwingvalve/retries/budget.py
+++ b/redwingvalve/retries/budget.py
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class BudgetSettings:
-    """Figures an operator may set; docs/operating/who-is-served.md."""
+    """Settings for operators; see docs/operating/who-is-served.md."""
 
     success_share: float = 0.1
     reserve: float = 20.0
--- a/redwingvalve/retries/decisions.py
+++ b/redwingvalve/retries/decisions.py
@@ -61,7 +61,7 @@
 
 @attrs.frozen
 class RetrySettings:
-    """Figures an operator may set; docs/operating/who-is-served.md."""
+    """Settings for operators; see docs/operating/who-is-served.md."""
 
     max_attempts: int = 3
     hedge_after_usual: float = 3.0
--- a/redwingvalve/retries/stalls.py
+++ b/redwingvalve/retries/stalls.py
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class StallSettings:
-    """Figures an operator may set; docs/operating/who-is-served.md.
+    """Settings for operators; see docs/operating/who-is-served.md.
 
     The minimum of 2 s is longer than a prompt of 30,000 tokens delays the rest
     of its batch; a false alarm costs one recomputed prompt.
--- a/redwingvalve/retries/tests/test_retries.py
+++ b/redwingvalve/retries/tests/test_retries.py
@@ -92,8 +92,8 @@
         resumption.ResumptionMethod.MOVE_KV,
         500,
     )
-    dead = resumption.MoveCosts(prefill_tokens_per_s=5000)
-    recomputed = resumption.plan_resumption(stream, dead)
+    without_source = resumption.MoveCosts(prefill_tokens_per_s=5000)
+    recomputed = resumption.plan_resumption(stream, without_source)
     assert recomputed.method == resumption.ResumptionMethod.RECOMPUTE
     cached = resumption.MoveCosts(
         prefill_tokens_per_s=5000, cached_tokens=30_000, source_answers=True
--- a/redwingvalve/routing/cache_follower.py
+++ b/redwingvalve/routing/cache_follower.py
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class FollowerSettings:
-    """Figures an operator may set; docs/operating/who-is-served.md."""
+    """Settings for operators; see docs/operating/who-is-served.md."""
 
     fetch_bytes_per_s: float = 4000.0
     fetch_every_s: float = 0.5
--- a/redwingvalve/routing/endpoint_state.py
+++ b/redwingvalve/routing/endpoint_state.py
@@ -70,7 +70,7 @@
             self._oldest_pending_s = local.sent_at_s
         self._pending[request_id] = local.sent_at_s
 
-    def answered(self, request_id: str) -> None:
+    def record_first_token(self, request_id: str) -> None:
         """Record the first token of a local request."""
         if self._pending.pop(request_id, None) is not None:
             self._oldest_pending_s = next(
@@ -79,7 +79,7 @@
 
     def finished(self, request_id: str, local: LocalRequest) -> None:
         """Remove a local request."""
-        self.answered(request_id)
+        self.record_first_token(request_id)
         self.local_tokens -= local.tokens
         del self._local_sent[request_id]
         if not self._local_sent:
--- a/redwingvalve/routing/messages.py
+++ b/redwingvalve/routing/messages.py
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class RoutingSettings:
-    """Figures an operator may set; docs/operating/who-is-served.md.
+    """Settings for operators; see docs/operating/who-is-served.md.
 
     sample_size random candidates of a tier are scored for each request. An
     endpoint with a cached prefix is preferred while its load is at most
--- a/redwingvalve/routing/scored.py
+++ b/redwingvalve/routing/scored.py
@@ -128,7 +128,7 @@
             return
         local.first_token_at_s = now_s
         delay_s = now_s - local.sent_at_s
-        local.state.answered(request_id)
+        local.state.record_first_token(request_id)
         local.state.observe(
             (delay_s + QUEUE_TOLERANCE_S)
             / (self._typical_first_token_s + QUEUE_TOLERANCE_S),
--- a/redwingvalve/routing/tests/test_cache_summary.py
+++ b/redwingvalve/routing/tests/test_cache_summary.py
@@ -29,8 +29,8 @@
     return follower
 
 
-@pytest.mark.parametrize(('lost', 'believed'), [(0, True), (3, True), (9, 0)])
-def test_a_gap_drops_uncertain_prefixes(lost, believed):
+@pytest.mark.parametrize(('lost', 'is_held'), [(0, True), (3, True), (9, 0)])
+def test_a_gap_drops_uncertain_prefixes(lost, is_held):
     """Lost events may have been removals.
 
     With a few of 40 lost, the prefixes before the gap are kept; with a quarter
@@ -39,15 +39,15 @@
     follower = make_follower(known=40)
     fetch = follower.next_fetch(1.0)
     follower.record_page(fetch, events(41 + lost, 1), 500, 1.0)
-    assert (HOT in follower.held('r1')) == bool(believed)
-    assert follower.invalidations('r1') == (0 if believed else 1)
+    assert (HOT in follower.held('r1')) == bool(is_held)
+    assert follower.invalidations('r1') == (0 if is_held else 1)
     assert f'{41 + lost:08x}' in follower.held('r1')
 
 
 def test_a_removal_and_a_new_epoch_drop_prefixes():
     follower = make_follower()
-    gone = cache_follower.CacheEvent(41, HOT, False)
-    follower.record_page(follower.next_fetch(1.0), [gone], 500, 1.0)
+    removal = cache_follower.CacheEvent(41, HOT, False)
+    follower.record_page(follower.next_fetch(1.0), [removal], 500, 1.0)
     assert HOT not in follower.held('r1')
     assert follower.removed('r1', 0.5) == (HOT,)
     follower.follow({'r1': 2})
--- a/redwingvalve/routing/tests/test_scored.py
+++ b/redwingvalve/routing/tests/test_scored.py
@@ -130,8 +130,8 @@
     """The nearest data centre is used until its load exceeds the margin."""
     policy = scored.make_routing_policy(DISTANCES.get)
     candidates = [
-        messages.Candidate(f'{place}{n}', place)
-        for place in DISTANCES
+        messages.Candidate(f'{data_centre}{n}', data_centre)
+        for data_centre in DISTANCES
         for n in range(6)
     ]
     policy.replace_candidates(candidates, 0.0)
--- a/redwingvalve/routing/tiers.py
+++ b/redwingvalve/routing/tiers.py
@@ -86,8 +86,8 @@
 
     def home_of(self, prefix_hash: str) -> State:
         """Return the home of a prefix."""
-        place = zlib.crc32(prefix_hash.encode()) % len(self._states)
-        return self._states[place]
+        index = zlib.crc32(prefix_hash.encode()) % len(self._states)
+        return self._states[index]
 
 
 def make_tiers(
