--- a/redwingvalve/bench/experiment_load.py
+++ b/redwingvalve/bench/experiment_load.py
@@ -76,7 +76,7 @@
             result.refused += 1
         else:
             result.failed += 1
-    result.first_token = results.encode(held)
+    result.first_token = results.encode_histogram(held)
     return result
 
 
--- a/redwingvalve/bench/experiment_run.py
+++ b/redwingvalve/bench/experiment_run.py
@@ -243,14 +243,16 @@
     samples: list[tuple[float, int, int]],
     goodput: list[float],
     started_s: float,
-) -> tuple[results.Moment, ...]:
+) -> tuple[results.TimelineSample, ...]:
     """Return one moment a second, with the last sample before it."""
     moments = []
     for second, rate in enumerate(goodput[:-1]):
         until_s = started_s + second + experiment_load.SAMPLE_S
         held = [sample for sample in samples if sample[0] <= until_s]
         _, down, stranded = held[-1] if held else (0.0, 0, 0)
-        moments.append(results.Moment(float(second), down, stranded, rate))
+        moments.append(
+            results.TimelineSample(float(second), down, stranded, rate)
+        )
     return tuple(moments)
 
 
--- a/redwingvalve/cli/experiment.py
+++ b/redwingvalve/cli/experiment.py
@@ -36,7 +36,7 @@
     with pathlib.Path(arguments.out).open('a', encoding='utf-8') as written:
 
         def tell(result: results.RunResult) -> None:
-            written.write(f'{results.to_line(result)}\n')
+            written.write(f'{results.to_json_line(result)}\n')
             written.flush()
             print(
                 f'{result.policy} load {result.load} seed {result.seed}: '
--- a/redwingvalve/reports/results.py
+++ b/redwingvalve/reports/results.py
@@ -36,7 +36,7 @@
 
 
 @attrs.frozen
-class Moment:
+class TimelineSample:
     """One sample of the time line; at_s counts from the start."""
 
     at_s: float
@@ -56,7 +56,7 @@
     load: float
     duration_s: float
     accounts: dict[str, AccountResult]
-    timeline: tuple[Moment, ...] = ()
+    timeline: tuple[TimelineSample, ...] = ()
     size: int = 0
     downtime_s: float = 0.0
     stranded_s: float = 0.0
@@ -86,7 +86,7 @@
     into.record_value(int(recorded_us))
 
 
-def encode(held: histogram.HdrHistogram) -> str:
+def encode_histogram(held: histogram.HdrHistogram) -> str:
     """Return a histogram as text."""
     return str(held.encode().decode())
 
@@ -104,7 +104,7 @@
     return float(total.get_value_at_percentile(percentile)) / US_PER_S
 
 
-def to_line(result: RunResult) -> str:
+def to_json_line(result: RunResult) -> str:
     """Return a run as one JSON line without its end."""
     return json.dumps(cattrs.unstructure(result))
 
--- a/redwingvalve/reports/tests/test_report.py
+++ b/redwingvalve/reports/tests/test_report.py
@@ -11,7 +11,9 @@
     for step in range(1, 101):
         results.record_s(held, step / 100)
     account = results.AccountResult(
-        sent=100, in_target=80 - repetition, first_token=results.encode(held)
+        sent=100,
+        in_target=80 - repetition,
+        first_token=results.encode_histogram(held),
     )
     return results.RunResult(
         experiment='morning',
@@ -22,7 +24,7 @@
         duration_s=10.0,
         accounts={'depot': account},
         timeline=tuple(
-            results.Moment(float(at_s), at_s % 3, at_s % 2, 8.0)
+            results.TimelineSample(float(at_s), at_s % 3, at_s % 2, 8.0)
             for at_s in range(10)
         ),
     )
@@ -36,7 +38,7 @@
         for repetition in (0, 1)
     ]
     file = tmp_path / 'results.jsonl'
-    file.write_text('\n'.join(map(results.to_line, runs)))
+    file.write_text('\n'.join(map(results.to_json_line, runs)))
     assert results.read_file(str(file)) == tuple(runs)
     status = main.main(['report', str(file), '--folder', str(tmp_path / 'out')])
     assert status == 0
