--- a/redwingvalve/bench/experiment_file.py
+++ b/redwingvalve/bench/experiment_file.py
@@ -8,10 +8,10 @@
 from redwingvalve.bench import experiment_policies
 from redwingvalve.core import findings
 from redwingvalve.documents import binder
-from redwingvalve.soak import schedule, work
+from redwingvalve.soak import schedule, workload
 
 FAULT_NAMES = tuple(map(str, schedule.FaultName))
-KINDS = tuple(map(str, work.Kind))
+KINDS = tuple(map(str, workload.Kind))
 Named = tuple[str, tuple[str, ...], tuple[str | int, ...]]
 
 
--- a/redwingvalve/bench/experiment_load.py
+++ b/redwingvalve/bench/experiment_load.py
@@ -9,7 +9,7 @@
 from redwingvalve.bench import experiment_file
 from redwingvalve.core import outcomes
 from redwingvalve.reports import results
-from redwingvalve.soak import callers, records, work
+from redwingvalve.soak import callers, records, workload
 
 SAMPLE_S = 1.0
 Records = collections_abc.Sequence[records.Record]
@@ -47,7 +47,7 @@
                     return
                 await anyio.sleep_until(started_s + at_s)
                 kind = self._chance.choices(kinds, shares)[0]
-                group.start_soon(self.caller.call, work.Kind(kind), '', 1)
+                group.start_soon(self.caller.call, workload.Kind(kind), '', 1)
 
     def rate_at(self, at_s: float) -> float:
         """Return requests a second at a moment, bursts included."""
--- a/redwingvalve/bench/experiment_run.py
+++ b/redwingvalve/bench/experiment_run.py
@@ -17,8 +17,8 @@
 )
 from redwingvalve.reports import results
 from redwingvalve.soak import (
-    attack,
     daemons,
+    fault_injection,
     fleet_run,
     operators,
     platform,
@@ -74,16 +74,20 @@
             _make_load(experiment, account, run, key)
             for account in experiment.accounts
         ]
-        hit = run.make_targets(run.make_caller('poison', 0))
+        hit = run.make_fault_context(run.make_caller('poison', 0))
         started_s = time.time()
         processor_s = time.process_time()
         async with anyio.create_task_group() as group:
-            group.start_soon(attack.carry_out, hit, make_schedule(experiment))
+            group.start_soon(
+                fault_injection.inject_faults, hit, make_schedule(experiment)
+            )
             for load in loads:
                 group.start_soon(load.run, key.load, experiment.duration_s)
         processor_s = time.process_time() - processor_s
         moments = [
-            moment for moment in run.observer.moments if moment[0] >= started_s
+            moment
+            for moment in run.observer.capacity_samples
+            if moment[0] >= started_s
         ]
     return _result(
         experiment, key, loads, _Measured(started_s, processor_s, moments)
@@ -104,9 +108,11 @@
     fleet = experiment.fleet
 
     def declare(
-        wish: operators.Wish, addresses: tuple[str, ...], load_time_s: float
+        spec: operators.DeclarationSpec,
+        addresses: tuple[str, ...],
+        load_time_s: float,
     ) -> str:
-        return declaration_text(experiment, wish, addresses)
+        return declaration_text(experiment, spec, addresses)
 
     return fleet_run.Options(
         seed=key.seed + key.repetition,
@@ -135,12 +141,14 @@
 
 def declaration_text(
     experiment: experiment_file.Experiment,
-    wish: operators.Wish,
+    spec: operators.DeclarationSpec,
     addresses: tuple[str, ...],
 ) -> str:
     """Return the declaration of an experiment's fleet as YAML."""
     base: dict[str, typing.Any] = yaml.safe_load(
-        operators.declaration_of(wish, addresses, experiment.fleet.load_time_s)
+        operators.make_declaration(
+            spec, addresses, experiment.fleet.load_time_s
+        )
     )
     fleet = experiment.fleet
     base['deployments'][0].update(
@@ -216,7 +224,7 @@
     wanted = experiment.fleet.replicas
     down = [
         (at_s, max(0, wanted - heads), stranded)
-        for at_s, heads, stranded in measured.moments
+        for at_s, heads, stranded in measured.capacity_samples
     ]
     return results.RunResult(
         experiment=experiment.name,
--- a/redwingvalve/bench/tests/test_experiment.py
+++ b/redwingvalve/bench/tests/test_experiment.py
@@ -13,7 +13,7 @@
 from redwingvalve.cli import main
 from redwingvalve.declaration import reader
 from redwingvalve.routing import scored
-from redwingvalve.soak import operators, records, work
+from redwingvalve.soak import operators, records, workload
 
 SHIPPED = pathlib.Path(__file__).parents[3] / 'examples' / 'experiments'
 ACCOUNT = experiment_file.Account('a', 1.0, {'quote': 1.0})
@@ -25,7 +25,7 @@
     experiment = experiment_file.read_text(text, name).ok
     declared = experiment_run.declaration_text(
         experiment,
-        operators.Wish(1, replicas=experiment.fleet.replicas),
+        operators.DeclarationSpec(1, replicas=experiment.fleet.replicas),
         ('127.0.0.1:1',),
     )
     assert reader.read_text(declared, name).is_ok()
@@ -53,8 +53,8 @@
 
 def test_answers_count_by_what_the_caller_received():
     def seen(**fields):
-        target = work.Target('d', '/s/', '/s/f')
-        asked = work.make_work('w', work.Kind.QUOTE, target)
+        target = workload.Target('d', '/s/', '/s/f')
+        asked = workload.make_request('w', workload.Kind.QUOTE, target)
         return records.Record(
             asked, [records.Attempt('e', 10.0, **{'ended_s': 11.0, **fields})]
         )
--- a/redwingvalve/cli/soak.py
+++ b/redwingvalve/cli/soak.py
@@ -19,7 +19,7 @@
 ) -> exit_status.ExitStatus:
     """Run one seed; the status says whether a promise was broken."""
     # The stand-ins are of no use to any other command.
-    from redwingvalve.soak import daemons, fleet_run, runner, schedule, telling
+    from redwingvalve.soak import daemons, fleet_run, report, runner, schedule
 
     try:
         wanted = fleet_run.Options(
@@ -44,9 +44,9 @@
         daemons.LocalDaemons,
         backend_options={'loop_factory': uvloop.new_event_loop},
     )
-    for line in telling.breach_lines(outcome):
+    for line in report.breach_lines(outcome):
         print(line, file=surroundings.stderr)
-    print(json.dumps(telling.figures(outcome)), file=surroundings.stdout)
+    print(json.dumps(report.summarize(outcome)), file=surroundings.stdout)
     if outcome.breaches:
         return exit_status.ExitStatus.BREACH
     return exit_status.ExitStatus.SUCCESS
--- a/redwingvalve/soak/breaches.py
+++ b/redwingvalve/soak/breaches.py
@@ -8,7 +8,7 @@
 FEW_EVENTS = 12
 
 
-class Promise(enum.StrEnum):
+class Guarantee(enum.StrEnum):
     """The promises of the product, each attacked by the soak run."""
 
     ANSWERED = 'every request gets one final answer'
@@ -29,7 +29,7 @@
 class Breach:
     """A promise that was broken; at_s is a wall time, subject what broke."""
 
-    promise: Promise
+    guarantee: Guarantee
     subject: str
     details: str
     at_s: float
--- a/redwingvalve/soak/callers.py
+++ b/redwingvalve/soak/callers.py
@@ -12,7 +12,7 @@
 import httpx
 
 from redwingvalve.core import outcomes
-from redwingvalve.soak import records, work
+from redwingvalve.soak import records, workload
 
 DEADLINE_S = 12.0
 GRACE_S = 4.0
@@ -69,7 +69,7 @@
     """Who calls; disturbed tells whether an entry may rightly be silent."""
 
     credential: str
-    target: work.Target
+    target: workload.Target
     first_entries: tuple[str, ...]
     disturbed: collections_abc.Callable[[str, float], bool]
 
@@ -95,7 +95,7 @@
         """Call until a monotonic time."""
         async with self._client:
             while time.monotonic() < ends_at_s:
-                await self.call(work.choose_kind(self._chance))
+                await self.call(workload.choose_kind(self._chance))
                 pause_s = self._chance.expovariate(1 / MEAN_PAUSE_S)
                 await anyio.sleep(pause_s)
 
@@ -103,14 +103,16 @@
         """Tell whether an entry answers a model request whole."""
         self._count += 1
         name = f'{self._name}-{self._count}'
-        asked = work.make_work(name, work.Kind.NARRATIVE, self._settings.target)
+        asked = workload.make_request(
+            name, workload.Kind.NARRATIVE, self._settings.target
+        )
         attempt = records.Attempt(address, time.time())
         await self._send(asked, attempt)
         return attempt.whole
 
     async def call(
         self,
-        kind: work.Kind,
+        kind: workload.Kind,
         marker: str = '',
         max_attempts: int = MAX_ATTEMPTS,
         pause_s: float = SHORTEST_PAUSE_S,
@@ -120,7 +122,7 @@
         pause_s is waited before the next one, or longer if the answer says so.
         """
         self._count += 1
-        asked = work.make_work(
+        asked = workload.make_request(
             f'{self._name}-{self._count}', kind, self._settings.target, marker
         )
         record = records.Record(asked)
@@ -149,7 +151,9 @@
             self._directory.forget()
         await anyio.sleep(min(MAX_WAIT_S, max(pause_s, attempt.retry_after_s)))
 
-    async def _send(self, asked: work.Work, attempt: records.Attempt) -> None:
+    async def _send(
+        self, asked: workload.Request, attempt: records.Attempt
+    ) -> None:
         try:
             with anyio.fail_after(DEADLINE_S + GRACE_S):
                 await self._exchange(asked, attempt)
@@ -179,7 +183,7 @@
             attempt.excused = attempt.excused or killed
 
     async def _exchange(
-        self, asked: work.Work, attempt: records.Attempt
+        self, asked: workload.Request, attempt: records.Attempt
     ) -> None:
         url = f'http://{attempt.entry}{asked.path}'
         async with self._client.stream(
@@ -214,7 +218,7 @@
     )
 
 
-def _headers(asked: work.Work, number: int) -> dict[str, str]:
+def _headers(asked: workload.Request, number: int) -> dict[str, str]:
     headers = {
         outcomes.REQUEST_ID_HEADER: f'{asked.name}-{number}',
         outcomes.DEADLINE_HEADER: str(round(DEADLINE_S * 1000)),
@@ -251,7 +255,7 @@
 
 
 def _read_whole(
-    asked: work.Work, body: bytes, attempt: records.Attempt
+    asked: workload.Request, body: bytes, attempt: records.Attempt
 ) -> None:
     content = json.loads(body)
     if asked.prompt:
--- a/redwingvalve/soak/comparing.py
+++ b/redwingvalve/soak/checker.py
@@ -11,10 +11,10 @@
 
 import attrs
 
-from redwingvalve.soak import breaches, operators, records, work
+from redwingvalve.soak import breaches, operators, records, workload
 from redwingvalve.standins import generated_text, ledger
 
-Promise = breaches.Promise
+Guarantee = breaches.Guarantee
 Found = collections_abc.Iterator[breaches.Breach]
 Records = collections_abc.Sequence[records.Record]
 Runs = collections_abc.Sequence[ledger.LedgerEntry]
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen
-class ReleaseState:
+class LeavingPeriod:
     """A VM that left from at_s on (wall), until it was taken back."""
 
     vm: str
@@ -44,7 +44,7 @@
 
     records: Records
     runs: Runs
-    leaving: tuple[ReleaseState, ...] = ()
+    leaving: tuple[LeavingPeriod, ...] = ()
     versions: frozenset[tuple[str, str]] = frozenset()
 
 
@@ -77,8 +77,8 @@
             problem = _unanswered_because(attempt)
             if problem:
                 yield breaches.Breach(
-                    Promise.ANSWERED,
-                    record.work.name,
+                    Guarantee.ANSWERED,
+                    record.request.name,
                     f'{attempt.entry} {problem}',
                     attempt.started_s,
                 )
@@ -97,10 +97,10 @@
 ) -> Found:
     for record in all_records:
         for attempt in record.attempts:
-            if attempt.whole and not _right(record.work, attempt, versions):
+            if attempt.whole and not _right(record.request, attempt, versions):
                 yield breaches.Breach(
-                    Promise.WHOLE_AND_OWN,
-                    record.work.name,
+                    Guarantee.WHOLE_AND_OWN,
+                    record.request.name,
                     f'{attempt.entry} gave {attempt.text[:80]!r}'
                     f' ({len(attempt.text)} characters) as whole',
                     attempt.ended_s or attempt.started_s,
@@ -108,7 +108,7 @@
 
 
 def _right(
-    asked: work.Work,
+    asked: workload.Request,
     attempt: records.Attempt,
     versions: frozenset[tuple[str, str]],
 ) -> bool:
@@ -132,7 +132,7 @@
         )
         for index, attempt in enumerate(refused):
             until_s = _next_start_s(record, index)
-            for run in by_digest[record.work.digest]:
+            for run in by_digest[record.request.digest]:
                 if attempt.started_s <= run.started < until_s:
                     yield _false_word(record, attempt, run)
 
@@ -146,8 +146,8 @@
     record: records.Record, attempt: records.Attempt, run: ledger.LedgerEntry
 ) -> breaches.Breach:
     return breaches.Breach(
-        Promise.NOT_RUN,
-        record.work.name,
+        Guarantee.NOT_RUN,
+        record.request.name,
         f'{attempt.entry} said not-run ({attempt.code}), '
         f'{run.vm} ran it as {run.request_id}',
         run.started,
@@ -157,13 +157,13 @@
 def _double_runs(all_records: Records, runs: Runs) -> Found:
     by_digest = _runs_by_digest(runs)
     for record in all_records:
-        ran = by_digest[record.work.digest]
-        if record.work.idempotent or len(ran) <= 1:
+        ran = by_digest[record.request.digest]
+        if record.request.idempotent or len(ran) <= 1:
             continue
         places = ', '.join(f'{run.vm} as {run.request_id}' for run in ran)
         yield breaches.Breach(
-            Promise.AT_MOST_ONCE,
-            record.work.name,
+            Guarantee.AT_MOST_ONCE,
+            record.request.name,
             f'it ran {len(ran)} times: {places}',
             ran[1].started,
         )
@@ -173,7 +173,7 @@
     for run in runs:
         if run.missing_s > bound_s:
             yield breaches.Breach(
-                Promise.NO_VM_MISSING,
+                Guarantee.NO_VM_MISSING,
                 run.replica,
                 f'{run.request_id} was sent {run.missing_s:.2f} s after a VM '
                 'had gone',
@@ -188,7 +188,7 @@
             late = left.at_s + bound_s < run.started < left.until_s
             if concerned and late:
                 yield breaches.Breach(
-                    Promise.LEAVING,
+                    Guarantee.LEAVING,
                     left.vm,
                     f'{run.request_id} came {run.started - left.at_s:.2f} s '
                     'after it began to leave',
@@ -201,9 +201,9 @@
         for attempt in record.attempts:
             if attempt.cut:
                 yield breaches.Breach(
-                    Promise.PLANNED_STOP,
+                    Guarantee.PLANNED_STOP,
                     attempt.entry,
-                    f'{record.work.name} ({record.work.kind}, status '
+                    f'{record.request.name} ({record.request.kind}, status '
                     f'{attempt.status}) was cut off after '
                     f'{attempt.lasted_s:.2f} s by an entry that no fault had '
                     f'hit: {attempt.error}',
@@ -216,13 +216,13 @@
     for record in all_records:
         deadly = [
             run
-            for run in by_digest[record.work.digest]
-            if record.work.poison and run.cut == 'died'
+            for run in by_digest[record.request.digest]
+            if record.request.poison and run.cut == 'died'
         ]
         if len(deadly) > DEATHS_ALLOWED:
             yield breaches.Breach(
-                Promise.POISON,
-                record.work.name,
+                Guarantee.POISON,
+                record.request.name,
                 f'it killed {", ".join(run.vm for run in deadly)}',
                 deadly[-1].started,
             )
@@ -238,7 +238,7 @@
         won = [each for each in race if each.status == operators.OK_STATUS]
         if len(won) > 1:
             yield breaches.Breach(
-                Promise.RACE,
+                Guarantee.RACE,
                 won[0].plan,
                 f'{", ".join(each.plan for each in won)} were all confirmed',
                 0.0,
@@ -249,7 +249,7 @@
     for run in runs:
         if run.cut == 'order':
             yield breaches.Breach(
-                Promise.PLANNED_STOP,
+                Guarantee.PLANNED_STOP,
                 run.replica,
                 f'an order cut {run.request_id} after {run.tokens} tokens',
                 run.finished or run.started,
--- a/redwingvalve/soak/daemons.py
+++ b/redwingvalve/soak/daemons.py
@@ -66,7 +66,7 @@
         """Kill a daemon and start it again after away_s."""
         daemon = self.by_name[name]
         daemon.away = True
-        await self.end_now(daemon)
+        await self.kill_now(daemon)
         await anyio.sleep(away_s)
         await self.start(daemon)
         await self.wait_listening(daemon)
@@ -77,7 +77,7 @@
         daemon = self.by_name[name]
         daemon.stopping = True
         began_s = time.monotonic()
-        await self.end_gracefully(daemon)
+        await self.shut_down(daemon)
         took_s = time.monotonic() - began_s
         daemon.away = True
         daemon.stopping = False
@@ -110,30 +110,30 @@
     def _note_breach(self, daemon: Daemon, error: BaseException) -> None:
         self.breaches.append(
             breaches.Breach(
-                breaches.Promise.INVARIANT,
+                breaches.Guarantee.INVARIANT,
                 daemon.name,
                 repr(error)[:500],
                 time.time(),
             )
         )
 
-    async def end_all(self) -> None:
+    async def shut_down_all(self) -> None:
         """End all daemons gracefully, the controllers last."""
         for role in (ENTRY, CONTROL):
             async with anyio.create_task_group() as group:
                 for daemon in self.role(role):
-                    group.start_soon(self.end_gracefully, daemon)
+                    group.start_soon(self.shut_down, daemon)
 
     @abc.abstractmethod
     async def start(self, daemon: Daemon) -> None:
         """Start a daemon at its old addresses."""
 
     @abc.abstractmethod
-    async def end_now(self, daemon: Daemon) -> None:
+    async def kill_now(self, daemon: Daemon) -> None:
         """End a daemon without warning."""
 
     @abc.abstractmethod
-    async def end_gracefully(self, daemon: Daemon) -> None:
+    async def shut_down(self, daemon: Daemon) -> None:
         """Ask a daemon to end and wait until it has."""
 
     async def wait_listening(self, daemon: Daemon) -> None:
@@ -174,12 +174,12 @@
         self._ended[daemon.name] = anyio.Event()
         self._group.start_soon(self._run, daemon)
 
-    async def end_now(self, daemon: Daemon) -> None:
+    async def kill_now(self, daemon: Daemon) -> None:
         """Cancel the task and wait for its end."""
         self._scopes[daemon.name].cancel()
         await self._ended[daemon.name].wait()
 
-    async def end_gracefully(self, daemon: Daemon) -> None:
+    async def shut_down(self, daemon: Daemon) -> None:
         """Set the stop event, as SIGTERM does in a process."""
         self._stops[daemon.name].set()
         await self._ended[daemon.name].wait()
--- a/redwingvalve/soak/targets.py
+++ b/redwingvalve/soak/fault_context.py
@@ -10,7 +10,7 @@
 from redwingvalve.soak import (
     breaches,
     callers,
-    comparing,
+    checker,
     daemons,
     operators,
     platform,
@@ -28,7 +28,7 @@
 
 
 @attrs.define
-class Targets:
+class FaultContext:
     """Everything that can be hit, and the notes of what was."""
 
     platform: platform.Platform
@@ -36,7 +36,7 @@
     journal: breaches.Journal
     bearer: str
     poisoner: callers.Caller
-    leaving: list[comparing.ReleaseState] = attrs.field(factory=list)
+    leaving: list[checker.LeavingPeriod] = attrs.field(factory=list)
     races: list[list[operators.Confirmation]] = attrs.field(factory=list)
     stop_times_s: list[float] = attrs.field(factory=list)
     wish_numbers: typing.Iterator[int] = attrs.field(factory=_numbers)
--- a/redwingvalve/soak/attack.py
+++ b/redwingvalve/soak/fault_injection.py
@@ -8,14 +8,14 @@
 
 from redwingvalve.soak import (
     daemon_faults,
+    fault_context,
     platform_faults,
     schedule,
-    targets,
 )
 
 Name = schedule.FaultName
 Act: typing.TypeAlias = collections_abc.Callable[
-    [targets.Targets, schedule.Fault], collections_abc.Awaitable[str]
+    [fault_context.FaultContext, schedule.Fault], collections_abc.Awaitable[str]
 ]
 ACTS: collections_abc.Mapping[Name, Act] = types.MappingProxyType(
     {
@@ -44,8 +44,9 @@
 )
 
 
-async def carry_out(
-    hit: targets.Targets, planned: collections_abc.Iterable[schedule.Fault]
+async def inject_faults(
+    hit: fault_context.FaultContext,
+    planned: collections_abc.Iterable[schedule.Fault],
 ) -> None:
     """Apply every fault at its time, counted from now; wait for all."""
     started_s = anyio.current_time()
--- a/redwingvalve/soak/fleet_run.py
+++ b/redwingvalve/soak/fleet_run.py
@@ -10,22 +10,22 @@
 from redwingvalve.soak import (
     breaches,
     callers,
-    comparing,
+    checker,
+    daemon_settings,
     daemons,
-    observing,
+    fault_context,
+    observer,
     operators,
     platform,
     records,
     schedule,
-    targets,
-    wiring,
-    work,
+    workload,
 )
 
 CALLERS = 10
 READY_TIMEOUT_S = 60.0
 POLL_S = 0.2
-TARGET = work.Target(
+TARGET = workload.Target(
     operators.DEPLOYMENT, operators.PREFIX, operators.NON_IDEMPOTENT
 )
 
@@ -33,7 +33,7 @@
 MakeDaemons = collections_abc.Callable[..., daemons.Daemons]
 # Returns the YAML text for a wish, service addresses and a load time.
 Declare = collections_abc.Callable[
-    [operators.Wish, tuple[str, ...], float], str
+    [operators.DeclarationSpec, tuple[str, ...], float], str
 ]
 
 
@@ -52,8 +52,8 @@
     only: frozenset[schedule.FaultName] = schedule.NOTHING
     size: platform.Size = attrs.field(factory=platform.Size)
     spans_folder: str = ''
-    through: platform.Through | None = None
-    declare: Declare = operators.declaration_of
+    start_proxy: platform.StartProxy | None = None
+    declare: Declare = operators.make_declaration
     replicas: int = 4
     credential: str = operators.CREDENTIAL
 
@@ -67,9 +67,9 @@
     breaches: tuple[breaches.Breach, ...]
     journal: breaches.Journal
     records: tuple[records.Record, ...]
-    generations: tuple[observing.Generation, ...]
+    generations: tuple[observer.Generation, ...]
     stop_times_s: tuple[float, ...]
-    moments: tuple[tuple[float, int, int], ...]
+    capacity_samples: tuple[tuple[float, int, int], ...]
     runs: int
 
 
@@ -87,7 +87,7 @@
         self.platform = small
         self.daemons = fleet
         self.journal = breaches.Journal()
-        self.observer = observing.Observer(small, fleet, self.journal)
+        self.observer = observer.Observer(small, fleet, self.journal)
         self.bearer = ''
 
     def operator(self) -> operators.Operator:
@@ -95,16 +95,18 @@
         api = self.daemons.role(daemons.CONTROL)[0].address
         return operators.Operator(api, self.bearer)
 
-    def make_targets(self, poisoner: callers.Caller) -> targets.Targets:
+    def make_fault_context(
+        self, poisoner: callers.Caller
+    ) -> fault_context.FaultContext:
         """Return what faults can hit."""
-        return targets.Targets(
+        return fault_context.FaultContext(
             self.platform, self.daemons, self.journal, self.bearer, poisoner
         )
 
     async def start(self) -> None:
         """Start the daemons, declare, and wait until all serves."""
         self.bearer = await operators.issue_token(self.platform.store.store)
-        for daemon in wiring.make_daemons(
+        for daemon in daemon_settings.make_daemons(
             self.platform,
             self.options.seed,
             self.options.disabled,
@@ -113,32 +115,32 @@
         ):
             self.daemons.by_name[daemon.name] = daemon
             await self.daemons.start(daemon)
-        wish = operators.Wish(1, replicas=self.options.replicas)
+        spec = operators.DeclarationSpec(1, replicas=self.options.replicas)
         with anyio.fail_after(READY_TIMEOUT_S):
             while not await self.operator().reachable():
                 await anyio.sleep(POLL_S)
-            await self.declare(wish)
-            await self._wait_serving(wish)
+            await self.declare(spec)
+            await self._wait_serving(spec)
 
-    async def declare(self, wish: operators.Wish) -> None:
+    async def declare(self, spec: operators.DeclarationSpec) -> None:
         """Plan and confirm until it is done, at any controller."""
         text = self.options.declare(
-            wish,
+            spec,
             self.platform.service_addresses,
             self.platform.size.load_time_s,
         )
         while True:
             name, why = await self.operator().plan(text)
             if name:
-                done = await self.operator().confirm(wish, name)
+                done = await self.operator().confirm(spec, name)
                 why = done.message
                 if done.status == operators.OK_STATUS:
                     return
-            self.journal.note(f'declaration {wish.number} waits: {why}')
+            self.journal.note(f'declaration {spec.number} waits: {why}')
             await anyio.sleep(POLL_S)
 
-    async def _wait_serving(self, wish: operators.Wish) -> None:
-        while len(self.platform.serving_heads()) < wish.replicas:
+    async def _wait_serving(self, spec: operators.DeclarationSpec) -> None:
+        while len(self.platform.serving_heads()) < spec.replicas:
             await anyio.sleep(POLL_S)
         asking = self.make_caller('first', 0)
         for daemon in self.daemons.role(daemons.ENTRY):
@@ -149,13 +151,13 @@
     def compare(
         self,
         planned: Faults,
-        acting: targets.Targets,
+        acting: fault_context.FaultContext,
         calling: collections_abc.Iterable[callers.Caller],
     ) -> Outcome:
         """Compare what callers, endpoints and observers saw."""
         runs = self.platform.runs()
         seen = [record for caller in calling for record in caller.records]
-        evidence = comparing.Evidence(
+        evidence = checker.Evidence(
             seen,
             runs,
             tuple(acting.leaving),
@@ -163,8 +165,8 @@
         )
         found = (
             *self.observer.found,
-            *comparing.compare(evidence, comparing.Bounds()),
-            *comparing.double_wins(acting.races),
+            *checker.compare(evidence, checker.Bounds()),
+            *checker.double_wins(acting.races),
             *self.daemons.breaches,
         )
         return Outcome(
@@ -175,7 +177,7 @@
             records=tuple(seen),
             generations=tuple(self.observer.generations),
             stop_times_s=tuple(acting.stop_times_s),
-            moments=tuple(self.observer.moments),
+            capacity_samples=tuple(self.observer.capacity_samples),
             runs=len(runs),
         )
 
@@ -203,7 +205,7 @@
 ) -> collections_abc.AsyncIterator[FleetRun]:
     """Give a fleet that serves; make_daemons gets a task group."""
     async with (
-        platform.run_platform(options.size, options.through) as small,
+        platform.run_platform(options.size, options.start_proxy) as small,
         anyio.create_task_group() as group,
     ):
         run = FleetRun(options, small, make_daemons(group))
@@ -212,5 +214,5 @@
             watching.start_soon(run.observer.run)
             yield run
             watching.cancel_scope.cancel()
-        await run.daemons.end_all()
+        await run.daemons.shut_down_all()
         group.cancel_scope.cancel()
--- a/redwingvalve/soak/observing.py
+++ b/redwingvalve/soak/observer.py
@@ -38,7 +38,7 @@
     found: list[breaches.Breach] = attrs.field(factory=list)
     generations: list[Generation] = attrs.field(factory=list)
     versions: set[tuple[str, str]] = attrs.field(factory=set)
-    moments: list[tuple[float, int, int]] = attrs.field(factory=list)
+    capacity_samples: list[tuple[float, int, int]] = attrs.field(factory=list)
     _accepted: dict[str, int] = attrs.field(factory=dict)
     _reported: set[str] = attrs.field(factory=set)
 
@@ -52,7 +52,9 @@
 
     def _sample(self) -> None:
         heads = len(self.platform.serving_heads())
-        self.moments.append((time.time(), heads, self.platform.stranded()))
+        self.capacity_samples.append(
+            (time.time(), heads, self.platform.stranded())
+        )
 
     def _look_at_store(self) -> None:
         store = self.platform.store.store
@@ -74,7 +76,7 @@
                 other = holders.setdefault(member, replica.name)
                 if other != replica.name:
                     self._breach(
-                        breaches.Promise.VM_IN_ONE,
+                        breaches.Guarantee.VM_IN_ONE,
                         member,
                         f'it is in {other} and {replica.name}',
                     )
@@ -138,7 +140,7 @@
         before = self._accepted.get(name, 0)
         if index < before:
             self._breach(
-                breaches.Promise.CONFIGURATION,
+                breaches.Guarantee.CONFIGURATION,
                 name,
                 f'it went back from generation {self.generations[before]} '
                 f'to {self.generations[index]}',
@@ -170,13 +172,13 @@
         return False
 
     def _breach(
-        self, promise: breaches.Promise, subject: str, details: str
+        self, guarantee: breaches.Guarantee, subject: str, details: str
     ) -> None:
         if details in self._reported:
             return
         self._reported.add(details)
         self.found.append(
-            breaches.Breach(promise, subject, details, time.time())
+            breaches.Breach(guarantee, subject, details, time.time())
         )
 
 
@@ -184,9 +186,9 @@
     """Return the probe credential with a digest; empty when unknown."""
     return next(
         (
-            wish.probe_credential
-            for wish in map(operators.Wish, range(1, 400))
-            if operators.digest_of(wish.probe_credential) == digest
+            spec.probe_credential
+            for spec in map(operators.DeclarationSpec, range(1, 400))
+            if operators.digest_of(spec.probe_credential) == digest
         ),
         '',
     )
--- a/redwingvalve/soak/operators.py
+++ b/redwingvalve/soak/operators.py
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen
-class Wish:
+class DeclarationSpec:
     """What varies between declarations; number names it by a credential."""
 
     number: int
@@ -40,7 +40,7 @@
 class Confirmation:
     """An operator's try; status is 0 when no answer came."""
 
-    wish: Wish
+    spec: DeclarationSpec
     plan: str
     status: int
     message: str
@@ -51,15 +51,17 @@
     return hashlib.sha256(credential.encode()).hexdigest()
 
 
-def declaration_of(
-    wish: Wish, service_addresses: tuple[str, ...], load_time_s: float
+def make_declaration(
+    spec: DeclarationSpec,
+    service_addresses: tuple[str, ...],
+    load_time_s: float,
 ) -> str:
     """Return the YAML text of a declaration."""
     deployment: dict[str, typing.Any] = {
         'name': DEPLOYMENT,
         'model': MODEL,
-        'version': wish.version,
-        'replicas': wish.replicas,
+        'version': spec.version,
+        'replicas': spec.replicas,
         'vms_per_replica': 4,
         'floor_replicas': 2,
         'accepts_change_in_place': True,
@@ -73,7 +75,7 @@
     }
     accounts = [
         _account('callers', CREDENTIAL),
-        _account(PROBE_ACCOUNT, wish.probe_credential),
+        _account(PROBE_ACCOUNT, spec.probe_credential),
     ]
     return yaml.safe_dump(
         {
@@ -111,12 +113,12 @@
             return '', answer.text[:200]
         return str(answer.json()['name']), ''
 
-    async def confirm(self, wish: Wish, plan: str) -> Confirmation:
+    async def confirm(self, spec: DeclarationSpec, plan: str) -> Confirmation:
         """Confirm a plan."""
         answer = await self._post(f'/plans/{plan}/confirm', {})
         if answer is None:
-            return Confirmation(wish, plan, 0, 'no answer')
-        return Confirmation(wish, plan, answer.status_code, answer.text[:200])
+            return Confirmation(spec, plan, 0, 'no answer')
+        return Confirmation(spec, plan, answer.status_code, answer.text[:200])
 
     async def reachable(self) -> bool:
         """Tell whether the API answers this token."""
@@ -140,22 +142,24 @@
 
 
 async def race(
-    contenders: list[tuple[Operator, Wish, str]],
+    contenders: list[tuple[Operator, DeclarationSpec, str]],
 ) -> list[Confirmation]:
     """Let operators plan one after the other and confirm at one moment."""
     planned = []
-    for operator, wish, declaration in contenders:
+    for operator, spec, declaration in contenders:
         name, _ = await operator.plan(declaration)
         if name:
-            planned.append((operator, wish, name))
+            planned.append((operator, spec, name))
     tried: list[Confirmation] = []
 
-    async def confirm(operator: Operator, wish: Wish, name: str) -> None:
-        tried.append(await operator.confirm(wish, name))
+    async def confirm(
+        operator: Operator, spec: DeclarationSpec, name: str
+    ) -> None:
+        tried.append(await operator.confirm(spec, name))
 
     async with anyio.create_task_group() as group:
-        for operator, wish, name in planned:
-            group.start_soon(confirm, operator, wish, name)
+        for operator, spec, name in planned:
+            group.start_soon(confirm, operator, spec, name)
     return tried
 
 
--- a/redwingvalve/soak/platform.py
+++ b/redwingvalve/soak/platform.py
@@ -23,7 +23,7 @@
 REGION = 'montevideo'
 VM_LIST_LAG_S = 0.5
 CLIENT_TIMEOUT_S = 5.0
-Through: typing.TypeAlias = collections_abc.Callable[
+StartProxy: typing.TypeAlias = collections_abc.Callable[
     [str], collections_abc.Awaitable[str]
 ]
 
@@ -52,7 +52,7 @@
     size: Size
     engines: engine_host.EngineHost
     store: object_api_app.ObjectApiState
-    listed: vm_list.LaggingVmList
+    vm_listing: vm_list.LaggingVmList
     services: tuple[plain_service.PlainService, ...]
     urls: dict[str, str]
     service_addresses: tuple[str, ...]
@@ -70,7 +70,7 @@
         """Return the VMs of a fabric domain."""
         return tuple(
             row['name']
-            for row in self.listed.current_rows()
+            for row in self.vm_listing.current_rows()
             if row['fabric_domain'] == domain
         )
 
@@ -144,7 +144,7 @@
 
 @contextlib.asynccontextmanager
 async def run_platform(
-    size: Size, through: Through | None = None
+    size: Size, start_proxy: StartProxy | None = None
 ) -> collections_abc.AsyncIterator[Platform]:
     """Run the stand-ins on free ports until the block ends."""
     async with (
@@ -153,7 +153,7 @@
     ):
         with contextlib.closing(_Servers()) as servers:
             yield await _make_platform(
-                size, engines, client, servers, through or _directly
+                size, engines, client, servers, start_proxy or _directly
             )
 
 
@@ -162,11 +162,11 @@
     engines: engine_host.EngineHost,
     client: httpx.AsyncClient,
     servers: _Servers,
-    through: Through,
+    start_proxy: StartProxy,
 ) -> Platform:
-    rows = await _add_engines(engines, size, through)
+    rows = await _add_engines(engines, size, start_proxy)
     store_app, store = object_api_app.make_object_api()
-    list_app, listed = vm_list.make_vm_list(rows, VM_LIST_LAG_S)
+    list_app, vm_listing = vm_list.make_vm_list(rows, VM_LIST_LAG_S)
     weights_app, _ = weight_store.make_weight_store(
         size.loads_per_s, size.loads_per_s
     )
@@ -176,7 +176,7 @@
         size,
         engines,
         store,
-        listed,
+        vm_listing,
         services,
         {
             name: f'http://{(await servers.start(app)).address}'
@@ -184,7 +184,7 @@
         },
         tuple(
             [
-                await through(each.server.address)
+                await start_proxy(each.server.address)
                 for each in services
                 if each.server
             ]
@@ -194,7 +194,7 @@
 
 
 async def _add_engines(
-    engines: engine_host.EngineHost, size: Size, through: Through
+    engines: engine_host.EngineHost, size: Size, start_proxy: StartProxy
 ) -> list[vm_list.VmRow]:
     rows = []
     for domain, data_centre, count in size.domains:
@@ -211,7 +211,7 @@
                 seed=len(rows),
             )
             await engines.add(options)
-            address = await through(engines.address(name))
+            address = await start_proxy(engines.address(name))
             rows.append(
                 vm_list.make_vm_row(name, address, data_centre, domain, REGION)
             )
--- a/redwingvalve/soak/platform_faults.py
+++ b/redwingvalve/soak/platform_faults.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from redwingvalve.soak import comparing, schedule, targets, work
+from redwingvalve.soak import checker, fault_context, schedule, workload
 
 RESTART_S = 2.0
 STRAGGLE_FACTOR = 10.0
@@ -14,7 +14,9 @@
 SILENT_FROM = 0.5
 
 
-async def vm_dies(hit: targets.Targets, fault: schedule.Fault) -> str:
+async def vm_dies(
+    hit: fault_context.FaultContext, fault: schedule.Fault
+) -> str:
     """Kill a VM; it comes back idle."""
     victim = hit.engine(fault)
     if not victim.dead:
@@ -22,7 +24,9 @@
     return victim.options.vm
 
 
-async def vm_pauses(hit: targets.Targets, fault: schedule.Fault) -> str:
+async def vm_pauses(
+    hit: fault_context.FaultContext, fault: schedule.Fault
+) -> str:
     """Freeze a VM."""
     victim = hit.engine(fault)
     victim.faults.paused_until_s = time.monotonic() + fault.duration_s
@@ -31,7 +35,9 @@
     return victim.options.vm
 
 
-async def vm_unreachable(hit: targets.Targets, fault: schedule.Fault) -> str:
+async def vm_unreachable(
+    hit: fault_context.FaultContext, fault: schedule.Fault
+) -> str:
     """Lose every new request to a VM."""
     victim = hit.engine(fault)
     victim.faults.unreachable_until_s = time.monotonic() + fault.duration_s
@@ -40,7 +46,9 @@
     return victim.options.vm
 
 
-async def vm_straggles(hit: targets.Targets, fault: schedule.Fault) -> str:
+async def vm_straggles(
+    hit: fault_context.FaultContext, fault: schedule.Fault
+) -> str:
     """Slow a VM down."""
     victim = hit.engine(fault)
     victim.faults.straggle_factor = STRAGGLE_FACTOR
@@ -49,9 +57,11 @@
     return victim.options.vm
 
 
-async def domain_dark(hit: targets.Targets, fault: schedule.Fault) -> str:
+async def domain_dark(
+    hit: fault_context.FaultContext, fault: schedule.Fault
+) -> str:
     """Kill every VM of a fabric domain at once."""
-    domain = targets.pick(hit.platform.size.domains, fault.where)[0]
+    domain = fault_context.pick(hit.platform.size.domains, fault.where)[0]
     for vm in hit.platform.domain_vms(domain):
         victim = hit.platform.engines.engines[vm]
         if not victim.dead:
@@ -59,43 +69,51 @@
     return domain
 
 
-async def vm_leaves(hit: targets.Targets, fault: schedule.Fault) -> str:
+async def vm_leaves(
+    hit: fault_context.FaultContext, fault: schedule.Fault
+) -> str:
     """Show a VM as leaving, then as live again."""
     vm = hit.engine(fault).options.vm
-    listed = hit.platform.listed
-    told_s = time.time() + listed.lag_s
-    listed.set_state(vm, 'leaving')
-    await anyio.sleep(fault.duration_s + 2 * comparing.Bounds().leaving_s)
-    listed.set_state(vm, 'live')
-    hit.leaving.append(comparing.ReleaseState(vm, told_s, time.time()))
+    vm_listing = hit.platform.vm_listing
+    told_s = time.time() + vm_listing.lag_s
+    vm_listing.set_state(vm, 'leaving')
+    await anyio.sleep(fault.duration_s + 2 * checker.Bounds().leaving_s)
+    vm_listing.set_state(vm, 'live')
+    hit.leaving.append(checker.LeavingPeriod(vm, told_s, time.time()))
     return vm
 
 
-async def crossed(hit: targets.Targets, fault: schedule.Fault) -> str:
+async def crossed(
+    hit: fault_context.FaultContext, fault: schedule.Fault
+) -> str:
     """Let an endpoint answer a request with somebody else's answer."""
     victim = hit.endpoint(fault)
     victim.faults.crossed += 1
-    return targets.name_of(victim)
+    return fault_context.name_of(victim)
 
 
-async def truncated(hit: targets.Targets, fault: schedule.Fault) -> str:
+async def truncated(
+    hit: fault_context.FaultContext, fault: schedule.Fault
+) -> str:
     """Let an endpoint end an answer before its end."""
     victim = hit.endpoint(fault)
     victim.faults.truncate += 1
-    return targets.name_of(victim)
+    return fault_context.name_of(victim)
 
 
-async def poison(hit: targets.Targets, fault: schedule.Fault) -> str:
+async def poison(hit: fault_context.FaultContext, fault: schedule.Fault) -> str:
     """Send a request that kills whatever runs it, as often as allowed."""
     marker = f'poison-{fault.at_s:.3f}'
     for each in hit.platform.engines.engines.values():
         each.faults.poison_marker = marker
         each.faults.restart_after_s = RESTART_S
-    record = await hit.poisoner.call(work.Kind.NARRATIVE, marker)
-    return f'{record.work.name}, {len(record.attempts)} attempts'
+    record = await hit.poisoner.call(workload.Kind.NARRATIVE, marker)
+    return f'{record.request.name}, {len(record.attempts)} attempts'
 
 
-async def store_down(hit: targets.Targets, fault: schedule.Fault) -> str:
+async def store_down(
+    hit: fault_context.FaultContext, fault: schedule.Fault
+) -> str:
     """Take the store away; it answers 503 or nothing."""
     silent = fault.where > SILENT_FROM
     await hit.platform.store_fault(name='outage', silent=silent)
@@ -104,7 +122,9 @@
     return 'store, silent' if silent else 'store'
 
 
-async def store_slow(hit: targets.Targets, fault: schedule.Fault) -> str:
+async def store_slow(
+    hit: fault_context.FaultContext, fault: schedule.Fault
+) -> str:
     """Slow every call of the store down."""
     await hit.platform.store_fault(name='slow', delay_s=SLOW_S)
     await anyio.sleep(fault.duration_s)
@@ -112,14 +132,18 @@
     return 'store'
 
 
-async def store_loses(hit: targets.Targets, fault: schedule.Fault) -> str:
+async def store_loses(
+    hit: fault_context.FaultContext, fault: schedule.Fault
+) -> str:
     """Lose answers of writes that take effect."""
     await hit.platform.store_fault(name='lose-answers', count=LOST_ANSWERS)
     return 'store'
 
 
-async def service_loses(hit: targets.Targets, fault: schedule.Fault) -> str:
+async def service_loses(
+    hit: fault_context.FaultContext, fault: schedule.Fault
+) -> str:
     """Lose answers of calls that a service has run."""
-    victim = targets.pick(hit.platform.services, fault.where)
+    victim = fault_context.pick(hit.platform.services, fault.where)
     victim.responses_to_drop += LOST_CALLS
     return victim.name
--- a/redwingvalve/soak/records.py
+++ b/redwingvalve/soak/records.py
@@ -3,7 +3,7 @@
 import attrs
 
 from redwingvalve.core import outcomes
-from redwingvalve.soak import work
+from redwingvalve.soak import workload
 
 AT_ONCE_S = 0.5
 
@@ -58,7 +58,7 @@
 class Record:
     """One request with all its attempts, in the order of their time."""
 
-    work: work.Work
+    request: workload.Request
     attempts: list[Attempt] = attrs.field(factory=list)
 
     @property
--- a/redwingvalve/soak/telling.py
+++ b/redwingvalve/soak/report.py
@@ -9,7 +9,7 @@
 PERCENTILE_CUTS = 20
 
 
-def figures(outcome: fleet_run.Outcome) -> dict[str, typing.Any]:
+def summarize(outcome: fleet_run.Outcome) -> dict[str, typing.Any]:
     """Return the figures of a run as plain JSON."""
     attempts = [
         attempt for record in outcome.records for attempt in record.attempts
@@ -45,7 +45,7 @@
         'stops': len(outcome.stop_times_s),
         'breaches': dict(
             collections.Counter(
-                breach.promise.value for breach in outcome.breaches
+                breach.guarantee.value for breach in outcome.breaches
             )
         ),
     }
@@ -64,11 +64,11 @@
         return []
     lines = [f'seed {outcome.options.seed}', 'schedule:']
     lines.extend(f'  {fault}' for fault in outcome.schedule)
-    told: set[breaches.Promise] = set()
+    told: set[breaches.Guarantee] = set()
     for breach in outcome.breaches:
-        if breach.promise in told:
+        if breach.guarantee in told:
             continue
-        told.add(breach.promise)
+        told.add(breach.guarantee)
         lines.extend(_one_breach(breach, outcome.journal))
     return lines
 
@@ -78,7 +78,7 @@
 ) -> list[str]:
     start_s = journal.started_s
     lines = [
-        f'BREACH at {breach.at_s - start_s:.2f} s: {breach.promise.value}',
+        f'BREACH at {breach.at_s - start_s:.2f} s: {breach.guarantee.value}',
         f'  {breach.subject}: {breach.details}',
         '  what led to it:',
     ]
--- a/redwingvalve/soak/runner.py
+++ b/redwingvalve/soak/runner.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from redwingvalve.soak import attack, fleet_run, schedule
+from redwingvalve.soak import fault_injection, fleet_run, schedule
 
 PAUSES = frozenset(
     (schedule.FaultName.ENTRY_PAUSES, schedule.FaultName.CONTROL_PAUSES)
@@ -50,11 +50,11 @@
             for index in range(options.callers)
         ]
         poisoner = run.make_caller('poison', options.callers)
-        hit = run.make_targets(poisoner)
+        hit = run.make_fault_context(poisoner)
         async with anyio.create_task_group() as group:
             for caller in calling:
                 group.start_soon(caller.run, ends_at_s)
-            group.start_soon(attack.carry_out, hit, planned)
+            group.start_soon(fault_injection.inject_faults, hit, planned)
         run.journal.note('the last answers are in')
         # The fleet ends first, so that breaches of its end count too.
         await stack.aclose()
--- a/redwingvalve/soak/tests/test_comparing.py
+++ b/redwingvalve/soak/tests/test_checker.py
@@ -3,12 +3,12 @@
 import attrs
 import pytest
 
-from redwingvalve.soak import breaches, comparing, records, schedule, work
+from redwingvalve.soak import breaches, checker, records, schedule, workload
 from redwingvalve.standins import generated_text, ledger
 
-TARGET = work.Target('quotes', '/records/', '/records/job-cards')
-QUOTE = work.make_work('w1', work.Kind.QUOTE, TARGET)
-STREAM = work.make_work('w2', work.Kind.NARRATIVE, TARGET)
+TARGET = workload.Target('quotes', '/records/', '/records/job-cards')
+QUOTE = workload.make_request('w1', workload.Kind.QUOTE, TARGET)
+STREAM = workload.make_request('w2', workload.Kind.NARRATIVE, TARGET)
 VERSIONS = frozenset({('m', '1'), ('m', '2')})
 
 
@@ -30,52 +30,52 @@
 
 CASES = [
     (
-        breaches.Promise.ANSWERED,
+        breaches.Guarantee.ANSWERED,
         [records.Record(QUOTE, [attempt(overdue=True)])],
         [],
     ),
     (
-        breaches.Promise.ANSWERED,
+        breaches.Guarantee.ANSWERED,
         [records.Record(QUOTE, [attempt(status=500, outcome='')])],
         [],
     ),
     (
-        breaches.Promise.WHOLE_AND_OWN,
+        breaches.Guarantee.WHOLE_AND_OWN,
         [records.Record(STREAM, [attempt(whole=True, text=' t0-abc')])],
         [],
     ),
     (
-        breaches.Promise.WHOLE_AND_OWN,
+        breaches.Guarantee.WHOLE_AND_OWN,
         [records.Record(STREAM, [attempt(whole=True, text=text_of(QUOTE))])],
         [],
     ),
     (
-        breaches.Promise.NOT_RUN,
+        breaches.Guarantee.NOT_RUN,
         [records.Record(QUOTE, [attempt(outcome='not-run')])],
         [run(QUOTE)],
     ),
     (
-        breaches.Promise.AT_MOST_ONCE,
+        breaches.Guarantee.AT_MOST_ONCE,
         [records.Record(QUOTE, [attempt(outcome='unknown')])],
         [run(QUOTE), run(QUOTE, started=12.0)],
     ),
-    (breaches.Promise.NO_VM_MISSING, [], [run(STREAM, missing_s=3.5)]),
+    (breaches.Guarantee.NO_VM_MISSING, [], [run(STREAM, missing_s=3.5)]),
     (
-        breaches.Promise.LEAVING,
+        breaches.Guarantee.LEAVING,
         [],
         [run(STREAM, members=('vm-1',), started=13.5)],
     ),
-    (breaches.Promise.PLANNED_STOP, [], [run(STREAM, cut='order')]),
+    (breaches.Guarantee.PLANNED_STOP, [], [run(STREAM, cut='order')]),
 ]
 
 
-@pytest.mark.parametrize(('promise', 'seen', 'ran'), CASES)
-def test_a_broken_promise_is_found_and_only_that(promise, seen, ran):
-    evidence = comparing.Evidence(
-        seen, ran, (comparing.ReleaseState('vm-1', 10.0),), VERSIONS
+@pytest.mark.parametrize(('guarantee', 'seen', 'ran'), CASES)
+def test_a_broken_promise_is_found_and_only_that(guarantee, seen, ran):
+    evidence = checker.Evidence(
+        seen, ran, (checker.LeavingPeriod('vm-1', 10.0),), VERSIONS
     )
-    found = comparing.compare(evidence, comparing.Bounds())
-    assert [breach.promise for breach in found] == [promise]
+    found = checker.compare(evidence, checker.Bounds())
+    assert [breach.guarantee for breach in found] == [guarantee]
 
 
 def test_what_is_allowed_is_no_breach():
@@ -109,10 +109,10 @@
         run(STREAM, cut='died', members=('vm-1',)),
         run(STREAM, missing_s=0.2),
     ]
-    evidence = comparing.Evidence(
-        seen, ran, (comparing.ReleaseState('vm-1', 10.0),), VERSIONS
+    evidence = checker.Evidence(
+        seen, ran, (checker.LeavingPeriod('vm-1', 10.0),), VERSIONS
     )
-    assert comparing.compare(evidence, comparing.Bounds()) == ()
+    assert checker.compare(evidence, checker.Bounds()) == ()
 
 
 def test_a_schedule_follows_from_its_seed_and_ends_in_calm():
--- a/redwingvalve/soak/work.py
+++ b/redwingvalve/soak/workload.py
@@ -53,7 +53,7 @@
 
 
 @attrs.frozen
-class Work:
+class Request:
     """One request as its caller means it, however often it is sent."""
 
     name: str
@@ -89,23 +89,25 @@
         return self.kind in {Kind.NARRATIVE, Kind.SCAN}
 
 
-def make_work(name: str, kind: Kind, target: Target, marker: str = '') -> Work:
+def make_request(
+    name: str, kind: Kind, target: Target, marker: str = ''
+) -> Request:
     """Return a request; a marker in its prompt makes it a poison request."""
     if kind is Kind.FLAG:
         body = json.dumps({'flag': name}).encode()
         path = target.non_idempotent_path
         digest = plain_service.call_digest(path, body)
-        return Work(name, kind, 'POST', path, body, digest)
+        return Request(name, kind, 'POST', path, body, digest)
     if kind is Kind.FETCH:
         path = f'{target.service_prefix}parts/{name}'
         digest = plain_service.call_digest(path, b'')
-        return Work(name, kind, 'GET', path, b'', digest)
+        return Request(name, kind, 'GET', path, b'', digest)
     return _make_model_work(name, kind, target, marker)
 
 
 def _make_model_work(
     name: str, kind: Kind, target: Target, marker: str
-) -> Work:
+) -> Request:
     shared = f'{kind.value} instructions. '.ljust(PREFIX_LENGTH, 'x')
     body: dict[str, typing.Any] = {
         'model': target.deployment,
@@ -117,7 +119,7 @@
         'stream': kind is not Kind.QUOTE,
     }
     prompt = generated_text.prompt_text(body)
-    return Work(
+    return Request(
         name,
         kind,
         'POST',
--- a/tests/integration/process_daemons.py
+++ b/tests/integration/process_daemons.py
@@ -55,10 +55,10 @@
             while not await listens(host, int(port)):
                 await anyio.sleep(0.05)
 
-    async def end_now(self, daemon: daemons.Daemon) -> None:
+    async def kill_now(self, daemon: daemons.Daemon) -> None:
         self._children.children[daemon.name].kill()
 
-    async def end_gracefully(self, daemon: daemons.Daemon) -> None:
+    async def shut_down(self, daemon: daemons.Daemon) -> None:
         child = self._children.children[daemon.name]
         child.resume()
         child.stop()
@@ -107,8 +107,8 @@
         await proxy.start(daemon.settings.node.host, listen.peer_port)
         self.proxies[daemon.name] = proxy
 
-    async def end_all(self) -> None:
-        await super().end_all()
+    async def shut_down_all(self) -> None:
+        await super().shut_down_all()
         for daemon in self.by_name.values():
             child = self._children.children[daemon.name]
             if BREACH_MARK in child.text():
@@ -116,7 +116,7 @@
                 marked = [line for line in lines if BREACH_MARK in line]
                 self.breaches.append(
                     breaches.Breach(
-                        breaches.Promise.INVARIANT,
+                        breaches.Guarantee.INVARIANT,
                         daemon.name,
                         marked[0][-500:],
                         time.time(),
--- a/tests/integration/promises.py
+++ b/tests/integration/promises.py
@@ -16,18 +16,18 @@
 from redwingvalve.soak import (
     breaches,
     callers,
-    comparing,
+    checker,
     daemons,
+    fault_context,
     fleet_run,
     operators,
     schedule,
-    targets,
-    work,
+    workload,
 )
 from redwingvalve.standins import engine
 from tests.integration import fault_proxy, process_daemons, processes
 
-Promise = breaches.Promise
+Guarantee = breaches.Guarantee
 Safeguard = invariants.Safeguard
 SETTLE_S = 15.0
 OTHERS_GONE_S = 8.0
@@ -41,7 +41,7 @@
     """A fleet of processes whose endpoints stand behind fault proxies."""
 
     run: fleet_run.FleetRun
-    hit: targets.Targets
+    hit: fault_context.FaultContext
     proxies: dict[str, fault_proxy.FaultProxy]
     asking: list[callers.Caller] = attrs.field(factory=list)
 
@@ -54,7 +54,7 @@
 
     async def ask(
         self,
-        kind: work.Kind,
+        kind: workload.Kind,
         count: int,
         max_attempts: int = callers.MAX_ATTEMPTS,
     ) -> None:
@@ -64,7 +64,7 @@
                 group.start_soon(self.caller().call, kind, '', max_attempts)
 
     async def ask_for(
-        self, kind: work.Kind, duration_s: float, count: int = 4
+        self, kind: workload.Kind, duration_s: float, count: int = 4
     ) -> None:
         """Let so many callers make requests without a pause."""
         ends_at_s = time.monotonic() + duration_s
@@ -88,7 +88,7 @@
         for proxy in self.proxies.values():
             proxy.heal()
         self.run.platform.heal()
-        wanted = operators.Wish(1).replicas
+        wanted = operators.DeclarationSpec(1).replicas
         with anyio.move_on_after(SETTLE_S):
             while len(self.run.platform.serving_heads()) < wanted:
                 await anyio.sleep(0.1)
@@ -102,20 +102,20 @@
     """Whole answers are exchanged between two connections."""
     for proxy in stage.proxies_of_services():
         proxy.faults.cross_answers = 2
-    await stage.ask(work.Kind.FETCH, 12)
+    await stage.ask(workload.Kind.FETCH, 12)
 
 
 async def truncate_streams(stage: Stage) -> None:
     """Streams end cleanly in the middle, without a [DONE]."""
     for head in stage.run.platform.serving_heads():
         head.faults.truncate = 2
-    await stage.ask(work.Kind.NARRATIVE, 8)
+    await stage.ask(workload.Kind.NARRATIVE, 8)
 
 
 async def reset_while_running(stage: Stage) -> None:
     """Connections break after the engines have begun to run quotes."""
     async with anyio.create_task_group() as group:
-        group.start_soon(stage.ask, work.Kind.QUOTE, 8)
+        group.start_soon(stage.ask, workload.Kind.QUOTE, 8)
         await anyio.sleep(0.15)
         for proxy in stage.proxies.values():
             await proxy.reset_all()
@@ -129,7 +129,7 @@
     """
     for service in stage.run.platform.services:
         service.responses_to_drop = 3
-    await stage.ask(work.Kind.FLAG, 6, PATIENT_ATTEMPTS)
+    await stage.ask(workload.Kind.FLAG, 6, PATIENT_ATTEMPTS)
 
 
 @contextlib.asynccontextmanager
@@ -140,7 +140,7 @@
     controls = stage.run.daemons.role(daemons.CONTROL)
     for daemon in controls:
         daemon.away = True
-        await stage.run.daemons.end_now(daemon)
+        await stage.run.daemons.kill_now(daemon)
     yield
     for daemon in controls:
         await stage.run.daemons.start(daemon)
@@ -156,7 +156,7 @@
     async with without_controllers(stage):
         for worker in workers:
             engines.engines[worker].die()
-        await stage.ask_for(work.Kind.NARRATIVE, 6.0)
+        await stage.ask_for(workload.Kind.NARRATIVE, 6.0)
         for worker in workers:
             await engines.revive(worker)
 
@@ -167,7 +167,7 @@
     for head in heads:
         head.faults.straggle_factor = 3.0
     async with anyio.create_task_group() as group:
-        group.start_soon(stage.ask, work.Kind.SCAN, 8)
+        group.start_soon(stage.ask, workload.Kind.SCAN, 8)
         await anyio.sleep(0.5)
         await _leave(stage, heads[0], 24)
 
@@ -182,7 +182,7 @@
     for head in heads:
         head.faults.straggle_factor = 3.0
     async with anyio.create_task_group() as group:
-        group.start_soon(stage.ask, work.Kind.SCAN, 2 * len(heads))
+        group.start_soon(stage.ask, workload.Kind.SCAN, 2 * len(heads))
         await anyio.sleep(0.5)
         leaving = max(heads, key=_running)
         group.start_soon(_leave, stage, leaving, 6)
@@ -204,13 +204,13 @@
 
 
 async def _leave(stage: Stage, head: engine.Engine, count: int) -> None:
-    listed = stage.run.platform.listed
+    vm_listing = stage.run.platform.vm_listing
     vm = head.options.vm
-    told_s = time.time() + listed.lag_s
-    listed.mark(vm, 'leaving')
-    await stage.ask_for(work.Kind.QUOTE, 7.0, count)
-    listed.mark(vm, 'live')
-    stage.hit.leaving.append(comparing.ReleaseState(vm, told_s, time.time()))
+    told_s = time.time() + vm_listing.lag_s
+    vm_listing.mark(vm, 'leaving')
+    await stage.ask_for(workload.Kind.QUOTE, 7.0, count)
+    vm_listing.mark(vm, 'live')
+    stage.hit.leaving.append(checker.LeavingPeriod(vm, told_s, time.time()))
 
 
 async def restore_old_objects(stage: Stage) -> None:
@@ -218,7 +218,7 @@
     store = stage.run.platform.store.store
     kind = objects.CLIENT_ACCOUNTS
     old = store.list_now(kind).objects
-    await stage.run.declare(operators.Wish(50))
+    await stage.run.declare(operators.DeclarationSpec(50))
     await anyio.sleep(2.0)
     new = store.list_now(kind).objects
     _put_back(store, old)
@@ -237,14 +237,14 @@
     """A request that kills each engine that runs it is sent each second."""
     _poison_all(stage)
     await stage.caller().call(
-        work.Kind.NARRATIVE, 'poison-here', max_attempts=6, pause_s=1.0
+        workload.Kind.NARRATIVE, 'poison-here', max_attempts=6, pause_s=1.0
     )
 
 
 async def send_poison_at_once(stage: Stage) -> None:
     """The same, sent again as soon as the answer allows."""
     _poison_all(stage)
-    await stage.caller().call(work.Kind.NARRATIVE, 'poison-here')
+    await stage.caller().call(workload.Kind.NARRATIVE, 'poison-here')
 
 
 def _poison_all(stage: Stage) -> None:
@@ -256,7 +256,7 @@
 async def stop_an_entry(stage: Stage) -> None:
     """An entry is stopped gracefully while streams run through it."""
     async with anyio.create_task_group() as group:
-        group.start_soon(stage.ask_for, work.Kind.NARRATIVE, 4.0)
+        group.start_soon(stage.ask_for, workload.Kind.NARRATIVE, 4.0)
         await anyio.sleep(0.5)
         entry = stage.run.daemons.role(daemons.ENTRY)[0]
         await stage.run.daemons.stop(entry.name, 0.5)
@@ -277,7 +277,7 @@
     """An attack, the safeguard that withstands it, what breaks without."""
 
     act: collections_abc.Callable[[Stage], collections_abc.Awaitable[None]]
-    breaks: frozenset[Promise]
+    breaks: frozenset[Guarantee]
     safeguard: Safeguard | None = None
 
     @property
@@ -288,50 +288,50 @@
 ATTACKS = (
     Attack(
         cross_answers,
-        frozenset({Promise.WHOLE_AND_OWN}),
+        frozenset({Guarantee.WHOLE_AND_OWN}),
         Safeguard.ANSWER_IDENTITY,
     ),
     Attack(
         truncate_streams,
-        frozenset({Promise.WHOLE_AND_OWN}),
+        frozenset({Guarantee.WHOLE_AND_OWN}),
         Safeguard.ANSWER_COMPLETENESS,
     ),
     Attack(
         reset_while_running,
-        frozenset({Promise.NOT_RUN, Promise.AT_MOST_ONCE}),
+        frozenset({Guarantee.NOT_RUN, Guarantee.AT_MOST_ONCE}),
         Safeguard.TRUTHFUL_NOT_RUN,
     ),
     Attack(
         lose_answers_of_flags,
-        frozenset({Promise.AT_MOST_ONCE}),
+        frozenset({Guarantee.AT_MOST_ONCE}),
         Safeguard.RUN_AT_MOST_ONCE,
     ),
     Attack(
         send_poison_each_second,
-        frozenset({Promise.POISON}),
+        frozenset({Guarantee.POISON}),
         Safeguard.POISON_REFUSED,
     ),
-    Attack(send_poison_at_once, frozenset({Promise.POISON})),
+    Attack(send_poison_at_once, frozenset({Guarantee.POISON})),
     Attack(
         leave_while_wanted,
-        frozenset({Promise.LEAVING}),
+        frozenset({Guarantee.LEAVING}),
         Safeguard.LEAVING_EXCLUDED,
     ),
     Attack(
         leave_under_load,
-        frozenset({Promise.PLANNED_STOP, Promise.INVARIANT}),
+        frozenset({Guarantee.PLANNED_STOP, Guarantee.INVARIANT}),
         Safeguard.DRAIN_BEFORE_STOP,
     ),
     Attack(
         restore_old_objects,
-        frozenset({Promise.CONFIGURATION, Promise.INVARIANT}),
+        frozenset({Guarantee.CONFIGURATION, Guarantee.INVARIANT}),
         Safeguard.CONFIGURATION_ONLY_RISES,
     ),
-    Attack(stop_an_entry, frozenset({Promise.PLANNED_STOP})),
-    Attack(race_operators, frozenset({Promise.RACE})),
+    Attack(stop_an_entry, frozenset({Guarantee.PLANNED_STOP})),
+    Attack(race_operators, frozenset({Guarantee.RACE})),
     Attack(
         lose_workers,
-        frozenset({Promise.NO_VM_MISSING}),
+        frozenset({Guarantee.NO_VM_MISSING}),
         Safeguard.EVIDENCE_REQUIRED,
     ),
 )
@@ -345,7 +345,7 @@
     proxies: dict[str, fault_proxy.FaultProxy] = {}
     async with anyio.create_task_group() as group:
 
-        async def through(address: str) -> str:
+        async def start_proxy(address: str) -> str:
             proxy = fault_proxy.FaultProxy(address, group)
             await proxy.start()
             proxies[address] = proxy
@@ -355,13 +355,13 @@
             seed,
             0.0,
             disabled=tuple(each.value for each in disabled),
-            through=through,
+            start_proxy=start_proxy,
         )
         with processes.make_processes() as children:
             async with fleet_run.open_run(
                 options,
                 lambda _: process_daemons.ProcessDaemons(children),
             ) as run:
-                hit = run.make_targets(run.make_caller('nobody', 999))
+                hit = run.make_fault_context(run.make_caller('nobody', 999))
                 yield Stage(run, hit, proxies)
         group.cancel_scope.cancel()
--- a/tests/integration/prove_safeguards.py
+++ b/tests/integration/prove_safeguards.py
@@ -25,12 +25,14 @@
         'disabled': list(disabled),
         'requests': requests,
         'breaches': {
-            promise.value: sum(breach.promise is promise for breach in found)
-            for promise in promises.Promise
-            if any(breach.promise is promise for breach in found)
+            guarantee.value: sum(
+                breach.guarantee is guarantee for breach in found
+            )
+            for guarantee in promises.Guarantee
+            if any(breach.guarantee is guarantee for breach in found)
         },
         'first': str(found[0].details)[:160] if found else '',
-        'caught': any(breach.promise in attack.breaks for breach in found),
+        'caught': any(breach.guarantee in attack.breaks for breach in found),
         'took_s': round(time.monotonic() - started_s, 1),
     }
 
--- a/tests/integration/soak_processes.py
+++ b/tests/integration/soak_processes.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from redwingvalve.core import invariants
-from redwingvalve.soak import fleet_run, runner, schedule, telling
+from redwingvalve.soak import fleet_run, report, runner, schedule
 from tests.integration import process_daemons, processes
 
 
@@ -51,8 +51,8 @@
             ),
             backend_options={'loop_factory': uvloop.new_event_loop},
         )
-    print(json.dumps(telling.figures(outcome)))
-    for line in telling.breach_lines(outcome):
+    print(json.dumps(report.summarize(outcome)))
+    for line in report.breach_lines(outcome):
         print(line, file=sys.stderr)
     return 6 if outcome.breaches else 0
 
--- a/tests/integration/test_promises.py
+++ b/tests/integration/test_promises.py
@@ -66,6 +66,6 @@
         if attack.safeguard in BROKEN_TOGETHER
     ]
     stage = run_attacks([attack.act for attack in attacks], BROKEN_TOGETHER)
-    found = {breach.promise for breach in stage.found()}
+    found = {breach.guarantee for breach in stage.found()}
     for attack in attacks:
         assert attack.breaks & found, attack.name
