--- a/redwingvalve/cli/__init__.py
+++ b/redwingvalve/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The command line interface."""
--- a/redwingvalve/cli/api_client.py
+++ b/redwingvalve/cli/api_client.py
@@ -1,4 +1,4 @@
-"""Calls the administration API for the command line."""
+"""HTTP client of the administration API."""
 
 import ssl
 import typing
@@ -21,53 +21,53 @@
 API = options.Option(
     dest='api',
     flags=('--api',),
-    help=f'URL of the administration API (else ${API_VARIABLE})',
+    help=f'URL of the administration API (default: ${API_VARIABLE})',
 )
 TOKEN = options.Option(
     dest='token',
     flags=('--token',),
-    help=f'bearer token (else ${TOKEN_VARIABLE})',
+    help=f'bearer token (default: ${TOKEN_VARIABLE})',
 )
-AUTHORITY = options.Option(
+CA_FILE = options.Option(
     dest='authority_file',
     flags=('--authority-file',),
-    help='PEM file of the authority that signed the API certificate',
+    help='PEM file of the CA that signed the certificate of the API',
 )
-COMMON = (API, TOKEN, AUTHORITY, options.OUTPUT)
+COMMON_OPTIONS = (API, TOKEN, CA_FILE, options.OUTPUT)
 
 
 @attrs.frozen
-class CallFailed:
-    """What the person is told, and the exit status that fits."""
+class ApiError:
+    """A failed call: the message to print and the exit status."""
 
     status: exit_status.ExitStatus
     message: str
 
 
-Answer = Result[typing.Any, CallFailed]
+ApiResult = Result[typing.Any, ApiError]
 
 
 @attrs.frozen
 class ApiClient:
-    """One administration API and the token to use there."""
+    """Sends requests to one administration API with a bearer token."""
 
     base_url: str
     token: str
     authority_file: str = ''
 
-    def get(self, path: str) -> Answer:
-        """Read something."""
-        return self._call('GET', path, None)
+    def get(self, path: str) -> ApiResult:
+        """Send a GET request."""
+        return self._send('GET', path, None)
 
-    def post(self, path: str, body: typing.Any) -> Answer:
-        """Ask for an action."""
-        return self._call('POST', path, body)
+    def post(self, path: str, body: typing.Any) -> ApiResult:
+        """Send a POST request with a JSON body."""
+        return self._send('POST', path, body)
 
-    def _call(self, method: str, path: str, body: typing.Any) -> Answer:
+    def _send(self, method: str, path: str, body: typing.Any) -> ApiResult:
         url = f'{self.base_url.rstrip("/")}/admin/v1{path}'
         headers = {'authorization': f'Bearer {self.token}'}
         try:
-            answer = httpx.request(
+            response = httpx.request(
                 method,
                 url,
                 json=body,
@@ -77,12 +77,12 @@
             )
         except (httpx.HTTPError, OSError, httpx.InvalidURL) as error:
             return Error(
-                CallFailed(
+                ApiError(
                     exit_status.ExitStatus.UNREACHABLE,
                     f'{self.base_url} cannot be reached: {error}',
                 )
             )
-        return _read(answer)
+        return _parse_response(response)
 
     def _verify(self) -> ssl.SSLContext | bool:
         if not self.authority_file:
@@ -93,7 +93,7 @@
 def make_api_client(
     arguments: typing.Any, surroundings: environment.Environment
 ) -> ApiClient:
-    """Return a client from options first, variables second."""
+    """Return a client; options take precedence over environment variables."""
     variables = surroundings.variables
     return ApiClient(
         arguments.api or variables.get(API_VARIABLE, DEFAULT_API),
@@ -102,23 +102,23 @@
     )
 
 
-def _read(answer: httpx.Response) -> Answer:
+def _parse_response(response: httpx.Response) -> ApiResult:
     try:
-        body = answer.json()
+        body = response.json()
     except ValueError:
-        body = {'error': {'message': answer.text[:200]}}
-    if answer.status_code < STATUS_BAD_REQUEST:
+        body = {'error': {'message': response.text[:200]}}
+    if response.status_code < STATUS_BAD_REQUEST:
         return Ok(body)
-    return Error(CallFailed(_exit_status(answer.status_code), _message(body)))
+    return Error(ApiError(_exit_status(response.status_code), _message(body)))
 
 
 def _message(body: typing.Any) -> str:
     if not isinstance(body, dict) or 'error' not in body:
         return str(body)
     error = body['error']
-    found = error.get('findings')
-    if found:
-        return '\n'.join(str(line) for line in found)
+    findings = error.get('findings')
+    if findings:
+        return '\n'.join(str(line) for line in findings)
     return str(error.get('message', error))
 
 
--- a/redwingvalve/cli/bench.py
+++ b/redwingvalve/cli/bench.py
@@ -1,4 +1,4 @@
-"""The bench command: figures of decisions against plain baselines."""
+"""The bench command: measures the decision logic against baselines."""
 
 import argparse
 import types
@@ -28,7 +28,7 @@
     relay_report.write_report(relay_cost.measure_all(), output, stream)
 
 
-# Each bench takes the seed, the output format and where to write.
+# Benchmarks called with the seed, the output format and the output stream.
 BENCHES: collections_abc.Mapping[str, Bench] = types.MappingProxyType(
     {
         'request-path': _request_path,
@@ -39,8 +39,8 @@
 )
 
 
-# Benches that have options of their own.
-FLEET_BENCHES: collections_abc.Mapping[str, options.Runner] = (
+# Benchmarks that define their own command-line options.
+BENCHES_WITH_OPTIONS: collections_abc.Mapping[str, options.Runner] = (
     types.MappingProxyType(
         {
             'control-cost': control_cost_report.run_control_cost,
@@ -53,10 +53,10 @@
 def run_bench(
     arguments: argparse.Namespace, surroundings: environment.Environment
 ) -> exit_status.ExitStatus:
-    """Run one bench and write its figures."""
-    of_fleets = FLEET_BENCHES.get(arguments.bench)
-    if of_fleets is not None:
-        return of_fleets(arguments, surroundings)
+    """Run one benchmark and print its results."""
+    run_with_options = BENCHES_WITH_OPTIONS.get(arguments.bench)
+    if run_with_options is not None:
+        return run_with_options(arguments, surroundings)
     bench = BENCHES[arguments.bench]
     bench(arguments.seed, arguments.output, surroundings.stdout)
     return exit_status.ExitStatus.SUCCESS
@@ -64,16 +64,21 @@
 
 BENCH = options.Command(
     name='bench',
-    help='measure decisions against plain baselines',
+    help='measure the decision logic against simple baselines',
     example='redwingvalve bench request-path --seed 1 --output json',
     run=run_bench,
     options=(
         options.Option(
             dest='bench',
-            help='what to measure',
-            choices=(*BENCHES, *FLEET_BENCHES),
+            help='the benchmark to run',
+            choices=(*BENCHES, *BENCHES_WITH_OPTIONS),
+        ),
+        options.flag(
+            'seed',
+            'seed of the generated load; the same seed gives the same load',
+            1,
+            int,
         ),
-        options.flag('seed', 'the same seed gives the same load', 1, int),
         *control_cost_report.OPTIONS,
         *spread.OPTIONS,
         options.OUTPUT,
--- a/redwingvalve/cli/check.py
+++ b/redwingvalve/cli/check.py
@@ -1,4 +1,4 @@
-"""The check command: every finding of a file at once, nothing changed."""
+"""The check command: validates a file and reports every finding."""
 
 import argparse
 import json
@@ -18,7 +18,7 @@
 def run_check(
     arguments: argparse.Namespace, surroundings: environment.Environment
 ) -> exit_status.ExitStatus:
-    """Check a declaration, a settings file or a platform's settings."""
+    """Check a declaration, YAML settings or the JSON settings of a node."""
     checked = _check_file(arguments.file)
     if checked.is_error():
         _print_findings(checked.error, arguments.output, surroundings)
@@ -33,7 +33,7 @@
 def _check_file(file_name: str) -> Result[object, findings.Findings]:
     if _is_json(file_name):
         return _check_platform_settings(file_name)
-    if _looks_like_settings(file_name):
+    if _is_settings_file(file_name):
         return loader.load_file(file_name)
     return reader.read_file(file_name)
 
@@ -51,7 +51,7 @@
         return Error(error.findings)
 
 
-def _looks_like_settings(file_name: str) -> bool:
+def _is_settings_file(file_name: str) -> bool:
     try:
         text = pathlib.Path(file_name).read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError):
--- a/redwingvalve/cli/commands.py
+++ b/redwingvalve/cli/commands.py
@@ -1,4 +1,4 @@
-"""All commands, each from the slice or module that does its work."""
+"""The list of all commands."""
 
 from redwingvalve.cli import (
     bench,
--- a/redwingvalve/cli/daemons.py
+++ b/redwingvalve/cli/daemons.py
@@ -1,4 +1,4 @@
-"""The commands that run a daemon until SIGTERM or SIGINT."""
+"""The commands that run a daemon until it receives SIGTERM or SIGINT."""
 
 import argparse
 import functools
@@ -20,7 +20,7 @@
 ]
 
 
-def _runner(daemon: Daemon) -> options.Runner:
+def _make_runner(daemon: Daemon) -> options.Runner:
     def run(
         arguments: argparse.Namespace, surroundings: environment.Environment
     ) -> exit_status.ExitStatus:
@@ -33,14 +33,16 @@
             settings.logs.level, surroundings.stderr, settings.node.name
         )
         return anyio.run(
-            functools.partial(_run_until_told, daemon, settings, surroundings),
+            functools.partial(
+                _run_until_stopped, daemon, settings, surroundings
+            ),
             backend_options={'use_uvloop': True},
         )
 
     return run
 
 
-async def _run_until_told(
+async def _run_until_stopped(
     daemon: Daemon,
     settings: schema.Settings,
     surroundings: environment.Environment,
@@ -55,47 +57,49 @@
     except* (
         process_dependencies.ProcessError,
         http_server.ListenError,
-    ) as problems:
-        for problem in _leaves(problems):
-            surroundings.stderr.write(f'{problem}\n')
+    ) as errors:
+        for error in _flatten(errors):
+            surroundings.stderr.write(f'{error}\n')
         status = exit_status.ExitStatus.FAILURE
     return status
 
 
-def _leaves(
-    problems: BaseExceptionGroup[BaseException],
+def _flatten(
+    errors: BaseExceptionGroup[BaseException],
 ) -> collections_abc.Iterator[BaseException]:
-    """Yield the problems themselves; each task group wraps them once more."""
-    for problem in problems.exceptions:
-        if isinstance(problem, BaseExceptionGroup):
-            yield from _leaves(problem)
+    """Yield the errors inside nested groups; each task group adds a level."""
+    for error in errors.exceptions:
+        if isinstance(error, BaseExceptionGroup):
+            yield from _flatten(error)
         else:
-            yield problem
+            yield error
 
 
 async def _set_on_signal(stop: anyio.Event) -> None:
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for received in signals:
-            LOGGER.info('Told to stop by signal %d.', received)
+            LOGGER.info('Received signal %d, shutting down.', received)
             stop.set()
 
 
-def _command(name: str, help_text: str, daemon: Daemon) -> options.Command:
+def _make_command(name: str, help_text: str, daemon: Daemon) -> options.Command:
     return options.Command(
         name=name,
         help=help_text,
         example=f'redwingvalve {name} examples/settings/{name}-1.yaml',
-        run=_runner(daemon),
+        run=_make_runner(daemon),
         options=(
             options.Option(dest='settings', help='the YAML settings file'),
         ),
     )
 
 
-ENTRY = _command('entry', 'run an entry: the request path', entry.run_entry)
-CONTROL = _command(
+ENTRY = _make_command(
+    'entry', 'run an entry, which serves client requests', entry.run_entry
+)
+CONTROL = _make_command(
     'control',
-    'run a controller: administration, plans, replicas',
+    'run a controller, which serves administration and manages replicas',
     control.run_control,
 )
 ALL = (ENTRY, CONTROL)
--- a/redwingvalve/cli/demo.py
+++ b/redwingvalve/cli/demo.py
@@ -1,4 +1,4 @@
-"""The demo command: the main job in one process."""
+"""The demo command: a complete fleet in one process."""
 
 import argparse
 import functools
@@ -15,7 +15,7 @@
 def run_demo(
     arguments: argparse.Namespace, surroundings: environment.Environment
 ) -> exit_status.ExitStatus:
-    """Run every role and the stand-ins, plan, confirm, serve and account."""
+    """Run every role on a simulated platform: plan, confirm, serve, account."""
     logs.configure(arguments.log_level, surroundings.stderr, 'demo')
     return anyio.run(
         functools.partial(
@@ -28,7 +28,7 @@
 
 DEMO = options.Command(
     name='demo',
-    help='show the main job: every role and the stand-ins in one process',
+    help='run every role and a simulated platform in one process',
     example='redwingvalve demo',
     run=run_demo,
     options=(
@@ -43,7 +43,7 @@
             flags=('--log-level',),
             default='ERROR',
             choices=('DEBUG', 'INFO', 'WARNING', 'ERROR'),
-            help='which logs go to the error stream',
+            help='lowest level of the logs written to stderr',
         ),
     ),
 )
--- a/redwingvalve/cli/experiment.py
+++ b/redwingvalve/cli/experiment.py
@@ -1,4 +1,4 @@
-"""The experiment command: runs a file's policies and writes JSON lines."""
+"""The experiment command: runs policies and writes results as JSON lines."""
 
 import argparse
 import functools
@@ -16,8 +16,8 @@
 def run_experiment(
     arguments: argparse.Namespace, surroundings: environment.Environment
 ) -> exit_status.ExitStatus:
-    """Run every policy of the file, telling each result as it comes."""
-    # Stand-ins and histograms are of no use to any other command.
+    """Run every policy of the file and write each result when it is ready."""
+    # Imported here: only this command needs the simulators and histograms.
     from redwingvalve.bench import experiment_file, experiment_run
     from redwingvalve.reports import results
 
@@ -26,18 +26,18 @@
     except (OSError, UnicodeDecodeError) as error:
         print(error, file=surroundings.stderr)
         return exit_status.ExitStatus.USAGE
-    read = experiment_file.read_text(text, arguments.file)
-    if read.is_error():
-        print(read.error, file=surroundings.stderr)
+    parsed = experiment_file.read_text(text, arguments.file)
+    if parsed.is_error():
+        print(parsed.error, file=surroundings.stderr)
         return exit_status.ExitStatus.FINDINGS
     logs.configure('ERROR', surroundings.stderr, 'experiment')
     logging.getLogger('asyncio').setLevel(logging.CRITICAL)
-    runs = len(experiment_run.keys_of(read.ok))
-    with pathlib.Path(arguments.out).open('a', encoding='utf-8') as written:
+    runs = len(experiment_run.keys_of(parsed.ok))
+    with pathlib.Path(arguments.out).open('a', encoding='utf-8') as output:
 
-        def tell(result: results.RunResult) -> None:
-            written.write(f'{results.to_json_line(result)}\n')
-            written.flush()
+        def report_result(result: results.RunResult) -> None:
+            output.write(f'{results.to_json_line(result)}\n')
+            output.flush()
             print(
                 f'{result.policy} load {result.load} seed {result.seed}: '
                 f'{result.goodput_per_s:.1f} of {result.offered_per_s:.1f} '
@@ -45,27 +45,29 @@
                 file=surroundings.stderr,
             )
 
-        print(f'{read.ok.name}: {runs} runs', file=surroundings.stderr)
+        print(f'{parsed.ok.name}: {runs} runs', file=surroundings.stderr)
         anyio.run(
-            functools.partial(experiment_run.run_experiment, read.ok, tell),
+            functools.partial(
+                experiment_run.run_experiment, parsed.ok, report_result
+            ),
             backend_options={'loop_factory': uvloop.new_event_loop},
         )
-    print(f'results are in {arguments.out}', file=surroundings.stdout)
+    print(f'results written to {arguments.out}', file=surroundings.stdout)
     return exit_status.ExitStatus.SUCCESS
 
 
 EXPERIMENT = options.Command(
     name='experiment',
-    help='compare policies under a load and faults, from a YAML file',
+    help='compare policies under the load and faults of a YAML file',
     example='redwingvalve experiment examples/experiments/race-morning.yaml',
     run=run_experiment,
     options=(
-        options.Option(dest='file', help='the experiment, a YAML file'),
+        options.Option(dest='file', help='YAML file of the experiment'),
         options.Option(
             dest='out',
             flags=('--out',),
             default='results.jsonl',
-            help='JSON lines are added to this file, one for each run',
+            help='file that one JSON line per run is appended to',
         ),
     ),
 )
--- a/redwingvalve/cli/explain.py
+++ b/redwingvalve/cli/explain.py
@@ -1,4 +1,4 @@
-"""The explain command: why one request ended as it did, from nodes' logs."""
+"""The explain command: finds the cause of a request's outcome in logs."""
 
 import argparse
 
@@ -14,45 +14,47 @@
 def run_explain(
     arguments: argparse.Namespace, surroundings: environment.Environment
 ) -> exit_status.ExitStatus:
-    """Print a request's lines in order, and the cause in a sentence."""
+    """Print the log lines of a request, and the cause of its outcome."""
     paths = log_files.expand(arguments.logs)
     try:
-        found = request_explanation.explain(arguments.request_id, paths)
+        explanation = request_explanation.explain(arguments.request_id, paths)
     except OSError as error:
         print(error, file=surroundings.stderr)
         return exit_status.ExitStatus.USAGE
-    if not found.lines:
+    if not explanation.lines:
         print(
-            f'{arguments.request_id}: no log line names it',
+            f'{arguments.request_id}: no log line found for this request',
             file=surroundings.stderr,
         )
         return exit_status.ExitStatus.FAILURE
-    for entry in (*found.lines, *found.replica_lines):
-        print(_line(entry), file=surroundings.stdout)
-    print(f'cause: {found.cause}', file=surroundings.stdout)
+    for entry in (*explanation.lines, *explanation.replica_lines):
+        print(_format_entry(entry), file=surroundings.stdout)
+    print(f'cause: {explanation.cause}', file=surroundings.stdout)
     return exit_status.ExitStatus.SUCCESS
 
 
-def _line(entry: dict[str, object]) -> str:
-    told = ' '.join(
+def _format_entry(entry: dict[str, object]) -> str:
+    rest = ' '.join(
         f'{name}={content}'
         for name, content in entry.items()
         if name not in HIDDEN and content is not None and content != ''
     )
     return (
-        f'{entry.get("time")} {entry.get("node")} {entry.get("message")} {told}'
+        f'{entry.get("time")} {entry.get("node")} {entry.get("message")} {rest}'
     )
 
 
 EXPLAIN = options.Command(
     name='explain',
-    help='say why one request ended as it did, from the logs of all nodes',
+    help='explain the outcome of one request from the logs of all nodes',
     example='redwingvalve explain 9c41d07be2a35f68 "node-*.log"',
     run=run_explain,
     options=(
-        options.Option(dest='request_id', help='the id of the request'),
+        options.Option(dest='request_id', help='request ID'),
         options.Option(
-            dest='logs', nargs='+', help='files with JSON logs; globs are read'
+            dest='logs',
+            nargs='+',
+            help='JSON log files; glob patterns are expanded',
         ),
     ),
 )
--- a/redwingvalve/cli/losses.py
+++ b/redwingvalve/cli/losses.py
@@ -1,4 +1,4 @@
-"""The losses command: where requests were lost or late, from nodes' logs."""
+"""The losses command: summarises lost and late requests from node logs."""
 
 import argparse
 import pathlib
@@ -9,9 +9,9 @@
 from redwingvalve.core import environment, exit_status
 from redwingvalve.observability import log_files, request_losses
 
-# Endpoints that are listed, those with the most losses first.
+# Number of endpoints listed, those with the most losses first.
 MOST_ENDPOINTS = 12
-# Causes that a row names, the most frequent first.
+# Number of causes listed in a row, the most frequent first.
 MOST_CAUSES = 3
 _PERCENT = 100
 Counts: typing.TypeAlias = collections_abc.Mapping[str, int]
@@ -20,74 +20,78 @@
 def run_losses(
     arguments: argparse.Namespace, surroundings: environment.Environment
 ) -> exit_status.ExitStatus:
-    """Print losses by cause, route, endpoint and moment."""
+    """Print losses by cause, route, endpoint and time interval."""
     paths = log_files.expand(arguments.logs)
     try:
-        found = request_losses.read(paths)
+        losses = request_losses.read(paths)
     except OSError as error:
         print(error, file=surroundings.stderr)
         return exit_status.ExitStatus.USAGE
-    for error in found.errors:
+    for error in losses.errors:
         print(error, file=surroundings.stderr)
     if arguments.json:
-        tables.print_json(_document(found), surroundings)
+        tables.print_json(_make_document(losses), surroundings)
     else:
-        _print_tables(found, surroundings)
+        _print_tables(losses, surroundings)
     if arguments.plot:
-        _plot(found, pathlib.Path(arguments.plot))
-    if found.errors:
+        _plot(losses, pathlib.Path(arguments.plot))
+    if losses.errors:
         return exit_status.ExitStatus.FINDINGS
     return exit_status.ExitStatus.SUCCESS
 
 
-def _document(found: request_losses.Losses) -> dict[str, typing.Any]:
-    moments = {
-        f'{at_s:g}': one for at_s, one in found.counts_by_interval().items()
+def _make_document(losses: request_losses.Losses) -> dict[str, typing.Any]:
+    intervals = {
+        f'{at_s:g}': counts
+        for at_s, counts in losses.counts_by_interval().items()
     }
     return {
-        'requests': len(found.outcomes),
-        'causes': found.counts_by_cause(),
-        'held_s': {'p50': found.held_s(0.5), 'p99': found.held_s(0.99)},
-        'by_route': found.by('route'),
-        'by_endpoint': found.by('endpoint'),
-        'by_moment_s': moments,
-        'errors': found.errors,
+        'requests': len(losses.outcomes),
+        'causes': losses.counts_by_cause(),
+        'held_s': {'p50': losses.held_s(0.5), 'p99': losses.held_s(0.99)},
+        'by_route': losses.by('route'),
+        'by_endpoint': losses.by('endpoint'),
+        'by_moment_s': intervals,
+        'errors': losses.errors,
     }
 
 
 def _print_tables(
-    found: request_losses.Losses, surroundings: environment.Environment
+    losses: request_losses.Losses, surroundings: environment.Environment
 ) -> None:
-    total = max(len(found.outcomes), 1)
+    total = max(len(losses.outcomes), 1)
     causes = [
         {'cause': cause, 'requests': count, 'percent': _PERCENT * count / total}
-        for cause, count in found.counts_by_cause().most_common()
+        for cause, count in losses.counts_by_cause().most_common()
     ]
     tables.print_rows(
         causes, ('cause', 'requests', 'percent'), surroundings, 'causes'
     )
     tables.print_line(
-        f'refused requests were held {found.held_s(0.5):.3f} s (p50),'
-        + f' {found.held_s(0.99):.3f} s (p99)',
+        f'refused requests were held {losses.held_s(0.5):.3f} s (p50),'
+        + f' {losses.held_s(0.99):.3f} s (p99)',
         surroundings,
     )
-    worst = sorted(found.by('endpoint').items(), key=_lost, reverse=True)
-    moments = [
-        (f'{at_s:g} s', one) for at_s, one in found.counts_by_interval().items()
+    worst_first = sorted(
+        losses.by('endpoint').items(), key=_count_losses, reverse=True
+    )
+    intervals = [
+        (f'{at_s:g} s', counts)
+        for at_s, counts in losses.counts_by_interval().items()
     ]
-    _print_pivot('route', list(found.by('route').items()), surroundings)
-    _print_pivot('endpoint', worst[:MOST_ENDPOINTS], surroundings)
-    _print_pivot('from', moments, surroundings)
+    _print_pivot('route', list(losses.by('route').items()), surroundings)
+    _print_pivot('endpoint', worst_first[:MOST_ENDPOINTS], surroundings)
+    _print_pivot('from', intervals, surroundings)
 
 
-def _lost(item: tuple[str, Counts]) -> int:
+def _count_losses(item: tuple[str, Counts]) -> int:
     counts = item[1]
     return sum(counts.values()) - counts.get(request_losses.ON_TIME, 0)
 
 
 def _print_pivot(
     title: str,
-    found: list[tuple[str, Counts]],
+    losses: list[tuple[str, Counts]],
     surroundings: environment.Environment,
 ) -> None:
     rows = [
@@ -95,16 +99,16 @@
             title: name,
             'requests': sum(counts.values()),
             'on_time': counts.get(request_losses.ON_TIME, 0),
-            'others': _told(counts),
+            'others': _format_causes(counts),
         }
-        for name, counts in found
+        for name, counts in losses
     ]
     columns = (title, 'requests', 'on_time', 'others')
     tables.print_rows(rows, columns, surroundings, f'by {title}')
 
 
-def _told(counts: Counts) -> str:
-    others = sorted(
+def _format_causes(counts: Counts) -> str:
+    causes = sorted(
         (
             (count, cause)
             for cause, count in counts.items()
@@ -113,36 +117,40 @@
         reverse=True,
     )
     return ', '.join(
-        f'{count} {cause}' for count, cause in others[:MOST_CAUSES]
+        f'{count} {cause}' for count, cause in causes[:MOST_CAUSES]
     )
 
 
-def _plot(found: request_losses.Losses, path: pathlib.Path) -> None:
-    # Drawing takes half a second to import, which no other command needs.
+def _plot(losses: request_losses.Losses, path: pathlib.Path) -> None:
+    # Imported here: the plotting library takes half a second to import.
     from redwingvalve.reports import time_plots
 
-    moments = found.counts_by_interval()
+    intervals = losses.counts_by_interval()
     series = {
-        cause: [one[cause] for one in moments.values()]
-        for cause, _ in found.counts_by_cause().most_common()
+        cause: [counts[cause] for counts in intervals.values()]
+        for cause, _ in losses.counts_by_cause().most_common()
     }
-    path.write_bytes(time_plots.draw_stacked(list(moments), series))
+    path.write_bytes(time_plots.draw_stacked(list(intervals), series))
 
 
 LOSSES = options.Command(
     name='losses',
-    help='say where requests were lost or late, from the logs of all nodes',
+    help='summarise lost and late requests from the logs of all nodes',
     example='redwingvalve losses "node-*.log" --plot losses.png',
     run=run_losses,
     options=(
         options.Option(
-            dest='logs', nargs='+', help='files with JSON logs; globs are read'
+            dest='logs',
+            nargs='+',
+            help='JSON log files; glob patterns are expanded',
         ),
         options.Option(
             dest='json', flags=('--json',), switch=True, help='print JSON'
         ),
         options.Option(
-            dest='plot', flags=('--plot',), help='a PNG file, over time'
+            dest='plot',
+            flags=('--plot',),
+            help='PNG file for a plot of the causes over time',
         ),
     ),
 )
--- a/redwingvalve/cli/main.py
+++ b/redwingvalve/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line: parses arguments and runs one command."""
+"""Entry point: parses arguments and runs one command."""
 
 import argparse
 import sys
@@ -40,7 +40,7 @@
     except KeyboardInterrupt:
         return exit_status.ExitStatus.INTERRUPTED
     except BrokenPipeError:
-        # The reader of our output, such as head, has gone; the rest of the
-        # output is of no use to anybody.
+        # The reader of the output, such as head, has exited: discard the rest
+        # of the output.
         sys.stderr.close()
         return exit_status.ExitStatus.SUCCESS
--- a/redwingvalve/cli/operate.py
+++ b/redwingvalve/cli/operate.py
@@ -1,4 +1,4 @@
-"""Commands of operators that call the administration API."""
+"""Operator commands that call the administration API."""
 
 import argparse
 import typing
@@ -52,24 +52,24 @@
 NAME = options.Option(dest='name', help='the name')
 
 
-def _reader(path: str, printer: Printer) -> options.Runner:
+def _make_get_runner(path: str, printer: Printer) -> options.Runner:
     def run(
         arguments: argparse.Namespace, surroundings: environment.Environment
     ) -> exit_status.ExitStatus:
         client = api_client.make_api_client(arguments, surroundings)
-        answer = client.get(path.format(**vars(arguments)))
-        return finish(answer, arguments.output, printer, surroundings)
+        response = client.get(path.format(**vars(arguments)))
+        return finish(response, arguments.output, printer, surroundings)
 
     return run
 
 
-def _decider(verb: str) -> options.Runner:
+def _make_decision_runner(verb: str) -> options.Runner:
     def run(
         arguments: argparse.Namespace, surroundings: environment.Environment
     ) -> exit_status.ExitStatus:
         client = api_client.make_api_client(arguments, surroundings)
-        answer = client.post(f'/plans/{arguments.name}/{verb}', {})
-        return finish(answer, arguments.output, _print_decision, surroundings)
+        response = client.post(f'/plans/{arguments.name}/{verb}', {})
+        return finish(response, arguments.output, _print_decision, surroundings)
 
     return run
 
@@ -77,51 +77,51 @@
 def run_plan(
     arguments: argparse.Namespace, surroundings: environment.Environment
 ) -> exit_status.ExitStatus:
-    """Send a declaration to be planned and print the plan."""
+    """Create a plan from a declaration and print it."""
     text = files.read_text(arguments.file)
     if text.is_error():
         surroundings.stderr.write(f'{text.error}\n')
         return exit_status.ExitStatus.FINDINGS
     client = api_client.make_api_client(arguments, surroundings)
-    answer = client.post(
+    response = client.post(
         '/plans', {'declaration': text.ok, 'file_name': arguments.file}
     )
-    return finish(answer, arguments.output, print_plan, surroundings)
+    return finish(response, arguments.output, print_plan, surroundings)
 
 
 def run_drain(
     arguments: argparse.Namespace, surroundings: environment.Environment
 ) -> exit_status.ExitStatus:
-    """Drain a vm, replica or entry, or take that back."""
+    """Drain a vm, replica or entry, or cancel its drain."""
     client = api_client.make_api_client(arguments, surroundings)
     body = {
         'kind': arguments.kind,
         'name': arguments.name,
         'undo': arguments.undo,
     }
-    answer = client.post('/drains', body)
-    return finish(answer, arguments.output, _print_decision, surroundings)
+    response = client.post('/drains', body)
+    return finish(response, arguments.output, _print_decision, surroundings)
 
 
 def finish(
-    answer: api_client.Answer,
+    response: api_client.ApiResult,
     output: str,
     printer: Printer,
     surroundings: environment.Environment,
 ) -> exit_status.ExitStatus:
-    """Print an answer in the form asked for, or the reason of a failure."""
-    if answer.is_error():
-        surroundings.stderr.write(f'{answer.error.message}\n')
-        return answer.error.status
+    """Print a response in the output format, or the error message."""
+    if response.is_error():
+        surroundings.stderr.write(f'{response.error.message}\n')
+        return response.error.status
     if output == 'json':
-        tables.print_json(answer.ok, surroundings)
+        tables.print_json(response.ok, surroundings)
     else:
-        printer(answer.ok, surroundings)
+        printer(response.ok, surroundings)
     return exit_status.ExitStatus.SUCCESS
 
 
 def print_plan(plan: typing.Any, surroundings: environment.Environment) -> None:
-    """Print what a plan changes, stops and puts at risk."""
+    """Print the changes of a plan and the deployments it puts at risk."""
     tables.print_line(
         f'plan {plan["name"]} ({plan["state"]}), made by {plan["proposed_by"]}',
         surroundings,
@@ -142,7 +142,7 @@
 def print_status(
     status: typing.Any, surroundings: environment.Environment
 ) -> None:
-    """Print what serves, what waits and what is at risk."""
+    """Print deployments, fabric domains and pending or risky items."""
     tables.print_line(
         f'configuration generation {status["generation"]}', surroundings
     )
@@ -161,115 +161,125 @@
             )
 
 
-def _rows(field: str, columns: tuple[str, ...]) -> Printer:
+def _make_rows_printer(field: str, columns: tuple[str, ...]) -> Printer:
     def printer(
-        answer: typing.Any, surroundings: environment.Environment
+        response: typing.Any, surroundings: environment.Environment
     ) -> None:
-        tables.print_rows(answer[field], columns, surroundings, field)
+        tables.print_rows(response[field], columns, surroundings, field)
 
     return printer
 
 
 def _print_decision(
-    answer: typing.Any, surroundings: environment.Environment
+    response: typing.Any, surroundings: environment.Environment
 ) -> None:
-    tables.print_line(answer['message'], surroundings)
+    tables.print_line(response['message'], surroundings)
 
 
-def _reading(
+def _make_get_command(
     name: str, help_text: str, path: str, printer: Printer
 ) -> options.Command:
     return options.Command(
         name=name,
         help=help_text,
         example=f'redwingvalve {name}',
-        run=_reader(path, printer),
-        options=api_client.COMMON,
+        run=_make_get_runner(path, printer),
+        options=api_client.COMMON_OPTIONS,
     )
 
 
-STATUS = _reading(
-    'status', 'what serves, waits and is at risk', '/status', print_status
+STATUS = _make_get_command(
+    'status',
+    'show deployments, fabric domains, pending work and risks',
+    '/status',
+    print_status,
 )
-REPLICAS = _reading(
+REPLICAS = _make_get_command(
     'replicas',
-    'all replicas with their VMs and state',
+    'list replicas with their VMs and state',
     '/replicas',
-    _rows('replicas', REPLICA_COLUMNS),
+    _make_rows_printer('replicas', REPLICA_COLUMNS),
 )
-ENTRIES = _reading(
+ENTRIES = _make_get_command(
     'entries',
-    'entries and controllers, and the configuration each has',
+    'list entries and controllers with their configuration version',
     '/entries',
-    _rows('entries', ENTRY_COLUMNS),
+    _make_rows_printer('entries', ENTRY_COLUMNS),
 )
-EVENTS = _reading(
+EVENTS = _make_get_command(
     'events',
-    'what the controllers did, newest first',
+    'list controller events, newest first',
     '/events',
-    _rows('events', EVENT_COLUMNS),
+    _make_rows_printer('events', EVENT_COLUMNS),
 )
-AUDITS = _reading(
+AUDITS = _make_get_command(
     'audits',
-    'who did what, newest first',
+    'list audit records, newest first',
     '/audits',
-    _rows('audits', AUDIT_COLUMNS),
+    _make_rows_printer('audits', AUDIT_COLUMNS),
 )
-PLANS = _reading(
-    'plans', 'plans and their state', '/plans', _rows('plans', PLAN_COLUMNS)
+PLANS = _make_get_command(
+    'plans',
+    'list plans and their state',
+    '/plans',
+    _make_rows_printer('plans', PLAN_COLUMNS),
 )
 PLAN = options.Command(
     name='plan',
-    help='plan a declaration; nothing happens until it is confirmed',
+    help='create a plan from a declaration; applied once it is confirmed',
     example='redwingvalve plan examples/tapiceria.yaml',
     run=run_plan,
     options=(
         options.Option(dest='file', help='the declaration'),
-        *api_client.COMMON,
+        *api_client.COMMON_OPTIONS,
     ),
 )
 CONFIRM = options.Command(
     name='confirm',
-    help='put a plan into force',
+    help='confirm a plan so that it is applied',
     example='redwingvalve confirm plan-3f2a',
-    run=_decider('confirm'),
-    options=(NAME, *api_client.COMMON),
+    run=_make_decision_runner('confirm'),
+    options=(NAME, *api_client.COMMON_OPTIONS),
 )
 DISCARD = options.Command(
     name='discard',
-    help='drop a plan that waits',
+    help='discard a proposed plan',
     example='redwingvalve discard plan-3f2a',
-    run=_decider('discard'),
-    options=(NAME, *api_client.COMMON),
+    run=_make_decision_runner('discard'),
+    options=(NAME, *api_client.COMMON_OPTIONS),
 )
 DESCRIBE = options.Command(
     name='describe',
-    help='show one object as the store holds it',
+    help='show one object as stored',
     example='redwingvalve describe fabricdomains nave-a-1',
-    run=_reader('/objects/{kind}/{name}', tables.print_json),
+    run=_make_get_runner('/objects/{kind}/{name}', tables.print_json),
     options=(
-        options.Option(dest='kind', help='such as deployments or plans'),
+        options.Option(
+            dest='kind', help='kind of the object, such as deployments or plans'
+        ),
         NAME,
-        *api_client.COMMON,
+        *api_client.COMMON_OPTIONS,
     ),
 )
 DRAIN = options.Command(
     name='drain',
-    help='drain a vm, replica or entry: no new work, nothing cut off',
+    help='drain a vm, replica or entry: finish requests, accept no new ones',
     example='redwingvalve drain vm nave-a-vm-7',
     run=run_drain,
     options=(
         options.Option(
-            dest='kind', help='what', choices=('vm', 'replica', 'entry')
+            dest='kind',
+            help='what to drain',
+            choices=('vm', 'replica', 'entry'),
         ),
         NAME,
         options.Option(
             dest='undo',
             flags=('--undo',),
             switch=True,
-            help='take the drain back',
+            help='cancel the drain',
         ),
-        *api_client.COMMON,
+        *api_client.COMMON_OPTIONS,
     ),
 )
 ALL = (
--- a/redwingvalve/cli/options.py
+++ b/redwingvalve/cli/options.py
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class Option:
-    """One argument of a command; flags empty makes it positional."""
+    """One argument of a command; positional if it has no flags."""
 
     dest: str
     help: str
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class Command:
-    """A command with its help, an example and what it runs."""
+    """A command with its help, an example and the function that runs it."""
 
     name: str
     help: str
@@ -45,7 +45,7 @@
     default: typing.Any = None,
     type_: collections_abc.Callable[[str], typing.Any] | None = None,
 ) -> Option:
-    """Return an option whose flag is its name, as --duration-s."""
+    """Return an option whose flag is derived from dest, as in --duration-s."""
     name = dest.replace('_', '-')
     return Option(dest, explained, (f'--{name}',), default, type_)
 
@@ -55,7 +55,7 @@
     flags=('--output',),
     choices=('table', 'json'),
     default='table',
-    help='a readable table, or JSON for programs',
+    help='output format',
 )
 
 
--- a/redwingvalve/cli/report.py
+++ b/redwingvalve/cli/report.py
@@ -1,4 +1,4 @@
-"""The report command: results as JSON lines become one HTML page."""
+"""The report command: renders experiment results as an HTML page."""
 
 import argparse
 
@@ -9,8 +9,8 @@
 def run_report(
     arguments: argparse.Namespace, surroundings: environment.Environment
 ) -> exit_status.ExitStatus:
-    """Write the page and say where it is."""
-    # Drawing takes half a second to import, which no other command needs.
+    """Write the page and print its path."""
+    # Imported here: the plotting library takes half a second to import.
     from redwingvalve.reports import page, results
 
     try:
@@ -23,27 +23,29 @@
         print(error, file=surroundings.stderr)
         return exit_status.ExitStatus.FINDINGS
     if not runs:
-        print('the files hold no runs', file=surroundings.stderr)
+        print('no runs found in the files', file=surroundings.stderr)
         return exit_status.ExitStatus.FINDINGS
-    written = page.write_report(runs, arguments.folder)
-    print(f'{len(runs)} runs: {written}', file=surroundings.stdout)
+    page_path = page.write_report(runs, arguments.folder)
+    print(f'{len(runs)} runs: {page_path}', file=surroundings.stdout)
     return exit_status.ExitStatus.SUCCESS
 
 
 REPORT = options.Command(
     name='report',
-    help='turn results of experiments into one HTML page and PNG plots',
+    help='render experiment results as one HTML page and PNG plots',
     example='redwingvalve report results.jsonl --folder out',
     run=run_report,
     options=(
         options.Option(
-            dest='files', nargs='+', help='JSON lines that bench wrote'
+            dest='files',
+            nargs='+',
+            help='JSON lines written by the experiment command',
         ),
         options.Option(
             dest='folder',
             flags=('--folder',),
             default='report',
-            help='where the page and the plots go',
+            help='folder that the page and the plots are written to',
         ),
     ),
 )
--- a/redwingvalve/cli/soak.py
+++ b/redwingvalve/cli/soak.py
@@ -1,4 +1,4 @@
-"""The soak command: a randomised run of every role and stand-in on one loop."""
+"""The soak command: randomised fault injection on a fleet in one process."""
 
 import argparse
 import json
@@ -17,30 +17,32 @@
 def run_soak(
     arguments: argparse.Namespace, surroundings: environment.Environment
 ) -> exit_status.ExitStatus:
-    """Run one seed; the status says whether a promise was broken."""
-    # The stand-ins are of no use to any other command.
+    """Run one seed; the exit status tells whether a guarantee was violated."""
+    # Imported here: only this command needs the simulators.
     from redwingvalve.soak import daemons, fleet_run, report, runner, schedule
 
     try:
-        wanted = fleet_run.Options(
+        run_options = fleet_run.Options(
             seed=arguments.seed,
             duration_s=arguments.duration_s,
             callers=arguments.callers,
-            only=frozenset(map(schedule.FaultName, _names(arguments.only))),
+            only=frozenset(
+                map(schedule.FaultName, _split_names(arguments.only))
+            ),
             disabled=tuple(
-                map(invariants.Safeguard, _names(arguments.disable))
+                map(invariants.Safeguard, _split_names(arguments.disable))
             ),
         )
     except ValueError as error:
         print(error, file=surroundings.stderr)
         return exit_status.ExitStatus.USAGE
     logs.configure('ERROR', surroundings.stderr, 'soak')
-    # A daemon that is killed by cancelling its tasks leaves asyncio's streams
-    # complaining about them; a process would just be gone.
+    # Killing a daemon by cancelling its tasks makes asyncio's streams log
+    # errors that a killed process would not.
     logging.getLogger('asyncio').setLevel(logging.CRITICAL)
     outcome = anyio.run(
         runner.run_soak,
-        wanted,
+        run_options,
         daemons.LocalDaemons,
         backend_options={'loop_factory': uvloop.new_event_loop},
     )
@@ -52,31 +54,34 @@
     return exit_status.ExitStatus.SUCCESS
 
 
-def _names(listed: str) -> list[str]:
-    return [name for name in listed.split(FAULT_SEPARATOR) if name]
+def _split_names(text: str) -> list[str]:
+    return [name for name in text.split(FAULT_SEPARATOR) if name]
 
 
 SOAK = options.Command(
     name='soak',
-    help='attack every promise in one process for a while, from a seed',
+    help='inject random faults into a fleet and check every guarantee',
     example='redwingvalve soak --seed 7 --duration-s 120',
     run=run_soak,
     options=(
         options.flag(
-            'seed', 'derives the schedule and what callers ask', 1, int
+            'seed', 'seed of the fault schedule and of the requests', 1, int
         ),
         options.flag(
-            'duration_s', 'how long callers call, in seconds', 60.0, float
+            'duration_s',
+            'how long clients send requests, in seconds',
+            60.0,
+            float,
         ),
-        options.flag('callers', 'how many callers there are', 10, int),
+        options.flag('callers', 'number of concurrent clients', 10, int),
         options.flag(
             'only',
-            'faults to schedule, separated by commas; all by default',
+            'comma-separated faults to schedule (default: all)',
             '',
         ),
         options.flag(
             'disable',
-            'safeguards to switch off, to see that breaches are found',
+            'comma-separated safeguards to disable, to test the checks',
             '',
         ),
     ),
--- a/redwingvalve/cli/tables.py
+++ b/redwingvalve/cli/tables.py
@@ -1,4 +1,4 @@
-"""Readable tables on a terminal, JSON for programs."""
+"""Output of tables and JSON."""
 
 import json
 import typing
@@ -15,7 +15,7 @@
 def print_json(
     content: typing.Any, surroundings: environment.Environment
 ) -> None:
-    """Write JSON, one document, sorted so that two runs compare."""
+    """Write one JSON document, sorted so that runs can be compared."""
     text = json.dumps(content, indent=2, sort_keys=True)
     surroundings.stdout.write(f'{text}\n')
 
@@ -26,26 +26,26 @@
     surroundings: environment.Environment,
     title: str = '',
 ) -> None:
-    """Write a table of the named columns; an empty one says so."""
-    screen = make_console(surroundings)
+    """Write a table of the given columns, or a note that there are no rows."""
+    terminal = make_console(surroundings)
     if not rows:
-        screen.print(f'{title or "rows"}: none', highlight=False)
+        terminal.print(f'{title or "rows"}: none', highlight=False)
         return
-    shown = table.Table(title=title or None, title_justify='left')
+    grid = table.Table(title=title or None, title_justify='left')
     for column in columns:
-        shown.add_column(column.replace('_', ' '), overflow='fold')
+        grid.add_column(column.replace('_', ' '), overflow='fold')
     for row in rows:
-        shown.add_row(*(_cell(row.get(name, '')) for name in columns))
-    screen.print(shown)
+        grid.add_row(*(_format_cell(row.get(name, '')) for name in columns))
+    terminal.print(grid)
 
 
 def print_line(text: str, surroundings: environment.Environment) -> None:
-    """Write one line of text as it is."""
+    """Write one line of text without formatting."""
     surroundings.stdout.write(f'{text}\n')
 
 
 def make_console(surroundings: environment.Environment) -> console.Console:
-    """Return a console on stdout; a pipe gets plain text of fixed width."""
+    """Return a console on stdout; plain text of fixed width if it is a pipe."""
     width = None if surroundings.stdout_is_terminal else PLAIN_WIDTH
     return console.Console(
         file=surroundings.stdout,
@@ -54,7 +54,7 @@
     )
 
 
-def _cell(content: typing.Any) -> str:
+def _format_cell(content: typing.Any) -> str:
     if isinstance(content, bool):
         return 'yes' if content else 'no'
     if isinstance(content, float):
--- a/redwingvalve/cli/tests/test_explain.py
+++ b/redwingvalve/cli/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Why a request ended as it did, told from the lines of all nodes."""
+"""The cause of a request's outcome is found in the logs of all nodes."""
 
 import json
 
@@ -21,7 +21,7 @@
     return request_explanation.explain('r1', paths)
 
 
-def test_a_refused_request_is_traced_to_the_places(tmp_path):
+def test_refused_request_is_explained_by_lack_of_slots(tmp_path):
     found = explain(
         tmp_path,
         line(
@@ -39,7 +39,7 @@
     assert '2 endpoints in use' in found.cause and '16' in found.cause
 
 
-def test_a_stream_that_broke_off_is_traced_to_its_replica(tmp_path):
+def test_stalled_stream_is_traced_to_its_replica(tmp_path):
     found = explain(
         tmp_path,
         line(1, 'replicas: replica broken', replica='m.1.2', lost=['i-9']),
@@ -58,7 +58,7 @@
     assert found.replica_lines[0]['lost'] == ['i-9']
 
 
-def test_a_request_of_unknown_fate_says_so(tmp_path):
+def test_unknown_outcome_is_reported(tmp_path):
     found = explain(
         tmp_path,
         line(
@@ -74,7 +74,7 @@
     assert 'may have begun' in found.cause and 'reset' in found.cause
 
 
-def test_a_request_without_an_end_is_said_to_have_none(tmp_path):
+def test_request_without_final_log_line(tmp_path):
     found = explain(tmp_path, line(1, 'ingress: odd', request='r1'))
     assert found.cause == 'no line says how it ended'
     with pytest.raises(OSError):
--- a/redwingvalve/cli/tests/test_losses.py
+++ b/redwingvalve/cli/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Where requests were lost or late, told from the lines of all nodes."""
+"""Lost and late requests are counted from the logs of all nodes."""
 
 import argparse
 import io
@@ -57,16 +57,16 @@
 
 
 def run(*logs, as_json=False, plot=None):
-    told, errors = io.StringIO(), io.StringIO()
+    printed, errors = io.StringIO(), io.StringIO()
     surroundings = attrs.evolve(
-        environment.make_environment(), stdout=told, stderr=errors
+        environment.make_environment(), stdout=printed, stderr=errors
     )
     arguments = argparse.Namespace(logs=list(logs), json=as_json, plot=plot)
     status = losses.run_losses(arguments, surroundings)
-    return status, told.getvalue(), errors.getvalue()
+    return status, printed.getvalue(), errors.getvalue()
 
 
-def test_each_request_counts_once_with_its_cause(tmp_path):
+def test_each_request_is_counted_once_with_its_cause(tmp_path):
     found = request_losses.read([write(tmp_path, *LINES)])
     assert found.counts_by_cause() == CAUSES
     assert found.by('route')['r'][request_losses.NO_PLACE] == 1
@@ -74,13 +74,15 @@
     assert list(found.counts_by_interval()) == [0.0, 2.0, 4.0, 6.0, 8.0]
 
 
-def test_text_and_json_say_the_same(tmp_path):
+def test_table_and_json_agree(tmp_path):
     path = write(tmp_path, *LINES)
-    status, told, _ = run(path)
+    status, printed, _ = run(path)
     assert status is exit_status.ExitStatus.SUCCESS
-    assert request_losses.REFUSED_BEFORE in told and '0.040 s (p99)' in told
-    status, told, _ = run(path, as_json=True)
-    document = json.loads(told)
+    assert (
+        request_losses.REFUSED_BEFORE in printed and '0.040 s (p99)' in printed
+    )
+    status, printed, _ = run(path, as_json=True)
+    document = json.loads(printed)
     assert document['causes'] == CAUSES
     assert document['requests'] == len(CAUSES)
 
@@ -92,28 +94,30 @@
 
 
 @pytest.mark.parametrize(
-    ('bad', 'place'),
+    ('truncated', 'place'),
     [
         (LINES[0][:30], 'node.log:14'),
         ('{"time": 1, "message"', 'node.log:14'),
     ],
 )
-def test_a_cut_line_is_told_with_its_place_and_the_rest_counts(
-    tmp_path, bad, place
+def test_truncated_line_is_reported_and_the_rest_counted(
+    tmp_path, truncated, place
 ):
-    status, told, errors = run(write(tmp_path, *LINES, bad), as_json=True)
+    status, printed, errors = run(
+        write(tmp_path, *LINES, truncated), as_json=True
+    )
     assert status is exit_status.ExitStatus.FINDINGS
     assert place in errors
-    assert json.loads(told)['causes'] == CAUSES
+    assert json.loads(printed)['causes'] == CAUSES
 
 
-def test_a_log_of_another_program_is_named(tmp_path):
+def test_log_of_another_program_is_reported(tmp_path):
     status, _, errors = run(write(tmp_path, 'GET / 200', 'GET /x 404'))
     assert status is exit_status.ExitStatus.FINDINGS
     assert 'no line of a node' in errors
 
 
-def test_a_file_that_is_missing_is_named(tmp_path):
+def test_missing_file_is_reported(tmp_path):
     status, _, errors = run(str(tmp_path / 'none.log'))
     assert status is exit_status.ExitStatus.USAGE
     assert 'none.log' in errors
--- a/redwingvalve/cli/tests/test_main.py
+++ b/redwingvalve/cli/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The command runs in-process with streams of the test's own."""
+"""Commands run in the test process with in-memory streams."""
 
 import io
 import os
@@ -29,7 +29,7 @@
     )
 
 
-def test_check_tells_all_that_is_wrong_with_a_nodes_settings(tmp_path):
+def test_check_reports_all_findings_of_node_settings(tmp_path):
     path = tmp_path / 'settings.json'
     path.write_text('{"node": "vm-1", "listen": {"front": "nowhere"}}')
     status, _, errors = run('check', str(path))
@@ -44,24 +44,27 @@
     assert 'no-such-file.yaml: cannot be read' in errors
 
 
-def test_an_unknown_command_is_a_usage_error():
+def test_unknown_command_is_a_usage_error():
     assert run('fly')[0] == exit_status.ExitStatus.USAGE
 
 
-def test_every_command_has_help_with_an_example_that_names_it(capsys):
+def test_every_command_has_help_with_an_example(capsys):
     for command in commands.ALL:
         status, _, _ = run(command.name, '--help')
-        shown = capsys.readouterr().out
+        help_text = capsys.readouterr().out
         assert status == exit_status.ExitStatus.SUCCESS
-        assert f'example:\n  redwingvalve {command.name}' in shown
+        assert f'example:\n  redwingvalve {command.name}' in help_text
 
 
 @pytest.mark.parametrize('daemon', ['entry', 'control'])
-def test_a_daemon_whose_port_is_taken_says_so(daemon, tmp_path):
-    """No traceback: the operator reads which address, and why."""
-    with serving.bind_socket('127.0.0.1') as taken, socket.socket() as free:
+def test_daemon_reports_a_port_in_use(daemon, tmp_path):
+    """The error names the address and the reason, without a traceback."""
+    with (
+        serving.bind_socket('127.0.0.1') as bound_socket,
+        socket.socket() as free,
+    ):
         free.bind(('127.0.0.1', 0))
-        ports = [one.getsockname()[1] for one in (taken, free)]
+        ports = [one.getsockname()[1] for one in (bound_socket, free)]
         settings = tmp_path / 'entry.yaml'
         settings.write_text(
             'node: {name: e1, data_centre: a, region: r}\n'
@@ -71,19 +74,23 @@
         free.close()
         status, _, errors = run(daemon, str(settings))
     assert status == exit_status.ExitStatus.FAILURE
-    said = [line for line in errors.splitlines() if not line.startswith('{')]
-    assert len(said) == 1
-    assert said[0].startswith(f'127.0.0.1:{ports[0]} cannot be listened on')
+    plain_lines = [
+        line for line in errors.splitlines() if not line.startswith('{')
+    ]
+    assert len(plain_lines) == 1
+    assert plain_lines[0].startswith(
+        f'127.0.0.1:{ports[0]} cannot be listened on'
+    )
 
 
-def test_completion_offers_the_commands(tmp_path):
-    """argcomplete asks the program itself, as the shell's hook does."""
-    offered = tmp_path / 'offered'
+def test_completion_lists_the_commands(tmp_path):
+    """Runs the program with the variables of argcomplete's shell hook."""
+    completions = tmp_path / 'offered'
     line = 'redwingvalve d'
-    asked = {
+    variables = {
         '_ARGCOMPLETE': '1',
         '_ARGCOMPLETE_SHELL': 'bash',
-        '_ARGCOMPLETE_STDOUT_FILENAME': str(offered),
+        '_ARGCOMPLETE_STDOUT_FILENAME': str(completions),
         '_ARGCOMPLETE_COMP_WORDBREAKS': ' ',
         'COMP_LINE': line,
         'COMP_POINT': str(len(line)),
@@ -91,7 +98,7 @@
     }
     subprocess.run(
         [sys.executable, '-m', 'redwingvalve'],
-        env={**os.environ, **asked},
+        env={**os.environ, **variables},
         check=True,
     )
-    assert set(offered.read_text().split('\x0b')) >= {'drain', 'describe'}
+    assert set(completions.read_text().split('\x0b')) >= {'drain', 'describe'}
--- a/redwingvalve/cli/token.py
+++ b/redwingvalve/cli/token.py
@@ -1,4 +1,4 @@
-"""The token commands; the first administrator's token needs the store."""
+"""The token commands; token-bootstrap writes directly to the store."""
 
 import argparse
 import functools
@@ -18,10 +18,10 @@
 def run_bootstrap(
     arguments: argparse.Namespace, surroundings: environment.Environment
 ) -> exit_status.ExitStatus:
-    """Write the first administrator's token straight into the store.
+    """Write the first administrator token directly into the store.
 
-    Whoever may write to the store holds every right already; once a token
-    exists, further ones come from the API, which leaves an audit entry.
+    Write access to the store already implies every right. Once a token exists,
+    further ones are issued by the API, which records them in the audit log.
     """
     return anyio.run(functools.partial(_bootstrap, arguments, surroundings))
 
@@ -45,21 +45,25 @@
 ) -> exit_status.ExitStatus:
     listed = await store.list(tokens.KIND)
     if listed.is_error():
-        surroundings.stderr.write(f'the store is away: {listed.error}\n')
+        surroundings.stderr.write(
+            f'platform store unavailable: {listed.error}\n'
+        )
         return exit_status.ExitStatus.UNREACHABLE
     if listed.ok.objects:
         surroundings.stderr.write(
-            'there are tokens already; ask an administrator for another\n'
+            'the store has tokens already; ask an administrator for another\n'
         )
         return exit_status.ExitStatus.REFUSED
     issued = tokens.issue(
         arguments.name, arguments.team, rights.Role.ADMINISTRATOR
     )
-    made = await store.create(
+    created = await store.create(
         tokens.KIND, issued.record.token_id, tokens.encode(issued.record)
     )
-    if made.is_error():
-        surroundings.stderr.write(f'not written: {made.error}\n')
+    if created.is_error():
+        surroundings.stderr.write(
+            f'token could not be written: {created.error}\n'
+        )
         return exit_status.ExitStatus.FAILURE
     tables.print_line(issued.bearer, surroundings)
     return exit_status.ExitStatus.SUCCESS
@@ -68,9 +72,9 @@
 def run_create(
     arguments: argparse.Namespace, surroundings: environment.Environment
 ) -> exit_status.ExitStatus:
-    """Ask the API for a token and print its bearer once."""
+    """Create a token through the API; its bearer secret is shown only once."""
     client = api_client.make_api_client(arguments, surroundings)
-    answer = client.post(
+    response = client.post(
         '/tokens',
         {
             'name': arguments.name,
@@ -79,53 +83,55 @@
             'scopes': arguments.scope or ['*'],
         },
     )
-    return operate.finish(answer, arguments.output, _print_bearer, surroundings)
+    return operate.finish(
+        response, arguments.output, _print_bearer, surroundings
+    )
 
 
 def run_revoke(
     arguments: argparse.Namespace, surroundings: environment.Environment
 ) -> exit_status.ExitStatus:
-    """Revoke a token by its id."""
+    """Revoke a token by its ID."""
     client = api_client.make_api_client(arguments, surroundings)
-    answer = client.post(f'/tokens/{arguments.token_id}/revoke', {})
+    response = client.post(f'/tokens/{arguments.token_id}/revoke', {})
     return operate.finish(
-        answer, arguments.output, _print_message, surroundings
+        response, arguments.output, _print_message, surroundings
     )
 
 
 def run_list(
     arguments: argparse.Namespace, surroundings: environment.Environment
 ) -> exit_status.ExitStatus:
-    """List all tokens, without their secrets."""
+    """List all tokens without their secrets."""
     client = api_client.make_api_client(arguments, surroundings)
-    answer = client.get('/tokens')
-    return operate.finish(answer, arguments.output, _print_list, surroundings)
+    response = client.get('/tokens')
+    return operate.finish(response, arguments.output, _print_list, surroundings)
 
 
 def _print_bearer(
-    answer: dict[str, str], surroundings: environment.Environment
+    response: dict[str, str], surroundings: environment.Environment
 ) -> None:
-    tables.print_line(answer['bearer'], surroundings)
+    tables.print_line(response['bearer'], surroundings)
 
 
 def _print_message(
-    answer: dict[str, str], surroundings: environment.Environment
+    response: dict[str, str], surroundings: environment.Environment
 ) -> None:
-    tables.print_line(answer['message'], surroundings)
+    tables.print_line(response['message'], surroundings)
 
 
 def _print_list(
-    answer: dict[str, typing.Any],
+    response: dict[str, typing.Any],
     surroundings: environment.Environment,
 ) -> None:
-    tables.print_rows(answer['tokens'], TOKEN_COLUMNS, surroundings, 'tokens')
+    tables.print_rows(response['tokens'], TOKEN_COLUMNS, surroundings, 'tokens')
 
 
 NAME = options.Option(
-    dest='name', flags=('--name',), required=True, help='who holds it'
+    dest='name', flags=('--name',), required=True, help='holder of the token'
 )
 TEAM = options.Option(
-    dest='team', flags=('--team',), required=True, help='the team'
+    dest='team', flags=('--team',), required=True, help='team of the holder'
 )
 ALL = (
     options.Command(
@@ -147,7 +153,7 @@
     ),
     options.Command(
         name='token-create',
-        help='make a token for a person or program',
+        help='create a token for a person or program',
         example='redwingvalve token-create --name ci --team depot '
         '--role viewer',
         run=run_create,
@@ -159,32 +165,32 @@
                 flags=('--role',),
                 choices=tuple(role.value for role in rights.Role),
                 default='viewer',
-                help='what the token may do',
+                help='role of the token, which determines its rights',
             ),
             options.Option(
                 dest='scope',
                 flags=('--scope',),
                 nargs='*',
-                help='patterns of the names it may change; all by default',
+                help='patterns of names it may change (default: all)',
             ),
-            *api_client.COMMON,
+            *api_client.COMMON_OPTIONS,
         ),
     ),
     options.Command(
         name='token-revoke',
-        help='revoke a token by its id',
+        help='revoke a token by its ID',
         example='redwingvalve token-revoke 3f2a91c04d5e',
         run=run_revoke,
         options=(
-            options.Option(dest='token_id', help='the id of the token'),
-            *api_client.COMMON,
+            options.Option(dest='token_id', help='ID of the token'),
+            *api_client.COMMON_OPTIONS,
         ),
     ),
     options.Command(
         name='tokens',
-        help='list all tokens, without their secrets',
+        help='list all tokens without their secrets',
         example='redwingvalve tokens',
         run=run_list,
-        options=api_client.COMMON,
+        options=api_client.COMMON_OPTIONS,
     ),
 )
--- a/redwingvalve/cli/trace.py
+++ b/redwingvalve/cli/trace.py
@@ -1,4 +1,4 @@
-"""The trace command: the hops, decisions and outcome of one request."""
+"""The trace command: shows the spans and log lines of one request."""
 
 import argparse
 import glob
@@ -17,9 +17,9 @@
 def run_trace(
     arguments: argparse.Namespace, surroundings: environment.Environment
 ) -> exit_status.ExitStatus:
-    """Print what spans and logs say of one request."""
+    """Print the spans and log lines of one request."""
     try:
-        found = span_files.read_trace(
+        trace = span_files.read_trace(
             arguments.request_id,
             _expand(arguments.spans),
             _expand(arguments.logs),
@@ -27,16 +27,16 @@
     except OSError as error:
         print(error, file=surroundings.stderr)
         return exit_status.ExitStatus.USAGE
-    if not (found.spans or found.logs):
+    if not (trace.spans or trace.logs):
         print(
             f'{arguments.request_id}: no span or log line names it',
             file=surroundings.stderr,
         )
         return exit_status.ExitStatus.FAILURE
     if arguments.output == 'json':
-        print(json.dumps(attrs.asdict(found)), file=surroundings.stdout)
+        print(json.dumps(attrs.asdict(trace)), file=surroundings.stdout)
     else:
-        print('\n'.join(_lines(found)), file=surroundings.stdout)
+        print('\n'.join(_format_trace(trace)), file=surroundings.stdout)
     return exit_status.ExitStatus.SUCCESS
 
 
@@ -48,38 +48,39 @@
     ]
 
 
-def _lines(found: span_files.RequestTrace) -> list[str]:
+def _format_trace(trace: span_files.RequestTrace) -> list[str]:
     lines: list[str] = []
-    start_s = found.spans[0].started_s if found.spans else 0
-    for span in found.spans:
-        indent = '  ' * found.depth(span)
+    start_s = trace.spans[0].started_s if trace.spans else 0
+    for span in trace.spans:
+        indent = '  ' * trace.depth(span)
         took_ms = (span.ended_s - span.started_s) * MS_PER_S
         lines.append(
-            f'{_offset(span.started_s, start_s)} {indent}{span.name} '
-            f'on {span.node}, {took_ms:.1f} ms{_told(span.attributes)}'
+            f'{_format_offset(span.started_s, start_s)} {indent}{span.name} '
+            f'on {span.node}, {took_ms:.1f} ms'
+            f'{_format_attributes(span.attributes)}'
         )
         lines.extend(
-            f'{_offset(event.at_s, start_s)} {indent}  - {event.name}'
-            f'{_told(event.attributes)}'
+            f'{_format_offset(event.at_s, start_s)} {indent}  - {event.name}'
+            f'{_format_attributes(event.attributes)}'
             for event in span.events
         )
     lines.extend(
-        f'{line.time} {line.node}: {line.message}' for line in found.logs
+        f'{line.time} {line.node}: {line.message}' for line in trace.logs
     )
     return lines
 
 
-def _offset(at_s: float, start_s: float) -> str:
+def _format_offset(at_s: float, start_s: float) -> str:
     return f'{(at_s - start_s) * MS_PER_S:9.1f} ms'
 
 
-def _told(attributes: span_files.Row) -> str:
-    shown = [
+def _format_attributes(attributes: span_files.Row) -> str:
+    pairs = [
         f'{name.removeprefix("redwingvalve.")}={value}'
         for name, value in attributes.items()
         if name not in HIDDEN
     ]
-    return f' ({", ".join(shown)})' if shown else ''
+    return f' ({", ".join(pairs)})' if pairs else ''
 
 
 TRACE = options.Command(
@@ -88,20 +89,20 @@
     example='redwingvalve trace depot-17 --spans "spans-*.jsonl"',
     run=run_trace,
     options=(
-        options.Option(dest='request_id', help='the x-request-id'),
+        options.Option(dest='request_id', help='value of x-request-id'),
         options.Option(
             dest='spans',
             flags=('--spans',),
             nargs='*',
             default=(),
-            help='files that the file exporter of spans wrote; globs are read',
+            help='span files of the file exporter; glob patterns are expanded',
         ),
         options.Option(
             dest='logs',
             flags=('--logs',),
             nargs='*',
             default=(),
-            help='files with JSON logs; globs are read',
+            help='JSON log files; glob patterns are expanded',
         ),
         options.OUTPUT,
     ),
