--- a/redwingvalve/soak/__init__.py
+++ b/redwingvalve/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomised runs that attack every promise."""
+"""Randomised fault injection that checks every guarantee of the system."""
--- a/redwingvalve/soak/breaches.py
+++ b/redwingvalve/soak/breaches.py
@@ -1,4 +1,4 @@
-"""What a soak run found, and the journal of what it did."""
+"""Guarantees, their violations and the event log of a soak run."""
 
 import enum
 import time
@@ -9,7 +9,7 @@
 
 
 class Guarantee(enum.StrEnum):
-    """The promises of the product, each attacked by the soak run."""
+    """The guarantees of the system that a soak run checks."""
 
     ANSWERED = 'every request gets one final answer'
     WHOLE_AND_OWN = 'every answer is whole and belongs to its request'
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class Breach:
-    """A promise that was broken; at_s is a wall time, subject what broke."""
+    """A violated guarantee: what violated it, and the wall-clock time."""
 
     guarantee: Guarantee
     subject: str
@@ -37,25 +37,25 @@
 
 @attrs.frozen
 class Event:
-    """Something that the run did or saw; at_s is a wall time."""
+    """An action or observation of the run; at_s is wall-clock time."""
 
     at_s: float
     what: str
 
 
 class Journal:
-    """All events of a run in the order of their time."""
+    """The event log of a run, in chronological order."""
 
     def __init__(self) -> None:
-        """Start now, empty."""
+        """Create an empty log that starts now."""
         self.started_s = time.time()
         self.events: list[Event] = []
 
     def note(self, what: str) -> None:
-        """Keep an event that happens now."""
+        """Append an event with the current time."""
         self.events.append(Event(time.time(), what))
 
     def before(self, at_s: float) -> list[Event]:
-        """Return the few events that led to a moment."""
+        """Return the last events up to a point in time."""
         earlier = [event for event in self.events if event.at_s <= at_s]
         return earlier[-FEW_EVENTS:]
--- a/redwingvalve/soak/callers.py
+++ b/redwingvalve/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers as users write them: they ask for addresses and send again."""
+"""Simulated clients, which use entry discovery and retry requests."""
 
 import contextlib
 import json
@@ -28,24 +28,24 @@
 
 
 class Directory:
-    """What a caller knows of entries; an answer is kept as long as it says."""
+    """Caches discovered entries for the time that the response allows."""
 
     def __init__(
         self, first: tuple[str, ...], client: httpx.AsyncClient
     ) -> None:
-        """Ask any of the first addresses."""
+        """Use the first addresses until an entry has been discovered."""
         self._first = first
         self._client = client
         self._known: tuple[str, ...] = ()
         self._keep_until_s = 0.0
 
-    async def addresses(self, chance: random.Random) -> tuple[str, ...]:
-        """Return the entries to use; empty while none answers."""
+    async def addresses(self, rng: random.Random) -> tuple[str, ...]:
+        """Return the known entries; empty if none responds."""
         if self._known and time.monotonic() < self._keep_until_s:
             return self._known
-        asked = [*self._known, *self._first]
-        chance.shuffle(asked)
-        for address in asked:
+        candidates = [*self._known, *self._first]
+        rng.shuffle(candidates)
+        for address in candidates:
             with contextlib.suppress(httpx.HTTPError, ValueError, KeyError):
                 answer = await self._client.get(
                     f'http://{address}/v1/entries', timeout=DISCOVERY_TIMEOUT_S
@@ -55,7 +55,7 @@
         return ()
 
     def forget(self) -> None:
-        """Ask again next time, as a caller does whose connection broke."""
+        """Expire the cache, as a client does after a broken connection."""
         self._keep_until_s = 0.0
 
     def _keep(self, answer: dict[str, typing.Any]) -> None:
@@ -66,7 +66,10 @@
 
 @attrs.define
 class CallerSettings:
-    """Who calls; disturbed tells whether an entry may rightly be silent."""
+    """Settings of a caller.
+
+    disturbed tells whether a fault excuses an entry that does not respond.
+    """
 
     credential: str
     target: workload.Target
@@ -75,15 +78,15 @@
 
 
 class Caller:
-    """One caller: a request at a time, sent again as the outcome allows."""
+    """Sends one request at a time and retries it as its outcome allows."""
 
     def __init__(
-        self, name: str, settings: CallerSettings, chance: random.Random
+        self, name: str, settings: CallerSettings, rng: random.Random
     ) -> None:
-        """Call with a connection pool of its own."""
+        """Create a caller with its own connection pool."""
         self._name = name
         self._settings = settings
-        self._chance = chance
+        self._chance = rng
         self._count = 0
         self._client = httpx.AsyncClient(
             headers={'authorization': f'Bearer {settings.credential}'}
@@ -92,7 +95,7 @@
         self.records: list[records.Record] = []
 
     async def run(self, ends_at_s: float) -> None:
-        """Call until a monotonic time."""
+        """Send requests until a time of the monotonic clock."""
         async with self._client:
             while time.monotonic() < ends_at_s:
                 await self.call(workload.choose_kind(self._chance))
@@ -100,14 +103,14 @@
                 await anyio.sleep(pause_s)
 
     async def probe(self, address: str) -> bool:
-        """Tell whether an entry answers a model request whole."""
+        """Tell whether an entry completes a model request."""
         self._count += 1
         name = f'{self._name}-{self._count}'
-        asked = workload.make_request(
+        request = workload.make_request(
             name, workload.Kind.NARRATIVE, self._settings.target
         )
         attempt = records.Attempt(address, time.time())
-        await self._send(asked, attempt)
+        await self._send(request, attempt)
         return attempt.whole
 
     async def call(
@@ -117,27 +120,27 @@
         max_attempts: int = MAX_ATTEMPTS,
         pause_s: float = SHORTEST_PAUSE_S,
     ) -> records.Record:
-        """Make one request, with as many attempts as a caller would.
+        """Send one request with up to max_attempts attempts.
 
-        pause_s is waited before the next one, or longer if the answer says so.
+        Waits pause_s between attempts, or longer if the response asks for it.
         """
         self._count += 1
-        asked = workload.make_request(
+        request = workload.make_request(
             f'{self._name}-{self._count}', kind, self._settings.target, marker
         )
-        record = records.Record(asked)
+        record = records.Record(request)
         self.records.append(record)
         while len(record.attempts) < max_attempts and not record.answered:
             addresses = await self._directory.addresses(self._chance)
             if not addresses:
                 await anyio.sleep(MAX_WAIT_S)
-                record.attempts.append(_nobody_there())
+                record.attempts.append(_make_unreachable_attempt())
                 continue
             attempt = records.Attempt(
                 self._chance.choice(addresses), time.time()
             )
             record.attempts.append(attempt)
-            await self._send(asked, attempt)
+            await self._send(request, attempt)
             if len(record.attempts) < max_attempts:
                 await self._wait_after(attempt, pause_s)
         return record
@@ -152,13 +155,13 @@
         await anyio.sleep(min(MAX_WAIT_S, max(pause_s, attempt.retry_after_s)))
 
     async def _send(
-        self, asked: workload.Request, attempt: records.Attempt
+        self, request: workload.Request, attempt: records.Attempt
     ) -> None:
         try:
             with anyio.fail_after(DEADLINE_S + GRACE_S):
-                await self._exchange(asked, attempt)
+                await self._exchange(request, attempt)
         except TimeoutError:
-            # A dead or cut-off entry is silent; any other owes an answer.
+            # Only a dead or disconnected entry may leave a request unanswered.
             disturbed = self._settings.disturbed
             attempt.overdue = not disturbed(attempt.entry, attempt.started_s)
             attempt.broken = True
@@ -174,8 +177,8 @@
         attempt.ended_s = time.time()
         if attempt.outcome:
             return
-        # A daemon that is killed inside this process answers 500 where a
-        # process would just be gone.
+        # A daemon that is killed as a task of this process returns 500, where
+        # a killed process would drop the connection.
         killed = self._settings.disturbed(attempt.entry, attempt.started_s)
         attempt.broken = attempt.broken or killed
         if attempt.broken:
@@ -183,14 +186,14 @@
             attempt.excused = attempt.excused or killed
 
     async def _exchange(
-        self, asked: workload.Request, attempt: records.Attempt
+        self, request: workload.Request, attempt: records.Attempt
     ) -> None:
-        url = f'http://{attempt.entry}{asked.path}'
+        url = f'http://{attempt.entry}{request.path}'
         async with self._client.stream(
-            asked.method,
+            request.method,
             url,
-            content=asked.body,
-            headers=_headers(asked, len(self.records)),
+            content=request.body,
+            headers=_headers(request, len(self.records)),
             timeout=DEADLINE_S + 2 * GRACE_S,
         ) as answer:
             attempt.status = answer.status_code
@@ -201,13 +204,13 @@
                 attempt.retry_after_s = float(
                     answer.headers.get('retry-after', 0)
                 )
-            elif asked.streamed:
+            elif request.streamed:
                 await _read_stream(answer, attempt)
             else:
-                _read_whole(asked, await answer.aread(), attempt)
+                _read_whole(request, await answer.aread(), attempt)
 
 
-def _nobody_there() -> records.Attempt:
+def _make_unreachable_attempt() -> records.Attempt:
     return records.Attempt(
         'nobody',
         time.time(),
@@ -218,15 +221,15 @@
     )
 
 
-def _headers(asked: workload.Request, number: int) -> dict[str, str]:
+def _headers(request: workload.Request, number: int) -> dict[str, str]:
     headers = {
-        outcomes.REQUEST_ID_HEADER: f'{asked.name}-{number}',
+        outcomes.REQUEST_ID_HEADER: f'{request.name}-{number}',
         outcomes.DEADLINE_HEADER: str(round(DEADLINE_S * 1000)),
-        outcomes.IDEMPOTENT_HEADER: str(asked.idempotent).lower(),
+        outcomes.IDEMPOTENT_HEADER: str(request.idempotent).lower(),
         'content-type': 'application/json',
     }
-    if not asked.idempotent:
-        headers[outcomes.REQUEST_KEY_HEADER] = asked.request_key
+    if not request.idempotent:
+        headers[outcomes.REQUEST_KEY_HEADER] = request.request_key
     return headers
 
 
@@ -243,8 +246,8 @@
             if not attempt.text:
                 attempt.first_token_s = time.time() - attempt.started_s
             attempt.text += _content(line)
-    # A clean end is an answer that the caller takes for whole, be there a
-    # [DONE] or not.
+    # A client treats a cleanly ended stream as complete, with or without
+    # [DONE].
     attempt.whole = True
     attempt.outcome = outcomes.Outcome.RAN.value
 
@@ -255,10 +258,10 @@
 
 
 def _read_whole(
-    asked: workload.Request, body: bytes, attempt: records.Attempt
+    request: workload.Request, body: bytes, attempt: records.Attempt
 ) -> None:
     content = json.loads(body)
-    if asked.prompt:
+    if request.prompt:
         attempt.text = content['choices'][0]['message']['content']
     else:
         attempt.text = content['digest']
--- a/redwingvalve/soak/checker.py
+++ b/redwingvalve/soak/checker.py
@@ -1,7 +1,7 @@
-"""Compares the callers' records with the endpoints' ledgers.
+"""Compares the records of callers with the ledgers of endpoints.
 
-Pure: all clocks were read before. Each function looks for the breaches of one
-promise; bounds are arguments, so that a report can state them.
+The functions are pure and read no clock. Each one finds the violations of one
+guarantee; bounds are arguments, so that a report can state them.
 """
 
 import collections
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class LeavingPeriod:
-    """A VM that left from at_s on (wall), until it was taken back."""
+    """The time in which a VM was leaving, from at_s to until_s (wall clock)."""
 
     vm: str
     at_s: float
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class Bounds:
-    """How late each safeguard may act; from the brief and issue 5."""
+    """The maximum reaction times that the product requirements allow."""
 
     missing_vm_s: float = 3.0
     leaving_s: float = 3.0
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class Evidence:
-    """Everything that a run left behind."""
+    """The records and ledgers of a run, and what else the checks need."""
 
     records: Records
     runs: Runs
@@ -49,9 +49,9 @@
 
 
 def compare(evidence: Evidence, bounds: Bounds) -> tuple[breaches.Breach, ...]:
-    """Return every breach that records and ledgers show, by time."""
+    """Return every violation in records and ledgers, ordered by time."""
     found = itertools.chain(
-        _unanswered(evidence.records),
+        _find_unanswered(evidence.records),
         _wrong_answers(evidence.records, evidence.versions),
         _false_not_run(evidence.records, evidence.runs),
         _double_runs(evidence.records, evidence.runs),
@@ -59,7 +59,7 @@
         _work_for_leaving(evidence, bounds.leaving_s),
         _cut_by_orders(evidence.runs),
         _cut_by_entries(evidence.records),
-        _deadly(evidence.records, evidence.runs),
+        _find_poison_deaths(evidence.records, evidence.runs),
     )
     return tuple(sorted(found, key=lambda breach: breach.at_s))
 
@@ -71,7 +71,7 @@
     return grouped
 
 
-def _unanswered(all_records: Records) -> Found:
+def _find_unanswered(all_records: Records) -> Found:
     for record in all_records:
         for attempt in record.attempts:
             problem = _unanswered_because(attempt)
@@ -97,7 +97,9 @@
 ) -> Found:
     for record in all_records:
         for attempt in record.attempts:
-            if attempt.whole and not _right(record.request, attempt, versions):
+            if attempt.whole and not _is_expected_text(
+                record.request, attempt, versions
+            ):
                 yield breaches.Breach(
                     Guarantee.WHOLE_AND_OWN,
                     record.request.name,
@@ -107,17 +109,17 @@
                 )
 
 
-def _right(
-    asked: workload.Request,
+def _is_expected_text(
+    request: workload.Request,
     attempt: records.Attempt,
     versions: frozenset[tuple[str, str]],
 ) -> bool:
-    if not asked.prompt:
-        return attempt.text == asked.digest
+    if not request.prompt:
+        return attempt.text == request.digest
     return any(
         attempt.text
         == generated_text.full_text(
-            asked.prompt, model, version, asked.max_tokens
+            request.prompt, model, version, request.max_tokens
         )
         for model, version in versions
     )
@@ -126,7 +128,7 @@
 def _false_not_run(all_records: Records, runs: Runs) -> Found:
     by_digest = _runs_by_digest(runs)
     for record in all_records:
-        # After any other outcome a run may come of it at any later time.
+        # After any other outcome the request may still run at any later time.
         refused = itertools.takewhile(
             lambda attempt: attempt.surely_not_run, record.attempts
         )
@@ -134,7 +136,7 @@
             until_s = _next_start_s(record, index)
             for run in by_digest[record.request.digest]:
                 if attempt.started_s <= run.started < until_s:
-                    yield _false_word(record, attempt, run)
+                    yield _make_not_run_breach(record, attempt, run)
 
 
 def _next_start_s(record: records.Record, index: int) -> float:
@@ -142,7 +144,7 @@
     return following[0].started_s if following else math.inf
 
 
-def _false_word(
+def _make_not_run_breach(
     record: records.Record, attempt: records.Attempt, run: ledger.LedgerEntry
 ) -> breaches.Breach:
     return breaches.Breach(
@@ -211,7 +213,7 @@
                 )
 
 
-def _deadly(all_records: Records, runs: Runs) -> Found:
+def _find_poison_deaths(all_records: Records, runs: Runs) -> Found:
     by_digest = _runs_by_digest(runs)
     for record in all_records:
         deadly = [
@@ -233,7 +235,7 @@
         collections_abc.Sequence[operators.Confirmation]
     ],
 ) -> Found:
-    """Yield the races that more than one operator won."""
+    """Yield the races in which more than one plan was confirmed."""
     for race in races:
         won = [each for each in race if each.status == operators.OK_STATUS]
         if len(won) > 1:
--- a/redwingvalve/soak/daemon_settings.py
+++ b/redwingvalve/soak/daemon_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the daemons of a run, on free ports."""
+"""Creates the settings of the daemons of a run, on free ports."""
 
 from redwingvalve.settings import schema
 from redwingvalve.soak import daemons, platform
@@ -20,14 +20,14 @@
     *,
     own_hosts: bool = False,
 ) -> list[daemons.Daemon]:
-    """Return the daemons of a run; disabled names safeguards.
+    """Return the daemons of a run; disabled lists disabled safeguards.
 
-    With own_hosts each has a loopback address of its own that its calls come
-    from, and listens for peers on another, so that a proxy fits in between.
+    With own_hosts each daemon sends from its own loopback address and listens
+    for peers on another one, so that a proxy can be put in between.
     """
     names = [f'entry-{number}' for number in range(1, ENTRIES + 1)]
     names.extend(f'control-{number}' for number in range(1, CONTROLS + 1))
-    # Drawn together, so that no port is drawn twice.
+    # Chosen in one call, so that no port is chosen twice.
     ports = standin_ports.free_ports(2 * len(names))
     hosts = [
         f'127.0.1.{number}' if own_hosts else platform.HOST
--- a/redwingvalve/soak/daemons.py
+++ b/redwingvalve/soak/daemons.py
@@ -1,4 +1,4 @@
-"""How a soak run starts and ends the daemons, behind one base class."""
+"""Starts, stops and disturbs the daemons of a soak run."""
 
 import abc
 import asyncio
@@ -20,7 +20,7 @@
 
 @attrs.define
 class Daemon:
-    """One daemon; disturbed_until_s is wall time, inf while it is away."""
+    """One daemon; disturbed_until_s is wall-clock, inf while it is frozen."""
 
     name: str
     role: str
@@ -31,7 +31,7 @@
 
     @property
     def address(self) -> str:
-        """Return host:port of its HTTP side."""
+        """Return host:port of the HTTP server."""
         return f'{self.settings.node.host}:{self.settings.listen.http_port}'
 
 
@@ -42,12 +42,12 @@
     can_cut = False
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Create the set without daemons."""
         self.by_name: dict[str, Daemon] = {}
         self.breaches: list[breaches.Breach] = []
 
     def role(self, role: str) -> list[Daemon]:
-        """Return the daemons of a role that have not been taken away."""
+        """Return the daemons of a role that are not down."""
         return [
             daemon
             for daemon in self.by_name.values()
@@ -55,7 +55,7 @@
         ]
 
     def disturbed(self, address: str, since_s: float) -> bool:
-        """Tell whether a fault hit the daemon at or after a wall time."""
+        """Tell whether a fault hit the daemon at or after a wall-clock time."""
         return any(
             daemon.address == address
             and (daemon.away or daemon.disturbed_until_s >= since_s)
@@ -73,7 +73,7 @@
         self._came_back(daemon)
 
     async def stop(self, name: str, away_s: float) -> float:
-        """Stop a daemon gracefully, start it again; return how long it took."""
+        """Shut a daemon down, restart it and return the shutdown time."""
         daemon = self.by_name[name]
         daemon.stopping = True
         began_s = time.monotonic()
@@ -97,10 +97,10 @@
     async def cut(
         self, name: str, duration_s: float, *, from_others: bool
     ) -> None:
-        """Lose what a daemon asks its peers, and what they ask it too.
+        """Block requests of a daemon to its peers; from_others: also theirs.
 
-        It still reaches the platform, the endpoints and its callers, so that
-        it stays bound by every promise.
+        The platform, the endpoints and the callers stay reachable, so that
+        every guarantee still holds.
         """
         daemon = self.by_name[name]
         await self.cut_links(daemon, from_others=from_others)
@@ -118,7 +118,7 @@
         )
 
     async def shut_down_all(self) -> None:
-        """End all daemons gracefully, the controllers last."""
+        """Shut all daemons down gracefully, the controllers last."""
         for role in (ENTRY, CONTROL):
             async with anyio.create_task_group() as group:
                 for daemon in self.role(role):
@@ -126,29 +126,29 @@
 
     @abc.abstractmethod
     async def start(self, daemon: Daemon) -> None:
-        """Start a daemon at its old addresses."""
+        """Start a daemon at the addresses in its settings."""
 
     @abc.abstractmethod
     async def kill_now(self, daemon: Daemon) -> None:
-        """End a daemon without warning."""
+        """Kill a daemon without a graceful shutdown."""
 
     @abc.abstractmethod
     async def shut_down(self, daemon: Daemon) -> None:
-        """Ask a daemon to end and wait until it has."""
+        """Shut a daemon down gracefully and wait for its end."""
 
     async def wait_listening(self, daemon: Daemon) -> None:
-        """Return once a restarted daemon can be told to stop again."""
+        """Wait until a restarted daemon can handle a stop request."""
 
     async def freeze(self, daemon: Daemon, duration_s: float) -> None:
-        """Stop a daemon in its tracks and let it go on."""
+        """Suspend a daemon for duration_s, then resume it."""
         raise NotImplementedError
 
     async def cut_links(self, daemon: Daemon, *, from_others: bool) -> None:
-        """Hold back all bytes between a daemon and its peers."""
+        """Hold back all data between a daemon and its peers."""
         raise NotImplementedError
 
     async def heal_links(self, daemon: Daemon) -> None:
-        """Let the bytes that were held back flow again, late."""
+        """Deliver the data that was held back."""
         raise NotImplementedError
 
     def _came_back(self, daemon: Daemon) -> None:
@@ -157,7 +157,7 @@
 
 
 class LocalDaemons(Daemons):
-    """Daemons as tasks of this loop; a kill cancels the task."""
+    """Daemons as tasks of this event loop; a kill cancels the task."""
 
     def __init__(self, group: anyio_abc.TaskGroup) -> None:
         """Run all daemons in group."""
@@ -190,8 +190,8 @@
         try:
             await self._run_to_its_end(daemon)
         except asyncio.CancelledError:
-            # hypercorn cancels tasks of its own while it is cancelled; that
-            # must not spread to the whole run, as if the run were cancelled.
+            # hypercorn cancels its own tasks while it is cancelled. This must
+            # not propagate as if the whole run were cancelled.
             if not scope.cancel_called:
                 raise
         finally:
--- a/redwingvalve/soak/fault_context.py
+++ b/redwingvalve/soak/fault_context.py
@@ -1,4 +1,4 @@
-"""What scheduled faults act on, and what they leave for the checks."""
+"""The context of fault injection, with the records for the checks."""
 
 import itertools
 import time
@@ -29,7 +29,7 @@
 
 @attrs.define
 class FaultContext:
-    """Everything that can be hit, and the notes of what was."""
+    """The components that faults act on, and records of the faults."""
 
     platform: platform.Platform
     daemons: daemons.Daemons
@@ -42,31 +42,35 @@
     wish_numbers: typing.Iterator[int] = attrs.field(factory=_numbers)
 
     def engine(self, fault: schedule.Fault) -> engine.Engine:
-        """Return one engine, serving or not."""
+        """Return an engine, whether it serves or not."""
         engines = list(self.platform.engines.engines.values())
         return pick(engines, fault.where)
 
     def endpoint(self, fault: schedule.Fault) -> Endpoint:
-        """Return a serving head or a service: what answers callers."""
+        """Return a serving head or a service."""
         endpoints = [*self.platform.serving_heads(), *self.platform.services]
         return pick(endpoints, fault.where)
 
     def daemon(self, role: str, fault: schedule.Fault) -> daemons.Daemon | None:
-        """Return an undisturbed daemon, if another one stays."""
+        """Return an undisturbed daemon if at least one other remains."""
         now_s = time.time()
-        well = [
+        undisturbed = [
             daemon
             for daemon in self.daemons.role(role)
             if not daemon.stopping and daemon.disturbed_until_s < now_s
         ]
-        return pick(well, fault.where) if len(well) > 1 else None
+        return pick(undisturbed, fault.where) if len(undisturbed) > 1 else None
 
 
 def pick(victims: collections_abc.Sequence[Victim], where: float) -> Victim:
-    """Return the victim at a share of the list."""
+    """Return the item at a relative position, from 0 to 1, in the list."""
     return victims[min(len(victims) - 1, int(where * len(victims)))]
 
 
-def name_of(hit: Endpoint) -> str:
+def name_of(context: Endpoint) -> str:
     """Return the name of an endpoint."""
-    return hit.options.vm if isinstance(hit, engine.Engine) else hit.name
+    return (
+        context.options.vm
+        if isinstance(context, engine.Engine)
+        else context.name
+    )
--- a/redwingvalve/soak/fault_injection.py
+++ b/redwingvalve/soak/fault_injection.py
@@ -1,4 +1,4 @@
-"""Carries out the scheduled faults, each at its time."""
+"""Injects the scheduled faults, each at its time."""
 
 import types
 import typing
@@ -14,10 +14,10 @@
 )
 
 Name = schedule.FaultName
-Act: typing.TypeAlias = collections_abc.Callable[
+Injector: typing.TypeAlias = collections_abc.Callable[
     [fault_context.FaultContext, schedule.Fault], collections_abc.Awaitable[str]
 ]
-ACTS: collections_abc.Mapping[Name, Act] = types.MappingProxyType(
+INJECTORS: collections_abc.Mapping[Name, Injector] = types.MappingProxyType(
     {
         Name.VM_DIES: platform_faults.vm_dies,
         Name.VM_PAUSES: platform_faults.vm_pauses,
@@ -45,17 +45,19 @@
 
 
 async def inject_faults(
-    hit: fault_context.FaultContext,
+    context: fault_context.FaultContext,
     planned: collections_abc.Iterable[schedule.Fault],
 ) -> None:
-    """Apply every fault at its time, counted from now; wait for all."""
+    """Inject each fault at its offset from now and wait for all to end."""
     started_s = anyio.current_time()
 
     async def at_its_time(fault: schedule.Fault) -> None:
         await anyio.sleep_until(started_s + fault.at_s)
-        hit.journal.note(f'begin {fault.name.value} where={fault.where:.3f}')
-        victim = await ACTS[fault.name](hit, fault)
-        hit.journal.note(f'end {fault.name.value} of {victim}')
+        context.journal.note(
+            f'begin {fault.name.value} where={fault.where:.3f}'
+        )
+        victim = await INJECTORS[fault.name](context, fault)
+        context.journal.note(f'end {fault.name.value} of {victim}')
 
     async with anyio.create_task_group() as group:
         for fault in planned:
--- a/redwingvalve/soak/fleet_run.py
+++ b/redwingvalve/soak/fleet_run.py
@@ -1,4 +1,4 @@
-"""A running fleet of one run: started, declared, called and compared."""
+"""The fleet of one soak run, from its start to the comparison of records."""
 
 import contextlib
 import random
@@ -31,7 +31,7 @@
 
 Faults = tuple[schedule.Fault, ...]
 MakeDaemons = collections_abc.Callable[..., daemons.Daemons]
-# Returns the YAML text for a wish, service addresses and a load time.
+# Returns the YAML text for a spec, service addresses and a load time.
 Declare = collections_abc.Callable[
     [operators.DeclarationSpec, tuple[str, ...], float], str
 ]
@@ -39,17 +39,17 @@
 
 @attrs.frozen
 class Options:
-    """What a run is made of; left_out faults are not scheduled.
+    """Options of a run; excluded_faults are not scheduled.
 
-    through puts something, such as a proxy, before each endpoint.
+    start_proxy puts a proxy before an endpoint and returns its address.
     """
 
     seed: int
     duration_s: float
     callers: int = CALLERS
-    left_out: frozenset[schedule.FaultName] = schedule.NOTHING
+    excluded_faults: frozenset[schedule.FaultName] = schedule.NO_FAULTS
     disabled: tuple[str, ...] = ()
-    only: frozenset[schedule.FaultName] = schedule.NOTHING
+    only: frozenset[schedule.FaultName] = schedule.NO_FAULTS
     size: platform.Size = attrs.field(factory=platform.Size)
     spans_folder: str = ''
     start_proxy: platform.StartProxy | None = None
@@ -60,7 +60,7 @@
 
 @attrs.frozen
 class Outcome:
-    """Everything that a run found."""
+    """The result of a run."""
 
     options: Options
     schedule: tuple[schedule.Fault, ...]
@@ -74,7 +74,7 @@
 
 
 class FleetRun:
-    """The parts of one run while it goes on."""
+    """The components of a run in progress."""
 
     def __init__(
         self,
@@ -82,7 +82,7 @@
         small: platform.Platform,
         fleet: daemons.Daemons,
     ) -> None:
-        """Know the parts; nothing is started yet."""
+        """Store the components without starting them."""
         self.options = options
         self.platform = small
         self.daemons = fleet
@@ -91,20 +91,20 @@
         self.bearer = ''
 
     def operator(self) -> operators.Operator:
-        """Return an operator at a controller that is there."""
+        """Return an operator client of a running controller."""
         api = self.daemons.role(daemons.CONTROL)[0].address
         return operators.Operator(api, self.bearer)
 
     def make_fault_context(
         self, poisoner: callers.Caller
     ) -> fault_context.FaultContext:
-        """Return what faults can hit."""
+        """Return the context that faults act on."""
         return fault_context.FaultContext(
             self.platform, self.daemons, self.journal, self.bearer, poisoner
         )
 
     async def start(self) -> None:
-        """Start the daemons, declare, and wait until all serves."""
+        """Start the daemons, confirm a declaration, wait for readiness."""
         self.bearer = await operators.issue_token(self.platform.store.store)
         for daemon in daemon_settings.make_daemons(
             self.platform,
@@ -123,7 +123,7 @@
             await self._wait_serving(spec)
 
     async def declare(self, spec: operators.DeclarationSpec) -> None:
-        """Plan and confirm until it is done, at any controller."""
+        """Plan and confirm at any controller until a confirmation succeeds."""
         text = self.options.declare(
             spec,
             self.platform.service_addresses,
@@ -136,7 +136,9 @@
                 why = done.message
                 if done.status == operators.OK_STATUS:
                     return
-            self.journal.note(f'declaration {spec.number} waits: {why}')
+            self.journal.note(
+                f'declaration {spec.number} not confirmed yet: {why}'
+            )
             await anyio.sleep(POLL_S)
 
     async def _wait_serving(self, spec: operators.DeclarationSpec) -> None:
@@ -146,7 +148,7 @@
         for daemon in self.daemons.role(daemons.ENTRY):
             while not await asking.probe(daemon.address):
                 await anyio.sleep(POLL_S)
-        self.journal.note('the fleet serves')
+        self.journal.note('fleet is ready')
 
     def compare(
         self,
@@ -154,7 +156,7 @@
         acting: fault_context.FaultContext,
         calling: collections_abc.Iterable[callers.Caller],
     ) -> Outcome:
-        """Compare what callers, endpoints and observers saw."""
+        """Compare the data of callers, endpoints and the observer."""
         runs = self.platform.runs()
         seen = [record for caller in calling for record in caller.records]
         evidence = checker.Evidence(
@@ -184,7 +186,7 @@
     def make_caller(
         self, name: str, index: int, credential: str = ''
     ) -> callers.Caller:
-        """Return a caller whose choices follow from the seed."""
+        """Return a caller whose random choices derive from the seed."""
         settings = callers.CallerSettings(
             credential or self.options.credential,
             TARGET,
@@ -195,15 +197,15 @@
             ),
             self.daemons.disturbed,
         )
-        chance = random.Random(self.options.seed * 1000 + index)
-        return callers.Caller(name, settings, chance)
+        rng = random.Random(self.options.seed * 1000 + index)
+        return callers.Caller(name, settings, rng)
 
 
 @contextlib.asynccontextmanager
 async def open_run(
     options: Options, make_daemons: MakeDaemons
 ) -> collections_abc.AsyncIterator[FleetRun]:
-    """Give a fleet that serves; make_daemons gets a task group."""
+    """Yield a ready fleet; make_daemons is called with a task group."""
     async with (
         platform.run_platform(options.size, options.start_proxy) as small,
         anyio.create_task_group() as group,
--- a/redwingvalve/soak/observer.py
+++ b/redwingvalve/soak/observer.py
@@ -1,4 +1,4 @@
-"""Watches the store and the entries while a run goes on."""
+"""Polls the store and the entries during a run."""
 
 import contextlib
 import time
@@ -20,7 +20,7 @@
 
 @attrs.define
 class Generation:
-    """One confirmation as the store shows it; times are wall seconds."""
+    """One confirmation seen in the store; times are wall-clock seconds."""
 
     number: int
     credential: str
@@ -30,7 +30,7 @@
 
 @attrs.define
 class Observer:
-    """Finds VMs in two replicas and configuration that reverts."""
+    """Detects VMs in two replicas and configuration that reverts."""
 
     platform: platform.Platform
     daemons: daemons.Daemons
@@ -43,9 +43,9 @@
     _reported: set[str] = attrs.field(factory=set)
 
     async def run(self) -> None:
-        """Look again and again until cancelled."""
+        """Poll until cancelled."""
         while True:
-            self._look_at_store()
+            self._check_store()
             self._sample()
             await self._probe_entries()
             await anyio.sleep(INTERVAL_S)
@@ -56,7 +56,7 @@
             (time.time(), heads, self.platform.stranded())
         )
 
-    def _look_at_store(self) -> None:
+    def _check_store(self) -> None:
         store = self.platform.store.store
         domains = map(
             domain_module.from_stored,
@@ -64,10 +64,10 @@
         )
         replicas = [each for domain in domains for each in domain.replicas]
         self.versions.update((each.model, each.version) for each in replicas)
-        self._look_at_members(replicas)
-        self._look_at_generation()
+        self._check_members(replicas)
+        self._check_generation()
 
-    def _look_at_members(
+    def _check_members(
         self, replicas: list[domain_module.DomainReplica]
     ) -> None:
         holders: dict[str, str] = {}
@@ -81,7 +81,7 @@
                         f'it is in {other} and {replica.name}',
                     )
 
-    def _look_at_generation(self) -> None:
+    def _check_generation(self) -> None:
         store = self.platform.store.store
         named = {
             stored.name: stored
@@ -102,7 +102,7 @@
         self.journal.note(f'generation {current.generation} is confirmed')
 
     def _credential(self) -> str:
-        """Return the digest that the confirmed plan declares for probes."""
+        """Return the digest of the probe credential in the confirmed plan."""
         store = self.platform.store.store
         current = next(
             stored
@@ -142,7 +142,7 @@
             self._breach(
                 breaches.Guarantee.CONFIGURATION,
                 name,
-                f'it went back from generation {self.generations[before]} '
+                f'reverted from generation {self.generations[before]} '
                 f'to {self.generations[index]}',
             )
         self._accepted[name] = max(before, index)
@@ -153,14 +153,16 @@
                 generation.in_force_s = time.time()
 
     async def _accepted_by(self, address: str) -> int | None:
-        """Return the newest generation whose credential an entry takes."""
+        """Return the newest generation whose credential an entry accepts."""
         newest = len(self.generations) - 1
         for index in range(newest, max(-1, newest - NEWEST_TRIED), -1):
-            if await self._takes(address, self.generations[index]):
+            if await self._accepts_credential(address, self.generations[index]):
                 return index
         return None
 
-    async def _takes(self, address: str, generation: Generation) -> bool:
+    async def _accepts_credential(
+        self, address: str, generation: Generation
+    ) -> bool:
         credential = credential_of(generation.credential)
         with contextlib.suppress(httpx.HTTPError):
             answer = await self.platform.client.get(
--- a/redwingvalve/soak/operators.py
+++ b/redwingvalve/soak/operators.py
@@ -1,4 +1,4 @@
-"""Operators who plan and confirm, alone and against each other."""
+"""Operator clients that plan and confirm, alone or concurrently."""
 
 import contextlib
 import hashlib
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class DeclarationSpec:
-    """What varies between declarations; number names it by a credential."""
+    """The values that vary between declarations; number is in a credential."""
 
     number: int
     version: str = '1'
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class Confirmation:
-    """An operator's try; status is 0 when no answer came."""
+    """The result of a confirmation; status is 0 without a response."""
 
     spec: DeclarationSpec
     plan: str
@@ -47,7 +47,7 @@
 
 
 def digest_of(credential: str) -> str:
-    """Return what a declaration holds of a credential."""
+    """Return the digest of a credential that a declaration contains."""
     return hashlib.sha256(credential.encode()).hexdigest()
 
 
@@ -105,7 +105,7 @@
         self._headers = {'authorization': f'Bearer {bearer}'}
 
     async def plan(self, declaration: str) -> tuple[str, str]:
-        """Return the plan's name, or an empty one and why there is none."""
+        """Return the name of the plan, or an empty name and the reason."""
         answer = await self._post('/plans', {'declaration': declaration})
         if answer is None:
             return '', 'no answer'
@@ -121,7 +121,7 @@
         return Confirmation(spec, plan, answer.status_code, answer.text[:200])
 
     async def reachable(self) -> bool:
-        """Tell whether the API answers this token."""
+        """Tell whether the API accepts requests with this token."""
         with contextlib.suppress(httpx.HTTPError):
             async with httpx.AsyncClient(
                 headers=self._headers, timeout=TIMEOUT_S
@@ -144,7 +144,7 @@
 async def race(
     contenders: list[tuple[Operator, DeclarationSpec, str]],
 ) -> list[Confirmation]:
-    """Let operators plan one after the other and confirm at one moment."""
+    """Create plans one after the other and confirm them concurrently."""
     planned = []
     for operator, spec, declaration in contenders:
         name, _ = await operator.plan(declaration)
@@ -164,7 +164,7 @@
 
 
 async def issue_token(store: object_api.ObjectApi) -> str:
-    """Write an administrator's token and return its bearer."""
+    """Store an administrator token and return its bearer secret."""
     issued = tokens.issue('soak', 'soak', rights.Role.ADMINISTRATOR)
     await store.create(
         tokens.KIND, issued.record.token_id, tokens.encode(issued.record)
--- a/redwingvalve/soak/platform.py
+++ b/redwingvalve/soak/platform.py
@@ -1,4 +1,4 @@
-"""The platform of a soak run: stand-ins of one small operator on one loop."""
+"""The simulated platform of a soak run, in one event loop."""
 
 import contextlib
 import typing
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class Size:
-    """How large the platform is; times are those of its engines."""
+    """The size of the platform and the timing of its engines."""
 
     domains: tuple[tuple[str, str, int], ...] = (
         ('nave-a-1', 'nave-a', 8),
@@ -47,7 +47,7 @@
 
 @attrs.define
 class Platform:
-    """Everything the fleet talks to, with direct access for faults."""
+    """The simulated platform, with direct access for fault injection."""
 
     size: Size
     engines: engine_host.EngineHost
@@ -59,7 +59,7 @@
     client: httpx.AsyncClient
 
     async def store_fault(self, **fault: typing.Any) -> None:
-        """Switch on a fault of the object API."""
+        """Activate a fault of the object API."""
         await self.client.post(f'{self.urls["objects"]}/faults', json=fault)
 
     async def heal_store(self) -> None:
@@ -80,7 +80,7 @@
         return [run for each in endpoints for run in each.ledger.entries]
 
     def serving_heads(self) -> list[engine.Engine]:
-        """Return the heads whose replica can serve now, by the truth."""
+        """Return the heads whose replica can serve, by engine state."""
         return [
             each
             for each in self.engines.engines.values()
@@ -91,7 +91,7 @@
         ]
 
     def stranded(self) -> int:
-        """Return how many live VMs belong to no serving replica."""
+        """Return the number of live VMs outside serving replicas."""
         used = {
             member
             for head in self.serving_heads()
@@ -110,12 +110,12 @@
             service.responses_to_drop = 0
 
 
-async def _directly(address: str) -> str:
+async def _use_address(address: str) -> str:
     return address
 
 
 class _Servers:
-    """The servers of the stand-ins beside the engines."""
+    """The servers of the simulators other than engines."""
 
     def __init__(self) -> None:
         self._started: list[serving.StandinServer] = []
@@ -146,14 +146,14 @@
 async def run_platform(
     size: Size, start_proxy: StartProxy | None = None
 ) -> collections_abc.AsyncIterator[Platform]:
-    """Run the stand-ins on free ports until the block ends."""
+    """Run the simulators on free ports until the block ends."""
     async with (
         engine_host.host_engines(HOST) as engines,
         httpx.AsyncClient(timeout=CLIENT_TIMEOUT_S) as client,
     ):
         with contextlib.closing(_Servers()) as servers:
             yield await _make_platform(
-                size, engines, client, servers, start_proxy or _directly
+                size, engines, client, servers, start_proxy or _use_address
             )
 
 
--- a/redwingvalve/soak/platform_faults.py
+++ b/redwingvalve/soak/platform_faults.py
@@ -1,4 +1,4 @@
-"""Faults of VMs, endpoints and the store, as the schedule names them."""
+"""Faults of VMs, endpoints and the store."""
 
 import time
 
@@ -15,20 +15,20 @@
 
 
 async def vm_dies(
-    hit: fault_context.FaultContext, fault: schedule.Fault
+    context: fault_context.FaultContext, fault: schedule.Fault
 ) -> str:
-    """Kill a VM; it comes back idle."""
-    victim = hit.engine(fault)
+    """Kill a VM; it restarts idle."""
+    victim = context.engine(fault)
     if not victim.dead:
         victim.die(RESTART_S + fault.duration_s)
     return victim.options.vm
 
 
 async def vm_pauses(
-    hit: fault_context.FaultContext, fault: schedule.Fault
+    context: fault_context.FaultContext, fault: schedule.Fault
 ) -> str:
     """Freeze a VM."""
-    victim = hit.engine(fault)
+    victim = context.engine(fault)
     victim.faults.paused_until_s = time.monotonic() + fault.duration_s
     victim.record_fault()
     await anyio.sleep(fault.duration_s)
@@ -36,10 +36,10 @@
 
 
 async def vm_unreachable(
-    hit: fault_context.FaultContext, fault: schedule.Fault
+    context: fault_context.FaultContext, fault: schedule.Fault
 ) -> str:
-    """Lose every new request to a VM."""
-    victim = hit.engine(fault)
+    """Drop every new request to a VM."""
+    victim = context.engine(fault)
     victim.faults.unreachable_until_s = time.monotonic() + fault.duration_s
     victim.record_fault()
     await anyio.sleep(fault.duration_s)
@@ -47,10 +47,10 @@
 
 
 async def vm_straggles(
-    hit: fault_context.FaultContext, fault: schedule.Fault
+    context: fault_context.FaultContext, fault: schedule.Fault
 ) -> str:
-    """Slow a VM down."""
-    victim = hit.engine(fault)
+    """Slow down a VM."""
+    victim = context.engine(fault)
     victim.faults.straggle_factor = STRAGGLE_FACTOR
     await anyio.sleep(fault.duration_s)
     victim.faults.straggle_factor = 1.0
@@ -58,92 +58,94 @@
 
 
 async def domain_dark(
-    hit: fault_context.FaultContext, fault: schedule.Fault
+    context: fault_context.FaultContext, fault: schedule.Fault
 ) -> str:
     """Kill every VM of a fabric domain at once."""
-    domain = fault_context.pick(hit.platform.size.domains, fault.where)[0]
-    for vm in hit.platform.domain_vms(domain):
-        victim = hit.platform.engines.engines[vm]
+    domain = fault_context.pick(context.platform.size.domains, fault.where)[0]
+    for vm in context.platform.domain_vms(domain):
+        victim = context.platform.engines.engines[vm]
         if not victim.dead:
             victim.die(RESTART_S + fault.duration_s)
     return domain
 
 
 async def vm_leaves(
-    hit: fault_context.FaultContext, fault: schedule.Fault
+    context: fault_context.FaultContext, fault: schedule.Fault
 ) -> str:
-    """Show a VM as leaving, then as live again."""
-    vm = hit.engine(fault).options.vm
-    vm_listing = hit.platform.vm_listing
+    """List a VM as leaving, then as live again."""
+    vm = context.engine(fault).options.vm
+    vm_listing = context.platform.vm_listing
     told_s = time.time() + vm_listing.lag_s
     vm_listing.set_state(vm, 'leaving')
     await anyio.sleep(fault.duration_s + 2 * checker.Bounds().leaving_s)
     vm_listing.set_state(vm, 'live')
-    hit.leaving.append(checker.LeavingPeriod(vm, told_s, time.time()))
+    context.leaving.append(checker.LeavingPeriod(vm, told_s, time.time()))
     return vm
 
 
 async def crossed(
-    hit: fault_context.FaultContext, fault: schedule.Fault
+    context: fault_context.FaultContext, fault: schedule.Fault
 ) -> str:
-    """Let an endpoint answer a request with somebody else's answer."""
-    victim = hit.endpoint(fault)
+    """Make an endpoint return the response to another request."""
+    victim = context.endpoint(fault)
     victim.faults.crossed += 1
     return fault_context.name_of(victim)
 
 
 async def truncated(
-    hit: fault_context.FaultContext, fault: schedule.Fault
+    context: fault_context.FaultContext, fault: schedule.Fault
 ) -> str:
-    """Let an endpoint end an answer before its end."""
-    victim = hit.endpoint(fault)
+    """Make an endpoint truncate a response."""
+    victim = context.endpoint(fault)
     victim.faults.truncate += 1
     return fault_context.name_of(victim)
 
 
-async def poison(hit: fault_context.FaultContext, fault: schedule.Fault) -> str:
-    """Send a request that kills whatever runs it, as often as allowed."""
+async def poison(
+    context: fault_context.FaultContext, fault: schedule.Fault
+) -> str:
+    """Send a request that kills each engine that runs it, with all retries."""
     marker = f'poison-{fault.at_s:.3f}'
-    for each in hit.platform.engines.engines.values():
+    for each in context.platform.engines.engines.values():
         each.faults.poison_marker = marker
         each.faults.restart_after_s = RESTART_S
-    record = await hit.poisoner.call(workload.Kind.NARRATIVE, marker)
+    record = await context.poisoner.call(workload.Kind.NARRATIVE, marker)
     return f'{record.request.name}, {len(record.attempts)} attempts'
 
 
 async def store_down(
-    hit: fault_context.FaultContext, fault: schedule.Fault
+    context: fault_context.FaultContext, fault: schedule.Fault
 ) -> str:
-    """Take the store away; it answers 503 or nothing."""
+    """Make the store unavailable; it returns 503 or does not respond."""
     silent = fault.where > SILENT_FROM
-    await hit.platform.store_fault(name='outage', silent=silent)
+    await context.platform.store_fault(name='outage', silent=silent)
     await anyio.sleep(fault.duration_s)
-    await hit.platform.heal_store()
+    await context.platform.heal_store()
     return 'store, silent' if silent else 'store'
 
 
 async def store_slow(
-    hit: fault_context.FaultContext, fault: schedule.Fault
+    context: fault_context.FaultContext, fault: schedule.Fault
 ) -> str:
-    """Slow every call of the store down."""
-    await hit.platform.store_fault(name='slow', delay_s=SLOW_S)
+    """Delay every call to the store."""
+    await context.platform.store_fault(name='slow', delay_s=SLOW_S)
     await anyio.sleep(fault.duration_s)
-    await hit.platform.heal_store()
+    await context.platform.heal_store()
     return 'store'
 
 
 async def store_loses(
-    hit: fault_context.FaultContext, fault: schedule.Fault
+    context: fault_context.FaultContext, fault: schedule.Fault
 ) -> str:
-    """Lose answers of writes that take effect."""
-    await hit.platform.store_fault(name='lose-answers', count=LOST_ANSWERS)
+    """Drop the responses to writes that take effect."""
+    await context.platform.store_fault(name='lose-answers', count=LOST_ANSWERS)
     return 'store'
 
 
 async def service_loses(
-    hit: fault_context.FaultContext, fault: schedule.Fault
+    context: fault_context.FaultContext, fault: schedule.Fault
 ) -> str:
-    """Lose answers of calls that a service has run."""
-    victim = fault_context.pick(hit.platform.services, fault.where)
+    """Drop the responses to calls that a service has run."""
+    victim = fault_context.pick(context.platform.services, fault.where)
     victim.responses_to_drop += LOST_CALLS
     return victim.name
--- a/redwingvalve/soak/records.py
+++ b/redwingvalve/soak/records.py
@@ -1,4 +1,4 @@
-"""What callers saw: every attempt of every request."""
+"""The records of callers: every attempt of every request."""
 
 import attrs
 
@@ -10,11 +10,11 @@
 
 @attrs.define
 class Attempt:
-    """One send; ended_s is None while no final answer has come.
+    """One attempt; ended_s is None until there is a final response.
 
-    whole says that the end of the answer was seen; broken that the connection
-    to the entry failed, excused that a fault explains it; overdue that neither
-    came by the deadline.
+    whole: the response was received to its end; broken: the connection to the
+    entry failed; excused: a fault explains the failure; overdue: neither a
+    response nor a failure came by the deadline.
     """
 
     entry: str
@@ -34,10 +34,10 @@
 
     @property
     def cut(self) -> bool:
-        """Tell whether an undisturbed entry broke off what it worked on.
+        """Tell whether an entry without a fault aborted the request.
 
-        An idle connection may be closed just as a request is sent; that ends
-        at once and is no breach.
+        An idle connection may be closed just as a request is sent; such an
+        attempt fails at once and is no violation.
         """
         if not self.broken or self.excused or self.overdue:
             return False
@@ -45,23 +45,23 @@
 
     @property
     def lasted_s(self) -> float:
-        """Return how long the attempt took; 0.0 while it goes on."""
+        """Return the duration of the attempt; 0.0 while it is in progress."""
         return (self.ended_s or self.started_s) - self.started_s
 
     @property
     def surely_not_run(self) -> bool:
-        """Tell whether the system said that this attempt was not run."""
+        """Tell whether the system reported that this attempt was not run."""
         return self.outcome == outcomes.Outcome.NOT_RUN
 
 
 @attrs.define
 class Record:
-    """One request with all its attempts, in the order of their time."""
+    """One request with all its attempts in chronological order."""
 
     request: workload.Request
     attempts: list[Attempt] = attrs.field(factory=list)
 
     @property
     def answered(self) -> bool:
-        """Tell whether an attempt ended with the whole answer."""
+        """Tell whether an attempt received the complete response."""
         return any(attempt.whole for attempt in self.attempts)
--- a/redwingvalve/soak/report.py
+++ b/redwingvalve/soak/report.py
@@ -1,4 +1,4 @@
-"""What a run tells: figures, and for a breach all that repeats it."""
+"""Summary of a run, and what is needed to reproduce its violations."""
 
 import collections
 import statistics
@@ -10,7 +10,7 @@
 
 
 def summarize(outcome: fleet_run.Outcome) -> dict[str, typing.Any]:
-    """Return the figures of a run as plain JSON."""
+    """Return the summary of a run as JSON data."""
     attempts = [
         attempt for record in outcome.records for attempt in record.attempts
     ]
@@ -52,23 +52,23 @@
 
 
 def _quantile(values: list[float], twentieth: int) -> float:
-    """Return the quantile at so many twentieths."""
+    """Return the quantile at a number of twentieths."""
     if len(values) < 2:
         return values[0] if values else 0.0
     return statistics.quantiles(values, n=PERCENTILE_CUTS)[twentieth - 1]
 
 
 def breach_lines(outcome: fleet_run.Outcome) -> list[str]:
-    """Return seed, schedule and the few events before each promise's first."""
+    """Return seed, schedule and the events before each first violation."""
     if not outcome.breaches:
         return []
     lines = [f'seed {outcome.options.seed}', 'schedule:']
     lines.extend(f'  {fault}' for fault in outcome.schedule)
-    told: set[breaches.Guarantee] = set()
+    reported: set[breaches.Guarantee] = set()
     for breach in outcome.breaches:
-        if breach.guarantee in told:
+        if breach.guarantee in reported:
             continue
-        told.add(breach.guarantee)
+        reported.add(breach.guarantee)
         lines.extend(_one_breach(breach, outcome.journal))
     return lines
 
@@ -80,7 +80,7 @@
     lines = [
         f'BREACH at {breach.at_s - start_s:.2f} s: {breach.guarantee.value}',
         f'  {breach.subject}: {breach.details}',
-        '  what led to it:',
+        '  preceding events:',
     ]
     lines.extend(
         f'  {event.at_s - start_s:8.2f} s  {event.what}'
--- a/redwingvalve/soak/runner.py
+++ b/redwingvalve/soak/runner.py
@@ -1,4 +1,4 @@
-"""One soak run: callers, faults and operators act; then all is compared."""
+"""Runs callers and faults against a fleet, then checks the records."""
 
 import contextlib
 import time
@@ -18,16 +18,20 @@
 def plan_faults(
     options: fleet_run.Options, *, can_pause: bool, can_cut: bool = False
 ) -> fleet_run.Faults:
-    """Return the schedule of a run; seeds keep theirs where none is cut."""
-    left_out = set(options.left_out)
+    """Return the schedule of a run.
+
+    Faults that the daemons cannot have are left out, so that without them a
+    seed gives the same schedule as before they were added.
+    """
+    excluded_faults = set(options.excluded_faults)
     if options.only:
-        left_out |= set(schedule.FaultName) - set(options.only)
+        excluded_faults |= set(schedule.FaultName) - set(options.only)
     if not can_pause:
-        left_out |= PAUSES
+        excluded_faults |= PAUSES
     if not can_cut:
-        left_out |= CUTS
+        excluded_faults |= CUTS
     return schedule.make_schedule(
-        options.seed, options.duration_s, frozenset(left_out)
+        options.seed, options.duration_s, frozenset(excluded_faults)
     )
 
 
@@ -50,12 +54,12 @@
             for index in range(options.callers)
         ]
         poisoner = run.make_caller('poison', options.callers)
-        hit = run.make_fault_context(poisoner)
+        context = run.make_fault_context(poisoner)
         async with anyio.create_task_group() as group:
             for caller in calling:
                 group.start_soon(caller.run, ends_at_s)
-            group.start_soon(fault_injection.inject_faults, hit, planned)
-        run.journal.note('the last answers are in')
-        # The fleet ends first, so that breaches of its end count too.
+            group.start_soon(fault_injection.inject_faults, context, planned)
+        run.journal.note('all callers and faults have ended')
+        # Shut the fleet down first, so that violations during shutdown count.
         await stack.aclose()
-        return run.compare(planned, hit, (*calling, poisoner))
+        return run.compare(planned, context, (*calling, poisoner))
--- a/redwingvalve/soak/schedule.py
+++ b/redwingvalve/soak/schedule.py
@@ -1,4 +1,4 @@
-"""The faults of a run, derived from its seed: alone, together and twice."""
+"""Derives the faults of a run from its seed: single, paired and repeated."""
 
 import enum
 import random
@@ -6,16 +6,16 @@
 
 import attrs
 
-CALM_AT_START_S = 4.0
-CALM_AT_END_S = 15.0
+QUIET_AT_START_S = 4.0
+QUIET_AT_END_S = 15.0
 MEAN_GAP_S = 3.0
-TOGETHER_SHARE = 0.3
-TWICE_SHARE = 0.2
+PAIR_SHARE = 0.3
+REPEAT_SHARE = 0.2
 SOON_S = 1.5
 
 
 class FaultName(enum.StrEnum):
-    """What fails, from the brief's list."""
+    """The kinds of faults."""
 
     VM_DIES = 'vm-dies'
     VM_PAUSES = 'vm-pauses'
@@ -67,12 +67,12 @@
 )
 
 
-NOTHING: frozenset[FaultName] = frozenset()
+NO_FAULTS: frozenset[FaultName] = frozenset()
 
 
 @attrs.frozen
 class Fault:
-    """A fault at at_s after the start; where picks its target by share."""
+    """A fault at at_s after the start; where (0 to 1) selects its target."""
 
     at_s: float
     name: FaultName
@@ -80,7 +80,7 @@
     duration_s: float
 
     def __str__(self) -> str:
-        """Return a line of the printed schedule."""
+        """Return one line of the printed schedule."""
         return (
             f'{self.at_s:7.2f} s  {self.name.value}'
             f' where={self.where:.3f} for {self.duration_s:.2f} s'
@@ -90,30 +90,32 @@
 def make_schedule(
     seed: int,
     duration_s: float,
-    left_out: frozenset[FaultName] = NOTHING,
+    excluded_faults: frozenset[FaultName] = NO_FAULTS,
 ) -> tuple[Fault, ...]:
-    """Return the faults of a run in the order of their time."""
-    chance = random.Random(seed)
+    """Return the faults of a run in chronological order."""
+    rng = random.Random(seed)
     kept = {
-        name: share for name, share in SHARES.items() if name not in left_out
+        name: share
+        for name, share in SHARES.items()
+        if name not in excluded_faults
     }
     schedule: list[Fault] = []
-    at_s = CALM_AT_START_S
-    while at_s < duration_s - CALM_AT_END_S:
-        fault = _draw(chance, at_s, kept)
+    at_s = QUIET_AT_START_S
+    while at_s < duration_s - QUIET_AT_END_S:
+        fault = _draw(rng, at_s, kept)
         schedule.append(fault)
-        if chance.random() < TOGETHER_SHARE:
-            soon_s = at_s + chance.uniform(0.0, SOON_S)
-            schedule.append(_draw(chance, soon_s, kept))
-        if chance.random() < TWICE_SHARE:
-            again_s = at_s + fault.duration_s * chance.uniform(0.3, 1.2)
+        if rng.random() < PAIR_SHARE:
+            soon_s = at_s + rng.uniform(0.0, SOON_S)
+            schedule.append(_draw(rng, soon_s, kept))
+        if rng.random() < REPEAT_SHARE:
+            again_s = at_s + fault.duration_s * rng.uniform(0.3, 1.2)
             schedule.append(attrs.evolve(fault, at_s=again_s))
-        at_s += chance.expovariate(1 / MEAN_GAP_S)
+        at_s += rng.expovariate(1 / MEAN_GAP_S)
     return tuple(sorted(schedule, key=lambda fault: fault.at_s))
 
 
 def _draw(
-    chance: random.Random, at_s: float, shares: dict[FaultName, int]
+    rng: random.Random, at_s: float, shares: dict[FaultName, int]
 ) -> Fault:
-    name = chance.choices(list(shares), list(shares.values()))[0]
-    return Fault(at_s, name, chance.random(), chance.uniform(1.0, 6.0))
+    name = rng.choices(list(shares), list(shares.values()))[0]
+    return Fault(at_s, name, rng.random(), rng.uniform(1.0, 6.0))
--- a/redwingvalve/soak/tests/test_checker.py
+++ b/redwingvalve/soak/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""Each promise can be seen to break in records and ledgers."""
+"""Violations of each guarantee are found in records and ledgers."""
 
 import attrs
 import pytest
@@ -16,15 +16,20 @@
     return records.Attempt('entry', 10.0, 11.0, **{'outcome': 'ran', **fields})
 
 
-def run(asked, **fields):
+def run(request, **fields):
     return ledger.LedgerEntry(
-        **{'request_id': 'r', 'started': 10.5, 'digest': asked.digest, **fields}
+        **{
+            'request_id': 'r',
+            'started': 10.5,
+            'digest': request.digest,
+            **fields,
+        }
     )
 
 
-def text_of(asked, version='1'):
+def text_of(request, version='1'):
     return generated_text.full_text(
-        asked.prompt, 'm', version, asked.max_tokens
+        request.prompt, 'm', version, request.max_tokens
     )
 
 
@@ -70,7 +75,7 @@
 
 
 @pytest.mark.parametrize(('guarantee', 'seen', 'ran'), CASES)
-def test_a_broken_promise_is_found_and_only_that(guarantee, seen, ran):
+def test_only_the_violated_guarantee_is_reported(guarantee, seen, ran):
     evidence = checker.Evidence(
         seen, ran, (checker.LeavingPeriod('vm-1', 10.0),), VERSIONS
     )
@@ -78,12 +83,12 @@
     assert [breach.guarantee for breach in found] == [guarantee]
 
 
-def test_what_is_allowed_is_no_breach():
-    """A request may be sent again after not-run, and idempotent ones always.
+def test_allowed_behaviour_is_not_reported():
+    """Retries after not-run and repeated idempotent requests are allowed.
 
-    The second attempt of the quote runs; the stream is resumed on another
-    replica after its first was cut by a death; work in the first seconds of
-    a leaving is in flight already.
+    The second attempt of the quote runs. The stream resumes on another replica
+    after a VM of the first one died. Requests in the first seconds after a VM
+    starts to leave are already in flight.
     """
     seen = [
         records.Record(
@@ -115,7 +120,7 @@
     assert checker.compare(evidence, checker.Bounds()) == ()
 
 
-def test_a_schedule_follows_from_its_seed_and_ends_in_calm():
+def test_schedule_is_deterministic_for_a_seed():
     first = schedule.make_schedule(3, 600.0)
     assert first == schedule.make_schedule(3, 600.0)
     assert first != schedule.make_schedule(4, 600.0)
--- a/redwingvalve/soak/workload.py
+++ b/redwingvalve/soak/workload.py
@@ -1,7 +1,7 @@
-"""The requests of both users' callers, each with a digest of its own.
+"""Requests of simulated clients, each with a unique digest.
 
-A prompt or body holds the work's name, so that the ledgers of endpoints tell
-which runs belong to it however often and wherever it is sent.
+A prompt or body contains the name of the request, so that the ledgers of the
+endpoints show all its runs, wherever and however often it is sent.
 """
 
 import enum
@@ -20,7 +20,7 @@
 
 
 class Kind(enum.StrEnum):
-    """What the callers of the brief ask for."""
+    """The kinds of requests."""
 
     QUOTE = 'quote'
     FLAG = 'flag'
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class Target:
-    """Where the fleet under test serves what."""
+    """The deployment and paths of the fleet under test."""
 
     deployment: str
     service_prefix: str
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class Request:
-    """One request as its caller means it, however often it is sent."""
+    """One logical request, regardless of the number of attempts."""
 
     name: str
     kind: Kind
@@ -69,10 +69,10 @@
 
     @property
     def request_key(self) -> str:
-        """Return the caller's own key; flags carry the time in front.
+        """Return the request key; keys of flags start with a time.
 
-        Both forms that callers may choose are attacked: a key with a time is
-        decided by entries that have just started, one without is not.
+        Both forms of keys are tested: entries that have just started decide a
+        key with a time, but not one without.
         """
         if self.kind == Kind.FLAG:
             return f'at-{self.made_s}-{self.name}'
@@ -80,19 +80,19 @@
 
     @property
     def idempotent(self) -> bool:
-        """Tell whether it may run twice."""
+        """Tell whether the request may run more than once."""
         return self.kind not in {Kind.QUOTE, Kind.FLAG}
 
     @property
     def streamed(self) -> bool:
-        """Tell whether its answer comes as a stream."""
+        """Tell whether the response is streamed."""
         return self.kind in {Kind.NARRATIVE, Kind.SCAN}
 
 
 def make_request(
     name: str, kind: Kind, target: Target, marker: str = ''
 ) -> Request:
-    """Return a request; a marker in its prompt makes it a poison request."""
+    """Return a request; with a marker in the prompt, a poison request."""
     if kind is Kind.FLAG:
         body = json.dumps({'flag': name}).encode()
         path = target.non_idempotent_path
@@ -132,6 +132,6 @@
     )
 
 
-def choose_kind(chance: random.Random) -> Kind:
-    """Return a kind of request by its share."""
-    return chance.choices(list(SHARES), list(SHARES.values()))[0]
+def choose_kind(rng: random.Random) -> Kind:
+    """Choose a kind of request, weighted by share."""
+    return rng.choices(list(SHARES), list(SHARES.values()))[0]
