--- a/redwingvalve/replicas/controller.py
+++ b/redwingvalve/replicas/controller.py
@@ -335,7 +335,7 @@
         view = self._monitor.view(
             self._stored.domain, inputs.desired or (), frozenset()
         )
-        with invariants.breaches_alone():
+        with invariants.unwrap_breaches():
             await self._sender.reconcile(view, self._held_lease)
 
     def _record_store_failure(self, problem: object_api.ObjectError) -> None:
