--- a/redwingvalve/replicas/tests/test_domain_machine.py
+++ b/redwingvalve/replicas/tests/test_domain_machine.py
@@ -62,7 +62,7 @@
             gated.run_until_blocked(self.runner)
 
     @stateful.rule(name=st.sampled_from(NAMES), calls=st.integers(1, 6))
-    def let_go(self, name, calls):
+    def release_calls(self, name, calls):
         self.go(name, calls)
 
     @stateful.rule(name=st.sampled_from(NAMES), steps=st.integers(1, 60))
--- a/redwingvalve/replicas/tests/test_lease_model.py
+++ b/redwingvalve/replicas/tests/test_lease_model.py
@@ -22,8 +22,8 @@
 ONE, TWO, TERM_PASSES, ONE_SECOND, VM_LOST = (
     'one',
     'two',
-    'lapse',
-    'moment',
+    'term-passes',
+    'one-second',
     'vm-lost',
 )
 CHOICES = (ONE, TWO, TERM_PASSES, ONE_SECOND, VM_LOST)
--- a/redwingvalve/replicas/vm_health.py
+++ b/redwingvalve/replicas/vm_health.py
@@ -57,7 +57,7 @@
     ) -> None:
         """Record a probe, started at started_s, that got no answer.
 
-        The failure is dated from the last answer to this process or to an
+        The failure is dated from the last answer, or from a later report of an
         entry. Otherwise a controller that is cut off from the engines would
         break replicas that the entries still reach.
         """
