--- a/redwingvalve/standins/__init__.py
+++ b/redwingvalve/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the platform, with faults that can be switched on."""
+"""Fake platform services and engines for tests, with fault injection."""
--- a/redwingvalve/standins/__main__.py
+++ b/redwingvalve/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one kind of stand-in: `python -m redwingvalve.standins KIND`."""
+"""Runs one kind of fake service: `python -m redwingvalve.standins KIND`."""
 
 import argparse
 import contextlib
@@ -37,7 +37,7 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Return the parser of this command."""
+    """Return the argument parser of this command."""
     parser = argparse.ArgumentParser(prog='python -m redwingvalve.standins')
     kinds = parser.add_subparsers(dest='kind', required=True)
     for kind in ('engine', 'engines'):
@@ -101,7 +101,7 @@
         cache_lag_s=arguments.cache_lag_s,
         load_lag_s=arguments.load_lag_s,
         ignores_fencing=arguments.ignore_fencing,
-        vouches_for_members=arguments.vouch_for_members,
+        reports_members=arguments.vouch_for_members,
         seed=seed,
     )
 
@@ -153,7 +153,7 @@
 
 
 async def run(arguments: argparse.Namespace) -> None:
-    """Serve until SIGTERM or SIGINT."""
+    """Serve until SIGTERM or SIGINT is received."""
     serve = _serve_one
     if arguments.kind in {'engine', 'engines'}:
         serve = _serve_engines
--- a/redwingvalve/standins/asgi.py
+++ b/redwingvalve/standins/asgi.py
@@ -1,4 +1,4 @@
-"""The few lines of ASGI that every stand-in shares: one call, one exchange."""
+"""Minimal ASGI request handling shared by the fake services."""
 
 import json
 import time
@@ -19,13 +19,13 @@
 JSON_TYPE = 'application/json'
 
 
-class DroppedError(Exception):
-    """The stand-in gives no answer: the connection was aborted."""
+class DroppedConnectionError(Exception):
+    """The connection was aborted before a response was complete."""
 
 
 @attrs.define
 class Exchange:
-    """One request and its answer."""
+    """An HTTP request and its response."""
 
     scope: Scope
     receive: Receive
@@ -40,16 +40,16 @@
 
     @property
     def path(self) -> str:
-        """Return the path without the query."""
+        """Return the path without the query string."""
         return str(self.scope['path'])
 
     def query(self, name: str, default: str = '') -> str:
-        """Return one parameter of the query."""
+        """Return the first value of a query parameter."""
         pairs = urllib.parse.parse_qs(self.scope['query_string'].decode())
         return pairs.get(name, [default])[0]
 
     def header(self, name: str, default: str = '') -> str:
-        """Return one request header; name is in lower case."""
+        """Return a request header; name must be lower case."""
         wanted = name.encode()
         for key, text in self.scope['headers']:
             if key.lower() == wanted:
@@ -57,25 +57,25 @@
         return default
 
     async def body(self) -> bytes:
-        """Return the whole request body."""
+        """Read the complete request body."""
         parts = []
         while True:
             message = await self.receive()
             if message['type'] == 'http.disconnect':
-                raise DroppedError
+                raise DroppedConnectionError
             parts.append(message.get('body', b''))
             if not message.get('more_body'):
                 return b''.join(parts)
 
     async def json_body(self) -> dict[str, typing.Any]:
-        """Return the body as a JSON object; ValueError when it is none."""
+        """Read the body as a JSON object; ValueError if it is not one."""
         parsed = json.loads(await self.body() or b'{}')
         if not isinstance(parsed, dict):
-            raise ValueError('a JSON object is wanted')  # noqa: TRY004
+            raise ValueError('expected a JSON object')  # noqa: TRY004
         return parsed
 
     async def wait_disconnect(self) -> None:
-        """Return when the client has gone."""
+        """Wait until the client disconnects."""
         while not self.disconnected:
             message = await self.receive()
             self.disconnected = message['type'] == 'http.disconnect'
@@ -83,7 +83,7 @@
     async def start(
         self, status: int, content_type: str, headers: Headers | None = None
     ) -> None:
-        """Send the head of an answer."""
+        """Send the status line and headers."""
         fields = [(b'content-type', content_type.encode())]
         for name, text in (headers or {}).items():
             fields.append((name.encode(), text.encode('latin-1')))
@@ -92,33 +92,33 @@
         )
 
     async def chunk(self, part: bytes) -> None:
-        """Send a part of the body."""
+        """Send a part of the response body."""
         await self.send(
             {'type': 'http.response.body', 'body': part, 'more_body': True}
         )
 
     async def end(self) -> None:
-        """End the body."""
+        """End the response body."""
         await self.send({'type': 'http.response.body', 'body': b''})
 
-    async def answer(
+    async def respond(
         self,
         status: int,
         content: typing.Any,
         headers: Headers | None = None,
     ) -> None:
-        """Send a whole JSON answer."""
+        """Send a complete JSON response."""
         text = json.dumps(content).encode()
         fields = {'content-length': str(len(text)), **(headers or {})}
         await self.start(status, JSON_TYPE, fields)
         await self.send({'type': 'http.response.body', 'body': text})
 
-    def drop(self) -> typing.NoReturn:
-        """Abort the connection, so that the client gets no answer at all."""
+    def drop_connection(self) -> typing.NoReturn:
+        """Abort the connection; the response stays unsent or incomplete."""
         abort = self.scope.get('state', {}).get('abort')
         if abort is not None:
             abort()
-        raise DroppedError
+        raise DroppedConnectionError
 
 
 Handler = collections_abc.Callable[[Exchange], collections_abc.Awaitable[None]]
@@ -127,7 +127,7 @@
 def make_asgi_app(
     handler: Handler,
 ) -> collections_abc.Callable[..., collections_abc.Awaitable[None]]:
-    """Return an ASGI app that gives each HTTP request to handler."""
+    """Return an ASGI app that passes each HTTP request to handler."""
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
         if scope['type'] != 'http':
@@ -135,10 +135,10 @@
         exchange = Exchange(scope, receive, send)
         try:
             await handler(exchange)
-        except DroppedError:
+        except DroppedConnectionError:
             return
         except (ValueError, KeyError, TypeError) as error:
-            await exchange.answer(
+            await exchange.respond(
                 400, {'error': {'code': 'malformed', 'message': str(error)}}
             )
 
--- a/redwingvalve/standins/batching.py
+++ b/redwingvalve/standins/batching.py
@@ -1,8 +1,9 @@
-"""Continuous batching: every step spends a budget of tokens over all runs.
+"""Continuous batching: each step divides a token budget among the runs.
 
-Decoding runs get one token a step; what is left of the budget goes to the
-prompts of new runs. A run waits while the KV cache is full. Runs with a lower
-priority number go first, as in the published engines.
+A decoding run uses one token per step; a run whose prompt is incomplete
+prefills as much of it as the budget allows. Runs wait while the KV cache is
+full. Runs with a lower priority number are served first, as in published
+engines.
 """
 
 import anyio
@@ -15,7 +16,7 @@
 
 @attrs.define(eq=False)
 class Run:
-    """One request inside the engine; done counts generated tokens."""
+    """A request in the engine; done is the number of generated tokens."""
 
     request_id: str
     prompt: str
@@ -31,23 +32,23 @@
 
     @property
     def kv_tokens(self) -> int:
-        """Return the memory that the run may need, in tokens."""
+        """Return the most KV cache that the run can need, in tokens."""
         return self.prompt_tokens + self.max_tokens
 
     @property
     def ended(self) -> bool:
-        """Tell whether no further token will come."""
+        """Whether the run is finished or was cut."""
         return bool(self.cut) or self.done >= self.max_tokens
 
-    def wake(self) -> None:
-        """Let the run's reader look again."""
+    def notify_reader(self) -> None:
+        """Wake the task that waits for new tokens."""
         self.changed.set()
         self.changed = anyio.Event()
 
 
 @attrs.define
 class BatchSettings:
-    """Speeds and sizes of the simulated engine."""
+    """Step time and capacities of the simulated engine."""
 
     token_budget: int = TOKEN_BUDGET
     step_s: float = STEP_S
@@ -55,7 +56,7 @@
 
 
 class Batch:
-    """All runs of an engine; it is stepped from outside."""
+    """Active and queued runs of an engine; the owner calls step()."""
 
     def __init__(self, settings: BatchSettings) -> None:
         """Start empty."""
@@ -65,7 +66,7 @@
 
     @property
     def runs(self) -> tuple[Run, ...]:
-        """Return all runs that have not ended."""
+        """Return all queued and active runs."""
         return tuple(self._runs)
 
     def add(self, run: Run) -> None:
@@ -74,34 +75,37 @@
         self._runs.sort(key=lambda queued: (queued.priority, queued.arrival))
 
     def kv_used_tokens(self) -> int:
-        """Return the memory of the admitted runs."""
+        """Return the KV cache reserved for admitted runs, in tokens."""
         return sum(run.kv_tokens for run in self._runs if run.admitted)
 
     def waiting(self) -> int:
-        """Return how many runs have not been admitted."""
+        """Return the number of runs that are not admitted yet."""
         return sum(not run.admitted for run in self._runs)
 
     def cut(self, run: Run, reason: str) -> None:
-        """End a run before its end and free its memory."""
+        """Stop a run early and free its KV cache."""
         if run in self._runs:
             self._runs.remove(run)
         if not run.ended:
             run.cut = reason
-        run.wake()
+        run.notify_reader()
 
     def cut_all(self, reason: str) -> None:
-        """End every run."""
+        """Stop every run early."""
         for run in self.runs:
             self.cut(run, reason)
 
     def admit(self) -> list[Run]:
-        """Admit waiting runs while memory lasts; return the new ones."""
+        """Admit queued runs while KV cache is free; return the new ones.
+
+        A run that exceeds the capacity is admitted when it runs alone.
+        """
         free = self.settings.kv_capacity_tokens - self.kv_used_tokens()
         admitted = []
         for run in self._runs:
             if run.admitted:
                 continue
-            if run.kv_tokens > free and self._anything_admitted():
+            if run.kv_tokens > free and self._has_admitted_runs():
                 break
             run.admitted = True
             free -= run.kv_tokens
@@ -109,7 +113,7 @@
         return admitted
 
     def step(self) -> None:
-        """Spend one step's budget and let go of the runs that are done."""
+        """Spend the token budget of one step; remove finished runs."""
         budget = self.settings.token_budget
         for run in self.runs:
             if not run.admitted or budget <= 0:
@@ -125,8 +129,8 @@
             return spent
         run.done += 1
         self.tokens_generated += 1
-        run.wake()
+        run.notify_reader()
         return 1
 
-    def _anything_admitted(self) -> bool:
+    def _has_admitted_runs(self) -> bool:
         return any(run.admitted for run in self._runs)
--- a/redwingvalve/standins/completions.py
+++ b/redwingvalve/standins/completions.py
@@ -1,4 +1,4 @@
-"""The OpenAI-compatible shapes of an engine's answers."""
+"""OpenAI-compatible requests and responses of a fake engine."""
 
 import json
 import typing
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class CompletionRequest:
-    """What an engine needs of a request; resumed tokens were delivered."""
+    """A parsed request; resumed counts tokens that were delivered before."""
 
     request_id: str
     prompt: str
@@ -26,10 +26,10 @@
 def parse_request(
     path: str, request_id: str, body: dict[str, typing.Any]
 ) -> CompletionRequest:
-    """Return the request in a JSON body; ValueError when malformed."""
+    """Parse a JSON body; ValueError if it is malformed."""
     max_tokens = int(body.get('max_tokens', generated_text.DEFAULT_MAX_TOKENS))
     if max_tokens < 1:
-        raise ValueError('max_tokens is at least 1')
+        raise ValueError('max_tokens must be at least 1')
     resume = body.get('resume') or {}
     return CompletionRequest(
         request_id=request_id,
@@ -43,20 +43,20 @@
 
 
 @attrs.frozen
-class Shapes:
-    """Builds the chunks and the whole answer of one request."""
+class ResponseBuilder:
+    """Builds the stream chunks or the full response of a request."""
 
     request: CompletionRequest
     model: str
 
     @property
     def answer_id(self) -> str:
-        """Return the id that names the request on every chunk."""
+        """Return the completion id, which every chunk carries."""
         prefix = 'chatcmpl' if self.request.chat else 'cmpl'
         return f'{prefix}-{self.request.request_id}'
 
     def chunk(self, text: str, *, last: bool) -> bytes:
-        """Return one SSE event with one token."""
+        """Return an SSE event with the text of one token."""
         choice: dict[str, typing.Any] = {
             'index': 0,
             'finish_reason': 'length' if last else None,
@@ -67,8 +67,8 @@
             choice['text'] = text
         return f'data: {json.dumps(self._body(choice, "chunk"))}\n\n'.encode()
 
-    def whole(self, text: str) -> dict[str, typing.Any]:
-        """Return the whole answer."""
+    def full_response(self, text: str) -> dict[str, typing.Any]:
+        """Return the body of a non-streamed response."""
         choice: dict[str, typing.Any] = {'index': 0, 'finish_reason': 'length'}
         if self.request.chat:
             choice['message'] = {'role': 'assistant', 'content': text}
--- a/redwingvalve/standins/engine.py
+++ b/redwingvalve/standins/engine.py
@@ -1,8 +1,9 @@
-"""A stand-in model engine: one VM, its batch, cache, orders and faults.
+"""A fake model engine on one VM: its batch, cache, orders and faults.
 
-Engines of one process share a Fabric, through which a head sees whether every
-VM of its replica is there. Without it, as separate processes, a head trusts
-its order.
+Engines of one process share an EngineRegistry, through which a head sees
+whether every VM of its replica is available. Engines in separate processes
+have no common registry; a head then assumes that the members of its order are
+available.
 """
 
 import itertools
@@ -26,54 +27,55 @@
     prefix_cache,
 )
 
-MISSING_TIMEOUT_S = 1.0
-# Whoever took a VM for dead may act on it for so long after its return.
-AFTERMATH_S = 15.0
+COLLECTIVE_TIMEOUT_S = 1.0
+# After a VM has returned from a fault, controllers may still send orders that
+# treat it as failed; runs cut within this time are attributed to the fault.
+FAULT_AFTEREFFECT_S = 15.0
 PAUSE_CHECK_S = 0.01
-SOME_TIME_S = 0.000001
+MIN_ABSENCE_S = 0.000001
 
 
 @attrs.frozen
 class EngineOptions:
-    """Speeds, sizes and lags of one engine."""
+    """Timings, capacities and reporting lags of one engine."""
 
     vm: str
     load_time_s: float = 0.5
     batch: batching.BatchSettings = attrs.field(factory=batching.BatchSettings)
     cache_blocks: int = 4096
     cache_lag_s: float = 0.5
-    cache_gap_share: float = 0.02
+    cache_event_loss_ratio: float = 0.02
     load_lag_s: float = 0.5
     ignores_fencing: bool = False
-    vouches_for_members: bool = False
+    reports_members: bool = False
     seed: int = 0
 
 
 @attrs.frozen
-class Missing:
-    """How long a replica has lacked a VM, and whether a fault was the cause."""
+class MemberOutage:
+    """How long a VM has been missing, and whether a fault is the cause."""
 
     duration_s: float = 0.0
     by_fault: bool = False
 
 
-class Fabric:
-    """Which engines of this process are alive; a death has a time."""
+class EngineRegistry:
+    """The engines of this process by VM name, and who is missing."""
 
     def __init__(self) -> None:
-        """Start without engines."""
+        """Start with no engines."""
         self.engines: dict[str, Engine] = {}
 
     def missing(
         self, state: engine_orders.EngineState, now_s: float
-    ) -> Missing:
-        """Return for how long the replica of a head has been incomplete."""
+    ) -> MemberOutage:
+        """Return the longest absence among the members of a replica."""
         absences = [
             self.engines[member].absence(state, now_s)
             for member in state.members
             if member in self.engines
         ]
-        return Missing(
+        return MemberOutage(
             max((absent.duration_s for absent in absences), default=0.0),
             any(absent.by_fault for absent in absences),
         )
@@ -81,26 +83,26 @@
     def members_seen(
         self, head: engine_orders.EngineState, now_s: float
     ) -> tuple[engine_orders.MemberSeen, ...]:
-        """Return the members that are ready in the head's epoch now."""
+        """Return the other members that are ready in the head's epoch."""
         return tuple(
             engine_orders.MemberSeen(name, 0.0)
             for name in head.members
             if name != head.vm
             and name in self.engines
-            and self.engines[name].takes_part(head, now_s)
+            and self.engines[name].is_ready_member(head, now_s)
         )
 
 
 class Engine:
-    """One engine; the HTTP side stands in engine_app."""
+    """One engine; engine_app serves it over HTTP."""
 
     def __init__(
         self,
         options: EngineOptions,
-        fabric: Fabric | None = None,
+        registry: EngineRegistry | None = None,
         group: anyio_abc.TaskGroup | None = None,
     ) -> None:
-        """Start idle; steps run in group while there is work."""
+        """Start idle; steps run as a task of group while there are runs."""
         self.options = options
         self.orders = orders.OrderedState(options.vm, options.load_time_s)
         self.orders.ignores_fencing = options.ignores_fencing
@@ -109,7 +111,7 @@
         self.cache = prefix_cache.PrefixCache(
             options.cache_blocks,
             options.cache_lag_s,
-            options.cache_gap_share,
+            options.cache_event_loss_ratio,
             options.seed,
         )
         self.load = load_report.LoadReport(options.load_lag_s)
@@ -118,33 +120,33 @@
         self.dead = False
         self.on_die: collections_abc.Callable[[float], None] | None = None
         self._group = group
-        self._fabric = fabric or Fabric()
-        self._fabric.engines[options.vm] = self
+        self._registry = registry or EngineRegistry()
+        self._registry.engines[options.vm] = self
         self._arrivals = itertools.count()
         self._stepping = False
         self._absent_since_s: float | None = None
         self._paused_since_s = 0.0
-        self._disturbed_until_s = 0.0
+        self._fault_effect_until_s = 0.0
 
     def attach(self, group: anyio_abc.TaskGroup) -> None:
-        """Name the task group in which steps run."""
+        """Set the task group in which steps run."""
         self._group = group
 
     def state(self) -> engine_orders.EngineState:
-        """Return what the engine says of itself."""
+        """Return the state that the engine reports."""
         now_s = time.monotonic()
         state = self.orders.current(now_s, len(self.batch.runs))
-        if not self.options.vouches_for_members:
+        if not self.options.reports_members:
             return state
         return attrs.evolve(
-            state, members_seen=self._fabric.members_seen(state, now_s)
+            state, members_seen=self._registry.members_seen(state, now_s)
         )
 
     def apply(
         self, order: engine_orders.EngineOrder
     ) -> Result[bool, engine_orders.OrderRefused]:
-        """Take an order; runs that it makes impossible are cut."""
-        before = self.orders.plain
+        """Apply an order; cut all runs if it changes replica or weights."""
+        before = self.orders.assigned_state
         failed = self.missing().by_fault
         applied = self.orders.apply(order, time.monotonic())
         if applied.is_ok() and applied.ok:
@@ -155,34 +157,43 @@
             self.cache.clear(time.monotonic())
         return applied
 
-    def missing(self) -> Missing:
-        """Return for how long a VM of this replica has been missing."""
-        return self._fabric.missing(self.orders.plain, time.monotonic())
+    def missing(self) -> MemberOutage:
+        """Return the longest absence of a VM of this replica."""
+        return self._registry.missing(
+            self.orders.assigned_state, time.monotonic()
+        )
 
     def missing_at(self, earlier_s: float) -> float:
         """Return for how long a VM had been missing at a monotonic time.
 
-        A request that arrives at a paused head runs when the pause ends; who
-        sent it knew no later than its arrival.
+        A request that arrives at a paused head only runs after the pause, so
+        the sender is judged by the state at the time of arrival.
         """
         since_s = time.monotonic() - earlier_s
         return max(0.0, self.missing().duration_s - since_s)
 
-    def absence(self, head: engine_orders.EngineState, now_s: float) -> Missing:
-        """Return for how long this VM has not been there for a replica."""
-        by_fault = now_s < self._disturbed_until_s
+    def absence(
+        self, head: engine_orders.EngineState, now_s: float
+    ) -> MemberOutage:
+        """Return for how long this VM has been missing from a replica."""
+        by_fault = now_s < self._fault_effect_until_s
         if self.paused():
-            return Missing(now_s - self._paused_since_s, by_fault)
-        plain = self.orders.plain
-        there = (plain.replica, plain.epoch) == (head.replica, head.epoch)
+            return MemberOutage(now_s - self._paused_since_s, by_fault)
+        assigned_state = self.orders.assigned_state
+        there = (assigned_state.replica, assigned_state.epoch) == (
+            head.replica,
+            head.epoch,
+        )
         if there and not self.dead:
-            # An order that waited out a pause still acts on the fault.
-            return Missing(0.0, by_fault)
+            # An order that was delayed by a pause may still react to the fault.
+            return MemberOutage(0.0, by_fault)
         since_s = self._absent_since_s or now_s
-        return Missing(max(now_s - since_s, SOME_TIME_S), by_fault)
+        return MemberOutage(max(now_s - since_s, MIN_ABSENCE_S), by_fault)
 
-    def takes_part(self, head: engine_orders.EngineState, now_s: float) -> bool:
-        """Tell whether this VM is ready in the epoch of a replica's head."""
+    def is_ready_member(
+        self, head: engine_orders.EngineState, now_s: float
+    ) -> bool:
+        """Whether this VM is ready in the epoch of a replica's head."""
         return (
             self.orders.ready(now_s)
             and not self.absence(head, now_s).duration_s
@@ -196,7 +207,7 @@
         priority: int,
         done: int = 0,
     ) -> batching.Run:
-        """Queue a run; done tokens of it were already delivered elsewhere."""
+        """Queue a run of which done tokens were delivered by another VM."""
         run = batching.Run(
             request_id=request_id,
             prompt=prompt,
@@ -214,7 +225,7 @@
         return run
 
     def cancel(self, request_id: str, reason: str = 'cancelled') -> bool:
-        """End a run; false when there is none of this id."""
+        """Stop a run; return False if no run has this id."""
         for run in self.batch.runs:
             if run.request_id == request_id:
                 self.batch.cut(run, reason)
@@ -222,13 +233,13 @@
         return False
 
     def die(self, restart_after_s: float = 0.0) -> None:
-        """Lose all state and stop answering; come back after restart_after_s.
+        """Crash: lose all state, and restart after restart_after_s.
 
-        0.0 means never. The ledger stays: it belongs to the proof.
+        0.0 means no restart. The ledger is kept, since tests check it.
         """
         self.dead = True
         self._absent_since_s = time.monotonic()
-        self._disturbed_until_s = math.inf
+        self._fault_effect_until_s = math.inf
         self.batch.cut_all('died')
         self.cache.clear(time.monotonic())
         self.orders.restart()
@@ -236,31 +247,31 @@
             self.on_die(restart_after_s)
 
     def revive(self) -> None:
-        """Come back idle, as a new incarnation."""
+        """Restart as idle; die() has set a new incarnation."""
         self.dead = False
         self.faults.paused_until_s = 0.0
-        self._disturbed_until_s = time.monotonic() + AFTERMATH_S
+        self._fault_effect_until_s = time.monotonic() + FAULT_AFTEREFFECT_S
 
     def record_fault(self) -> None:
-        """Remember that a pause or a cut begins now, if one does."""
+        """Record the start of a pause or a network fault, if one is on."""
         if self.paused():
             self._paused_since_s = time.monotonic()
         if self.paused() or self.unreachable():
             until_s = max(
                 self.faults.paused_until_s, self.faults.unreachable_until_s
             )
-            self._disturbed_until_s = until_s + AFTERMATH_S
+            self._fault_effect_until_s = until_s + FAULT_AFTEREFFECT_S
 
     def paused(self) -> bool:
-        """Tell whether the engine is paused now."""
+        """Whether the engine is paused."""
         return time.monotonic() < self.faults.paused_until_s
 
     def unreachable(self) -> bool:
-        """Tell whether new requests to the engine are lost now."""
+        """Whether new requests to the engine are dropped."""
         return time.monotonic() < self.faults.unreachable_until_s
 
     async def wait_while_paused(self) -> None:
-        """Return when the engine is not paused."""
+        """Wait until the engine is not paused."""
         while self.paused():
             await anyio.sleep(PAUSE_CHECK_S)
 
@@ -279,9 +290,9 @@
             return
         missing = self.missing()
         if missing.duration_s and not self.faults.serve_incomplete:
-            # A replica that lost a VM makes no progress; its collective
-            # operations time out and every run fails.
-            if missing.duration_s > MISSING_TIMEOUT_S:
+            # A replica that has lost a VM makes no progress: its collective
+            # operations time out, and then every run fails.
+            if missing.duration_s > COLLECTIVE_TIMEOUT_S:
                 self.batch.cut_all(
                     'incomplete' if missing.by_fault else 'order'
                 )
@@ -293,7 +304,7 @@
             held = self.cache.use(
                 generated_text.prefix_hashes(run.prompt), time.monotonic()
             )
-            run.prefilled = max(run.prefilled, _tokens_of(held))
+            run.prefilled = max(run.prefilled, _tokens_in_blocks(held))
             run.prefilled = min(run.prefilled, run.prompt_tokens - 1)
         before = self.batch.tokens_generated
         self.batch.step()
@@ -318,6 +329,6 @@
         )
 
 
-def _tokens_of(blocks: int) -> int:
+def _tokens_in_blocks(blocks: int) -> int:
     characters = blocks * generated_text.PREFIX_BLOCK_CHARACTERS
     return characters // generated_text.CHARACTERS_PER_TOKEN
--- a/redwingvalve/standins/engine_app.py
+++ b/redwingvalve/standins/engine_app.py
@@ -1,4 +1,4 @@
-"""The HTTP side of a stand-in engine."""
+"""The HTTP interface of a fake engine."""
 
 import time
 import typing
@@ -26,10 +26,10 @@
 
 
 class EngineApp:
-    """Routes the calls of one engine."""
+    """Routes the requests to one engine."""
 
     def __init__(self, served: engine.Engine) -> None:
-        """Serve one engine."""
+        """Serve this engine."""
         self._engine = served
         self._routes = {
             ('POST', '/v1/cancel'): self._cancel,
@@ -45,37 +45,37 @@
             self._routes['POST', path] = self._complete
 
     async def handle(self, exchange: asgi.Exchange) -> None:
-        """Answer one call; proofs are served even while paused."""
+        """Handle a request; /faults and /ledger also work while paused."""
         path = exchange.path
         if path not in {'/faults', '/ledger'}:
             await self._engine.wait_while_paused()
         if self._engine.dead or self._engine.unreachable():
-            exchange.drop()
+            exchange.drop_connection()
         if path.startswith('/kv/'):
             await self._kv(exchange, path.removeprefix('/kv/'))
             return
         route = self._routes.get((exchange.method, path))
         if route is None:
-            await exchange.answer(404, _error('not-found', path))
+            await exchange.respond(404, _error('not-found', path))
             return
         await route(exchange)
 
     async def _state(self, exchange: asgi.Exchange) -> None:
-        await exchange.answer(200, attrs.asdict(self._engine.state()))
+        await exchange.respond(200, attrs.asdict(self._engine.state()))
 
     async def _load(self, exchange: asgi.Exchange) -> None:
         sample = self._engine.load.visible(time.time())
-        await exchange.answer(200, attrs.asdict(sample))
+        await exchange.respond(200, attrs.asdict(sample))
 
     async def _ledger(self, exchange: asgi.Exchange) -> None:
-        await exchange.answer(200, self._engine.ledger.as_json())
+        await exchange.respond(200, self._engine.ledger.as_json())
 
     async def _order(self, exchange: asgi.Exchange) -> None:
         order = orders.parse_order(await exchange.json_body())
         applied = self._engine.apply(order)
         if applied.is_error():
             highest = applied.error.highest_fencing_number
-            await exchange.answer(409, {'highest_fencing_number': highest})
+            await exchange.respond(409, {'highest_fencing_number': highest})
             return
         await self._state(exchange)
 
@@ -92,24 +92,24 @@
             }
             for event in events
         ]
-        await exchange.answer(
+        await exchange.respond(
             200, {'events': rows, 'first': cache.first_number()}
         )
 
     async def _cancel(self, exchange: asgi.Exchange) -> None:
         body = await exchange.json_body()
         found = self._engine.cancel(str(body['request_id']))
-        await exchange.answer(200, {'cancelled': found})
+        await exchange.respond(200, {'cancelled': found})
 
     async def _kv(self, exchange: asgi.Exchange, request_id: str) -> None:
         if exchange.method == 'PUT':
             body = await exchange.json_body()
             self._engine.exported_kv[request_id] = int(body['tokens'])
-            await exchange.answer(200, {})
+            await exchange.respond(200, {})
             return
         for run in self._engine.batch.runs:
             if run.request_id == request_id:
-                await exchange.answer(
+                await exchange.respond(
                     200,
                     {
                         'request_id': request_id,
@@ -118,12 +118,12 @@
                     },
                 )
                 return
-        await exchange.answer(404, _error('not-found', request_id))
+        await exchange.respond(404, _error('not-found', request_id))
 
     async def _fault(self, exchange: asgi.Exchange) -> None:
         wanted = await exchange.json_body()
         if wanted['name'] == 'die':
-            await exchange.answer(200, {})
+            await exchange.respond(200, {})
             self._engine.die(float(wanted.get('restart_after_s', 0.0)))
             return
         if wanted['name'] == 'ignore-fencing':
@@ -131,14 +131,14 @@
         else:
             faults.set_fault(self._engine.faults, wanted, time.monotonic())
             self._engine.record_fault()
-        await exchange.answer(200, {})
+        await exchange.respond(200, {})
 
     async def _clear_faults(self, exchange: asgi.Exchange) -> None:
         self._engine.faults = faults.EngineFaults()
         self._engine.orders.ignores_fencing = (
             self._engine.options.ignores_fencing
         )
-        await exchange.answer(200, {})
+        await exchange.respond(200, {})
 
     async def _complete(self, exchange: asgi.Exchange) -> None:
         request_id = exchange.header(outcomes.REQUEST_ID_HEADER, 'unnamed')
@@ -147,7 +147,7 @@
         )
         refusal = self._refusal(exchange)
         if refusal:
-            await exchange.answer(
+            await exchange.respond(
                 409,
                 _error('wrong-replica', refusal),
                 {
@@ -157,9 +157,9 @@
             )
             return
         async with anyio.create_task_group() as group:
-            relay = _Relay(self._engine, exchange, request)
-            group.start_soon(relay.watch_client, group.cancel_scope)
-            await relay.run()
+            responder = _CompletionResponder(self._engine, exchange, request)
+            group.start_soon(responder.watch_client, group.cancel_scope)
+            await responder.run()
             group.cancel_scope.cancel()
 
     def _refusal(self, exchange: asgi.Exchange) -> str:
@@ -173,8 +173,8 @@
         return '' if state.ready else 'the weights are not loaded'
 
 
-class _Relay:
-    """Carries one run's tokens to its client."""
+class _CompletionResponder:
+    """Starts a run and sends its tokens to the client."""
 
     def __init__(
         self,
@@ -187,7 +187,7 @@
         self._request = request
         self._crossed = served.faults.take_crossed()
         self._truncated = served.faults.take_truncate()
-        state = served.orders.plain
+        state = served.orders.assigned_state
         self._model = state.model
         self._version = state.version
         self._entry = served.ledger.start(
@@ -211,30 +211,30 @@
             request.priority,
             request.resumed,
         )
-        told = request
+        shown_request = request
         if self._crossed:
-            told = attrs.evolve(request, request_id=FOREIGN_ID)
-        self._shapes = completions.Shapes(told, self._model)
+            shown_request = attrs.evolve(request, request_id=FOREIGN_ID)
+        self._builder = completions.ResponseBuilder(shown_request, self._model)
         self._sent = request.resumed
         self._started = False
 
     async def watch_client(self, scope: anyio.CancelScope) -> None:
-        """Free the run's tokens when the client has gone."""
+        """Cut the run when the client disconnects."""
         await self._exchange.wait_disconnect()
         self._engine.batch.cut(self._run, 'disconnected')
         scope.cancel()
 
     async def run(self) -> None:
-        """Answer as a stream or as a whole."""
+        """Respond as a stream or with a full response."""
         try:
             await self._answer()
-        except asgi.DroppedError:
-            # The connection was aborted: there is nobody left to tell.
+        except asgi.DroppedConnectionError:
+            # The connection was aborted, so no error can be sent.
             return
         finally:
-            self._close_entry()
+            self._finish_ledger_entry()
 
-    def _close_entry(self) -> None:
+    def _finish_ledger_entry(self) -> None:
         if not self._run.ended:
             self._engine.batch.cut(self._run, 'disconnected')
         self._entry.tokens = self._run.done - self._request.resumed
@@ -252,14 +252,14 @@
             self._token(position)
             for position in range(self._request.resumed, self._run.max_tokens)
         )
-        answer = self._shapes.whole(text)
+        answer = self._builder.full_response(text)
         if not self._truncated:
-            await self._exchange.answer(200, answer, self._headers())
+            await self._exchange.respond(200, answer, self._headers())
             return
         headers = {**self._headers(), 'content-length': '100000'}
         await self._exchange.start(200, asgi.JSON_TYPE, headers)
         await self._exchange.chunk(b'{"id": "half of')
-        self._exchange.drop()
+        self._exchange.drop_connection()
 
     async def _stream(self) -> None:
         while True:
@@ -267,7 +267,7 @@
             while self._sent < self._run.done:
                 await self._send_token()
                 if self._truncated and self._sent * 2 >= self._run.max_tokens:
-                    # The body ends cleanly although the answer is not whole.
+                    # The body ends cleanly although tokens are missing.
                     await self._exchange.end()
                     return
             if self._run.ended:
@@ -282,7 +282,7 @@
         await self._start_stream_once()
         last = self._sent + 1 == self._run.max_tokens
         await self._exchange.chunk(
-            self._shapes.chunk(self._token(self._sent), last=last)
+            self._builder.chunk(self._token(self._sent), last=last)
         )
         self._sent += 1
 
@@ -294,7 +294,7 @@
 
     def _drop_if_cut(self) -> None:
         if self._run.cut:
-            self._exchange.drop()
+            self._exchange.drop_connection()
 
     def _token(self, position: int) -> str:
         prompt = FOREIGN_PROMPT if self._crossed else self._request.prompt
@@ -303,8 +303,8 @@
         )
 
     def _headers(self) -> dict[str, str]:
-        told = self._shapes.request.request_id
-        return {outcomes.REQUEST_ID_HEADER: told}
+        shown_request = self._builder.request.request_id
+        return {outcomes.REQUEST_ID_HEADER: shown_request}
 
 
 def _error(code: str, message: str) -> dict[str, typing.Any]:
@@ -318,5 +318,5 @@
 
 
 def make_engine_app(served: engine.Engine) -> typing.Any:
-    """Return the ASGI app of one engine."""
+    """Return the ASGI app of an engine."""
     return asgi.make_asgi_app(EngineApp(served).handle)
--- a/redwingvalve/standins/engine_host.py
+++ b/redwingvalve/standins/engine_host.py
@@ -1,4 +1,4 @@
-"""Hosts many engines in one process, each at its own port."""
+"""Runs several engines in one process, each on its own port."""
 
 import contextlib
 from collections import abc as collections_abc
@@ -10,11 +10,11 @@
 
 
 class EngineHost:
-    """Engines by VM name, with their servers."""
+    """Fake engines and their HTTP servers, by VM name."""
 
     def __init__(self, group: anyio_abc.TaskGroup, host: str) -> None:
-        """Serve on host; steps and restarts run in group."""
-        self.fabric = engine.Fabric()
+        """Listen on host; steps and restarts run as tasks of group."""
+        self.registry = engine.EngineRegistry()
         self.servers: dict[str, serving.StandinServer] = {}
         self._group = group
         self._host = host
@@ -22,17 +22,17 @@
     @property
     def engines(self) -> dict[str, engine.Engine]:
         """Return all engines by VM name."""
-        return self.fabric.engines
+        return self.registry.engines
 
     def address(self, vm: str) -> str:
-        """Return host:port of a VM's engine."""
+        """Return host:port of the engine of a VM."""
         return self.servers[vm].address
 
     async def add(
         self, options: engine.EngineOptions, port: int = 0
     ) -> engine.Engine:
-        """Start one engine; port 0 takes a free one."""
-        added = engine.Engine(options, self.fabric, self._group)
+        """Start an engine; port 0 selects a free port."""
+        added = engine.Engine(options, self.registry, self._group)
         server = serving.StandinServer(
             engine_app.make_engine_app(added), self._host, port
         )
@@ -47,7 +47,7 @@
             server.abort()
 
     async def revive(self, vm: str) -> None:
-        """Bring a dead engine back at its old port, idle."""
+        """Restart a dead engine as idle, on its old port."""
         self.engines[vm].revive()
         await self.servers[vm].start()
 
@@ -70,7 +70,7 @@
 async def host_engines(
     host: str = '127.0.0.1',
 ) -> collections_abc.AsyncIterator[EngineHost]:
-    """Give an empty host; all its engines end with the block."""
+    """Provide a host; its engines stop when the block ends."""
     async with anyio.create_task_group() as group:
         engine_host = EngineHost(group, host)
         try:
--- a/redwingvalve/standins/fake_fleet.py
+++ b/redwingvalve/standins/fake_fleet.py
@@ -1,4 +1,4 @@
-"""Engines, a VM list and a weight store in memory and in virtual time."""
+"""In-memory engines, VM list and weight store that use virtual time."""
 
 import attrs
 from expression import Error, Ok, Result
@@ -12,15 +12,16 @@
 )
 
 EngineState = engine_orders.EngineState
-SEEN_ORDERS = 1000
+ORDER_HISTORY_SIZE = 1000
 
 
 @attrs.define
 class FakeEngine:
-    """One VM's engine; it loads for load_time_s after an order.
+    """The engine of one VM.
 
-    cut_off counts requests that an order ended while the replica was whole;
-    obeyed holds the orders in the order in which they took effect.
+    interrupted_requests counts requests that were in flight when an order
+    replaced the replica; applied_orders holds the latest applied orders, the
+    oldest first.
     """
 
     vm: vm_list.Vm
@@ -35,25 +36,31 @@
 
     def __attrs_post_init__(self) -> None:
         """Start idle."""
-        self.state = self._fresh_state()
+        self.state = self._initial_state()
 
     def restart(self) -> None:
-        """Come back without what was loaded."""
+        """Restart as idle, as a new incarnation."""
         self.starts += 1
         self.alive = True
-        self.state = self._fresh_state()
+        self.state = self._initial_state()
 
     def apply(
         self, order: engine_orders.EngineOrder, now_s: float, load_time_s: float
     ) -> Result[EngineState, engine_orders.OrderError]:
-        """Take an order; one for the state that it is in changes nothing."""
+        """Apply an order; weights load for load_time_s.
+
+        An order for the current replica and epoch only raises the highest
+        fencing number.
+        """
         if self.checks_fencing and (
             order.fencing_number < self.state.highest_fencing_number
         ):
             return Error(
                 engine_orders.OrderRefused(self.state.highest_fencing_number)
             )
-        self.applied_orders = [*self.applied_orders, order][-SEEN_ORDERS:]
+        self.applied_orders = [*self.applied_orders, order][
+            -ORDER_HISTORY_SIZE:
+        ]
         highest = max(order.fencing_number, self.state.highest_fencing_number)
         same = (order.replica, order.epoch) == (
             self.state.replica,
@@ -83,16 +90,16 @@
         return Ok(self.state)
 
     def state_at(self, now_s: float) -> EngineState:
-        """Return the state at a time."""
+        """Return the state at a time; ready once loading is complete."""
         self.state = attrs.evolve(self.state, ready=now_s >= self.ready_at_s)
         return self.state
 
-    def _fresh_state(self) -> EngineState:
+    def _initial_state(self) -> EngineState:
         return EngineState(self.vm.name, f'{self.vm.name}/{self.starts}', True)
 
 
 class FakeFleet(vm_list.VmList):
-    """All VMs; list changes are seen at once, set lag by not calling."""
+    """All VMs and their engines; VM list changes are visible at once."""
 
     def __init__(
         self,
@@ -111,11 +118,11 @@
     async def read(
         self,
     ) -> Result[tuple[vm_list.Vm, ...], object_api.Unavailable]:
-        """Return all VMs, dead ones too, as a lagging list does."""
+        """Return all VMs, including dead ones, as a lagging list does."""
         return Ok(self.vms())
 
     def vms(self) -> tuple[vm_list.Vm, ...]:
-        """Return all VMs as the list shows them."""
+        """Return all VMs as the VM list reports them."""
         return tuple(engine.vm for engine in self.engines.values())
 
     def engine(self, name: str) -> FakeEngine:
@@ -123,16 +130,16 @@
         return self._by_name[name]
 
     def set_leaving(self, name: str) -> None:
-        """Show a VM as leaving."""
+        """Set the state of a VM to leaving."""
         engine = self.engine(name)
         engine.vm = attrs.evolve(engine.vm, state=vm_list.VmState.LEAVING)
 
 
 class FakeEngineOrders(engine_orders.EngineOrders):
-    """One process's way to the engines; cut_off_from are unreachable."""
+    """A process's connection to the engines, except unreachable_vms."""
 
     def __init__(self, fleet: FakeFleet) -> None:
-        """Reach every engine."""
+        """Start with every engine reachable."""
         self.fleet = fleet
         self.unreachable_vms: set[str] = set()
         self.probes = 0
@@ -141,7 +148,7 @@
     async def send(
         self, address: str, order: engine_orders.EngineOrder, timeout_s: float
     ) -> Result[EngineState, engine_orders.OrderError]:
-        """Send an order."""
+        """Apply an order at the engine, if it is reachable."""
         self.sent += 1
         engine = self._reach(address)
         if engine is None:
@@ -153,7 +160,7 @@
     async def read_state(
         self, address: str, timeout_s: float
     ) -> Result[EngineState, engine_orders.EngineUnreachable]:
-        """Read a state."""
+        """Return the state of the engine, if it is reachable."""
         self.probes += 1
         engine = self._reach(address)
         if engine is None:
@@ -168,7 +175,7 @@
 
 
 class FakeWeightStore(weight_store.WeightStore):
-    """Grants loads_per_s loads, in a bucket of burst."""
+    """Grants loads_per_s loads on average, and burst at once."""
 
     def __init__(
         self, time_source: clock.Clock, loads_per_s: float, burst: float = 1.0
@@ -184,7 +191,7 @@
     async def reserve_load(
         self, model: str, version: str
     ) -> Result[weight_store.LoadTicket, object_api.Unavailable]:
-        """Grant a load, or say when to come back."""
+        """Grant a load, or return when to retry."""
         now_s = self._clock.monotonic_s()
         gained = (now_s - self._filled_s) * self._loads_per_s
         self._level = min(self._level + gained, self._burst)
--- a/redwingvalve/standins/faults.py
+++ b/redwingvalve/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults of stand-ins, switched on over their own HTTP interface."""
+"""Fault injection for fake engines and services, set over HTTP."""
 
 import typing
 
@@ -7,12 +7,13 @@
 
 @attrs.define
 class EngineFaults:
-    """Switches of an engine or service; all off by default.
+    """Faults of an engine or service; all are off by default.
 
-    Times are monotonic; unreachable drops new requests and lets streams go
-    on. crossed and truncate count the answers still to be spoiled.
-    serve_incomplete lets a head answer although a VM of its replica is
-    missing, as a wrong engine would.
+    Times are monotonic. unreachable drops new requests while open streams
+    continue. crossed and truncate are the numbers of responses still to be
+    corrupted: crossed returns the response of another request.
+    serve_incomplete lets a head generate although a VM of its replica is
+    missing, as a faulty engine would.
     """
 
     paused_until_s: float = 0.0
@@ -25,14 +26,14 @@
     serve_incomplete: bool = False
 
     def take_crossed(self) -> bool:
-        """Tell whether this answer is to be crossed, and count it."""
+        """Whether to cross this response; decrement the counter if so."""
         if not self.crossed:
             return False
         self.crossed -= 1
         return True
 
     def take_truncate(self) -> bool:
-        """Tell whether this answer is to be truncated, and count it."""
+        """Whether to truncate this response; decrement the counter if so."""
         if not self.truncate:
             return False
         self.truncate -= 1
@@ -42,7 +43,7 @@
 def set_fault(
     faults: EngineFaults, wanted: dict[str, typing.Any], now_s: float
 ) -> None:
-    """Switch on one fault other than die; ValueError when unknown."""
+    """Set a fault other than die; ValueError if it is unknown."""
     match wanted['name']:
         case 'pause':
             duration_s = float(wanted.get('duration_s', 1.0))
--- a/redwingvalve/standins/ledger.py
+++ b/redwingvalve/standins/ledger.py
@@ -1,16 +1,16 @@
-"""What ran on a stand-in, kept for proofs."""
+"""Record of the requests that ran on a fake, for checks by tests."""
 
 import attrs
 
 
 @attrs.define
 class LedgerEntry:
-    """One run; times are wall seconds, finished is None until its end.
+    """One run; times are wall-clock seconds, finished is None until the end.
 
-    cut says why a run ended before its end: cancelled, disconnected, order
-    (nothing had failed), incomplete (a VM had failed), died. missing_s is how
+    cut says why a run stopped early: cancelled, disconnected, order (an order
+    without a fault), incomplete (a VM had failed) or died. missing_s is how
     long a VM of the replica had been missing when the request arrived, 0.0
-    when none was. first_token is where a resume went on.
+    if none was. first_token is the position at which a resumed run continued.
     """
 
     request_id: str
@@ -29,17 +29,17 @@
 
 
 class Ledger:
-    """All runs in the order of their start; it outlives a simulated death."""
+    """All runs by start time; kept across simulated crashes."""
 
     def __init__(self) -> None:
         """Start empty."""
         self.entries: list[LedgerEntry] = []
 
     def start(self, entry: LedgerEntry) -> LedgerEntry:
-        """Keep a run that starts now."""
+        """Add a run that starts now."""
         self.entries.append(entry)
         return entry
 
     def as_json(self) -> list[dict[str, object]]:
-        """Return all entries as plain JSON."""
+        """Return all entries as JSON-compatible values."""
         return [attrs.asdict(entry) for entry in self.entries]
--- a/redwingvalve/standins/load_report.py
+++ b/redwingvalve/standins/load_report.py
@@ -1,15 +1,15 @@
-"""An engine's load report, which lags behind the truth."""
+"""An engine's load report, which lags behind its current load."""
 
 import collections
 
 import attrs
 
-KEPT_S = 30.0
+RETENTION_S = 30.0
 
 
 @attrs.frozen
 class LoadSample:
-    """The load at one moment; at_s is a wall time."""
+    """The load at one time; at_s is wall-clock time."""
 
     running: int
     waiting: int
@@ -22,17 +22,17 @@
 
 
 class LoadReport:
-    """Samples by time; a reader gets the newest that is old enough."""
+    """Samples in time order; readers see them with a delay."""
 
     def __init__(self, lag_s: float) -> None:
-        """Tell each sample lag_s after it was taken."""
+        """Make each sample visible lag_s after it was taken."""
         self.lag_s = lag_s
         self._samples: collections.deque[LoadSample] = collections.deque()
 
     def add(self, sample: LoadSample) -> None:
-        """Keep a sample."""
+        """Add a sample and remove expired ones."""
         self._samples.append(sample)
-        while self._samples[0].at_s < sample.at_s - KEPT_S:
+        while self._samples[0].at_s < sample.at_s - RETENTION_S:
             self._samples.popleft()
 
     def visible(self, now_s: float) -> LoadSample:
--- a/redwingvalve/standins/memory_store.py
+++ b/redwingvalve/standins/memory_store.py
@@ -1,8 +1,9 @@
-"""An object API in memory, with the faults of the real one.
+"""An in-memory object API with fault injection.
 
-The HTTP stand-in serves it, and tests of decisions use it directly. It keeps
-the rules of the published API: versions rise over the whole store, an update
-needs the current version, a watch goes on from a version it still remembers.
+object_api_app serves it over HTTP; unit tests use it directly. It follows the
+rules of the published API: versions increase across the whole store, an
+update requires the current version, and a watch resumes from any version that
+is still in the event history.
 """
 
 import collections
@@ -16,7 +17,7 @@
 from redwingvalve.platform_api import object_api
 
 MAX_VALUE_BYTES = 1_000_000
-REMEMBERED_EVENTS = 10_000
+EVENT_HISTORY_SIZE = 10_000
 
 Stored = object_api.StoredObject
 ObjectError = object_api.ObjectError
@@ -24,7 +25,10 @@
 
 @attrs.define
 class StoreFaults:
-    """Switches for the faults of the store; all off by default."""
+    """Faults of the store; all are off by default.
+
+    responses_to_drop counts writes that take effect without a response.
+    """
 
     outage: bool = False
     responses_to_drop: int = 0
@@ -33,7 +37,7 @@
 
 @attrs.define
 class CallCounts:
-    """Calls so far by kind; a waiting watch counts as one read."""
+    """Numbers of calls; opening a watch counts once."""
 
     reads: int = 0
     writes: int = 0
@@ -41,7 +45,7 @@
 
 
 class MemoryObjectApi(object_api.ObjectApi):
-    """Objects by kind and name; one version counter for the store."""
+    """Objects by kind and name, with one version counter for all."""
 
     def __init__(self) -> None:
         """Start empty at version 1."""
@@ -81,7 +85,7 @@
     async def create(
         self, kind: str, name: str, body: object_api.Body
     ) -> Result[Stored, ObjectError]:
-        """Create an object; Conflict when the name exists."""
+        """Create an object; Conflict if the name exists."""
         refused = await self._before_write(body)
         if refused is not None:
             return Error(refused)
@@ -125,7 +129,7 @@
     ) -> collections_abc.AsyncIterator[
         Result[object_api.WatchEvent, ObjectError]
     ]:
-        """Yield changes after version until an error or an outage."""
+        """Yield changes after version until an error or an outage occurs."""
         self.calls.watches += 1
         seen = int(version)
         if seen < self._oldest_event - 1:
@@ -144,7 +148,7 @@
             await changed.wait()
 
     def list_now(self, kind: str) -> object_api.ObjectList:
-        """Return a list without delay, fault or count; for tests."""
+        """Return a list, bypassing delays, faults and counters; for tests."""
         named = self._objects[kind]
         return object_api.ObjectList(
             str(self._version),
@@ -152,7 +156,7 @@
         )
 
     def set_outage(self, *, outage: bool) -> None:
-        """Begin or end an outage; waiting watches end at once."""
+        """Start or end an outage; an outage ends open watches at once."""
         self.faults.outage = outage
         self._wake()
 
@@ -205,7 +209,7 @@
     def _record(self, event_type: str, stored: Stored) -> None:
         event = object_api.WatchEvent(event_type, _copy(stored))
         self._events.append((self._version, event))
-        while len(self._events) > REMEMBERED_EVENTS:
+        while len(self._events) > EVENT_HISTORY_SIZE:
             number, _ = self._events.popleft()
             self._oldest_event = number + 1
         self._wake()
--- a/redwingvalve/standins/object_api_app.py
+++ b/redwingvalve/standins/object_api_app.py
@@ -1,4 +1,4 @@
-"""The object API over HTTP, after the REST conventions of Kubernetes."""
+"""The object API over HTTP, following Kubernetes REST conventions."""
 
 import json
 import typing
@@ -17,7 +17,11 @@
 
 @attrs.define
 class ObjectApiState:
-    """The store and the faults of its HTTP side."""
+    """The store, its rate limits and faults of the HTTP interface.
+
+    outages is increased when an outage starts or faults are cleared, so that a
+    timer ends only the outage that it was set for.
+    """
 
     store: memory_store.MemoryObjectApi
     writes: rate_limit.TokenBucket
@@ -28,20 +32,20 @@
 
 
 class ObjectApiApp:
-    """Routes the calls of the object API and its faults."""
+    """Routes requests to the object API and its fault injection."""
 
     def __init__(self, state: ObjectApiState) -> None:
-        """Serve one store."""
+        """Serve this store."""
         self._state = state
         self._store = state.store
 
     async def handle(self, exchange: asgi.Exchange) -> None:
-        """Answer one call."""
+        """Handle a request."""
         if exchange.path == '/faults':
             await self._fault(exchange)
             return
         if exchange.path == '/calls':
-            await exchange.answer(200, self._counts())
+            await exchange.respond(200, self._counts())
             return
         if not exchange.path.startswith(PREFIX):
             await _status(exchange, 404, 'NotFound', exchange.path)
@@ -49,14 +53,14 @@
         kind, _, name = exchange.path.removeprefix(PREFIX).partition('/')
         if self._state.silent:
             await exchange.wait_disconnect()
-            exchange.drop()
+            exchange.drop_connection()
         if await self._over_rate(exchange):
             return
         if exchange.method == 'GET' and exchange.query('watch'):
             await self._watch(exchange, kind)
             return
         answered = await self._call(exchange, kind, name)
-        await self._tell(exchange, answered)
+        await self._send_result(exchange, answered)
 
     async def _call(
         self, exchange: asgi.Exchange, kind: str, name: str
@@ -83,23 +87,23 @@
             )
         )
 
-    async def _tell(
+    async def _send_result(
         self,
         exchange: asgi.Exchange,
         answered: Result[typing.Any, object_api.ObjectError],
     ) -> None:
         if answered.is_error():
-            await _tell_error(exchange, answered.error)
+            await _send_error(exchange, answered.error)
             return
         content = answered.ok
         if isinstance(content, object_api.ObjectList):
-            await exchange.answer(200, _list_json(content))
+            await exchange.respond(200, _list_json(content))
             return
         status = 201 if exchange.method == 'POST' else 200
         if content is None:
-            await exchange.answer(200, {'kind': 'Status', 'status': 'Success'})
+            await exchange.respond(200, {'kind': 'Status', 'status': 'Success'})
             return
-        await exchange.answer(status, object_json(content))
+        await exchange.respond(status, object_json(content))
 
     async def _watch(self, exchange: asgi.Exchange, kind: str) -> None:
         if self._store.faults.outage:
@@ -109,7 +113,7 @@
             exchange.query('timeoutSeconds', str(DEFAULT_WATCH_S))
         )
         await exchange.start(200, asgi.JSON_TYPE)
-        # The head goes out at once, so that the client sees the watch open.
+        # Send the headers at once, so that the client sees the watch open.
         await exchange.chunk(b'\n')
         async with anyio.create_task_group() as group:
 
@@ -163,13 +167,13 @@
     async def _fault(self, exchange: asgi.Exchange) -> None:
         if exchange.method == 'DELETE':
             self.clear_faults()
-            await exchange.answer(200, {})
+            await exchange.respond(200, {})
             return
         wanted = await exchange.json_body()
         name = wanted['name']
         if name == 'outage':
             self._begin_outage(silent=bool(wanted.get('silent', False)))
-            await exchange.answer(200, {})
+            await exchange.respond(200, {})
             await self._end_outage_after(float(wanted.get('duration_s', 0.0)))
             return
         if name == 'slow':
@@ -185,10 +189,10 @@
             )
         else:
             raise ValueError(f'unknown fault {name!r}')
-        await exchange.answer(200, {})
+        await exchange.respond(200, {})
 
     def clear_faults(self) -> None:
-        """End every fault."""
+        """Clear all faults but the rate limits."""
         self._state.silent = False
         self._state.outages += 1
         self._store.faults.delay_s = 0.0
@@ -210,7 +214,7 @@
 
 
 def object_json(stored: object_api.StoredObject) -> dict[str, typing.Any]:
-    """Return an object as the API shows it."""
+    """Return the JSON form of an object."""
     return {
         'kind': stored.kind,
         'metadata': {'name': stored.name, 'resourceVersion': stored.version},
@@ -243,10 +247,10 @@
     message: str,
     headers: asgi.Headers | None = None,
 ) -> None:
-    await exchange.answer(code, _status_json(code, reason, message), headers)
+    await exchange.respond(code, _status_json(code, reason, message), headers)
 
 
-async def _tell_error(
+async def _send_error(
     exchange: asgi.Exchange, error: object_api.ObjectError
 ) -> None:
     match error:
@@ -260,8 +264,8 @@
         case object_api.Refused():
             await _status(exchange, 413, 'RequestEntityTooLarge', error.message)
         case object_api.Unavailable(maybe_applied=True):
-            # The write took effect and its answer is lost.
-            exchange.drop()
+            # The write took effect, but its response is dropped.
+            exchange.drop_connection()
         case _:
             await _status(exchange, 503, 'ServiceUnavailable', 'outage')
 
@@ -271,7 +275,7 @@
     writes_per_s: float = 0.0,
     reads_per_s: float = 0.0,
 ) -> tuple[typing.Any, ObjectApiState]:
-    """Return the ASGI app and its state; a rate of 0 is no limit."""
+    """Return the ASGI app and its state; a rate of 0 means no limit."""
     state = ObjectApiState(
         store or memory_store.make_memory_object_api(),
         rate_limit.TokenBucket(writes_per_s),
--- a/redwingvalve/standins/orders.py
+++ b/redwingvalve/standins/orders.py
@@ -1,4 +1,4 @@
-"""The engine's side of orders: fencing numbers, load times, desired ends."""
+"""How an engine applies orders: fencing, desired state and load time."""
 
 import uuid
 from collections import abc as collections_abc
@@ -8,54 +8,54 @@
 
 from redwingvalve.platform_api import engine_orders
 
-ADAPTER_LOAD_SHARE = 0.1
+ADAPTER_LOAD_TIME_RATIO = 0.1
 WEIGHT_FIELDS = ('model', 'version', 'members')
 
 
 class OrderedState:
-    """The state of an engine as its orders made it."""
+    """The state that an engine has reached by its orders."""
 
     def __init__(self, vm: str, load_time_s: float) -> None:
-        """Start idle, with a fresh incarnation."""
+        """Start idle, as a new incarnation."""
         self.vm = vm
         self.load_time_s = load_time_s
         self.ignores_fencing = False
         self.orders_accepted = 0
-        self.old_orders_accepted = 0
+        self.stale_orders_accepted = 0
         self._ready_at_s = 0.0
-        self._state = _fresh(vm)
+        self._state = _initial_state(vm)
 
     @property
-    def plain(self) -> engine_orders.EngineState:
-        """Return the state without readiness and load."""
+    def assigned_state(self) -> engine_orders.EngineState:
+        """Return the state without current readiness and load."""
         return self._state
 
     def restart(self) -> None:
-        """Lose everything, the highest fencing number included."""
-        self._state = _fresh(self.vm)
+        """Lose all state, including the highest fencing number."""
+        self._state = _initial_state(self.vm)
         self._ready_at_s = 0.0
 
     def current(
         self, now_s: float, in_flight: int
     ) -> engine_orders.EngineState:
-        """Return the state as an engine tells it now."""
+        """Return the state that the engine reports now."""
         return attrs.evolve(
             self._state, ready=self.ready(now_s), in_flight=in_flight
         )
 
     def ready(self, now_s: float) -> bool:
-        """Tell whether the weights are loaded."""
+        """Whether the weights are loaded."""
         return now_s >= self._ready_at_s
 
     def apply(
         self, order: engine_orders.EngineOrder, now_s: float
     ) -> Result[bool, engine_orders.OrderRefused]:
-        """Go to the ordered end; true when runs in progress are lost by it."""
+        """Apply an order; return True if it interrupts active runs."""
         highest = self._state.highest_fencing_number
         if order.fencing_number < highest:
             if not self.ignores_fencing:
                 return Error(engine_orders.OrderRefused(highest))
-            self.old_orders_accepted += 1
+            self.stale_orders_accepted += 1
         self.orders_accepted += 1
         before = self._state
         self._state = attrs.evolve(
@@ -84,11 +84,12 @@
             return
         if set(after.adapters) - set(before.adapters):
             self._ready_at_s = max(
-                self._ready_at_s, now_s + self.load_time_s * ADAPTER_LOAD_SHARE
+                self._ready_at_s,
+                now_s + self.load_time_s * ADAPTER_LOAD_TIME_RATIO,
             )
 
 
-def _fresh(vm: str) -> engine_orders.EngineState:
+def _initial_state(vm: str) -> engine_orders.EngineState:
     return engine_orders.EngineState(
         vm=vm, incarnation=uuid.uuid4().hex[:12], ready=True
     )
@@ -110,7 +111,7 @@
 def parse_order(
     raw: collections_abc.Mapping[str, object],
 ) -> engine_orders.EngineOrder:
-    """Return the order in a JSON body; KeyError or TypeError when malformed."""
+    """Parse a JSON body; ValueError or TypeError if it is malformed."""
     known = {field.name for field in attrs.fields(engine_orders.EngineOrder)}
     unknown = set(raw) - known
     if unknown:
--- a/redwingvalve/standins/plain_service.py
+++ b/redwingvalve/standins/plain_service.py
@@ -1,4 +1,4 @@
-"""A plain service whose calls may not all be repeated."""
+"""A fake HTTP service with calls that may not be idempotent."""
 
 import hashlib
 import time
@@ -17,9 +17,9 @@
 
 @attrs.define
 class PlainService:
-    """The state of one service: its ledger, its faults, its speed.
+    """A service with its ledger, faults and latency.
 
-    crash_before_answer counts calls that take effect and get no answer.
+    responses_to_drop counts calls that take effect without a response.
     """
 
     name: str = 'service'
@@ -32,9 +32,9 @@
     server: serving.StandinServer | None = None
 
     async def handle(self, exchange: asgi.Exchange) -> None:
-        """Answer one call."""
+        """Handle a request."""
         if exchange.path == '/ledger':
-            await exchange.answer(200, self.ledger.as_json())
+            await exchange.respond(200, self.ledger.as_json())
             return
         if exchange.path == '/faults':
             await self._fault(exchange)
@@ -47,14 +47,14 @@
         if exchange.method == 'DELETE':
             self.faults = fault_switches.EngineFaults()
             self.responses_to_drop = 0
-            await exchange.answer(200, {})
+            await exchange.respond(200, {})
             return
         wanted = await exchange.json_body()
         if wanted['name'] == 'lose-answers':
             self.responses_to_drop = int(wanted.get('count', 1))
         elif wanted['name'] != 'die':
             fault_switches.set_fault(self.faults, wanted, time.monotonic())
-        await exchange.answer(200, {})
+        await exchange.respond(200, {})
         if wanted['name'] == 'die' and self.server is not None:
             self.server.abort()
 
@@ -79,16 +79,16 @@
         entry.finished = time.time()
         if self.responses_to_drop:
             self.responses_to_drop -= 1
-            exchange.drop()
+            exchange.drop_connection()
         if self.faults.take_truncate():
             await exchange.start(
                 200, asgi.JSON_TYPE, {'content-length': '100000'}
             )
             await exchange.chunk(b'{"half')
-            exchange.drop()
+            exchange.drop_connection()
         if self.faults.take_crossed():
             request_id = FOREIGN_ID
-        await exchange.answer(
+        await exchange.respond(
             200,
             {
                 'service': self.name,
@@ -101,7 +101,7 @@
 
 
 def call_digest(path: str, body: bytes) -> str:
-    """Return the digest under which the ledger keeps a call."""
+    """Return the digest that identifies a call in the ledger."""
     return hashlib.sha256(b'|'.join((path.encode(), body))).hexdigest()[:16]
 
 
--- a/redwingvalve/standins/ports.py
+++ b/redwingvalve/standins/ports.py
@@ -1,4 +1,4 @@
-"""Free ports of loopback that no outgoing connection takes meanwhile."""
+"""Allocates loopback ports outside the ephemeral port range."""
 
 import contextlib
 import os
@@ -6,36 +6,38 @@
 import socket
 
 HOST = '127.0.0.1'
-# Below the range from which the kernel gives ports to outgoing connections: a
-# port that was free a moment ago would else be taken by the next connection
-# of a busy machine before its process listens on it.
+# Below the ephemeral port range: otherwise, on a busy machine, an outgoing
+# connection could take a port after the check and before a process listens on
+# it.
 FIRST_PORT = 10_240
 LAST_PORT = 32_000
-TRIES = 10_000
-_CHANCE = random.Random(os.getpid())
-# Handed out before: whoever asked may not listen on them yet.
-_GIVEN: set[int] = set()
+MAX_ATTEMPTS = 10_000
+_RNG = random.Random(os.getpid())
+# Ports returned before; their processes may not be listening yet.
+_RESERVED_PORTS: set[int] = set()
 
 
 def free_ports(count: int) -> list[int]:
-    """Return count different ports; OSError when none can be found."""
+    """Return count different ports; OSError if too few are found."""
     with contextlib.ExitStack() as held:
         found: list[int] = []
-        for _ in range(TRIES):
-            port = _CHANCE.randint(FIRST_PORT, LAST_PORT)
-            if port not in _GIVEN and _is_free(port, held):
-                _GIVEN.add(port)
+        for _ in range(MAX_ATTEMPTS):
+            port = _RNG.randint(FIRST_PORT, LAST_PORT)
+            if port not in _RESERVED_PORTS and _is_free(port, held):
+                _RESERVED_PORTS.add(port)
                 found.append(port)
             if len(found) == count:
                 return found
-    raise OSError(f'{count} free ports were not found')
+    raise OSError(
+        f'found fewer than {count} free ports in {MAX_ATTEMPTS} attempts'
+    )
 
 
 def _is_free(port: int, held: contextlib.ExitStack) -> bool:
-    """Hold a port for streams and datagrams; return whether it was free.
+    """Bind a port for TCP and UDP; return whether both were free.
 
-    Nodes use one port for both, and a socket of the one kind doesn't show in
-    a trial with the other.
+    Nodes use the same port for both, and binding one protocol does not detect
+    a socket of the other. The sockets stay open until held is closed.
     """
     for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
         trial = held.enter_context(socket.socket(type=kind))
--- a/redwingvalve/standins/rate_limit.py
+++ b/redwingvalve/standins/rate_limit.py
@@ -1,20 +1,20 @@
-"""A token bucket for the stand-ins that are rate-limited."""
+"""A token bucket for rate-limited fakes."""
 
 import time
 
 
 class TokenBucket:
-    """Grants rate_per_s calls a second; a rate of 0 grants all."""
+    """Allows rate_per_s calls per second; a rate of 0 means no limit."""
 
     def __init__(self, rate_per_s: float, burst: float | None = None) -> None:
-        """Start full; the burst is one second's worth unless given."""
+        """Start full; burst defaults to the calls of one second."""
         self.rate_per_s = rate_per_s
         self._burst = max(1.0, rate_per_s if burst is None else burst)
         self._held = self._burst
         self._filled_at_s = time.monotonic()
 
     def take(self) -> float:
-        """Take one call; return 0.0, or the seconds until one is free."""
+        """Take a token; return 0.0, or the seconds until one is available."""
         if self.rate_per_s <= 0:
             return 0.0
         now_s = time.monotonic()
--- a/redwingvalve/standins/serving.py
+++ b/redwingvalve/standins/serving.py
@@ -1,8 +1,8 @@
-"""Serves stand-ins with hypercorn, and lets one die without a farewell.
+"""Serves fakes with hypercorn, with support for abrupt termination.
 
-hypercorn's own `serve` ends gracefully only. A dead VM resets connections and
-refuses new ones, so the listening socket is kept here and each accepted
-connection is given to hypercorn's connection class.
+hypercorn's own `serve` only shuts down gracefully. A dead VM resets
+connections and refuses new ones, so this module owns the listening socket and
+passes each accepted connection to hypercorn's connection class.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 
 
 def bind_socket(host: str, port: int) -> socket.socket:
-    """Return a bound TCP socket; port 0 takes a free one."""
+    """Return a bound TCP socket; port 0 selects a free port."""
     bound = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     bound.bind((host, port))
@@ -39,10 +39,10 @@
 
 
 class StandinServer:
-    """One listening address of a stand-in."""
+    """An HTTP server on one address."""
 
     def __init__(self, app: typing.Any, host: str, port: int) -> None:
-        """Bind at once, so that the port is known; port 0 takes a free one."""
+        """Bind, so that the port is known; port 0 selects a free one."""
         self._app = utils.wrap_app(app, MAX_BODY_BYTES, 'asgi')
         self._config = _make_config()
         self._host = host
@@ -58,7 +58,7 @@
         return f'{self._host}:{self.port}'
 
     async def start(self) -> None:
-        """Listen; after an abort on the same port again."""
+        """Start listening; after an abort, on the same port."""
         if self._socket is None:
             self._socket = bind_socket(self._host, self.port)
         self._server = await asyncio.start_server(
@@ -75,7 +75,7 @@
             writer.transport.abort()
 
     def close(self) -> None:
-        """Do as abort does; for contextlib.closing."""
+        """Call abort; for contextlib.closing."""
         self.abort()
 
     async def _connected(
@@ -104,7 +104,7 @@
     port: int,
     shutdown: anyio.Event | None = None,
 ) -> None:
-    """Serve an app until shutdown is set, or until cancelled."""
+    """Serve an app until shutdown is set or the task is cancelled."""
     server = StandinServer(app, host, port)
     with contextlib.closing(server):
         await server.start()
--- a/redwingvalve/standins/tests/test_engine.py
+++ b/redwingvalve/standins/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine stand-in answers, batches, refuses and fails as an engine."""
+"""Responses, batching, fencing and faults of the fake engine."""
 
 import contextlib
 import json
@@ -60,7 +60,7 @@
     ]
 
 
-def test_a_stream_and_a_whole_answer_hold_the_same_tokens():
+def test_streamed_and_full_responses_have_the_same_tokens():
     async def scenario(client, host):
         whole = await complete(client)
         stream = await complete(client, stream=True)
@@ -77,7 +77,7 @@
     run_with_engine(scenario)
 
 
-def test_a_resume_goes_on_after_the_delivered_tokens():
+def test_resumed_run_continues_after_delivered_tokens():
     async def scenario(client, host):
         resume = {'request_id': 'a', 'tokens': ['x', 'y']}
         stream = await complete(client, stream=True, resume=resume)
@@ -97,12 +97,12 @@
         assert old.json() == {'highest_fencing_number': 7}
         await client.post('/faults', json={'name': 'ignore-fencing'})
         assert (await client.post('/orders', json=ORDER)).status_code == 200
-        assert host.engines['vm-0'].orders.old_orders_accepted == 1
+        assert host.engines['vm-0'].orders.stale_orders_accepted == 1
 
     run_with_engine(scenario)
 
 
-def test_a_request_for_another_epoch_is_refused_and_runs_nothing():
+def test_request_for_another_epoch_is_refused_without_running():
     async def scenario(client, host):
         refused = await client.post(
             '/v1/completions',
@@ -116,11 +116,11 @@
     run_with_engine(scenario)
 
 
-def test_a_poison_request_kills_the_engine_which_comes_back_idle():
-    """The caller sees its connection reset and no answer.
+def test_poison_request_crashes_the_engine_which_restarts_idle():
+    """The client's connection is reset without a response.
 
-    The engine dies when the marker enters a batch, refuses connections, and
-    restarts as another incarnation without a role: its memory is gone.
+    The engine crashes when a prompt with the marker enters a batch, refuses
+    connections, and restarts as a new incarnation with no role or state.
     """
 
     async def scenario(client, host):
@@ -129,7 +129,7 @@
         await client.post('/faults', json=poison)
         with contextlib.suppress(httpx.TransportError):
             await complete(client, prompt='a bad prompt')
-            raise AssertionError('an answer came from a dead engine')
+            raise AssertionError('received a response from a dead engine')
         while True:
             with contextlib.suppress(httpx.TransportError):
                 after = (await client.get('/state')).json()
@@ -143,7 +143,7 @@
     run_with_engine(scenario)
 
 
-def test_a_client_that_goes_frees_its_tokens():
+def test_client_disconnect_cuts_the_run():
     async def scenario(client, host):
         async with client.stream(
             'POST',
@@ -160,7 +160,7 @@
     run_with_engine(scenario)
 
 
-def test_crossed_and_truncated_answers_can_be_told():
+def test_crossed_and_truncated_responses_are_detectable():
     async def scenario(client, host):
         await client.post('/faults', json={'name': 'crossed'})
         crossed = await complete(client)
@@ -174,11 +174,11 @@
     run_with_engine(scenario)
 
 
-def test_a_replica_that_lost_a_vm_makes_no_progress():
-    """The caller's stream stops and then breaks, without a [DONE].
+def test_replica_without_one_of_its_vms_makes_no_progress():
+    """The client's stream stalls and then breaks without [DONE].
 
-    A worker dies while its head generates; the collective operations of the
-    head time out, so that it cannot go on alone.
+    A worker dies while the head generates; the head's collective operations
+    time out, so it cannot continue alone.
     """
 
     async def scenario(client, host):
@@ -207,7 +207,7 @@
     run_with_engine(scenario)
 
 
-def test_low_priority_numbers_go_first_when_memory_is_short():
+def test_low_priority_numbers_go_first_when_kv_cache_is_full():
     async def scenario(client, host):
         order = []
 
@@ -230,7 +230,7 @@
     )
 
 
-def test_cache_events_and_load_come_late():
+def test_cache_events_and_load_reports_lag():
     async def scenario(client, host):
         await complete(client, prompt='x' * 600)
         early = (await client.get('/cache-events')).json()
@@ -243,21 +243,22 @@
         )
 
     run_with_engine(
-        scenario, cache_lag_s=60.0, load_lag_s=60.0, cache_gap_share=0.0
+        scenario, cache_lag_s=60.0, load_lag_s=60.0, cache_event_loss_ratio=0.0
     )
 
 
-def test_what_waited_at_a_paused_head_counts_from_its_arrival():
-    """An entry sends to a paused head, whose worker died just before.
+def test_absence_is_measured_at_arrival_at_a_paused_head():
+    """An entry sends to a paused head whose worker died just before.
 
-    The request runs when the pause ends, long after the death. The entry had
-    no time to learn of it; one that sends that late itself is still found.
+    The request runs when the pause ends, long after the worker died. The
+    entry could not know of the failure yet and must not be blamed; an entry
+    that sends long after the failure still is.
     """
 
     async def scenario(client, host):
         head = host.engines['vm-0']
         gone_s = 60.0
-        head.missing = lambda: engine.Missing(gone_s, by_fault=True)
+        head.missing = lambda: engine.MemberOutage(gone_s, by_fault=True)
         now_s = time.monotonic()
         assert head.missing_at(now_s - 59.9) < 0.2
         assert head.missing_at(now_s - 61.0) == 0.0
@@ -266,9 +267,9 @@
     run_with_engine(scenario)
 
 
-def test_a_head_vouches_for_the_members_that_take_part_in_its_epoch():
-    """A probe of the head shows its members; one that is lost or has been
-    given to another replica is no longer named."""
+def test_head_reports_the_members_that_are_ready_in_its_epoch():
+    """A probe of the head lists its members, but not one that died or was
+    assigned to another replica."""
 
     async def scenario():
         async with engine_host.host_engines() as host:
@@ -276,7 +277,7 @@
             for name in names:
                 await host.add(
                     engine.EngineOptions(
-                        vm=name, load_time_s=0.0, vouches_for_members=True
+                        vm=name, load_time_s=0.0, reports_members=True
                     )
                 )
             for name in names:
--- a/redwingvalve/standins/tests/test_memory_store.py
+++ b/redwingvalve/standins/tests/test_memory_store.py
@@ -1,4 +1,4 @@
-"""The store in memory keeps the rules of the published object API."""
+"""The in-memory store follows the rules of the published object API."""
 
 import anyio
 import attrs
@@ -7,7 +7,7 @@
 from redwingvalve.standins import memory_store
 
 
-def test_an_update_from_an_old_version_is_a_conflict():
+def test_update_from_an_old_version_is_a_conflict():
     async def scenario():
         store = memory_store.make_memory_object_api()
         first = (await store.create('plans', 'a', {'n': 1})).ok
@@ -19,7 +19,7 @@
     anyio.run(scenario)
 
 
-def test_a_lost_answer_hides_a_write_that_took_effect():
+def test_write_takes_effect_when_its_response_is_dropped():
     async def scenario():
         store = memory_store.make_memory_object_api()
         store.faults.responses_to_drop = 1
@@ -30,7 +30,7 @@
     anyio.run(scenario)
 
 
-def test_a_watch_goes_on_from_a_version_and_ends_in_an_outage():
+def test_watch_resumes_from_a_version_and_ends_in_an_outage():
     async def scenario():
         store = memory_store.make_memory_object_api()
         start = (await store.list('plans')).ok.version
--- a/redwingvalve/standins/tests/test_platform_apps.py
+++ b/redwingvalve/standins/tests/test_platform_apps.py
@@ -1,4 +1,4 @@
-"""The platform's stand-ins keep the published conventions over HTTP."""
+"""The fake platform services follow the published HTTP conventions."""
 
 import json
 
@@ -64,7 +64,7 @@
     run_with_app(object_api_app.make_object_api()[0], scenario)
 
 
-def test_a_watch_tells_changes_and_that_its_version_is_too_old():
+def test_watch_sends_changes_or_an_expired_error():
     async def scenario(client):
         start = (await client.get(PLANS)).json()['metadata']['resourceVersion']
         await client.post(PLANS, json=plan('a'))
@@ -82,7 +82,7 @@
     run_with_app(app, scenario)
 
 
-def test_a_lost_answer_hides_a_write_that_took_effect():
+def test_write_takes_effect_when_its_response_is_dropped():
     async def scenario(client):
         await client.post('/faults', json={'name': 'lose-answers', 'count': 1})
         with pytest.raises(httpx.TransportError):
@@ -92,7 +92,7 @@
     run_with_app(object_api_app.make_object_api()[0], scenario)
 
 
-def test_outages_answer_503_or_nothing_at_all():
+def test_outages_return_503_or_no_response():
     async def scenario(client):
         await client.post('/faults', json={'name': 'outage'})
         assert (await client.get(PLANS)).status_code == 503
@@ -105,7 +105,7 @@
     run_with_app(object_api_app.make_object_api()[0], scenario)
 
 
-def test_calls_over_the_rate_are_told_when_to_come_back():
+def test_calls_over_the_rate_limit_get_retry_after():
     async def scenario(client):
         await client.post(
             '/faults', json={'name': 'rate', 'writes_per_s': 0.01}
@@ -118,7 +118,7 @@
     run_with_app(object_api_app.make_object_api()[0], scenario)
 
 
-def test_a_plain_service_may_run_a_call_and_lose_its_answer():
+def test_plain_service_can_run_a_call_and_drop_its_response():
     async def scenario(client):
         answer = await client.post(
             '/quotes', content=b'q', headers={'x-request-id': 'one'}
@@ -138,7 +138,7 @@
     )
 
 
-def test_the_vm_list_is_late_and_the_weight_store_grants_at_a_rate():
+def test_vm_list_lags_and_weight_store_limits_its_rate():
     async def vms(client):
         await client.put('/vms', json={'vms': []})
         assert len((await client.get('/vms')).json()['vms']) == 1
--- a/redwingvalve/standins/tests/test_ports.py
+++ b/redwingvalve/standins/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports that the stand-ins and the tests listen on."""
+"""Allocation of ports for fakes and tests."""
 
 import contextlib
 import socket
@@ -8,25 +8,25 @@
 from redwingvalve.standins import ports
 
 
-def test_no_port_is_given_twice():
-    """Two processes that are started together listen at different ports.
+def test_no_port_is_returned_twice():
+    """Processes that start together must get different ports.
 
-    Both ask for ports before either listens; each must get its own.
+    Both request ports before either of them listens.
     """
     given = [port for _ in range(40) for port in ports.free_ports(50)]
     assert len(set(given)) == len(given)
 
 
-def test_a_port_with_datagrams_is_not_free(monkeypatch):
-    """A node that needs one port for streams and datagrams gets both.
+def test_port_in_use_for_udp_is_not_free(monkeypatch):
+    """A node needs the same port for TCP and UDP.
 
-    Another socket holds the datagrams of a port whose streams are free.
+    Another socket has bound the UDP port, while the TCP port is free.
     """
     with contextlib.closing(socket.socket(type=socket.SOCK_DGRAM)) as taken:
         taken.bind((ports.HOST, 0))
         port = taken.getsockname()[1]
         monkeypatch.setattr(ports, 'FIRST_PORT', port)
         monkeypatch.setattr(ports, 'LAST_PORT', port)
-        monkeypatch.setattr(ports, 'TRIES', 3)
+        monkeypatch.setattr(ports, 'MAX_ATTEMPTS', 3)
         with pytest.raises(OSError):
             ports.free_ports(1)
--- a/redwingvalve/standins/vm_list.py
+++ b/redwingvalve/standins/vm_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of VMs, late by a set lag."""
+"""A fake list of the platform's VMs, with a configurable lag."""
 
 import time
 import typing
@@ -10,30 +10,30 @@
 
 
 class LaggingVmList:
-    """Every list ever set, by the time from which it is true."""
+    """All lists that were set, each with the time it was set."""
 
     def __init__(self, lag_s: float = 1.0) -> None:
-        """Show each change after lag_s; the first list shows at once."""
+        """Show changes after lag_s; the first list is visible at once."""
         self.lag_s = lag_s
         self._lists: list[tuple[float, VmRows]] = []
 
     def set(self, vms: list[VmRow]) -> None:
-        """Make vms the truth from now on."""
+        """Replace the current list."""
         since_s = time.monotonic()
         if not self._lists:
             since_s -= self.lag_s
         self._lists.append((since_s, [dict(vm) for vm in vms]))
 
     def current_rows(self) -> list[VmRow]:
-        """Return the list without its lag."""
+        """Return the current list, without the lag."""
         return [dict(vm) for vm in self._lists[-1][1]] if self._lists else []
 
     def remove(self, name: str) -> None:
-        """Take a VM off the list."""
+        """Remove a VM from the current list."""
         self.set([vm for vm in self.current_rows() if vm['name'] != name])
 
     def set_state(self, name: str, state: str) -> None:
-        """Set the state of a VM, such as leaving."""
+        """Set the state of a VM, such as leaving, in the current list."""
         self.set(
             [
                 {**vm, 'state': state} if vm['name'] == name else vm
@@ -42,7 +42,7 @@
         )
 
     def visible(self) -> list[VmRow]:
-        """Return what the list shows now."""
+        """Return the newest list that is at least lag_s old."""
         shown_until_s = time.monotonic() - self.lag_s
         visible: list[VmRow] = []
         for since_s, vms in self._lists:
@@ -51,19 +51,19 @@
         return visible
 
     async def handle(self, exchange: asgi.Exchange) -> None:
-        """Answer GET /vms; PUT /vms sets the truth, for tests."""
+        """Handle GET /vms; PUT /vms replaces the current list, for tests."""
         if exchange.path == '/faults':
             if exchange.method == 'POST':
                 wanted = await exchange.json_body()
                 self.lag_s = float(wanted['lag_s'])
-            await exchange.answer(200, {})
+            await exchange.respond(200, {})
             return
         if exchange.path != '/vms':
-            await exchange.answer(404, {'error': {'code': 'not-found'}})
+            await exchange.respond(404, {'error': {'code': 'not-found'}})
             return
         if exchange.method == 'PUT':
             self.set((await exchange.json_body())['vms'])
-        await exchange.answer(200, {'vms': self.visible()})
+        await exchange.respond(200, {'vms': self.visible()})
 
 
 def make_vm_list(
@@ -82,7 +82,7 @@
     fabric_domain: str,
     region: str = '',
 ) -> VmRow:
-    """Return one row of the list, live and with one accelerator."""
+    """Return a row for a live VM with one accelerator."""
     return {
         'name': name,
         'address': address,
--- a/redwingvalve/standins/weight_store.py
+++ b/redwingvalve/standins/weight_store.py
@@ -1,4 +1,4 @@
-"""The rate-limited weight store: grants loads, no weights move."""
+"""A fake rate-limited weight store; it transfers no weights."""
 
 import typing
 import uuid
@@ -9,29 +9,29 @@
 
 
 class WeightStore:
-    """Grants loads at a rate and counts them."""
+    """Grants loads at a limited rate and counts them."""
 
     def __init__(self, loads_per_s: float, burst: float = 1.0) -> None:
-        """Grant loads_per_s on average; 0 grants all."""
+        """Grant loads_per_s on average; 0 means no limit."""
         self.granted = 0
         self.refused = 0
         self._bucket = rate_limit.TokenBucket(loads_per_s, burst)
 
     async def handle(self, exchange: asgi.Exchange) -> None:
-        """Answer POST /loads, GET /state and POST /faults (rate)."""
+        """Handle POST /loads, GET /state and POST /faults (loads_per_s)."""
         if exchange.path == '/state':
             counts = {'granted': self.granted, 'refused': self.refused}
-            await exchange.answer(200, counts)
+            await exchange.respond(200, counts)
             return
         body = await exchange.json_body()
         if exchange.path == '/faults':
             self._bucket = rate_limit.TokenBucket(
                 float(body.get('loads_per_s', 0.0)), 1.0
             )
-            await exchange.answer(200, {})
+            await exchange.respond(200, {})
             return
         if (exchange.method, exchange.path) != ('POST', '/loads'):
-            await exchange.answer(404, {'error': {'code': 'not-found'}})
+            await exchange.respond(404, {'error': {'code': 'not-found'}})
             return
         await self._grant(exchange, body)
 
@@ -41,14 +41,14 @@
         wait_s = self._bucket.take()
         if wait_s:
             self.refused += 1
-            await exchange.answer(
+            await exchange.respond(
                 429,
                 {'error': {'code': 'over-the-rate'}},
                 {'retry-after': f'{wait_s:.3f}'},
             )
             return
         self.granted += 1
-        await exchange.answer(
+        await exchange.respond(
             200,
             {
                 'ticket': f'{body["model"]}-{uuid.uuid4().hex[:8]}',
