--- a/redwingvalve/demo/__init__.py
+++ b/redwingvalve/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The main job in one process: every role and the stand-ins on one loop."""
+"""Demo: all roles and fake platform services on one event loop."""
--- a/redwingvalve/demo/completion_client.py
+++ b/redwingvalve/demo/completion_client.py
@@ -1,4 +1,4 @@
-"""A caller as a user would write one: asks for an address, then streams."""
+"""A client like that of a user: looks up an entry, then streams from it."""
 
 import json
 import typing
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class StreamedCompletion:
-    """What a caller received; whole is true when the end was seen."""
+    """A received stream; whole is whether [DONE] was received."""
 
     status: int
     entry: str
@@ -26,28 +26,28 @@
 
 
 class DemoClient:
-    """Calls with one credential; any of first_entries is asked first."""
+    """Looks up entries at seed_entries and calls them with a credential."""
 
-    def __init__(self, first_entries: tuple[str, ...], credential: str) -> None:
-        """Know where to ask which address to use."""
-        self._first = first_entries
+    def __init__(self, seed_entries: tuple[str, ...], credential: str) -> None:
+        """Take seed_entries as host:port, in the order to try."""
+        self._seed_entries = seed_entries
         self._headers = {'authorization': f'Bearer {credential}'}
 
     async def entry_address(self) -> str:
-        """Ask which entry to use; any entry of the list may answer."""
+        """Return the entry to use, as told by the first that responds."""
         async with self._client() as client:
-            for address in self._first:
+            for address in self._seed_entries:
                 try:
                     answer = await client.get(f'http://{address}/v1/entries')
                 except httpx.HTTPError:
                     continue
                 return str(answer.json()['entries'][0]['address'])
-        raise ConnectionError('no entry answers')
+        raise ConnectionError('no seed entry responded')
 
     async def stream_chat(
         self, deployment: str, prompt: str, max_tokens: int
     ) -> StreamedCompletion:
-        """Stream one chat completion and check that it is whole."""
+        """Stream a chat completion and check that it is complete."""
         address = await self.entry_address()
         body = {
             'model': deployment,
@@ -64,7 +64,7 @@
             return _read_stream(answer, address, lines)
 
     async def post(self, path: str, body: typing.Any) -> httpx.Response:
-        """Call a plain service through an entry."""
+        """Call an HTTP service through an entry."""
         address = await self.entry_address()
         async with self._client() as client:
             return await client.post(f'http://{address}{path}', json=body)
--- a/redwingvalve/demo/operator.py
+++ b/redwingvalve/demo/operator.py
@@ -1,4 +1,4 @@
-"""An operator's calls to the administration API, for the demo."""
+"""Client of the administration API, for the demo."""
 
 import typing
 from collections import abc as collections_abc
@@ -10,11 +10,11 @@
 from redwingvalve.platform_api import object_api
 
 POLL_INTERVAL_S = 0.1
-GIVE_UP_AFTER_S = 60.0
+WAIT_TIMEOUT_S = 60.0
 
 
 class DemoOperator:
-    """One administrator at one administration API."""
+    """An administrator who uses one administration API."""
 
     def __init__(self, api_address: str, bearer: str) -> None:
         """Call the API at host:port with a bearer token."""
@@ -22,12 +22,12 @@
         self._headers = {'authorization': f'Bearer {bearer}'}
 
     async def plan(self, declaration: str, file_name: str) -> typing.Any:
-        """Plan a declaration."""
+        """Create a plan from a declaration."""
         body = {'declaration': declaration, 'file_name': file_name}
         return await self._call('POST', '/plans', body)
 
     async def confirm(self, plan_name: str) -> typing.Any:
-        """Put a plan into force."""
+        """Confirm a plan."""
         return await self._call('POST', f'/plans/{plan_name}/confirm', {})
 
     async def drain(self, kind: str, name: str) -> typing.Any:
@@ -35,7 +35,7 @@
         return await self._call('POST', '/drains', {'kind': kind, 'name': name})
 
     async def status(self) -> typing.Any:
-        """Return what serves and what is at risk."""
+        """Return what is serving and what is at risk."""
         return await self._call('GET', '/status')
 
     async def replicas(self) -> typing.Any:
@@ -43,8 +43,8 @@
         return await self._call('GET', '/replicas')
 
     async def wait_until_reachable(self) -> None:
-        """Wait until the API answers this token; TimeoutError gives up."""
-        with anyio.fail_after(GIVE_UP_AFTER_S):
+        """Wait until the API accepts the token, or raise TimeoutError."""
+        with anyio.fail_after(WAIT_TIMEOUT_S):
             while True:
                 try:
                     await self.status()
@@ -54,7 +54,7 @@
                     return
 
     async def wait_until_serving(self, deployment: str, replicas: int) -> None:
-        """Wait until so many replicas serve; TimeoutError gives up."""
+        """Wait until enough replicas serve, or raise TimeoutError."""
 
         def serving(status: typing.Any) -> bool:
             return any(
@@ -65,10 +65,10 @@
         await self._wait_until(serving)
 
     async def wait_until_listed(self, vms: int) -> None:
-        """Wait until the controllers have seen so many VMs.
+        """Wait until the controllers have seen at least so many VMs.
 
-        A plan that is made while VMs still appear would be outdated by the
-        time that it is confirmed.
+        A plan that is created while VMs are still being discovered would be
+        outdated by the time it is confirmed.
         """
 
         def listed(status: typing.Any) -> bool:
@@ -79,7 +79,7 @@
     async def _wait_until(
         self, holds: collections_abc.Callable[[typing.Any], bool]
     ) -> None:
-        with anyio.fail_after(GIVE_UP_AFTER_S):
+        with anyio.fail_after(WAIT_TIMEOUT_S):
             while not holds(await self.status()):
                 await anyio.sleep(POLL_INTERVAL_S)
 
@@ -95,7 +95,7 @@
 
 
 async def issue_first_token(store: object_api.ObjectApi) -> str:
-    """Write the first administrator's token and return its bearer."""
+    """Store the first administrator token and return its bearer."""
     issued = tokens.issue('demo', 'demo', rights.Role.ADMINISTRATOR)
     await store.create(
         tokens.KIND, issued.record.token_id, tokens.encode(issued.record)
--- a/redwingvalve/demo/platform.py
+++ b/redwingvalve/demo/platform.py
@@ -1,4 +1,4 @@
-"""A small platform of stand-ins on free loopback ports."""
+"""A small platform of fake services on free loopback ports."""
 
 import contextlib
 import typing
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class DemoPlatform:
-    """Where each stand-in listens, and the state behind it."""
+    """The address of each fake service, and its state."""
 
     object_api_url: str
     vm_list_url: str
@@ -42,7 +42,7 @@
 async def run_platform(
     domains: collections_abc.Mapping[str, int],
 ) -> collections_abc.AsyncIterator[DemoPlatform]:
-    """Run stand-ins with so many VMs in each fabric domain."""
+    """Run fake services, with a number of VMs per fabric domain."""
     async with engine_host.host_engines(HOST) as engines:
         rows = await _add_vms(engines, domains)
         store = memory_store.make_memory_object_api()
--- a/redwingvalve/demo/tests/test_walkthrough.py
+++ b/redwingvalve/demo/tests/test_walkthrough.py
@@ -1,4 +1,4 @@
-"""The demo shows the main job and ends well."""
+"""The demo runs from a declaration to a streamed response."""
 
 import io
 import types
@@ -9,8 +9,8 @@
 from redwingvalve.demo import walkthrough
 
 
-def test_a_declaration_becomes_a_whole_streamed_answer():
-    surroundings = environment.Environment(
+def test_demo_streams_a_complete_response():
+    env = environment.Environment(
         stdout=io.StringIO(),
         stderr=io.StringIO(),
         stdin=io.StringIO(),
@@ -18,10 +18,10 @@
         clock=clock.make_system_clock(),
     )
     status = anyio.run(
-        walkthrough.run_walkthrough, surroundings, walkthrough.DECLARATION
+        walkthrough.run_walkthrough, env, walkthrough.DECLARATION
     )
-    told = surroundings.stdout.getvalue()
-    assert status == exit_status.ExitStatus.SUCCESS, told
-    assert 'nothing happens until: redwingvalve confirm plan-' in told
-    assert 'streamed 40 of 40 tokens, whole' in told
-    assert 'runs of the request at engines: 1' in told
+    output = env.stdout.getvalue()
+    assert status == exit_status.ExitStatus.SUCCESS, output
+    assert 'nothing happens until: redwingvalve confirm plan-' in output
+    assert 'streamed 40 of 40 tokens, whole' in output
+    assert 'runs of the request at engines: 1' in output
--- a/redwingvalve/demo/walkthrough.py
+++ b/redwingvalve/demo/walkthrough.py
@@ -1,4 +1,4 @@
-"""The demo's story: declare, plan, confirm, serve, and account for it."""
+"""The steps of the demo: declare, plan, confirm, serve, summarize."""
 
 import contextlib
 import pathlib
@@ -29,77 +29,77 @@
 
 @attrs.frozen
 class FleetSettings:
-    """Settings of the daemons that the demo runs."""
+    """Settings of the entries and the controller."""
 
     entries: tuple[schema.Settings, ...]
     control: schema.Settings
 
 
 async def run_walkthrough(
-    surroundings: environment.Environment, declaration_file: pathlib.Path
+    env: environment.Environment, declaration_file: pathlib.Path
 ) -> exit_status.ExitStatus:
-    """Run the whole story; success only if every answer was whole."""
-    async with platform.run_platform(DOMAINS) as small:
-        fleet = make_fleet_settings(small)
+    """Run all steps; succeed only if every response was complete."""
+    async with platform.run_platform(DOMAINS) as demo_platform:
+        fleet = make_fleet_settings(demo_platform)
         async with _run_daemons(fleet):
-            return await _act(small, fleet, surroundings, declaration_file)
+            return await _run_steps(demo_platform, fleet, env, declaration_file)
 
 
-async def _act(
-    small: platform.DemoPlatform,
+async def _run_steps(
+    demo_platform: platform.DemoPlatform,
     fleet: FleetSettings,
-    surroundings: environment.Environment,
+    env: environment.Environment,
     declaration_file: pathlib.Path,
 ) -> exit_status.ExitStatus:
-    bearer = await operator.issue_first_token(small.store)
-    acting = operator.DemoOperator(http_address(fleet.control), bearer)
-    await acting.wait_until_reachable()
-    await acting.wait_until_listed(sum(DOMAINS.values()))
+    bearer = await operator.issue_first_token(demo_platform.store)
+    administrator = operator.DemoOperator(http_address(fleet.control), bearer)
+    await administrator.wait_until_reachable()
+    await administrator.wait_until_listed(sum(DOMAINS.values()))
     text = declaration_file.read_text(encoding='utf-8').replace(
-        SERVICE_ADDRESS, small.service_address
+        SERVICE_ADDRESS, demo_platform.service_address
     )
-    plan = await acting.plan(text, declaration_file.name)
-    operate.print_plan(plan, surroundings)
-    confirmed = await acting.confirm(plan['name'])
-    tables.print_line(confirmed['message'], surroundings)
-    await acting.wait_until_serving(DEPLOYMENT, REPLICAS)
-    operate.print_status(await acting.status(), surroundings)
-    calling = completion_client.DemoClient(
+    plan = await administrator.plan(text, declaration_file.name)
+    operate.print_plan(plan, env)
+    confirmed = await administrator.confirm(plan['name'])
+    tables.print_line(confirmed['message'], env)
+    await administrator.wait_until_serving(DEPLOYMENT, REPLICAS)
+    operate.print_status(await administrator.status(), env)
+    client = completion_client.DemoClient(
         tuple(http_address(settings) for settings in fleet.entries),
         CREDENTIAL,
     )
-    streamed = await _stream_when_ready(calling)
-    fetched = await calling.post('/records/parts', {'part': 'seat-14b'})
-    return _account(streamed, fetched.status_code, small, surroundings)
+    streamed = await _stream_when_ready(client)
+    fetched = await client.post('/records/parts', {'part': 'seat-14b'})
+    return _print_summary(streamed, fetched.status_code, demo_platform, env)
 
 
 async def _stream_when_ready(
-    calling: completion_client.DemoClient,
+    client: completion_client.DemoClient,
 ) -> completion_client.StreamedCompletion:
-    # Entries learn of a confirmed declaration within seconds; until then they
-    # refuse at once and say when to come back, as any caller would see.
+    # Entries apply a confirmed declaration within seconds; until then they
+    # reject requests at once with a retry time, as for any client.
     with anyio.fail_after(SERVE_TIMEOUT_S):
         while True:
-            streamed = await calling.stream_chat(DEPLOYMENT, PROMPT, MAX_TOKENS)
+            streamed = await client.stream_chat(DEPLOYMENT, PROMPT, MAX_TOKENS)
             if streamed.whole:
                 return streamed
             await anyio.sleep(operator.POLL_INTERVAL_S)
 
 
-def _account(
+def _print_summary(
     streamed: completion_client.StreamedCompletion,
     service_status: int,
-    small: platform.DemoPlatform,
-    surroundings: environment.Environment,
+    demo_platform: platform.DemoPlatform,
+    env: environment.Environment,
 ) -> exit_status.ExitStatus:
     ran = sum(
         entry.request_id.startswith(streamed.request_id)
-        for each in small.engines.engines.values()
+        for each in demo_platform.engines.engines.values()
         for entry in each.ledger.entries
     )
     whole = streamed.whole and streamed.chunks == MAX_TOKENS
     shown = 'whole' if whole else 'NOT WHOLE'
-    calls = small.store.calls
+    calls = demo_platform.store.calls
     lines = (
         f'the caller was told to use {streamed.entry}',
         f'streamed {streamed.chunks} of {MAX_TOKENS} tokens, {shown}',
@@ -109,7 +109,7 @@
         f'runs of the request at engines: {ran}',
     )
     for line in lines:
-        tables.print_line(line, surroundings)
+        tables.print_line(line, env)
     if whole and service_status == 200:
         return exit_status.ExitStatus.SUCCESS
     return exit_status.ExitStatus.FAILURE
@@ -128,13 +128,13 @@
         stop.set()
 
 
-def make_fleet_settings(small: platform.DemoPlatform) -> FleetSettings:
-    """Return settings for the entries and a controller on free ports."""
+def make_fleet_settings(demo_platform: platform.DemoPlatform) -> FleetSettings:
+    """Return settings of entries and a controller on free ports."""
     names = [f'entry-{number + 1}' for number in range(ENTRIES)]
     ports = standin_ports.free_ports(2 * (ENTRIES + 1))
     contact = f'{platform.HOST}:{ports[1]}'
     made = [
-        _settings(name, small, (ports.pop(), ports.pop()), contact)
+        _settings(name, demo_platform, (ports.pop(), ports.pop()), contact)
         for name in ('control-1', *reversed(names))
     ]
     return FleetSettings(tuple(reversed(made[1:])), made[0])
@@ -142,7 +142,7 @@
 
 def _settings(
     name: str,
-    small: platform.DemoPlatform,
+    demo_platform: platform.DemoPlatform,
     ports: tuple[int, int],
     contact: str,
 ) -> schema.Settings:
@@ -152,9 +152,9 @@
         ),
         listen=schema.ListenSettings(*ports),
         platform=schema.PlatformSettings(
-            small.object_api_url,
-            small.vm_list_url,
-            small.weight_store_url,
+            demo_platform.object_api_url,
+            demo_platform.vm_list_url,
+            demo_platform.weight_store_url,
         ),
         peers=schema.PeerSettings((contact,)),
         requests=schema.RequestSettings(discovery_keep_s=1.0),
@@ -162,5 +162,5 @@
 
 
 def http_address(settings: schema.Settings) -> str:
-    """Return host:port of a daemon's HTTP side."""
+    """Return host:port of the HTTP listener of a daemon."""
     return f'{settings.node.host}:{settings.listen.http_port}'
