--- a/redwingvalve/demo/completion_client.py
+++ b/redwingvalve/demo/completion_client.py
@@ -34,14 +34,14 @@
         self._headers = {'authorization': f'Bearer {credential}'}
 
     async def entry_address(self) -> str:
-        """Return the entry to use, as told by the first that responds."""
+        """Ask the entries in turn; return the entry that the first names."""
         async with self._client() as client:
             for address in self._seed_entries:
                 try:
-                    answer = await client.get(f'http://{address}/v1/entries')
+                    response = await client.get(f'http://{address}/v1/entries')
                 except httpx.HTTPError:
                     continue
-                return str(answer.json()['entries'][0]['address'])
+                return str(response.json()['entries'][0]['address'])
         raise ConnectionError('no seed entry responded')
 
     async def stream_chat(
@@ -58,10 +58,10 @@
         url = f'http://{address}/v1/chat/completions'
         async with (
             self._client() as client,
-            client.stream('POST', url, json=body) as answer,
+            client.stream('POST', url, json=body) as response,
         ):
-            lines = [line async for line in answer.aiter_lines() if line]
-            return _read_stream(answer, address, lines)
+            lines = [line async for line in response.aiter_lines() if line]
+            return _read_stream(response, address, lines)
 
     async def post(self, path: str, body: typing.Any) -> httpx.Response:
         """Call an HTTP service through an entry."""
@@ -74,7 +74,7 @@
 
 
 def _read_stream(
-    answer: httpx.Response, address: str, lines: list[str]
+    response: httpx.Response, address: str, lines: list[str]
 ) -> StreamedCompletion:
     pieces = [
         json.loads(line.removeprefix('data: '))
@@ -87,11 +87,11 @@
         if piece.get('choices')
     ]
     return StreamedCompletion(
-        answer.status_code,
+        response.status_code,
         address,
         ''.join(contents),
         sum(1 for content in contents if content),
         bool(lines) and lines[-1] == DONE,
-        answer.headers.get(outcomes.OUTCOME_HEADER, ''),
-        answer.headers.get(outcomes.REQUEST_ID_HEADER, ''),
+        response.headers.get(outcomes.OUTCOME_HEADER, ''),
+        response.headers.get(outcomes.REQUEST_ID_HEADER, ''),
     )
--- a/redwingvalve/demo/operator.py
+++ b/redwingvalve/demo/operator.py
@@ -87,11 +87,11 @@
         self, method: str, path: str, body: typing.Any = None
     ) -> typing.Any:
         async with httpx.AsyncClient(headers=self._headers) as client:
-            answer = await client.request(
+            response = await client.request(
                 method, f'{self._base_url}{path}', json=body
             )
-        answer.raise_for_status()
-        return answer.json()
+        response.raise_for_status()
+        return response.json()
 
 
 async def issue_first_token(store: object_api.ObjectApi) -> str:
--- a/redwingvalve/demo/walkthrough.py
+++ b/redwingvalve/demo/walkthrough.py
@@ -101,11 +101,11 @@
     shown = 'whole' if whole else 'NOT WHOLE'
     calls = demo_platform.store.calls
     lines = (
-        f'the caller was told to use {streamed.entry}',
+        f'entry assigned to the client: {streamed.entry}',
         f'streamed {streamed.chunks} of {MAX_TOKENS} tokens, {shown}',
         f'outcome: {streamed.outcome}',
-        f'the service answered {service_status}',
-        f'calls of the store: {calls.reads} reads, {calls.writes} writes',
+        f'status of the service call: {service_status}',
+        f'object API calls: {calls.reads} reads, {calls.writes} writes',
         f'runs of the request at engines: {ran}',
     )
     for line in lines:
--- a/redwingvalve/standins/asgi.py
+++ b/redwingvalve/standins/asgi.py
@@ -50,9 +50,9 @@
 
     def header(self, name: str, default: str = '') -> str:
         """Return a request header; name must be lower case."""
-        wanted = name.encode()
+        header_name = name.encode()
         for key, text in self.scope['headers']:
-            if key.lower() == wanted:
+            if key.lower() == header_name:
                 return str(text.decode('latin-1'))
         return default
 
--- a/redwingvalve/standins/completions.py
+++ b/redwingvalve/standins/completions.py
@@ -50,7 +50,7 @@
     model: str
 
     @property
-    def answer_id(self) -> str:
+    def completion_id(self) -> str:
         """Return the completion id, which every chunk carries."""
         prefix = 'chatcmpl' if self.request.chat else 'cmpl'
         return f'{prefix}-{self.request.request_id}'
@@ -67,7 +67,7 @@
             choice['text'] = text
         return f'data: {json.dumps(self._body(choice, "chunk"))}\n\n'.encode()
 
-    def full_response(self, text: str) -> dict[str, typing.Any]:
+    def whole(self, text: str) -> dict[str, typing.Any]:
         """Return the body of a non-streamed response."""
         choice: dict[str, typing.Any] = {'index': 0, 'finish_reason': 'length'}
         if self.request.chat:
@@ -89,7 +89,7 @@
         if suffix and self.request.chat:
             kind = f'{kind}.{suffix}'
         return {
-            'id': self.answer_id,
+            'id': self.completion_id,
             'object': kind,
             'model': self.model,
             'choices': [choice],
--- a/redwingvalve/standins/engine_app.py
+++ b/redwingvalve/standins/engine_app.py
@@ -121,15 +121,15 @@
         await exchange.respond(404, _error('not-found', request_id))
 
     async def _fault(self, exchange: asgi.Exchange) -> None:
-        wanted = await exchange.json_body()
-        if wanted['name'] == 'die':
+        fault = await exchange.json_body()
+        if fault['name'] == 'die':
             await exchange.respond(200, {})
-            self._engine.die(float(wanted.get('restart_after_s', 0.0)))
+            self._engine.die(float(fault.get('restart_after_s', 0.0)))
             return
-        if wanted['name'] == 'ignore-fencing':
+        if fault['name'] == 'ignore-fencing':
             self._engine.orders.ignores_fencing = True
         else:
-            faults.set_fault(self._engine.faults, wanted, time.monotonic())
+            faults.set_fault(self._engine.faults, fault, time.monotonic())
             self._engine.record_fault()
         await exchange.respond(200, {})
 
@@ -227,7 +227,7 @@
     async def run(self) -> None:
         """Respond as a stream or with a full response."""
         try:
-            await self._answer()
+            await self._send_response()
         except asgi.DroppedConnectionError:
             # The connection was aborted, so no error can be sent.
             return
@@ -241,7 +241,7 @@
         self._entry.cut = self._run.cut
         self._entry.finished = time.time()
 
-    async def _answer(self) -> None:
+    async def _send_response(self) -> None:
         if self._request.stream:
             await self._stream()
             return
@@ -252,9 +252,9 @@
             self._token(position)
             for position in range(self._request.resumed, self._run.max_tokens)
         )
-        answer = self._builder.full_response(text)
+        response = self._builder.whole(text)
         if not self._truncated:
-            await self._exchange.respond(200, answer, self._headers())
+            await self._exchange.respond(200, response, self._headers())
             return
         headers = {**self._headers(), 'content-length': '100000'}
         await self._exchange.start(200, asgi.JSON_TYPE, headers)
--- a/redwingvalve/standins/faults.py
+++ b/redwingvalve/standins/faults.py
@@ -41,23 +41,23 @@
 
 
 def set_fault(
-    faults: EngineFaults, wanted: dict[str, typing.Any], now_s: float
+    faults: EngineFaults, fault: dict[str, typing.Any], now_s: float
 ) -> None:
     """Set a fault other than die; ValueError if it is unknown."""
-    match wanted['name']:
+    match fault['name']:
         case 'pause':
-            duration_s = float(wanted.get('duration_s', 1.0))
+            duration_s = float(fault.get('duration_s', 1.0))
             faults.paused_until_s = now_s + duration_s
         case 'unreachable':
-            duration_s = float(wanted.get('duration_s', 1.0))
+            duration_s = float(fault.get('duration_s', 1.0))
             faults.unreachable_until_s = now_s + duration_s
         case 'straggle':
-            faults.straggle_factor = float(wanted.get('factor', 10.0))
+            faults.straggle_factor = float(fault.get('factor', 10.0))
         case 'poison':
-            faults.poison_marker = str(wanted['marker'])
-            faults.restart_after_s = float(wanted.get('restart_after_s', 0.0))
-        case 'crossed' | 'truncate' as spoiled:
-            setattr(faults, spoiled, int(wanted.get('count', 1)))
+            faults.poison_marker = str(fault['marker'])
+            faults.restart_after_s = float(fault.get('restart_after_s', 0.0))
+        case 'crossed' | 'truncate' as counter:
+            setattr(faults, counter, int(fault.get('count', 1)))
         case 'serve-incomplete':
             faults.serve_incomplete = True
         case unknown:
--- a/redwingvalve/standins/memory_store.py
+++ b/redwingvalve/standins/memory_store.py
@@ -90,10 +90,10 @@
         if refused is not None:
             return Error(refused)
         if name in self._objects[kind]:
-            return self._answer(
+            return self._return_or_drop(
                 Error(object_api.Conflict(kind, name, 'it exists'))
             )
-        return self._answer(Ok(self._put('ADDED', kind, name, body)))
+        return self._return_or_drop(Ok(self._put('ADDED', kind, name, body)))
 
     async def update(self, stored: Stored) -> Result[Stored, ObjectError]:
         """Replace an object if it still has stored.version."""
@@ -104,8 +104,8 @@
             stored.kind, stored.name, stored.version
         )
         if problem is not None:
-            return self._answer(Error(problem))
-        return self._answer(
+            return self._return_or_drop(Error(problem))
+        return self._return_or_drop(
             Ok(self._put('MODIFIED', stored.kind, stored.name, stored.body))
         )
 
@@ -118,11 +118,13 @@
             return Error(refused)
         problem = self._version_problem(kind, name, version)
         if problem is not None:
-            return self._answer(Error(problem))
-        gone = self._objects[kind].pop(name)
+            return self._return_or_drop(Error(problem))
+        deleted = self._objects[kind].pop(name)
         self._version += 1
-        self._record('DELETED', attrs.evolve(gone, version=str(self._version)))
-        return self._answer(Ok(None))
+        self._record(
+            'DELETED', attrs.evolve(deleted, version=str(self._version))
+        )
+        return self._return_or_drop(Ok(None))
 
     async def watch(
         self, kind: str, version: str
@@ -187,11 +189,11 @@
             )
         return None
 
-    def _answer(
-        self, answer: Result[object, ObjectError]
+    def _return_or_drop(
+        self, result: Result[object, ObjectError]
     ) -> Result[object, ObjectError]:
         if not self.faults.responses_to_drop:
-            return answer
+            return result
         self.faults.responses_to_drop -= 1
         return _unavailable(maybe_applied=True)
 
--- a/redwingvalve/standins/object_api_app.py
+++ b/redwingvalve/standins/object_api_app.py
@@ -59,8 +59,8 @@
         if exchange.method == 'GET' and exchange.query('watch'):
             await self._watch(exchange, kind)
             return
-        answered = await self._call(exchange, kind, name)
-        await self._send_result(exchange, answered)
+        result = await self._call(exchange, kind, name)
+        await self._send_result(exchange, result)
 
     async def _call(
         self, exchange: asgi.Exchange, kind: str, name: str
@@ -90,12 +90,12 @@
     async def _send_result(
         self,
         exchange: asgi.Exchange,
-        answered: Result[typing.Any, object_api.ObjectError],
+        result: Result[typing.Any, object_api.ObjectError],
     ) -> None:
-        if answered.is_error():
-            await _send_error(exchange, answered.error)
+        if result.is_error():
+            await _send_error(exchange, result.error)
             return
-        content = answered.ok
+        content = result.ok
         if isinstance(content, object_api.ObjectList):
             await exchange.respond(200, _list_json(content))
             return
@@ -117,11 +117,11 @@
         await exchange.chunk(b'\n')
         async with anyio.create_task_group() as group:
 
-            async def until_gone() -> None:
+            async def cancel_on_disconnect() -> None:
                 await exchange.wait_disconnect()
                 group.cancel_scope.cancel()
 
-            group.start_soon(until_gone)
+            group.start_soon(cancel_on_disconnect)
             with anyio.move_on_after(duration_s):
                 await self._send_events(exchange, kind)
             group.cancel_scope.cancel()
@@ -169,23 +169,23 @@
             self.clear_faults()
             await exchange.respond(200, {})
             return
-        wanted = await exchange.json_body()
-        name = wanted['name']
+        fault = await exchange.json_body()
+        name = fault['name']
         if name == 'outage':
-            self._begin_outage(silent=bool(wanted.get('silent', False)))
+            self._begin_outage(silent=bool(fault.get('silent', False)))
             await exchange.respond(200, {})
-            await self._end_outage_after(float(wanted.get('duration_s', 0.0)))
+            await self._end_outage_after(float(fault.get('duration_s', 0.0)))
             return
         if name == 'slow':
-            self._store.faults.delay_s = float(wanted['delay_s'])
+            self._store.faults.delay_s = float(fault['delay_s'])
         elif name == 'lose-answers':
-            self._store.faults.responses_to_drop = int(wanted.get('count', 1))
+            self._store.faults.responses_to_drop = int(fault.get('count', 1))
         elif name == 'rate':
             self._state.writes = rate_limit.TokenBucket(
-                float(wanted.get('writes_per_s', 0.0))
+                float(fault.get('writes_per_s', 0.0))
             )
             self._state.reads = rate_limit.TokenBucket(
-                float(wanted.get('reads_per_s', 0.0))
+                float(fault.get('reads_per_s', 0.0))
             )
         else:
             raise ValueError(f'unknown fault {name!r}')
--- a/redwingvalve/standins/plain_service.py
+++ b/redwingvalve/standins/plain_service.py
@@ -49,13 +49,13 @@
             self.responses_to_drop = 0
             await exchange.respond(200, {})
             return
-        wanted = await exchange.json_body()
-        if wanted['name'] == 'lose-answers':
-            self.responses_to_drop = int(wanted.get('count', 1))
-        elif wanted['name'] != 'die':
-            fault_switches.set_fault(self.faults, wanted, time.monotonic())
+        fault = await exchange.json_body()
+        if fault['name'] == 'lose-answers':
+            self.responses_to_drop = int(fault.get('count', 1))
+        elif fault['name'] != 'die':
+            fault_switches.set_fault(self.faults, fault, time.monotonic())
         await exchange.respond(200, {})
-        if wanted['name'] == 'die' and self.server is not None:
+        if fault['name'] == 'die' and self.server is not None:
             self.server.abort()
 
     async def _run(self, exchange: asgi.Exchange) -> None:
--- a/redwingvalve/standins/ports.py
+++ b/redwingvalve/standins/ports.py
@@ -28,9 +28,7 @@
                 found.append(port)
             if len(found) == count:
                 return found
-    raise OSError(
-        f'found fewer than {count} free ports in {MAX_ATTEMPTS} attempts'
-    )
+    raise OSError(f'fewer than {count} free ports were found')
 
 
 def _is_free(port: int, held: contextlib.ExitStack) -> bool:
--- a/redwingvalve/standins/rate_limit.py
+++ b/redwingvalve/standins/rate_limit.py
@@ -10,7 +10,7 @@
         """Start full; burst defaults to the calls of one second."""
         self.rate_per_s = rate_per_s
         self._burst = max(1.0, rate_per_s if burst is None else burst)
-        self._held = self._burst
+        self._tokens = self._burst
         self._filled_at_s = time.monotonic()
 
     def take(self) -> float:
@@ -19,10 +19,10 @@
             return 0.0
         now_s = time.monotonic()
         gained = (now_s - self._filled_at_s) * self.rate_per_s
-        self._held = min(self._burst, self._held + gained)
+        self._tokens = min(self._burst, self._tokens + gained)
         self._filled_at_s = now_s
-        missing = 1 - self._held
+        missing = 1 - self._tokens
         if missing > 0:
             return missing / self.rate_per_s
-        self._held -= 1
+        self._tokens -= 1
         return 0.0
--- a/redwingvalve/standins/tests/test_platform_apps.py
+++ b/redwingvalve/standins/tests/test_platform_apps.py
@@ -120,10 +120,10 @@
 
 def test_plain_service_can_run_a_call_and_drop_its_response():
     async def scenario(client):
-        answer = await client.post(
+        response = await client.post(
             '/quotes', content=b'q', headers={'x-request-id': 'one'}
         )
-        assert answer.headers['x-request-id'] == 'one'
+        assert response.headers['x-request-id'] == 'one'
         await client.post('/faults', json={'name': 'lose-answers'})
         with pytest.raises(httpx.TransportError):
             await client.post('/quotes', content=b'r')
--- a/redwingvalve/standins/vm_list.py
+++ b/redwingvalve/standins/vm_list.py
@@ -54,8 +54,8 @@
         """Handle GET /vms; PUT /vms replaces the current list, for tests."""
         if exchange.path == '/faults':
             if exchange.method == 'POST':
-                wanted = await exchange.json_body()
-                self.lag_s = float(wanted['lag_s'])
+                fault = await exchange.json_body()
+                self.lag_s = float(fault['lag_s'])
             await exchange.respond(200, {})
             return
         if exchange.path != '/vms':
