--- a/redwingvalve/plans/__init__.py
+++ b/redwingvalve/plans/__init__.py
@@ -1,1 +1,1 @@
-"""Plans: what a declaration would change, and how it is confirmed."""
+"""Plans: the changes that a declaration implies, and their confirmation."""
--- a/redwingvalve/plans/applier.py
+++ b/redwingvalve/plans/applier.py
@@ -1,11 +1,13 @@
-"""Carries a confirmed plan out, from whatever step its last carrier reached.
-
-Load pattern: about 1,400 confirmations a day; a process can die or pause at
-any step, and several controllers carry out the same plan at once. Each write
-is conditional and the same whoever makes it, and none replaces a newer
-generation, so that the steps may be repeated and overlap. An object that
-already holds the wanted content is left as it is, which keeps the writes few;
-that is safe because no plan is confirmed before the last one was applied.
+"""Applies a confirmed plan; resumes where another process stopped.
+
+Load pattern: about 1,400 confirmations a day. A process can die or pause at
+any step, and several controllers may apply the same plan at once. Writes are
+conditional, idempotent and the same whichever process makes them, and none
+replaces a newer generation, so the steps may be repeated and may overlap.
+
+An object that already has the desired content is not written again, which
+saves writes. This is safe because no plan is confirmed before the previous
+one has been applied.
 """
 
 import typing
@@ -23,7 +25,7 @@
 async def apply_confirmed(
     store: object_api.ObjectApi, current: fleet_state.CurrentConfirmation
 ) -> ApplyResult:
-    """Write the declared objects and the allocation of the plan in force."""
+    """Write the declared objects and the allocation of the current plan."""
     found = await fleet_state.read_plan(store, current.confirmed.plan)
     if found.is_error():
         return Error(found.error)
@@ -34,14 +36,16 @@
         if applied.is_error():
             return Error(fleet_state.to_plan_error(applied.error))
     body = codec.to_body(attrs.evolve(current.confirmed, applied=True))
-    marked = await verified_writes.update(
+    updated = await verified_writes.update(
         store,
         object_api.StoredObject(
             objects.DECLARATIONS, objects.CURRENT, current.version, body
         ),
     )
-    if marked.is_error() and not isinstance(marked.error, object_api.Conflict):
-        return Error(fleet_state.to_plan_error(marked.error))
+    if updated.is_error() and not isinstance(
+        updated.error, object_api.Conflict
+    ):
+        return Error(fleet_state.to_plan_error(updated.error))
     return Ok(True)
 
 
@@ -74,30 +78,33 @@
 
 async def _put(
     store: object_api.ObjectApi,
-    place: tuple[str, str],
+    key: tuple[str, str],
     stored: object_api.StoredObject | None,
     generation: int,
     content: typing.Any,
 ) -> Result[None, object_api.ObjectError]:
     body = objects.declared_body(generation, content)
     if stored is None:
-        answer = await verified_writes.create(store, *place, body)
-        return _settled_or_newer(answer)
-    held = codec.from_body(stored.body, objects.Declared)
-    if held.generation >= generation or held.content == body['content']:
+        result = await verified_writes.create(store, *key, body)
+        return _without_object(result)
+    existing_object = codec.from_body(stored.body, objects.Declared)
+    if (
+        existing_object.generation >= generation
+        or existing_object.content == body['content']
+    ):
         return Ok(None)
-    return _settled_or_newer(
+    return _without_object(
         await verified_writes.update(store, attrs.evolve(stored, body=body))
     )
 
 
-def _settled_or_newer(
-    answer: verified_writes.StoredResult,
+def _without_object(
+    result: verified_writes.StoredResult,
 ) -> Result[None, object_api.ObjectError]:
-    # A conflict means that another carrier wrote: the next pass looks again,
-    # and finds the same body or a newer generation.
-    if answer.is_error():
-        return Error(answer.error)
+    # A conflict means that another process wrote the object. The next pass
+    # reads it again and finds either the same body or a newer generation.
+    if result.is_error():
+        return Error(result.error)
     return Ok(None)
 
 
@@ -105,17 +112,17 @@
     store: object_api.ObjectApi, confirmed: plan.Plan, generation: int
 ) -> Result[None, object_api.ObjectError]:
     kind, name = shares.KIND, shares.NAME
-    answer = await store.get(kind, name)
+    result = await store.get(kind, name)
     body = codec.to_body(confirmed.allocation)
-    if answer.is_error():
-        if not isinstance(answer.error, object_api.NotFound):
-            return Error(answer.error)
-        return _settled_or_newer(
+    if result.is_error():
+        if not isinstance(result.error, object_api.NotFound):
+            return Error(result.error)
+        return _without_object(
             await verified_writes.create(store, kind, name, body)
         )
-    held = codec.from_body(answer.ok.body, shares.Allocation)
-    if held.generation >= generation:
+    existing_object = codec.from_body(result.ok.body, shares.Allocation)
+    if existing_object.generation >= generation:
         return Ok(None)
-    return _settled_or_newer(
-        await verified_writes.update(store, attrs.evolve(answer.ok, body=body))
+    return _without_object(
+        await verified_writes.update(store, attrs.evolve(result.ok, body=body))
     )
--- a/redwingvalve/plans/fleet_state.py
+++ b/redwingvalve/plans/fleet_state.py
@@ -1,4 +1,4 @@
-"""Reads the world that plans are made from and checked against."""
+"""Reads the fleet state that plans are made from and checked against."""
 
 import attrs
 from expression import Error, Ok, Result
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class CurrentConfirmation:
-    """The confirmation in force; version is empty before the first one."""
+    """The current confirmation; version is empty before the first one."""
 
     confirmed: objects.Confirmation
     version: str = ''
@@ -20,7 +20,7 @@
 async def read_current(
     store: object_api.ObjectApi,
 ) -> Result[CurrentConfirmation, plan.StoreError]:
-    """Read which plan is in force."""
+    """Read the current confirmation."""
     answer = await store.get(objects.DECLARATIONS, objects.CURRENT)
     if answer.is_ok():
         confirmed = codec.from_body(answer.ok.body, objects.Confirmation)
@@ -46,7 +46,7 @@
 async def read_allocation(
     store: object_api.ObjectApi,
 ) -> Result[tuple[shares.Allocation, str], plan.StoreError]:
-    """Read the agreed allocation; version is empty when there is none."""
+    """Read the allocation in force; version is empty if there is none."""
     answer = await store.get(shares.KIND, shares.NAME)
     if answer.is_ok():
         found = codec.from_body(answer.ok.body, shares.Allocation)
@@ -59,7 +59,7 @@
 async def read_fleet_state(
     store: object_api.ObjectApi, vms: vm_list.VmList
 ) -> Result[tuple[planner.FleetState, CurrentConfirmation], plan.PlanError]:
-    """Read everything that a plan depends on."""
+    """Read everything that a plan depends on, and the confirmation."""
     current = await read_current(store)
     if current.is_error():
         return Error(current.error)
@@ -89,7 +89,7 @@
 
 
 def to_plan_error(problem: object_api.ObjectError) -> plan.StoreError:
-    """Return a store's error in the words of a plan."""
+    """Convert an error of the store to a plan error."""
     if isinstance(problem, object_api.Unavailable):
         return plan.StoreError(problem.message, problem.maybe_applied)
     return plan.StoreError(str(problem))
--- a/redwingvalve/plans/manager.py
+++ b/redwingvalve/plans/manager.py
@@ -1,9 +1,10 @@
 """Proposes, confirms and discards plans.
 
-A confirmation has two writes. The first marks the plan, so that it can be
-decided once only; the second makes it the one in force, by a conditional
-update of one object for which racing operators compete. A process that dies
-between the two leaves a marked plan, which any controller carries on.
+A confirmation takes two writes. The first sets the state of the plan, so that
+a plan is decided only once. The second commits it: a conditional update of a
+single object makes it the current plan, and of several concurrent updates one
+succeeds. A process that dies between the two writes leaves an uncommitted
+plan, which any controller commits later.
 """
 
 import secrets
@@ -29,7 +30,7 @@
 
 
 class PlanManager:
-    """All plans of one operator's system."""
+    """Manages all plans of a fleet."""
 
     def __init__(
         self,
@@ -37,7 +38,7 @@
         vms: vm_list.VmList,
         time_source: clock.Clock,
     ) -> None:
-        """Keep plans in store."""
+        """Keep plans in store; read the VMs of the fleet from vms."""
         self._store = store
         self._vms = vms
         self._clock = time_source
@@ -45,7 +46,7 @@
     async def propose(
         self, declaration: schema.Declaration, operator: str, name: str = ''
     ) -> PlanResult:
-        """Make a plan and keep it; nothing else changes."""
+        """Make a plan and store it; nothing else changes."""
         read = await fleet_state.read_fleet_state(self._store, self._vms)
         if read.is_error():
             return Error(read.error)
@@ -68,7 +69,7 @@
         return found.map(lambda pair: pair[0])
 
     async def list(self) -> Result[tuple[plan.Plan, ...], plan.PlanError]:
-        """Return all kept plans."""
+        """Return all stored plans."""
         listed = await self._store.list(objects.PLANS)
         if listed.is_error():
             return Error(fleet_state.to_plan_error(listed.error))
@@ -87,10 +88,10 @@
         return await self._decide(found.ok, plan.PlanState.DISCARDED, operator)
 
     async def confirm(self, name: str, operator: str) -> PlanResult:
-        """Put a plan in force, or tell why not and who was faster.
+        """Confirm and commit a plan, or return why that is not possible.
 
-        Once it is in force it is applied here if possible, and otherwise by
-        any controller.
+        A committed plan is applied here if possible, and otherwise by any
+        controller.
         """
         await self._apply_current()
         found = await self._read_undecided(name)
@@ -102,29 +103,30 @@
             return Error(read.error)
         state, current = read.ok
         if state.generation != proposed.basis.generation:
-            return Error(await self._lost(proposed, current))
-        moved = _moved(proposed, state)
-        if moved:
-            return Error(plan.PlanOutdated(name, moved))
-        marked = await self._decide(
+            return Error(await self._make_plan_lost(proposed, current))
+        reason = _outdated_reason(proposed, state)
+        if reason:
+            return Error(plan.PlanOutdated(name, reason))
+        uncommitted = await self._decide(
             found.ok, plan.PlanState.CONFIRMED, operator
         )
-        if marked.is_error():
-            return marked
-        committed = await self.commit(marked.ok, current)
+        if uncommitted.is_error():
+            return uncommitted
+        committed = await self.commit(uncommitted.ok, current)
         if committed.is_ok():
             await self._apply_current()
         return committed
 
     async def commit(
-        self, marked: plan.Plan, current: fleet_state.CurrentConfirmation
+        self, uncommitted: plan.Plan, current: fleet_state.CurrentConfirmation
     ) -> PlanResult:
-        """Make a marked plan the one in force; exactly one wins."""
-        if current.confirmed.plan == marked.name:
-            return Ok(marked)
-        # A carrier of an older plan, paused between its check and its write,
-        # would bring old content back into an object that the newer plan
-        # left alone. Once a plan was applied, none of its writes is left.
+        """Make a plan the current one; of concurrent calls one succeeds."""
+        if current.confirmed.plan == uncommitted.name:
+            return Ok(uncommitted)
+        # A process that still applies the older plan and is paused between
+        # its check and its write would restore old content in an object that
+        # the newer plan does not write. Once the older plan is applied, no
+        # such write can be pending.
         if not current.confirmed.applied:
             return Error(
                 plan.StoreError(
@@ -132,23 +134,23 @@
                 )
             )
         confirmed = objects.Confirmation(
-            generation=marked.basis.generation + 1,
-            plan=marked.name,
-            confirmed_by=marked.decided_by,
+            generation=uncommitted.basis.generation + 1,
+            plan=uncommitted.name,
+            confirmed_by=uncommitted.decided_by,
             confirmed_at_s=self._clock.wall_s(),
             applied=False,
         )
         written = await self._write_current(confirmed, current.version)
         if written.is_ok():
-            return Ok(marked)
+            return Ok(uncommitted)
         if not isinstance(written.error, object_api.Conflict):
             return Error(fleet_state.to_plan_error(written.error))
         newer = await fleet_state.read_current(self._store)
         if newer.is_error():
             return Error(newer.error)
-        if newer.ok.confirmed.plan == marked.name:
-            return Ok(marked)
-        return Error(await self._lost(marked, newer.ok))
+        if newer.ok.confirmed.plan == uncommitted.name:
+            return Ok(uncommitted)
+        return Error(await self._make_plan_lost(uncommitted, newer.ok))
 
     async def _apply_current(self) -> None:
         current = await fleet_state.read_current(self._store)
@@ -172,10 +174,12 @@
         found = await fleet_state.read_plan(self._store, name)
         if found.is_error():
             return found
-        kept = found.ok[0]
-        if kept.state != plan.PlanState.PROPOSED:
+        existing = found.ok[0]
+        if existing.state != plan.PlanState.PROPOSED:
             return Error(
-                plan.PlanDecided(name, kept.state.value, kept.decided_by)
+                plan.PlanDecided(
+                    name, existing.state.value, existing.decided_by
+                )
             )
         return found
 
@@ -206,7 +210,7 @@
             )
         )
 
-    async def _lost(
+    async def _make_plan_lost(
         self, loser: plan.Plan, current: fleet_state.CurrentConfirmation
     ) -> plan.PlanLost:
         confirmed = current.confirmed
@@ -226,45 +230,46 @@
         )
 
 
-def _moved(proposed: plan.Plan, state: planner.FleetState) -> str:
-    """Say what moved, if the plan would now be another one.
+def _outdated_reason(proposed: plan.Plan, state: planner.FleetState) -> str:
+    """Return why a plan is outdated, or '' if it still applies.
 
-    VMs come and go every few minutes in a large fleet. A plan that any such
-    change made void could hardly ever be confirmed. It holds while its own
-    placement still fits and a plan made now would promise the same.
+    VMs come and go every few minutes in a large fleet. If every such change
+    made a plan outdated, it could hardly ever be confirmed. A plan applies as
+    long as its placement still fits and a plan made now would have the same
+    changes and risks.
     """
     before = dict(proposed.basis.domain_fingerprints)
     after = dict(planner.basis_of(state).domain_fingerprints)
     names = sorted(set(before) | set(after))
     changed = [name for name in names if before.get(name) != after.get(name)]
-    remade = planner.make_plan(
+    recomputed = planner.make_plan(
         proposed.declaration,
         state,
         planner.Proposal(
             proposed.name, proposed.proposed_by, proposed.proposed_at_s
         ),
     )
-    moved = _moved_since(proposed, remade, state)
-    if moved:
-        return f'replicas moved in {", ".join(moved)}'
+    gaining = _domains_gaining_replicas(proposed, recomputed, state)
+    if gaining:
+        return f'replicas moved in {", ".join(gaining)}'
     fits = planner.placement_fits(proposed, state)
-    if fits and _promises(remade) == _promises(proposed):
+    if fits and _predicted_outcome(recomputed) == _predicted_outcome(proposed):
         return ''
     where = ', '.join(changed) or 'the VM list'
     return f'VMs or replicas changed in {where}'
 
 
-def _moved_since(
-    proposed: plan.Plan, remade: plan.Plan, state: planner.FleetState
+def _domains_gaining_replicas(
+    proposed: plan.Plan, recomputed: plan.Plan, state: planner.FleetState
 ) -> list[str]:
-    """Name the domains to which replicas moved after the plan was made.
+    """Return the domains to which replicas moved after the plan was made.
 
-    The plan would take them back in one step, without their old place being
-    formed first: callers would miss a replica for the time of a load.
+    The plan would stop these replicas before replacements are formed in their
+    old domains, so a replica would be missing for the time of a load.
     """
     return [
         share.domain
-        for share in remade.allocation.shares
+        for share in recomputed.allocation.shares
         if proposed.allocation.replicas(share.domain, share.deployment)
         < min(
             share.replicas,
@@ -273,7 +278,7 @@
     ]
 
 
-def _promises(made: plan.Plan) -> tuple[object, ...]:
+def _predicted_outcome(made: plan.Plan) -> tuple[object, ...]:
     counts = tuple(
         (change.kind, change.subject, change.count) for change in made.changes
     )
@@ -285,5 +290,5 @@
     vms: vm_list.VmList,
     time_source: clock.Clock,
 ) -> PlanManager:
-    """Return the book of plans kept in a store."""
+    """Return a manager of the plans in a store."""
     return PlanManager(store, vms, time_source)
--- a/redwingvalve/plans/objects.py
+++ b/redwingvalve/plans/objects.py
@@ -1,8 +1,8 @@
-"""Bodies of the declared objects, and the record of what was confirmed.
+"""Bodies of the declared objects, and the record of the confirmed plan.
 
-A declared object carries the generation that wrote it, and a removed one
-stays as a tombstone: a paused process that goes on applying an old generation
-then finds a newer one in the object, and leaves it alone.
+A declared object carries the generation that wrote it, and a removed object
+stays as a tombstone. A process that resumes applying an old generation after
+a pause finds the newer generation in the object and does not overwrite it.
 """
 
 import typing
@@ -25,9 +25,10 @@
 
 @attrs.frozen
 class Confirmation:
-    """The one object by which a confirmation is won; plan holds the rest.
+    """The single object that decides between concurrent confirmations.
 
-    applied says that every declared object carries this generation.
+    plan names the plan with the details. applied is true once the declared
+    objects and the allocation of that plan have been written.
     """
 
     generation: int = 0
@@ -52,7 +53,7 @@
     | schema.ClientAccount
     | None,
 ) -> object_api.Body:
-    """Return the body of a declared object."""
+    """Return the body of a declared object, or its tombstone for None."""
     plain = None if content is None else codec.to_body(content)
     return codec.to_body(Declared(generation, plain))
 
@@ -60,7 +61,7 @@
 def read_declared(
     stored: object_api.StoredObject, target: type[ContentType]
 ) -> ContentType | None:
-    """Return what an object declares, or None once it is removed."""
+    """Return the declared content of an object, or None for a tombstone."""
     declared = codec.from_body(stored.body, Declared)
     if declared.content is None:
         return None
@@ -68,9 +69,9 @@
 
 
 def declared_content(body: object_api.Body) -> object_api.Body | None:
-    """Return the declared part of a body; None once it is removed."""
+    """Return the declared part of a body, or None for a tombstone."""
     if 'generation' not in body or 'content' not in body:
-        # Written by hand, without a plan.
+        # The object was written directly, without a plan.
         return body
     return body['content']
 
@@ -78,7 +79,7 @@
 def declared_objects(
     declaration: schema.Declaration,
 ) -> dict[tuple[str, str], typing.Any]:
-    """Return all declared parts by kind and name."""
+    """Return all declared objects by kind and name."""
     parts: dict[tuple[str, str], typing.Any] = {}
     for kind, group in (
         (DEPLOYMENTS, declaration.deployments),
--- a/redwingvalve/plans/plan.py
+++ b/redwingvalve/plans/plan.py
@@ -1,4 +1,4 @@
-"""A plan: what a declaration would change, stop or put at risk."""
+"""Plans: the changes, stops and risks that a declaration implies."""
 
 import enum
 
@@ -19,7 +19,7 @@
 
 
 class PlanState(enum.StrEnum):
-    """A plan is decided once; only PROPOSED ones can change."""
+    """The state of a plan; only PROPOSED plans can still be decided."""
 
     PROPOSED = 'proposed'
     CONFIRMED = 'confirmed'
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class Risk:
-    """What may be unable to serve, for how long, at which price."""
+    """Replicas that may be unable to serve, for how long, and the cost."""
 
     deployment: str
     replicas: int
@@ -49,10 +49,11 @@
 
 @attrs.frozen
 class SpareAdvice:
-    """Spare VMs of a domain under the plan, and how many would pay.
+    """Spare VMs of a domain under the plan, and the most economic number.
 
-    Prices are those of a minute in all domains, of idle spares and of downtime
-    without them together: domains lend each other VMs for whole replicas.
+    Prices are per minute over all domains, since domains lend each other VMs
+    for whole replicas. They add the cost of idle spares to the cost of the
+    downtime that missing spares cause.
     """
 
     domain: str
@@ -64,10 +65,10 @@
 
 @attrs.frozen
 class Basis:
-    """The versions that a plan was made from; it holds only with these.
+    """The versions that a plan was made from.
 
-    domain_fingerprints covers VMs and replicas but not leases, which move on
-    their own every few seconds.
+    domain_fingerprints covers VMs and replicas but not leases, which change
+    every few seconds without any effect on the plan.
     """
 
     generation: int
@@ -76,7 +77,7 @@
 
 @attrs.frozen
 class Plan:
-    """Everything that an operator reads before confirming."""
+    """A plan with everything that an operator reviews before confirming."""
 
     name: str
     proposed_by: str
@@ -93,7 +94,7 @@
 
 @attrs.frozen
 class PlanOutdated:
-    """The world moved, so the plan no longer holds; make another."""
+    """The fleet changed so that the plan no longer applies."""
 
     plan: str
     reason: str
@@ -101,7 +102,7 @@
 
 @attrs.frozen
 class PlanLost:
-    """Another operator was faster; confirmed_by won with winning_plan."""
+    """Another plan, winning_plan of confirmed_by, was confirmed first."""
 
     plan: str
     confirmed_by: str
@@ -112,7 +113,7 @@
 
 @attrs.frozen
 class PlanDecided:
-    """The plan was confirmed or discarded before."""
+    """The plan has already been confirmed or discarded."""
 
     plan: str
     state: str
@@ -121,14 +122,14 @@
 
 @attrs.frozen
 class PlanNotFound:
-    """No plan has this name."""
+    """There is no plan with this name."""
 
     plan: str
 
 
 @attrs.frozen
 class StoreError:
-    """The store gave no usable answer; unknown says what may have happened."""
+    """The store failed; maybe_applied if a write may have taken effect."""
 
     message: str
     maybe_applied: bool = False
--- a/redwingvalve/plans/planner.py
+++ b/redwingvalve/plans/planner.py
@@ -1,4 +1,4 @@
-"""Compares a declaration with what runs and makes the plan; pure."""
+"""Compares a declaration with the fleet state and makes a plan; pure."""
 
 import hashlib
 import json
@@ -19,13 +19,13 @@
 from redwingvalve.replicas import domain as domain_module
 
 SECONDS_PER_MINUTE = 60.0
-# Entries stop sending before a drained replica is loaded anew.
+# A drained replica is reloaded only after all entries stopped sending to it.
 CHANGE_DRAIN_S = entry_reports.SENDERS_STOP_TIMEOUT_S
 
 
 @attrs.frozen
 class FleetState:
-    """What a plan is made from, read at one time."""
+    """Everything that a plan is computed from."""
 
     generation: int = 0
     declaration: schema.Declaration | None = None
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class Proposal:
-    """Who proposes what, when, under which name."""
+    """Name, operator and time of a proposed plan."""
 
     name: str
     operator: str
@@ -46,7 +46,7 @@
 def make_plan(
     declaration: schema.Declaration, state: FleetState, proposal: Proposal
 ) -> plan.Plan:
-    """Return the plan for a declaration in the world as it was read."""
+    """Return the plan for a declaration, given the fleet state."""
     allocated = shares.allocate(
         state.generation + 1,
         declaration.deployments,
@@ -72,7 +72,7 @@
 
 
 def basis_of(state: FleetState) -> plan.Basis:
-    """Return the versions that a plan made from world depends on."""
+    """Return the versions that a plan made from state depends on."""
     return plan.Basis(
         state.generation,
         tuple(sorted((each.name, fingerprint(each)) for each in state.domains)),
@@ -80,7 +80,7 @@
 
 
 def fingerprint(domain: domain_module.FabricDomain) -> str:
-    """Return a digest of the VMs and members that a plan depends on."""
+    """Return a digest of the VMs and replicas of a domain."""
     basis = [
         sorted((vm.name, vm.leaving, vm.missing) for vm in domain.vms),
         sorted((each.name, each.deployment) for each in domain.replicas),
@@ -89,41 +89,45 @@
 
 
 def capacities_of(state: FleetState) -> tuple[shares.DomainCapacity, ...]:
-    """Return what each domain can hold; missing and leaving VMs not at all."""
+    """Return usable VMs per domain; missing and leaving VMs don't count."""
     missing = {
         vm.name for domain in state.domains for vm in domain.vms if vm.missing
     }
     usable: dict[str, int] = {}
-    places: dict[str, str] = {}
+    data_centres: dict[str, str] = {}
     for vm in state.vms:
-        places[vm.fabric_domain] = vm.data_centre
-        counts = vm.state == vm_list.VmState.LIVE and vm.name not in missing
-        usable[vm.fabric_domain] = usable.get(vm.fabric_domain, 0) + counts
+        data_centres[vm.fabric_domain] = vm.data_centre
+        is_usable = vm.state == vm_list.VmState.LIVE and vm.name not in missing
+        usable[vm.fabric_domain] = usable.get(vm.fabric_domain, 0) + is_usable
     return tuple(
-        shares.DomainCapacity(name, places[name], usable[name])
+        shares.DomainCapacity(name, data_centres[name], usable[name])
         for name in sorted(usable)
     )
 
 
 def placement_fits(made: plan.Plan, state: FleetState) -> bool:
-    """Tell whether each domain still has the VMs that a plan counts on."""
+    """Tell whether each domain has enough usable VMs for the plan."""
     usable = {each.domain: each.usable_vms for each in capacities_of(state)}
     sizes = {
         each.name: each.vms_per_replica for each in made.declaration.deployments
     }
     for share in made.allocation.shares:
-        left = usable.get(share.domain, 0)
-        usable[share.domain] = left - share.replicas * sizes[share.deployment]
-    return all(left >= 0 for left in usable.values())
+        remaining = usable.get(share.domain, 0)
+        usable[share.domain] = (
+            remaining - share.replicas * sizes[share.deployment]
+        )
+    return all(remaining >= 0 for remaining in usable.values())
 
 
 def _object_changes(
     before: schema.Declaration, after: schema.Declaration
 ) -> collections_abc.Iterator[plan.Change]:
-    old = objects.declared_objects(before)
-    new = objects.declared_objects(after)
-    for kind, name in sorted(set(old) | set(new)):
-        change = _object_change(old.get((kind, name)), new.get((kind, name)))
+    before_by_name = objects.declared_objects(before)
+    after_by_name = objects.declared_objects(after)
+    for kind, name in sorted(set(before_by_name) | set(after_by_name)):
+        change = _object_change(
+            before_by_name.get((kind, name)), after_by_name.get((kind, name))
+        )
         if change is not None:
             yield plan.Change(change[0], f'{kind}/{name}', 1, change[1])
 
@@ -144,14 +148,14 @@
     before = codec.to_body(old)
     after = codec.to_body(new)
     parts = [
-        f'{name}: {_shown(name, before[name])} to {_shown(name, after[name])}'
+        f'{name}: {_format(name, before[name])} to {_format(name, after[name])}'
         for name in sorted(set(before) & set(after))
         if before[name] != after[name]
     ]
     return '; '.join(parts)
 
 
-def _shown(name: str, content: object) -> str:
+def _format(name: str, content: object) -> str:
     return '...' if name == 'credential_sha256' else str(content)
 
 
@@ -161,10 +165,10 @@
     state: FleetState,
     allocated: shares.Allocation,
 ) -> collections_abc.Iterator[plan.Change]:
-    new = {each.name: each for each in after.deployments}
-    old = {each.name: each for each in before.deployments}
-    for name in sorted(set(old) | set(new)):
-        running = _running(state, name)
+    after_by_name = {each.name: each for each in after.deployments}
+    before_by_name = {each.name: each for each in before.deployments}
+    for name in sorted(set(before_by_name) | set(after_by_name)):
+        running = _running_replicas(state, name)
         subject = f'replicas of {name}'
         placed = allocated.total(name)
         if placed > running:
@@ -172,7 +176,7 @@
                 plan.ChangeKind.FORMED,
                 subject,
                 placed - running,
-                _spread(allocated, name),
+                _placement_text(allocated, name),
             )
         if placed < running:
             yield plan.Change(
@@ -181,13 +185,15 @@
                 running - placed,
                 'drained first; no request is cut off',
             )
-        yield from _moves(state, allocated, name, subject)
-        declared = new.get(name)
+        yield from _moved_replicas(state, allocated, name, subject)
+        declared = after_by_name.get(name)
         if declared is not None:
-            yield from _per_deployment(declared, old.get(name), placed)
+            yield from _deployment_changes(
+                declared, before_by_name.get(name), placed
+            )
 
 
-def _per_deployment(
+def _deployment_changes(
     deployment: schema.ModelDeployment,
     before: schema.ModelDeployment | None,
     placed: int,
@@ -214,26 +220,26 @@
 def needs_reload(
     before: schema.ModelDeployment, after: schema.ModelDeployment
 ) -> bool:
-    """Tell whether running replicas have to load something else."""
+    """Tell whether running replicas have to be loaded again."""
     return any(
         getattr(before, name) != getattr(after, name)
         for name in ('model', 'version', 'adapters', 'vms_per_replica')
     )
 
 
-def _moves(
+def _moved_replicas(
     state: FleetState, allocated: shares.Allocation, name: str, subject: str
 ) -> collections_abc.Iterator[plan.Change]:
     for domain in state.domains:
         running = sum(each.deployment == name for each in domain.replicas)
         lost = running - allocated.replicas(domain.name, name)
-        if lost > 0 and allocated.total(name) >= _running(state, name):
+        if lost > 0 and allocated.total(name) >= _running_replicas(state, name):
             yield plan.Change(
                 plan.ChangeKind.MOVED, subject, lost, f'out of {domain.name}'
             )
 
 
-def _running(state: FleetState, deployment: str) -> int:
+def _running_replicas(state: FleetState, deployment: str) -> int:
     return sum(
         each.deployment == deployment
         for domain in state.domains
@@ -241,7 +247,7 @@
     )
 
 
-def _spread(allocated: shares.Allocation, name: str) -> str:
+def _placement_text(allocated: shares.Allocation, name: str) -> str:
     parts = [
         f'{share.domain}: {share.replicas}'
         for share in allocated.shares
@@ -256,15 +262,18 @@
     state: FleetState,
     allocated: shares.Allocation,
 ) -> collections_abc.Iterator[plan.Risk]:
-    old = {each.name: each for each in before.deployments}
+    before_by_name = {each.name: each for each in before.deployments}
     for deployment in after.deployments:
-        short = deployment.replicas - allocated.total(deployment.name)
-        if short > 0:
+        unplaced = deployment.replicas - allocated.total(deployment.name)
+        if unplaced > 0:
             yield _risk(
-                deployment, short, SECONDS_PER_MINUTE, 'not placed, each minute'
+                deployment,
+                unplaced,
+                SECONDS_PER_MINUTE,
+                'not placed, each minute',
             )
-        known = old.get(deployment.name)
-        if known is not None and needs_reload(known, deployment):
+        previous = before_by_name.get(deployment.name)
+        if previous is not None and needs_reload(previous, deployment):
             yield from _change_risks(deployment, after, state, allocated)
 
 
@@ -274,10 +283,11 @@
     state: FleetState,
     allocated: shares.Allocation,
 ) -> collections_abc.Iterator[plan.Risk]:
-    """Say what a change costs where no domain has room for one replica more.
+    """Yield the cost of a change if no domain can take another replica.
 
-    Each replica is then drained and loaded in turn, or, unless that is
-    accepted or while the floor allows none, the change waits.
+    In that case the replicas are drained and reloaded one after another. If
+    the deployment does not accept that, or if its floor leaves no replica to
+    drain, the change waits.
     """
     deployments = {each.name: each for each in after.deployments}
     capacities = capacities_of(state)
@@ -304,26 +314,36 @@
     state: FleetState,
     allocated: shares.Allocation,
 ) -> collections_abc.Iterator[plan.SpareAdvice]:
-    """Advise on all domains together, the roomiest first to hold sets."""
-    needs = {
-        capacity.domain: _needs_of(capacity.domain, declaration, allocated)
+    """Advise on the spares of all domains as one pool.
+
+    The domains with the most free VMs come first, since the pool places spare
+    VMs for whole replicas in the first domains.
+    """
+    demands = {
+        capacity.domain: _demands_in(capacity.domain, declaration, allocated)
         for capacity in capacities_of(state)
     }
     free = {
         capacity.domain: capacity.usable_vms
-        - sum(need.vms() for need in needs[capacity.domain])
+        - sum(demand.vms() for demand in demands[capacity.domain])
         for capacity in capacities_of(state)
     }
-    roomiest = sorted(free, key=free.__getitem__, reverse=True)
-    used = [
-        name for name in roomiest if any(need.vms() for need in needs[name])
+    by_free_vms = sorted(free, key=free.__getitem__, reverse=True)
+    domains_in_use = [
+        name
+        for name in by_free_vms
+        if any(demand.vms() for demand in demands[name])
     ]
-    kept = tuple(needs[name] for name in used)
-    advice = spares.advise_pool(kept, declaration.failures)
+    demands_in_use = tuple(demands[name] for name in domains_in_use)
+    advice = spares.advise_pool(demands_in_use, declaration.failures)
     price = spares.pool_price_per_minute(
-        kept, declaration.failures, tuple(free[name] for name in used)
+        demands_in_use,
+        declaration.failures,
+        tuple(free[name] for name in domains_in_use),
     )
-    for name, advised in sorted(zip(used, advice.spares, strict=True)):
+    for name, advised in sorted(
+        zip(domains_in_use, advice.spares, strict=True)
+    ):
         yield plan.SpareAdvice(
             name,
             free[name],
@@ -333,7 +353,7 @@
         )
 
 
-def _needs_of(
+def _demands_in(
     domain: str, declaration: schema.Declaration, allocated: shares.Allocation
 ) -> tuple[spares.DeploymentDemand, ...]:
     return tuple(
--- a/redwingvalve/plans/recovery.py
+++ b/redwingvalve/plans/recovery.py
@@ -1,11 +1,11 @@
-"""Finds confirmed plans whose carrier died, and carries them on."""
+"""Resumes confirmed plans whose process died before they were applied."""
 
 from expression import Error, Ok
 
 from redwingvalve.plans import applier, fleet_state, manager, objects, plan
 from redwingvalve.platform_api import object_api
 
-KEPT_PLANS = 50
+MAX_PLANS = 50
 
 
 async def resume_confirmations(
@@ -14,10 +14,10 @@
     *,
     include_uncommitted: bool = True,
 ) -> applier.ApplyResult:
-    """Carry on what dead processes left; Ok(True) if anything was done.
+    """Resume unfinished confirmations; Ok(True) if there was one.
 
-    Without with_marked only the plan in force is looked at: one small read,
-    where the list of plans may be a megabyte.
+    Without include_uncommitted only the current plan is checked. That takes
+    one small read, while the list of plans may have a megabyte.
     """
     current = await fleet_state.read_current(store)
     if current.is_error():
@@ -29,40 +29,42 @@
     listed = await plans.list()
     if listed.is_error():
         return Error(listed.error)
-    await _drop_oldest(store, listed.ok, current.ok.confirmed)
-    for marked in listed.ok:
-        if not _was_left(marked, current.ok.confirmed):
+    await _delete_old_plans(store, listed.ok, current.ok.confirmed)
+    for uncommitted in listed.ok:
+        if not _is_uncommitted(uncommitted, current.ok.confirmed):
             continue
-        committed = await plans.commit(marked, current.ok)
+        committed = await plans.commit(uncommitted, current.ok)
         if committed.is_error():
             return Error(committed.error)
         return Ok(True)
     return Ok(False)
 
 
-async def _drop_oldest(
+async def _delete_old_plans(
     store: object_api.ObjectApi,
-    kept: tuple[plan.Plan, ...],
+    plans_kept: tuple[plan.Plan, ...],
     confirmed: objects.Confirmation,
 ) -> None:
-    """Delete plans beyond the newest ones; the one in force stays.
+    """Delete the oldest plans above MAX_PLANS, but not the current one.
 
-    At 1,400 plans a day a list of them all would soon be many megabytes.
+    At 1,400 plans a day, a list of all plans would soon have many megabytes.
     """
-    ended = [
+    deletable = [
         each
-        for each in sorted(kept, key=lambda made: made.proposed_at_s)
-        if each.name != confirmed.plan and not _was_left(each, confirmed)
+        for each in sorted(plans_kept, key=lambda made: made.proposed_at_s)
+        if each.name != confirmed.plan and not _is_uncommitted(each, confirmed)
     ]
-    for old in ended[: max(len(kept) - KEPT_PLANS, 0)]:
+    for old in deletable[: max(len(plans_kept) - MAX_PLANS, 0)]:
         found = await store.get(objects.PLANS, old.name)
         if found.is_ok():
             await store.delete(objects.PLANS, old.name, found.ok.version)
 
 
-def _was_left(marked: plan.Plan, confirmed: objects.Confirmation) -> bool:
+def _is_uncommitted(
+    uncommitted: plan.Plan, confirmed: objects.Confirmation
+) -> bool:
     return (
-        marked.state == plan.PlanState.CONFIRMED
-        and marked.name != confirmed.plan
-        and marked.basis.generation == confirmed.generation
+        uncommitted.state == plan.PlanState.CONFIRMED
+        and uncommitted.name != confirmed.plan
+        and uncommitted.basis.generation == confirmed.generation
     )
--- a/redwingvalve/plans/verified_writes.py
+++ b/redwingvalve/plans/verified_writes.py
@@ -1,9 +1,9 @@
-"""Writes whose lost answers are settled by reading back.
+"""Writes that are read back when their response is lost.
 
-Load pattern: rare writes by operators and controllers, now and then without
-an answer. Without the read-back an operator would be told that a plan failed
-which is in force. Bodies written here name their writer or are the same
-whoever writes them, so that an equal body says that the write stands.
+Load pattern: rare writes by operators and controllers, occasionally without a
+response. Without the read-back an operator would be told that a plan failed
+although it is in force. Bodies written here either name their writer or are
+the same for every writer, so an equal body proves that the write took effect.
 """
 
 from expression import Error, Ok, Result
@@ -16,38 +16,42 @@
 async def create(
     objects: object_api.ObjectApi, kind: str, name: str, body: object_api.Body
 ) -> StoredResult:
-    """Create an object; an equal one that exists counts as created."""
+    """Create an object; an existing object with equal body is a success."""
     answer = await objects.create(kind, name, body)
     if answer.is_ok():
         return answer
-    return await _settle(objects, kind, name, body, answer.error)
+    return await _read_back(objects, kind, name, body, answer.error)
 
 
 async def update(
     objects: object_api.ObjectApi, stored: object_api.StoredObject
 ) -> StoredResult:
-    """Update an object conditionally; a lost answer is settled."""
+    """Update an object conditionally; read it back if the response is lost."""
     answer = await objects.update(stored)
     if answer.is_ok():
         return answer
-    return await _settle(
+    return await _read_back(
         objects, stored.kind, stored.name, stored.body, answer.error
     )
 
 
-async def _settle(
+async def _read_back(
     objects: object_api.ObjectApi,
     kind: str,
     name: str,
     body: object_api.Body,
-    problem: object_api.ObjectError,
+    error: object_api.ObjectError,
 ) -> StoredResult:
-    lost = isinstance(problem, object_api.Unavailable) and problem.maybe_applied
-    if not lost and not isinstance(problem, object_api.Conflict):
-        return Error(problem)
+    maybe_applied = (
+        isinstance(error, object_api.Unavailable) and error.maybe_applied
+    )
+    if not maybe_applied and not isinstance(error, object_api.Conflict):
+        return Error(error)
     found = await objects.get(kind, name)
     if found.is_ok() and found.ok.body == body:
         return Ok(found.ok)
-    if lost and found.is_ok():
-        return Error(object_api.Conflict(kind, name, 'the write did not stand'))
-    return Error(problem)
+    if maybe_applied and found.is_ok():
+        return Error(
+            object_api.Conflict(kind, name, 'the write was not applied')
+        )
+    return Error(error)
