--- a/redwingvalve/configuration/__init__.py
+++ b/redwingvalve/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Accepted configuration: in force everywhere in seconds, never reverting."""
+"""Distribution of configuration: to all nodes in seconds, without reverts."""
--- a/redwingvalve/configuration/in_force.py
+++ b/redwingvalve/configuration/in_force.py
@@ -1,8 +1,9 @@
-"""Whether a change is in force on every live entry, and who lacks it.
+"""Tells whether a change is in force on all live entries; pure.
 
-Pure. An entry says which versions it serves by; a change counts as in force
-only when every live entry has said so. One that can't be reached is named: it
-takes itself out of discovery when it hears from nobody.
+Entries publish the versions that they use. A change counts as in force only
+once every live entry has published its version. An entry that can't be
+reached is reported as missing; it removes itself from discovery while it
+hears from no other member.
 """
 
 import json
@@ -13,7 +14,7 @@
 from redwingvalve.membership import members
 from redwingvalve.news import bus
 
-# Said again well before it is too old, and at once after each change.
+# Published after each change, and periodically well before max_age_s.
 VERSIONS_CHANNEL = bus.Channel(
     name='configuration',
     scope=bus.Scope.REGION,
@@ -21,63 +22,63 @@
     max_item_bytes=400,
 )
 VERSIONS_KEY = 'versions'
-REPEAT_S = 20.0
+REPUBLISH_INTERVAL_S = 20.0
 
 
 @attrs.frozen
 class InForce:
-    """The answer: in force when no live entry is missing it."""
+    """The live entries, and those on which the change is not in force."""
 
     entries: int
     missing: tuple[str, ...]
 
     @property
     def everywhere(self) -> bool:
-        """Tell whether every live entry has said that it has the change."""
+        """Tell whether the change is in force on every live entry."""
         return not self.missing
 
 
-def pack_versions(versions: collections_abc.Mapping[str, int]) -> bytes:
-    """Return what an entry says of its versions."""
+def encode_versions(versions: collections_abc.Mapping[str, int]) -> bytes:
+    """Encode the versions that an entry publishes."""
     return json.dumps(versions, separators=(',', ':')).encode()
 
 
 def missing_entries(
     present: collections_abc.Iterable[members.Member],
-    said: collections_abc.Iterable[bus.NewsItem],
+    published: collections_abc.Iterable[bus.NewsItem],
     kind: str,
     version: int,
 ) -> InForce:
-    """Name the entries that have not said that they have a version."""
-    having = {
+    """Return the live entries that have not published a version."""
+    up_to_date = {
         (item.owner, item.owner_incarnation)
-        for item in said
-        if _versions(item.body).get(kind, 0) >= version
+        for item in published
+        if _decode_versions(item.body).get(kind, 0) >= version
     }
-    live = [
+    live_entries = [
         member
         for member in present
         if member.role == 'entry'
         and member.state is not members.MemberState.DEAD
     ]
-    lacking = [
+    behind = [
         member.name
-        for member in live
-        if (member.name, member.incarnation) not in having
+        for member in live_entries
+        if (member.name, member.incarnation) not in up_to_date
     ]
-    return InForce(len(live), tuple(sorted(lacking)))
+    return InForce(len(live_entries), tuple(sorted(behind)))
 
 
 def merge(answers: collections_abc.Iterable[InForce]) -> InForce:
-    """Return the answer for several regions together."""
+    """Combine the results of several regions."""
     parts = tuple(answers)
-    lacking = sorted(name for part in parts for name in part.missing)
-    return InForce(sum(part.entries for part in parts), tuple(lacking))
+    behind = sorted(name for part in parts for name in part.missing)
+    return InForce(sum(part.entries for part in parts), tuple(behind))
 
 
-def _versions(body: bytes) -> dict[str, int]:
+def _decode_versions(body: bytes) -> dict[str, int]:
     try:
-        read = json.loads(body)
+        decoded = json.loads(body)
     except ValueError:
         return {}
-    return read if isinstance(read, dict) else {}
+    return decoded if isinstance(decoded, dict) else {}
--- a/redwingvalve/configuration/records.py
+++ b/redwingvalve/configuration/records.py
@@ -1,13 +1,13 @@
-"""The configuration as versioned records; a record never goes back.
+"""The configuration as versioned records that never revert; pure.
 
-Pure. The store's versions rise over all its objects, so that within a kind
-the highest version known, taken in order, says that every earlier change is
-known too. Peers pass on only the records above a version, in the order of
-versions; a message cut short therefore leaves a prefix.
+Versions of the store increase over all its objects. If the changes of a kind
+are applied in order, its highest version therefore implies that all earlier
+changes are known too. Peers send the records above a version in the order of
+versions, so a reply that is cut at its size limit is still a prefix.
 
-Load pattern: 1,400 changes a day, most to one account, each to be in force on
-360 nodes within seconds. Sending the whole configuration each time would cost
-its size times the changes; a record travels once to each node.
+Load pattern: 1,400 changes a day, most of them to a single account, each to be
+in force on 360 nodes within seconds. Sending the whole configuration for each
+change would be too much data; a record is sent once to each node.
 """
 
 import collections
@@ -24,10 +24,10 @@
 SERVICES = 'services'
 FABRIC_DOMAINS = 'fabricdomains'
 CONFIGURATION_KINDS = (DEPLOYMENTS, CLIENT_ACCOUNTS, SERVICES)
-# Bytes of bodies in one answer to a peer.
-MAX_ANSWER_BYTES = 400_000
-# Deletions remembered for each kind, so that a node that was away learns of
-# them; far more than happen in the two hours for which the dead are kept.
+# Total size of the bodies in one reply to a peer.
+MAX_REPLY_BYTES = 400_000
+# Deletions kept per kind for nodes that were disconnected; far more than occur
+# in the two hours for which dead members are kept.
 MAX_TOMBSTONES = 2000
 
 Versions = collections_abc.Mapping[str, int]
@@ -47,159 +47,170 @@
 
     @property
     def group(self) -> str:
-        """Return the kind; each fabric domain is a group of its own.
+        """Return the unit that has a version: a kind or a fabric domain.
 
-        The holder of a domain's lease passes its own writes on and knows
-        nothing of other domains, so that one version for a region's domains
-        would claim too much.
+        The holder of a domain's lease passes on its own writes and may not
+        know of changes to other domains, so a single version for all domains
+        of a region could not imply that all their changes are known.
         """
         if self.kind == FABRIC_DOMAINS:
-            return f'{domains_of(self.region)}{self.name}'
+            return f'{domain_group_prefix(self.region)}{self.name}'
         return self.kind
 
 
-def domains_of(region: str) -> str:
-    """Return how the groups of a region's fabric domains begin."""
+def domain_group_prefix(region: str) -> str:
+    """Return the common prefix of the groups of a region's domains."""
     return f'{FABRIC_DOMAINS}/{region}/'
 
 
-def concerns(group: str, region: str) -> bool:
-    """Tell whether members of a region keep this group."""
-    return group in CONFIGURATION_KINDS or group.startswith(domains_of(region))
+def is_stored_in(group: str, region: str) -> bool:
+    """Tell whether members of a region store this group."""
+    return group in CONFIGURATION_KINDS or group.startswith(
+        domain_group_prefix(region)
+    )
 
 
 class RecordTable:
-    """All records this process knows, with the version of each group."""
+    """All records of this process, and the version of each group."""
 
     def __init__(
         self, switches: invariants.SafeguardSwitches | None = None
     ) -> None:
         """Start empty."""
         self._switches = switches or invariants.SafeguardSwitches()
-        self._kinds: dict[str, dict[str, Record]] = collections.defaultdict(
-            dict
+        self._records_by_kind: dict[str, dict[str, Record]] = (
+            collections.defaultdict(dict)
         )
         self._versions: dict[str, int] = {}
         self._deletions_since: dict[str, int] = {}
 
     def versions(self) -> dict[str, int]:
-        """Return up to which version each group is known completely."""
+        """Return the version up to which each group is complete."""
         return dict(self._versions)
 
-    def held(self, kind: str, name: str) -> Record | None:
+    def get(self, kind: str, name: str) -> Record | None:
         """Return the record of an object, or None."""
-        return self._kinds[kind].get(name)
+        return self._records_by_kind[kind].get(name)
 
     def live(self, kind: str) -> list[Record]:
-        """Return the records of a kind that are not deleted, by name."""
+        """Return the records of a kind without tombstones, by name."""
         return sorted(
             (
                 record
-                for record in self._kinds[kind].values()
+                for record in self._records_by_kind[kind].values()
                 if not record.deleted
             ),
             key=lambda record: record.name,
         )
 
-    def take(self, record: Record) -> bool:
-        """Take a record if it is newer; True when it was.
+    def apply(self, record: Record) -> bool:
+        """Apply a record if it is newer; return whether it was.
 
-        A store restored from a backup, a late answer or a peer that was away
-        offers older records; taking one would put a withdrawn configuration
-        back in force, seen by callers as a limit or a deployment that comes
-        back. Versions are compared record by record, so that no order of
-        messages can do this.
+        A store restored from a backup, a late response or a peer that was
+        disconnected may offer older records. Applying one would revert the
+        configuration: callers would see an old limit or a removed deployment
+        again. Versions are compared for each record, so that this can't
+        happen in any order of messages.
         """
-        held = self._kinds[record.kind].get(record.name)
-        rises = self._switches.enabled(
+        existing = self._records_by_kind[record.kind].get(record.name)
+        only_rises = self._switches.enabled(
             invariants.Safeguard.CONFIGURATION_ONLY_RISES
         )
-        if held is not None and record.version == held.version:
+        if existing is not None and record.version == existing.version:
             return False
-        if held is not None and rises and record.version < held.version:
+        if (
+            existing is not None
+            and only_rises
+            and record.version < existing.version
+        ):
             return False
-        if rises and self._knows_past(record):
+        if only_rises and self._is_stale(record):
             return False
         invariants.require(
-            held is None or record.version > held.version,
+            existing is None or record.version > existing.version,
             'configuration never reverts',
             f'{record.kind}/{record.name} would go back to {record.version}',
         )
-        self._kinds[record.kind][record.name] = record
+        self._records_by_kind[record.kind][record.name] = record
         if record.deleted:
-            self._bound_tombstones(record.kind)
+            self._limit_tombstones(record.kind)
         return True
 
-    def _knows_past(self, record: Record) -> bool:
-        """Tell whether what we hold is newer than this record.
+    def _is_stale(self, record: Record) -> bool:
+        """Tell whether the group is already known at a newer version.
 
-        Up to the group's version every live object is held at its newest. A
-        record below it that is not held was replaced or deleted since; a late
-        list or answer that still shows it would bring it back.
+        The table has the newest record of each live object up to the group's
+        version. A record at or below that version that is not in the table
+        has been replaced or deleted. A late list or reply that still contains
+        it must not restore it.
         """
         return record.version <= self._versions.get(record.group, 0)
 
     def complete(self, versions: Versions) -> None:
-        """Note that everything up to these versions has been taken."""
+        """Set the versions up to which groups are complete."""
         for group, version in versions.items():
             if version > self._versions.get(group, 0):
                 self._versions[group] = version
 
-    def take_listing(
+    def apply_listing(
         self,
         kind: str,
         present: collections_abc.Container[str],
         changes: collections_abc.Iterable[Record],
         list_version: int,
     ) -> bool:
-        """Take the store's full list of a kind; those not present are gone.
+        """Apply the store's full list of a kind; absent objects are deleted.
 
-        An object is held to be deleted only when the list is newer than the
-        record: a list from before a creation does not show the object yet.
+        An absent object counts as deleted only if the list is newer than its
+        record, since a list from before its creation does not contain it yet.
         """
-        changed = [self.take(record) for record in changes]
+        changed = [self.apply(record) for record in changes]
         absent = [
             record
             for record in self.live(kind)
             if record.name not in present and record.version < list_version
         ]
         changed.extend(
-            self.take(_tombstone(record, list_version)) for record in absent
+            self.apply(_tombstone(record, list_version)) for record in absent
         )
         for group in self._groups(kind):
             self.complete({group: list_version})
-            # What was created and deleted before this list is not in it.
-            self._forget_deletions(group, list_version)
+            # Objects created and deleted before this list are not in it.
+            self._raise_deletions_since(group, list_version)
         return any(changed)
 
-    def take_reply(self, reply: messages.peer.RecordsReply) -> bool:
-        """Take a peer's answer; True when something changed."""
+    def apply_reply(self, reply: messages.peer.RecordsReply) -> bool:
+        """Apply a peer's reply; return whether anything changed."""
         before = self.versions()
-        heard = [from_wire(record) for record in reply.records or ()]
-        changed = [self.take(record) for record in heard if record is not None]
+        received = [from_wire(record) for record in reply.records or ()]
+        changed = [
+            self.apply(record) for record in received if record is not None
+        ]
         for group, names in (reply.present or {}).items():
             changed.append(
                 self._drop_absent(group, set(names), reply.versions[group])
             )
         for group, since in (reply.deletions_since or {}).items():
             if before.get(group, 0) < since:
-                self._forget_deletions(group, since)
+                self._raise_deletions_since(group, since)
         self.complete(reply.versions or {})
         return any(changed) or before != self.versions()
 
-    def above(self, have: Versions, region: str) -> messages.peer.RecordsReply:
-        """Return what a peer of a region lacks, oldest first."""
+    def delta_since(
+        self, have: Versions, region: str
+    ) -> messages.peer.RecordsReply:
+        """Return the records that a peer of a region lacks, oldest first."""
         reply = messages.peer.RecordsReply(
             versions={}, records=[], deletions_since={}, present={}
         )
-        left_bytes = MAX_ANSWER_BYTES
+        left_bytes = MAX_REPLY_BYTES
         for group in sorted(self._versions):
-            if not concerns(group, region):
+            if not is_stored_in(group, region):
                 continue
             have_version = have.get(group, 0)
-            lacking = self._lacking(group, have_version)
+            newer = self._records_newer_than(group, have_version)
             reply.versions[group] = self._versions[group]
-            for record in lacking:
+            for record in newer:
                 left_bytes -= len(record.body)
                 if left_bytes < 0:
                     reply.versions[group] = have_version
@@ -213,9 +224,10 @@
     def _add_deletions(
         self, reply: messages.peer.RecordsReply, group: str, have: int
     ) -> None:
-        # A newcomer is told of no deletions, and nobody may rely on it for
-        # earlier ones. It asks several peers at once, so that it may hold what
-        # an older one of them gave: the names that are present tell it.
+        # A new peer (version 0) gets no tombstones, so other nodes can't rely
+        # on it for earlier deletions. It queries several peers at once and may
+        # have got deleted records from one that is behind, so it is sent the
+        # names of all present records.
         since = self._deletions_since.get(group, 0)
         if have == 0:
             since = self._versions[group]
@@ -237,48 +249,58 @@
             and record.version < version
         ]
         for record in absent:
-            self.take(_tombstone(record, version))
+            self.apply(_tombstone(record, version))
         return bool(absent)
 
-    def _forget_deletions(self, group: str, before: int) -> None:
+    def _raise_deletions_since(self, group: str, before: int) -> None:
         known_since = self._deletions_since.get(group, 0)
         self._deletions_since[group] = max(known_since, before)
 
     def _groups(self, kind: str) -> set[str]:
-        found = {record.group for record in self._kinds[kind].values()}
+        found = {
+            record.group for record in self._records_by_kind[kind].values()
+        }
         if kind in CONFIGURATION_KINDS:
             found.add(kind)
         return found
 
-    def _lacking(self, group: str, have_version: int) -> list[Record]:
-        lacking = [
+    def _records_newer_than(
+        self, group: str, have_version: int
+    ) -> list[Record]:
+        newer = [
             record
-            for record in self._kinds[group.partition('/')[0]].values()
+            for record in self._records_by_kind[
+                group.partition('/')[0]
+            ].values()
             if record.version > have_version
             and record.group == group
             and not (record.deleted and have_version == 0)
         ]
-        return sorted(lacking, key=lambda record: record.version)
+        return sorted(newer, key=lambda record: record.version)
 
-    def _bound_tombstones(self, kind: str) -> None:
-        gone = [kept for kept in self._kinds[kind].values() if kept.deleted]
-        if len(gone) > MAX_TOMBSTONES:
-            oldest = min(gone, key=lambda kept: kept.version)
-            del self._kinds[kind][oldest.name]
-            self._forget_deletions(oldest.group, oldest.version)
+    def _limit_tombstones(self, kind: str) -> None:
+        tombstones = [
+            kept
+            for kept in self._records_by_kind[kind].values()
+            if kept.deleted
+        ]
+        if len(tombstones) > MAX_TOMBSTONES:
+            oldest = min(tombstones, key=lambda kept: kept.version)
+            del self._records_by_kind[kind][oldest.name]
+            self._raise_deletions_since(oldest.group, oldest.version)
 
 
-def from_wire(heard: WireRecord) -> Record | None:
-    """Return a record as a peer sent it, or None when it is unsound."""
-    if not heard.kind or not heard.name or not heard.version:
+def from_wire(received: WireRecord) -> Record | None:
+    """Return a record received from a peer, or None if it is invalid."""
+    if not received.kind or not received.name or not received.version:
         return None
     return Record(
-        kind=heard.kind,
-        name=heard.name,
-        version=heard.version,
-        body=heard.body or b'',
-        deleted=bool(heard.deleted),
-        region=heard.region or '',
+        kind=received.kind,
+        name=received.name,
+        version=received.version,
+        body=received.body or b'',
+        deleted=bool(received.deleted),
+        region=received.region or '',
     )
 
 
--- a/redwingvalve/configuration/reporting.py
+++ b/redwingvalve/configuration/reporting.py
@@ -1,8 +1,8 @@
-"""Says what this process has in force, and asks who lacks a version.
+"""Publishes the versions of this process and finds entries without one.
 
-Within a region each entry's versions are news. The question for the whole
-fleet goes to one member of each region, so that it costs as many calls as
-there are regions and not as there are entries.
+Within a region, each entry publishes its versions on the news bus. A query
+for the whole fleet goes to one member of each region, so the number of calls
+is that of the regions and not that of the entries.
 """
 
 from collections import abc as collections_abc
@@ -15,12 +15,12 @@
 from redwingvalve.news import bus
 from redwingvalve.wire import handlers, messages, rpc
 
-# Members of a region that are asked before it counts as cut off.
-ASKED_PER_REGION = 3
+# Members of a region that are tried before all its entries count as missing.
+MAX_TRIES_PER_REGION = 3
 
 
 class VersionReports(handlers.ConfigurationHandler):
-    """Reports versions, and answers peers about records and versions."""
+    """Publishes versions; answers peers' queries for records and versions."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         caller: rpc.PeerCaller,
         timers: clock.Clock,
     ) -> None:
-        """Report the versions of table as news."""
+        """Publish the versions of table on news."""
         self._table = table
         self._members = present
         self._news = news
@@ -40,8 +40,8 @@
     async def fetch_records(
         self, request: messages.peer.RecordsRequest
     ) -> messages.peer.RecordsReply:
-        """Return the records that the asker lacks."""
-        return self._table.above(
+        """Return the records that the caller lacks."""
+        return self._table.delta_since(
             request.have_versions or {}, request.region or ''
         )
 
@@ -49,14 +49,14 @@
         self, request: messages.peer.InForceRequest
     ) -> messages.peer.InForceReply:
         """Name the entries of this region that lack a version."""
-        found = self.missing_here(request.kind, request.version)
+        status = self.check_region(request.kind, request.version)
         return messages.peer.InForceReply(
-            missing=list(found.missing), entries=found.entries
+            missing=list(status.missing), entries=status.entries
         )
 
-    def say(self) -> None:
+    def publish(self) -> None:
         """Publish the versions of this process."""
-        said = {
+        versions = {
             kind: version
             for kind, version in self._table.versions().items()
             if kind in records.CONFIGURATION_KINDS
@@ -64,17 +64,17 @@
         self._news.publish(
             in_force.VERSIONS_CHANNEL,
             in_force.VERSIONS_KEY,
-            in_force.pack_versions(said),
+            in_force.encode_versions(versions),
         )
 
     async def run(self) -> None:
-        """Say the versions again before they are too old."""
+        """Publish the versions periodically, before the last ones expire."""
         while True:
-            self.say()
-            await self._clock.sleep(in_force.REPEAT_S)
+            self.publish()
+            await self._clock.sleep(in_force.REPUBLISH_INTERVAL_S)
 
-    def missing_here(self, kind: str, version: int) -> in_force.InForce:
-        """Tell for this region whether a version is in force."""
+    def check_region(self, kind: str, version: int) -> in_force.InForce:
+        """Check whether a version is in force in this region."""
         region = self._members.local_member().region
         return in_force.missing_entries(
             _by_region(self._members).get(region, ()),
@@ -83,44 +83,48 @@
             version,
         )
 
-    async def ask_all(self, kind: str, version: int) -> in_force.InForce:
-        """Tell for all regions whether a version is in force."""
-        answers = [self.missing_here(kind, version)]
+    async def check_all_regions(
+        self, kind: str, version: int
+    ) -> in_force.InForce:
+        """Check whether a version is in force in all regions."""
+        statuses = [self.check_region(kind, version)]
         request = messages.peer.InForceRequest(kind=kind, version=version)
         regions = _by_region(self._members)
         regions.pop(self._members.local_member().region, None)
         async with anyio.create_task_group() as group:
             for present in regions.values():
-                group.start_soon(self._ask_region, present, request, answers)
-        return in_force.merge(answers)
+                group.start_soon(self._query_region, present, request, statuses)
+        return in_force.merge(statuses)
 
-    async def _ask_region(
+    async def _query_region(
         self,
         present: list[members.Member],
         request: messages.peer.InForceRequest,
-        answers: list[in_force.InForce],
+        statuses: list[in_force.InForce],
     ) -> None:
-        """Ask the members of a region in turn until one answers."""
-        for member in _asked(present, f'{request.kind}/{request.version}'):
-            answer = await self._caller.call(
+        """Query the members of a region in turn until one replies."""
+        for member in _members_to_ask(
+            present, f'{request.kind}/{request.version}'
+        ):
+            reply = await self._caller.call(
                 (member.host, member.peer_port), 'find_missing', request
             )
-            if answer.is_ok():
-                answers.append(
+            if reply.is_ok():
+                statuses.append(
                     in_force.InForce(
-                        answer.ok.entries or 0, tuple(answer.ok.missing or ())
+                        reply.ok.entries or 0, tuple(reply.ok.missing or ())
                     )
                 )
                 return
         names = [each.name for each in present if each.role == 'entry']
-        answers.append(in_force.InForce(len(names), tuple(sorted(names))))
+        statuses.append(in_force.InForce(len(names), tuple(sorted(names))))
 
 
-def _asked(
-    present: list[members.Member], question: str
+def _members_to_ask(
+    present: list[members.Member], key: str
 ) -> collections_abc.Iterator[members.Member]:
     by_name = {member.name: member for member in present}
-    chosen = rendezvous.select(by_name, question, ASKED_PER_REGION)
+    chosen = rendezvous.select(by_name, key, MAX_TRIES_PER_REGION)
     for name in chosen:
         yield by_name[name]
 
@@ -128,8 +132,8 @@
 def _by_region(
     present: members.Members,
 ) -> dict[str, list[members.Member]]:
-    found: dict[str, list[members.Member]] = {}
+    regions: dict[str, list[members.Member]] = {}
     for member in present.known():
         if member.state is not members.MemberState.DEAD:
-            found.setdefault(member.region, []).append(member)
-    return found
+            regions.setdefault(member.region, []).append(member)
+    return regions
--- a/redwingvalve/configuration/snapshot.py
+++ b/redwingvalve/configuration/snapshot.py
@@ -17,9 +17,9 @@
 
 @attrs.frozen
 class Replica:
-    """A replica as its domain object names it; members[0] is the head.
+    """A replica as its domain object describes it; members[0] is the head.
 
-    serving is false while it forms and from the moment it drains.
+    serving is false while the replica is being formed and once it drains.
     """
 
     name: str
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class Snapshot:
-    """One consistent view; version only ever rises within a process."""
+    """A consistent view; version only increases within a process."""
 
     version: int
     deployments: tuple[schema.ModelDeployment, ...] = ()
@@ -46,8 +46,8 @@
 
 
 class ConfigurationSource(abc.ABC):
-    """Where a process finds the configuration in force."""
+    """Provides the configuration in force."""
 
     @abc.abstractmethod
     def current(self) -> Snapshot:
-        """Return the newest snapshot this process knows."""
+        """Return the newest snapshot of this process."""
--- a/redwingvalve/configuration/source.py
+++ b/redwingvalve/configuration/source.py
@@ -1,9 +1,9 @@
 """The configuration in force on this process, from the store and from peers.
 
-A few members of each data centre watch the store; the others hear of higher
-versions on exchanges and fetch the records they lack from whoever has them.
-Without the store, and after a restart, the newest versions known to any peer
-count.
+A few members of each data centre watch the store. The others learn of newer
+versions from gossip exchanges and fetch the records from peers. While the
+store is unavailable, and after a restart, a process uses the newest versions
+that any peer has.
 """
 
 import random
@@ -27,18 +27,18 @@
 from redwingvalve.wire import rpc
 
 WATCHERS_PER_DATA_CENTRE = 2
-DUTY = 'configuration-watch'
-# How often a member looks whether watching is its duty; a data centre whose
-# watchers have died has new ones this long after they are known to be dead.
-DUTY_INTERVAL_S = 0.5
-# Changes that follow each other closely are decoded, said and passed on as
-# one: a plan that touches a hundred objects costs a node some snapshots and
-# not a hundred. Small beside the 4 s in which a change is to be in force.
-TELL_INTERVAL_S = 0.1
+WATCH_DUTY = 'configuration-watch'
+# How often a member checks whether it has to watch the store. A data centre
+# has new watchers this long after its old ones are known to be dead.
+WATCHER_CHECK_INTERVAL_S = 0.5
+# Changes within this interval are decoded, published and gossiped as one, so
+# that a plan that writes a hundred objects costs a node a few snapshots and
+# not a hundred. Short against the 4 s within which a change has to be in force.
+NOTIFY_INTERVAL_S = 0.1
 
 
 class GossipConfiguration(snapshot.ConfigurationSource):
-    """Configuration that only rises; news of it rides on exchanges."""
+    """Configuration whose versions only increase; spread by gossip."""
 
     def __init__(
         self,
@@ -49,13 +49,13 @@
         decoder: decoding.Decoder,
         switches: invariants.SafeguardSwitches | None = None,
     ) -> None:
-        """Start with nothing in force, at version 0."""
+        """Start with an empty snapshot of version 0."""
         self.table = records.make_record_table(switches)
         self.reports = reporting.VersionReports(
             self.table, present, news, caller, timers
         )
         self.fetcher = fetching.RecordFetcher(
-            self.table, present, caller, self._changed
+            self.table, present, caller, self._on_change
         )
         self.watch: store_watch.StoreWatch | None = None
         self._members = present
@@ -63,18 +63,18 @@
         self._decoder = decoder
         self._current = snapshot.Snapshot(version=0)
         self._outdated = False
-        self._told = anyio.Event()
+        self._change_event = anyio.Event()
         self._listeners: list[collections_abc.Callable[[], None]] = []
 
     def current(self) -> snapshot.Snapshot:
-        """Return the newest snapshot this process knows."""
+        """Return the newest snapshot of this process."""
         if self._outdated:
             self._outdated = False
-            self._current = self._newer()
+            self._current = self._next_snapshot()
         return self._current
 
     def ready(self) -> bool:
-        """Tell whether any configuration has been found."""
+        """Tell whether there is any configuration yet."""
         return self.current().version > 0
 
     def add_listener(
@@ -84,98 +84,103 @@
         self._listeners.append(listener)
 
     async def in_force(self, kind: str, version: int) -> in_force.InForce:
-        """Tell whether a version is in force, asking each region once."""
-        return await self.reports.ask_all(kind, version)
+        """Check in each region whether a version is in force."""
+        return await self.reports.check_all_regions(kind, version)
 
     def watch_store(
-        self, objects: object_api.ObjectApi, randomness: random.Random
+        self, objects: object_api.ObjectApi, rng: random.Random
     ) -> None:
-        """Watch objects whenever that is this process's duty."""
+        """Watch objects while this process is one of the watchers."""
         self.watch = store_watch.StoreWatch(
-            objects, self.table, self._decoder, self._clock, randomness
+            objects, self.table, self._decoder, self._clock, rng
+        )
+        self.watch.set_callbacks(
+            self._on_change, self._members.confirm_connectivity
         )
-        self.watch.notify(self._changed, self._members.confirm_connectivity)
 
     def observe(self, stored: object_api.StoredObject) -> None:
-        """Take a fabric domain that this process has read or written.
+        """Apply a fabric domain that this process has read or written.
 
-        Controllers see each domain of their region at least each 2.5 s; what
-        they pass on need not be watched by two members of each data centre.
+        Controllers read each domain of their region at least every 2.5 s.
+        What they pass on need not be watched by two members of each data
+        centre as well.
         """
         if stored.kind != records.FABRIC_DOMAINS:
             return
-        held = self.table.held(stored.kind, stored.name)
-        record = self._decoder.to_record(stored, held)
-        if record is None or not self.table.take(record):
+        existing = self.table.get(stored.kind, stored.name)
+        record = self._decoder.to_record(stored, existing)
+        if record is None or not self.table.apply(record):
             return
         self.table.complete({record.group: record.version})
-        self._changed()
+        self._on_change()
 
     async def run(self) -> None:
-        """Watch, fetch and report until cancelled."""
+        """Watch, fetch and publish until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(self.fetcher.run)
             group.start_soon(self.reports.run)
-            group.start_soon(self._run_telling)
+            group.start_soon(self._run_notifications)
             if self.watch is not None:
-                group.start_soon(self._run_duty, self.watch)
+                group.start_soon(self._run_watch, self.watch)
 
-    async def _run_duty(self, watch: store_watch.StoreWatch) -> None:
+    async def _run_watch(self, watch: store_watch.StoreWatch) -> None:
         while True:
-            if not self._on_duty():
-                await self._clock.sleep(DUTY_INTERVAL_S)
+            if not self._is_watcher():
+                await self._clock.sleep(WATCHER_CHECK_INTERVAL_S)
                 continue
             async with anyio.create_task_group() as group:
                 group.start_soon(watch.run)
-                while self._on_duty():
-                    await self._clock.sleep(DUTY_INTERVAL_S)
+                while self._is_watcher():
+                    await self._clock.sleep(WATCHER_CHECK_INTERVAL_S)
                 group.cancel_scope.cancel()
 
-    def _on_duty(self) -> bool:
-        # One that hears nobody must find out by itself: the watchers that it
-        # would choose may be the ones that it can't hear.
+    def _is_watcher(self) -> bool:
+        # An isolated process has to watch the store itself, since the chosen
+        # watchers may be the members that it can't reach.
         if self._members.isolated():
             return True
-        me = self._members.local_member()
+        local_member = self._members.local_member()
         present = [
             member.name
             for member in self._members.known()
-            if member.data_centre == me.data_centre
+            if member.data_centre == local_member.data_centre
             and member.state is members.MemberState.ALIVE
         ]
-        chosen = rendezvous.select(present, DUTY, WATCHERS_PER_DATA_CENTRE)
-        return me.name in chosen
+        chosen = rendezvous.select(
+            present, WATCH_DUTY, WATCHERS_PER_DATA_CENTRE
+        )
+        return local_member.name in chosen
 
-    async def _run_telling(self) -> None:
-        """Tell of changes, a burst of them at once."""
+    async def _run_notifications(self) -> None:
+        """Publish changes and call the listeners, once per burst of changes."""
         while True:
-            await self._told.wait()
-            self._told = anyio.Event()
+            await self._change_event.wait()
+            self._change_event = anyio.Event()
             self.current()
-            self.reports.say()
+            self.reports.publish()
             self._members.trigger_urgent_round()
             for listener in self._listeners:
                 listener()
-            await self._clock.sleep(TELL_INTERVAL_S)
+            await self._clock.sleep(NOTIFY_INTERVAL_S)
 
-    def _changed(self) -> None:
+    def _on_change(self) -> None:
         self._outdated = True
-        self._told.set()
+        self._change_event.set()
 
-    def _newer(self) -> snapshot.Snapshot:
+    def _next_snapshot(self) -> snapshot.Snapshot:
         highest = max(self.table.versions().values(), default=0)
-        # Kinds are watched side by side, so that a lower version of another
-        # kind may arrive last; it still makes a snapshot of its own.
+        # Kinds are watched concurrently, so a lower version of another kind
+        # may arrive last. It has to result in a new snapshot as well.
         version = max(self._current.version + 1, highest)
-        newer = self._decoder.to_snapshot(
+        next_snapshot = self._decoder.to_snapshot(
             self.table, self._members.local_member().region, version
         )
         invariants.require(
-            newer.version > self._current.version,
+            next_snapshot.version > self._current.version,
             'configuration never reverts',
-            f'{newer.version} after {self._current.version}',
+            f'{next_snapshot.version} after {self._current.version}',
         )
-        return newer
+        return next_snapshot
 
 
 def make_gossip_configuration(
@@ -183,10 +188,15 @@
     news: bus.NewsBus,
     caller: rpc.PeerCaller,
     timers: clock.Clock,
-    replicas_of: decoding.DomainDecoder = decoding.no_replicas,
+    decode_replicas: decoding.DomainDecoder = decoding.no_replicas,
     switches: invariants.SafeguardSwitches | None = None,
 ) -> GossipConfiguration:
-    """Return a source; its fetcher is not yet a rider of present."""
+    """Return a source; its fetcher has yet to be added as a delegate."""
     return GossipConfiguration(
-        present, news, caller, timers, decoding.Decoder(replicas_of), switches
+        present,
+        news,
+        caller,
+        timers,
+        decoding.Decoder(decode_replicas),
+        switches,
     )
--- a/redwingvalve/configuration/tests/test_domains.py
+++ b/redwingvalve/configuration/tests/test_domains.py
@@ -1,4 +1,4 @@
-"""Fabric domains passed on by the controllers that read and write them."""
+"""Tests of fabric domains that controllers pass on after reads and writes."""
 
 import random
 
@@ -22,7 +22,7 @@
 REGION = 'r1'
 
 
-def replicas_of(stored):
+def decode_replicas(stored):
     return tuple(
         snapshot.Replica(
             name,
@@ -39,25 +39,27 @@
 
 
 class _Process:
-    """A table with its decoder, as configuration.source joins them."""
+    """A table and its decoder, combined as in configuration.source."""
 
     def __init__(self):
         self.table = records.make_record_table()
-        self.decoder = decoding.Decoder(replicas_of)
+        self.decoder = decoding.Decoder(decode_replicas)
 
-    def offer(self, stored):
-        held = self.table.held(stored.kind, stored.name)
-        record = self.decoder.to_record(stored, held)
-        if record is not None and self.table.take(record):
+    def observe(self, stored):
+        existing = self.table.get(stored.kind, stored.name)
+        record = self.decoder.to_record(stored, existing)
+        if record is not None and self.table.apply(record):
             self.table.complete({record.group: record.version})
 
     def ask(self, other):
-        packed = packing.pack(other.table.above(self.table.versions(), REGION))
-        self.table.take_reply(
+        packed = packing.pack(
+            other.table.delta_since(self.table.versions(), REGION)
+        )
+        self.table.apply_reply(
             packing.unpack(messages.peer.RecordsReply(), packed).ok
         )
 
-    def shown(self):
+    def bodies(self):
         return {
             record.name: record.body
             for record in self.table.live(records.FABRIC_DOMAINS)
@@ -65,10 +67,13 @@
 
 
 def _settle(fleet, newest):
-    """One controller reads on; twice, since it may have missed a change."""
+    """Let one controller read the newest objects and exchange with the others.
+
+    Done twice, since the controller may have missed a change.
+    """
     for _ in range(2):
         for stored in newest:
-            fleet[0].offer(stored)
+            fleet[0].observe(stored)
         for process in fleet[1:]:
             process.ask(fleet[0])
             fleet[0].ask(process)
@@ -81,7 +86,7 @@
 )
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(('offer', 'ask')),
+        st.sampled_from(('observe', 'ask')),
         st.integers(0, 2),
         st.integers(0, 2),
         st.integers(0, 40),
@@ -90,13 +95,13 @@
 
 
 @hypothesis.given(WRITES, STEPS)
-def test_reads_in_any_order_end_at_the_newest_and_never_go_back(writes, steps):
+def test_reads_in_any_order_converge_without_reverts(writes, steps):
     """Controllers read domains late and out of order and pass them on.
 
-    Each write changes a domain or only renews its lease. Whoever sees an old
-    read after a newer one keeps the newer; a change back to an earlier content
-    is a change. One that missed a change in between takes it from a peer, and
-    says what it reads next as newer.
+    Each write changes a domain or only renews its lease. An outdated read is
+    ignored, while a change back to earlier content counts as a change. A
+    process that missed a change gets it from a peer, and passes on its next
+    read as newer.
     """
     history = [
         object_api.StoredObject(
@@ -109,9 +114,9 @@
     ]
     fleet = [_Process() for _ in range(3)]
     highest = {}
-    for kind, one, other, place in steps:
-        if kind == 'offer':
-            fleet[one].offer(history[place % len(history)])
+    for kind, one, other, position in steps:
+        if kind == 'observe':
+            fleet[one].observe(history[position % len(history)])
         else:
             fleet[one].ask(fleet[other])
         for index, process in enumerate(fleet):
@@ -123,13 +128,13 @@
     _settle(fleet, newest.values())
     wanted = _Process()
     for stored in newest.values():
-        wanted.offer(stored)
+        wanted.observe(stored)
     for process in fleet:
-        assert process.shown() == wanted.shown()
+        assert process.bodies() == wanted.bodies()
 
 
 class _CountedStore(memory_store.MemoryObjectApi):
-    """Notes which kinds are watched."""
+    """Records which kinds are watched."""
 
     def watch(self, kind, version):
         self.watched.append(kind)
@@ -137,7 +142,7 @@
 
 
 def _watched(domains):
-    """Return which kinds are watched when the store holds so many domains."""
+    """Tell whether fabric domains are watched in a store with this many."""
 
     async def scenario():
         store = _CountedStore()
@@ -156,40 +161,40 @@
         async with anyio.create_task_group() as group:
             group.start_soon(watch.run)
             with anyio.fail_after(30):
-                while watch.lists < len(store_watch.WATCHED_KINDS):
+                while watch.list_count < len(store_watch.WATCHED_KINDS):
                     await anyio.sleep(0.01)
                 while not set(records.CONFIGURATION_KINDS) <= set(
                     store.watched
                 ):
                     await anyio.sleep(0.01)
             group.cancel_scope.cancel()
-        assert len(process.shown()) == domains
+        assert len(process.bodies()) == domains
         return records.FABRIC_DOMAINS in store.watched
 
     return anyio.run(scenario)
 
 
-def test_many_domains_are_listed_and_not_watched():
-    """150 domains renew 30 leases a second; each event is a whole domain."""
-    assert _watched(store_watch.MOST_WATCHED_DOMAINS)
-    assert not _watched(store_watch.MOST_WATCHED_DOMAINS + 1)
+def test_a_large_number_of_domains_is_listed_but_not_watched():
+    """With 150 domains, 30 renewals a second would each send a whole domain."""
+    assert _watched(store_watch.MAX_WATCHED_DOMAINS)
+    assert not _watched(store_watch.MAX_WATCHED_DOMAINS + 1)
 
 
-def test_what_a_controller_reads_and_writes_is_passed_on():
+def test_domains_read_and_written_by_a_controller_are_passed_on():
     async def scenario():
         process = _Process()
         store = observing_object_api.make_observing_object_api(
-            memory_store.make_memory_object_api(), process.offer
+            memory_store.make_memory_object_api(), process.observe
         )
         kind = records.FABRIC_DOMAINS
         body = {'region': REGION, 'vms': 1, 'replicas': ['a']}
         made = (await store.create(kind, 'd1', body)).ok
-        assert b'"a"' in process.shown()['d1']
+        assert b'"a"' in process.bodies()['d1']
         changed = object_api.StoredObject(
             kind, 'd1', made.version, {**body, 'replicas': ['b']}
         )
         written = await store.update(changed)
-        assert b'"b"' in process.shown()['d1']
+        assert b'"b"' in process.bodies()['d1']
         assert await store.get(kind, 'd1') == Ok(written.ok)
         assert (await store.get(kind, 'd2')).is_error()
 
