--- a/redwingvalve/administration/actions.py
+++ b/redwingvalve/administration/actions.py
@@ -1,7 +1,7 @@
-"""Every action of the administration API, declared once.
+"""All actions of the administration API.
 
-The router, the OpenAPI page and the audit trail are all made from this table,
-so that none of them can fall behind the others.
+The routes, the OpenAPI document and the audit trail are generated from this
+table, so that they can't diverge.
 """
 
 import typing
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class Action:
-    """One call; a changing one leaves an audit entry."""
+    """An action of the API; actions that change anything are audited."""
 
     name: str
     method: str
@@ -48,7 +48,7 @@
         'GET',
         '/status',
         rights.Right.VIEW,
-        'What serves, what waits and what is at risk now.',
+        'Replicas that serve, pending changes and deployments at risk.',
     ),
     Action(
         'replicas',
@@ -69,35 +69,35 @@
         'GET',
         '/events',
         rights.Right.VIEW,
-        'What the controllers did, newest first.',
+        'Events of the controllers, newest first.',
     ),
     Action(
         'audits',
         'GET',
         '/audits',
         rights.Right.VIEW,
-        'Who did what, newest first.',
+        'The audit trail, newest first.',
     ),
     Action(
         'describe',
         'GET',
         '/objects/{kind}/{name}',
         rights.Right.VIEW,
-        'One object as the store holds it.',
+        'An object as stored.',
     ),
     Action(
         'plans',
         'GET',
         '/plans',
         rights.Right.VIEW,
-        'Plans that wait, are confirmed or were discarded.',
+        'Proposed, confirmed and discarded plans.',
     ),
     Action(
         'plan',
         'POST',
         '/plans',
         rights.Right.PLAN,
-        'Plan a declaration; nothing happens until it is confirmed.',
+        'Make a plan for a declaration; nothing changes until it is confirmed.',
         (
             Field('declaration', help='the YAML text'),
             Field('file_name', required=False, help='named in findings'),
@@ -108,21 +108,21 @@
         'POST',
         '/plans/{name}/confirm',
         rights.Right.CONFIRM,
-        'Put a plan into force if the world has not moved.',
+        'Put a plan into force, unless it is outdated.',
     ),
     Action(
         'discard',
         'POST',
         '/plans/{name}/discard',
         rights.Right.PLAN,
-        'Drop a plan that waits.',
+        'Discard a proposed plan.',
     ),
     Action(
         'drain',
         'POST',
         '/drains',
         rights.Right.DRAIN,
-        'Drain a vm, replica or entry: no new work, nothing cut off.',
+        'Drain a vm, replica or entry; requests in progress are finished.',
         (
             Field('kind', help='vm, replica or entry'),
             Field('name'),
@@ -141,7 +141,7 @@
         'POST',
         '/tokens',
         rights.Right.MANAGE_TOKENS,
-        'Make a token; the bearer is shown once.',
+        'Create a token; the bearer is shown only once.',
         (
             Field('name'),
             Field('team'),
@@ -181,18 +181,22 @@
     operation: dict[str, typing.Any] = {
         'operationId': action.name,
         'summary': action.summary,
-        'description': f'Needs the right {action.right.value!r}.',
+        'description': f'Requires the right {action.right.value!r}.',
         'parameters': [_parameter(name) for name in path_names(action)],
         'responses': {
             '200': {'description': 'done'},
             '401': {'description': 'no valid token'},
             '403': {'description': 'a right is missing; nothing changed'},
-            '503': {'description': 'the store is away; nothing changed'},
+            '503': {'description': 'the store is unavailable; nothing changed'},
         },
     }
     if action.changes:
-        operation['responses']['409'] = {'description': 'refused; says why'}
-        operation['responses']['422'] = {'description': 'findings'}
+        operation['responses']['409'] = {
+            'description': 'refused, with the reason'
+        }
+        operation['responses']['422'] = {
+            'description': 'invalid, with findings'
+        }
     if action.fields:
         operation['requestBody'] = {
             'required': True,
@@ -202,7 +206,7 @@
 
 
 def path_names(action: Action) -> tuple[str, ...]:
-    """Return the names that an action's path takes."""
+    """Return the names of the path parameters of an action."""
     return tuple(
         part[1:-1] for part in action.path.split('/') if part.startswith('{')
     )
--- a/redwingvalve/administration/app.py
+++ b/redwingvalve/administration/app.py
@@ -34,25 +34,25 @@
 
 
 class ActionEndpoint:
-    """Answers one action: token, body, right, audit, then the operation."""
+    """Handles one action: checks token and body, then runs the action."""
 
-    def __init__(self, action: actions.Action, surroundings: 'Api') -> None:
-        """Serve action with what the API shares."""
+    def __init__(self, action: actions.Action, api: 'Api') -> None:
+        """Serve action with the shared parts of api."""
         self._action = action
-        self._api = surroundings
+        self._api = api
 
     async def __call__(self, request: requests.Request) -> responses.Response:
-        """Answer one request; a refused one changes nothing."""
+        """Handle a request; a refused request changes nothing."""
         principal = self._api.principal(request)
         if principal is None:
-            return _problem(
+            return _error_response(
                 STATUS_UNAUTHORIZED,
                 'no-token',
-                'a valid bearer token is needed',
+                'a valid bearer token is required',
             )
-        body, spoilt = await _read_body(request, self._action)
-        if spoilt is not None:
-            return _error(spoilt)
+        body, invalid = await _read_body(request, self._action)
+        if invalid is not None:
+            return _error(invalid)
         path = {
             name: request.path_params[name]
             for name in actions.path_names(self._action)
@@ -62,12 +62,12 @@
             answer = await self._api.run(self._action, call)
         except Exception:
             LOGGER.exception('%s failed.', self._action.name)
-            # The fault may have come after a write that stands.
+            # The error may have occurred after a successful write.
             return _error(
                 operations.OperationError(
                     STATUS_SERVER_ERROR,
                     'internal',
-                    'see the log of the controller',
+                    'internal error; see the log of the controller',
                     outcome=outcomes.Outcome.UNKNOWN,
                 )
             )
@@ -77,23 +77,23 @@
 
 
 class Api:
-    """What every action needs."""
+    """Authenticates, authorizes, audits and runs actions."""
 
     def __init__(
         self,
-        doer: operations.Operations,
+        runner: operations.Operations,
         token_cache: tokens.TokenCache,
         trail: audit.AuditTrail,
         time_source: clock.Clock,
     ) -> None:
-        """Serve the operations of doer."""
-        self._doer = doer
+        """Run actions with runner."""
+        self._runner = runner
         self._token_cache = token_cache
         self._trail = trail
         self._clock = time_source
 
     def principal(self, request: requests.Request) -> rights.Principal | None:
-        """Return who calls, by the bearer token."""
+        """Return the principal of the bearer token, or None."""
         scheme, _, bearer = request.headers.get('authorization', '').partition(
             ' '
         )
@@ -104,32 +104,32 @@
     async def run(
         self, action: actions.Action, call: operations.Call
     ) -> operations.Answer:
-        """Check the right, write the audit entry and do the action."""
+        """Check the right and run the action; audit it if it is a change."""
         if not action.changes:
-            allowed = rights.check_right(call.principal, action.right)
-            if allowed.is_error():
-                return _refused(allowed.error)
-            return await self._doer.run(action.name, call)
+            permission = rights.check_right(call.principal, action.right)
+            if permission.is_error():
+                return _refused(permission.error)
+            return await self._runner.run(action.name, call)
         return await self._run_audited(action, call)
 
     async def _run_audited(
         self, action: actions.Action, call: operations.Call
     ) -> operations.Answer:
         target = call.path.get('name', '') or str(call.body.get('name', ''))
-        begun = await self._trail.begin(call.principal, action.name, target)
-        if begun.is_error():
-            return Error(operations.store_error(begun.error))
-        allowed = rights.check_right(call.principal, action.right)
+        started = await self._trail.begin(call.principal, action.name, target)
+        if started.is_error():
+            return Error(operations.store_error(started.error))
+        permission = rights.check_right(call.principal, action.right)
         answer = (
-            _refused(allowed.error)
-            if allowed.is_error()
-            else await self._doer.run(action.name, call)
+            _refused(permission.error)
+            if permission.is_error()
+            else await self._runner.run(action.name, call)
         )
         detail = answer.error.message if answer.is_error() else ''
-        word = 'refused' if answer.is_error() else 'done'
-        await self._trail.finish(begun.ok, word, detail)
+        result = 'refused' if answer.is_error() else 'done'
+        await self._trail.finish(started.ok, result, detail)
         LOGGER.info(
-            '%s %s %s was %s.', call.principal.name, action.name, target, word
+            '%s %s %s was %s.', call.principal.name, action.name, target, result
         )
         return answer
 
@@ -150,10 +150,10 @@
 
 
 def _endpoint(
-    served: ActionEndpoint,
+    action_endpoint: ActionEndpoint,
 ) -> typing.Callable[[requests.Request], typing.Awaitable[responses.Response]]:
     async def endpoint(request: requests.Request) -> responses.Response:
-        return await served(request)
+        return await action_endpoint(request)
 
     return endpoint
 
@@ -172,20 +172,20 @@
     if not action.fields:
         return {}, None
     size_bytes = 0
-    parts: list[bytes] = []
-    async for part in request.stream():
-        size_bytes += len(part)
+    chunks: list[bytes] = []
+    async for chunk in request.stream():
+        size_bytes += len(chunk)
         if size_bytes > MAX_BODY_BYTES:
-            return {}, _spoilt(
+            return {}, _invalid_body(
                 STATUS_TOO_LARGE, f'more than {MAX_BODY_BYTES} bytes'
             )
-        parts.append(part)
+        chunks.append(chunk)
     try:
-        body = json.loads(b''.join(parts))
+        body = json.loads(b''.join(chunks))
     except (ValueError, RecursionError) as error:
-        return {}, _spoilt(STATUS_BAD_REQUEST, f'not JSON: {error}')
+        return {}, _invalid_body(STATUS_BAD_REQUEST, f'not JSON: {error}')
     if not isinstance(body, dict):
-        return {}, _spoilt(STATUS_BAD_REQUEST, 'a JSON object is wanted')
+        return {}, _invalid_body(STATUS_BAD_REQUEST, 'expected a JSON object')
     return body, _check_fields(body, action)
 
 
@@ -206,10 +206,10 @@
             problems.append(f'{field.name!r} must be of type {field.kind}')
     if not problems:
         return None
-    return _spoilt(STATUS_BAD_REQUEST, '; '.join(problems))
+    return _invalid_body(STATUS_BAD_REQUEST, '; '.join(problems))
 
 
-def _spoilt(status: int, message: str) -> operations.OperationError:
+def _invalid_body(status: int, message: str) -> operations.OperationError:
     return operations.OperationError(
         status, 'bad-request', f'request body: {message}'
     )
@@ -219,7 +219,7 @@
     return Error(operations.missing_right(missing))
 
 
-def _problem(status: int, code: str, message: str) -> responses.Response:
+def _error_response(status: int, code: str, message: str) -> responses.Response:
     return _error(operations.OperationError(status, code, message))
 
 
--- a/redwingvalve/administration/audit.py
+++ b/redwingvalve/administration/audit.py
@@ -1,8 +1,8 @@
-"""The audit trail: who did what, and what came of it, kept in the store.
+"""The audit trail of actions and their results, kept in the store.
 
-The entry is written before the action, so that a process that dies in the
-middle leaves a trace, and completed after it. An action whose entry cannot be
-written is refused: nothing changes without a trace.
+An entry is written before its action and completed afterwards, so that there
+is an entry even if the process dies during the action. If the entry can't be
+written, the action is refused: there are no changes without an audit entry.
 """
 
 import secrets
@@ -18,12 +18,12 @@
 STARTED = 'started'
 MILLISECONDS = 1000
 SUFFIX_BYTES = 4
-LONGEST_DETAIL = 500
+MAX_DETAIL_CHARACTERS = 500
 
 
 @attrs.frozen
 class AuditEntry:
-    """One action; result is started, done or refused with the reason."""
+    """An action; result is started, done or refused, detail is the reason."""
 
     at_s: float
     who: str
@@ -35,7 +35,7 @@
 
 
 class AuditTrail:
-    """Writes entries; names sort by time."""
+    """Writes audit entries, whose names sort by time."""
 
     def __init__(
         self, store: object_api.ObjectApi, time_source: clock.Clock
@@ -47,7 +47,7 @@
     async def begin(
         self, principal: rights.Principal, action: str, target: str
     ) -> Result[object_api.StoredObject, object_api.ObjectError]:
-        """Write that an action starts."""
+        """Write the entry of an action that starts."""
         now_s = self._clock.wall_s()
         entry = AuditEntry(
             now_s, principal.name, principal.team, action, target
@@ -57,19 +57,20 @@
         return await self._store.create(KIND, name, attrs.asdict(entry))
 
     async def finish(
-        self, begun: object_api.StoredObject, result: str, detail: str = ''
+        self, started: object_api.StoredObject, result: str, detail: str = ''
     ) -> Result[None, object_api.ObjectError]:
-        """Write what came of an action; a lost answer harms nothing.
+        """Write the result of an action; a lost response does no harm.
 
-        Nobody else writes this object, so repeating the write is safe; if it
-        never arrives the entry stays at started, which is the truth known.
+        Nothing else writes this object, so repeating the write is safe. If the
+        write never arrives, the entry keeps the result started, which is all
+        that is known then.
         """
         body = {
-            **begun.body,
+            **started.body,
             'result': result,
-            'detail': detail[:LONGEST_DETAIL],
+            'detail': detail[:MAX_DETAIL_CHARACTERS],
         }
-        written = await self._store.update(attrs.evolve(begun, body=body))
+        written = await self._store.update(attrs.evolve(started, body=body))
         if written.is_error():
             return Error(written.error)
         return Ok(None)
--- a/redwingvalve/administration/drain_operations.py
+++ b/redwingvalve/administration/drain_operations.py
@@ -29,14 +29,14 @@
         time_source: clock.Clock,
         read_domains: DomainReader,
     ) -> None:
-        """Find targets among known_members and what read_domains gives."""
+        """Find targets in known_members and the domains from read_domains."""
         self._store = store
         self._members = known_members
         self._clock = time_source
         self._domains = read_domains
 
     async def drain(self, call: operations.Call) -> operations.Answer:
-        """Drain a VM, replica or entry, or take that back."""
+        """Drain a VM, replica or entry, or undo that."""
         kind = call.body['kind']
         name = call.body['name']
         if kind not in drains.KINDS:
@@ -50,10 +50,10 @@
         target = await self._find_target(kind, name)
         if target.is_error():
             return Error(target.error)
-        allowed = rights.check_scope(call.principal, target.ok.names)
-        if allowed.is_error():
-            return Error(operations.missing_right(allowed.error))
-        wanted = drains.Drain(
+        permission = rights.check_scope(call.principal, target.ok.names)
+        if permission.is_error():
+            return Error(operations.missing_right(permission.error))
+        requested = drains.Drain(
             kind,
             name,
             call.principal.name,
@@ -61,22 +61,27 @@
             target.ok.vms,
             target.ok.names,
         )
-        made = await self._store.create(
-            drains.KIND, drains.object_name(kind, name), attrs.asdict(wanted)
+        created = await self._store.create(
+            drains.KIND, drains.object_name(kind, name), attrs.asdict(requested)
         )
-        already = made.is_error() and isinstance(
-            made.error, object_api.Conflict
+        already_drained = created.is_error() and isinstance(
+            created.error, object_api.Conflict
+        )
+        if created.is_error() and not already_drained:
+            return Error(operations.store_error(created.error))
+        return Ok(
+            {
+                'message': f'{kind} {name} is draining; '
+                'requests in progress are finished'
+            }
         )
-        if made.is_error() and not already:
-            return Error(operations.store_error(made.error))
-        return Ok({'message': f'{kind} {name} drains; nothing is cut off'})
 
     async def _find_target(
         self, kind: str, name: str
     ) -> Result[drains.Target, operations.OperationError]:
         if kind == drains.ENTRY:
-            known = {each.name for each in self._members.known()}
-            found = drains.Target() if name in known else None
+            member_names = {each.name for each in self._members.known()}
+            found = drains.Target() if name in member_names else None
         else:
             domains = await self._domains()
             if domains.is_error():
@@ -93,23 +98,23 @@
     async def _undo(
         self, call: operations.Call, kind: str, name: str
     ) -> operations.Answer:
-        """Delete a drain, whether its target is still there or not."""
+        """Delete a drain, even if its target no longer exists."""
         object_name = drains.object_name(kind, name)
         found = await self._store.get(drains.KIND, object_name)
         if found.is_error():
             return Error(operations.store_error(found.error))
         target = await self._find_target(kind, name)
-        gone = target.is_error() and (
+        target_gone = target.is_error() and (
             target.error.status == operations.STATUS_NOT_FOUND
         )
-        if target.is_error() and not gone:
+        if target.is_error() and not target_gone:
             return Error(target.error)
         names = set(drains.read_drain(found.ok).names)
         if target.is_ok():
             names.update(target.ok.names)
-        allowed = rights.check_scope(call.principal, names)
-        if allowed.is_error():
-            return Error(operations.missing_right(allowed.error))
+        permission = rights.check_scope(call.principal, names)
+        if permission.is_error():
+            return Error(operations.missing_right(permission.error))
         return await self._delete(kind, name, found.ok)
 
     async def _delete(
@@ -121,4 +126,4 @@
         if deleted.is_error():
             return Error(operations.store_error(deleted.error))
         when = 'after its restart' if kind == drains.ENTRY else 'again'
-        return Ok({'message': f'{kind} {name} takes work {when}'})
+        return Ok({'message': f'{kind} {name} accepts work {when}'})
--- a/redwingvalve/administration/drains.py
+++ b/redwingvalve/administration/drains.py
@@ -1,9 +1,9 @@
-"""Drains that operators ask for, kept as objects in the store.
+"""Drains requested by operators, kept as objects in the store.
 
-A drained VM is shown to the controllers as leaving, so a drain takes the same
-path as a VM that the platform takes away: entries stop sending, work in
-progress finishes, then the replica is moved. A drained replica is all of its
-VMs. A drain outlives the process that took the order.
+Controllers see a drained VM as leaving, so a drain is handled like a VM that
+the platform removes: entries stop sending, work in progress is finished, then
+the replica is moved. Draining a replica drains all of its VMs. A drain stays
+in force after the process that accepted it has ended.
 """
 
 from collections import abc as collections_abc
@@ -21,16 +21,16 @@
 REPLICA = 'replica'
 ENTRY = 'entry'
 KINDS = (VM, REPLICA, ENTRY)
-# A few drains a day; an operator sees one take effect within seconds.
-READ_EVERY_S = 1.0
+# Drains are rare (a few a day) but should take effect within seconds.
+READ_INTERVAL_S = 1.0
 
 
 @attrs.frozen
 class Drain:
-    """One drain; vms are those that leave, none for an entry.
+    """A drain; vms are the drained VMs, empty for an entry.
 
-    names are the declared names that it touches. They tell who may take it
-    back when its target has gone.
+    names are the declared names that the drain affects. They determine who may
+    undo it after its target has gone.
     """
 
     kind: str
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class Target:
-    """What a drain touches: declared names for scopes, and VMs."""
+    """What a drain affects: declared names, for scopes, and VMs."""
 
     names: tuple[str, ...] = ()
     vms: tuple[str, ...] = ()
@@ -56,13 +56,13 @@
 ) -> Target | None:
     """Return the target of a VM's or replica's drain, or None."""
     for domain in domains:
-        found = _in_domain(kind, name, domain)
+        found = _find_in_domain(kind, name, domain)
         if found is not None:
             return found
     return None
 
 
-def _in_domain(
+def _find_in_domain(
     kind: str, name: str, domain: domain_module.FabricDomain
 ) -> Target | None:
     for replica in domain.replicas:
@@ -81,51 +81,53 @@
 
 
 def read_drain(stored: object_api.StoredObject) -> Drain:
-    """Return the drain of an object."""
+    """Decode the drain of a stored object."""
     return cattrs.structure(stored.body, Drain)
 
 
 class DrainReader:
-    """The drains in force, read from the store for a whole process.
+    """Reads the drains in force from the store, once for a whole process.
 
-    While the store is away the last known drains hold: forgetting one would
-    put new work on a VM that an operator is about to open.
+    While the store is unavailable, the last known drains stay in force.
+    Otherwise a VM that an operator is about to open would get new work.
     """
 
     def __init__(self, store: object_api.ObjectApi) -> None:
-        """Know of none until the first read."""
+        """Start without drains; the first read gets them."""
         self._store = store
-        self._known: tuple[Drain, ...] | None = None
+        self._drains: tuple[Drain, ...] | None = None
 
     async def follow(self, time_source: clock.Clock) -> None:
-        """Read again and again, until cancelled."""
+        """Read the drains periodically until cancelled."""
         while True:
             await self.read()
-            await time_source.sleep(READ_EVERY_S)
+            await time_source.sleep(READ_INTERVAL_S)
 
     async def read(self) -> None:
         """Read all drains once."""
         listed = await self._store.list(KIND)
         if listed.is_ok():
-            self._known = tuple(map(read_drain, listed.ok.objects))
+            self._drains = tuple(map(read_drain, listed.ok.objects))
 
-    async def read_first(self) -> None:
-        """Read if no read has come through yet."""
-        if self._known is None:
+    async def ensure_read(self) -> None:
+        """Read the drains unless a previous read succeeded."""
+        if self._drains is None:
             await self.read()
 
     @property
     def vms(self) -> frozenset[str]:
-        """Return the VMs that drains take out."""
-        return frozenset(vm for drain in self._known or () for vm in drain.vms)
+        """Return the drained VMs."""
+        return frozenset(vm for drain in self._drains or () for vm in drain.vms)
 
     @property
     def entries(self) -> dict[str, str] | None:
-        """Return the drained entries and who drains each, None if unread."""
-        if self._known is None:
+        """Return the operator of each drained entry; None before a read."""
+        if self._drains is None:
             return None
         return {
-            drain.name: drain.by for drain in self._known if drain.kind == ENTRY
+            drain.name: drain.by
+            for drain in self._drains
+            if drain.kind == ENTRY
         }
 
 
@@ -133,7 +135,7 @@
     """The platform's list, with drained VMs shown as leaving."""
 
     def __init__(self, platform: vm_list.VmList, reader: DrainReader) -> None:
-        """Join platform's list with the drains that reader knows."""
+        """Combine the list of platform with the drains of reader."""
         self._platform = platform
         self._reader = reader
 
@@ -141,11 +143,13 @@
         self,
     ) -> Result[tuple[vm_list.Vm, ...], object_api.Unavailable]:
         """Return all VMs, drained ones as leaving."""
-        await self._reader.read_first()
+        await self._reader.ensure_read()
         listed = await self._platform.read()
-        return listed.map(lambda vms: tuple(self._with_drain(vm) for vm in vms))
+        return listed.map(
+            lambda vms: tuple(self._apply_drain(vm) for vm in vms)
+        )
 
-    def _with_drain(self, vm: vm_list.Vm) -> vm_list.Vm:
+    def _apply_drain(self, vm: vm_list.Vm) -> vm_list.Vm:
         if vm.name not in self._reader.vms:
             return vm
         return attrs.evolve(vm, state=vm_list.VmState.LEAVING)
@@ -154,7 +158,7 @@
 def make_drained_vm_list(
     platform: vm_list.VmList, reader: DrainReader
 ) -> DrainedVmList:
-    """Return the list that controllers work from."""
+    """Return the VM list for controllers."""
     return DrainedVmList(platform, reader)
 
 
--- a/redwingvalve/administration/feasibility.py
+++ b/redwingvalve/administration/feasibility.py
@@ -1,4 +1,4 @@
-"""Findings on a declaration that no platform of this shape can hold; pure."""
+"""Findings on declarations that the platform can't accommodate; pure."""
 
 import collections
 from collections import abc as collections_abc
@@ -13,19 +13,21 @@
     bound: binder.BoundDocument[schema.Declaration],
     vms: collections_abc.Sequence[vm_list.Vm],
 ) -> collections_abc.Iterator[findings.Finding]:
-    """Yield a finding for each replica that no fabric domain can hold.
+    """Yield a finding for each deployment that fits in no fabric domain.
 
-    Missing and leaving VMs count, since they come back or are replaced; a
-    shortage for now is a line of the plan and not a mistake in the file.
+    Missing and leaving VMs count, since they come back or are replaced. A
+    temporary shortage is part of the plan and not an error in the file.
     """
-    known = {vm.data_centre for vm in vms}
+    known_data_centres = {vm.data_centre for vm in vms}
     for index, deployment in enumerate(bound.content.deployments):
-        yield from _unknown_places(bound, index, deployment, known)
-        wanted = frozenset(deployment.data_centres or known)
-        sizes = collections.Counter(
-            vm.fabric_domain for vm in vms if vm.data_centre in wanted
+        yield from _unknown_data_centres(
+            bound, index, deployment, known_data_centres
         )
-        largest = max(sizes.values(), default=0)
+        allowed = frozenset(deployment.data_centres or known_data_centres)
+        domain_sizes = collections.Counter(
+            vm.fabric_domain for vm in vms if vm.data_centre in allowed
+        )
+        largest = max(domain_sizes.values(), default=0)
         if largest < deployment.vms_per_replica:
             yield findings.Finding(
                 bound.places.place('deployments', index, 'vms_per_replica'),
@@ -34,15 +36,17 @@
             )
 
 
-def _unknown_places(
+def _unknown_data_centres(
     bound: binder.BoundDocument[schema.Declaration],
     index: int,
     deployment: schema.ModelDeployment,
-    known: set[str],
+    known_data_centres: set[str],
 ) -> collections_abc.Iterator[findings.Finding]:
-    for place, name in enumerate(deployment.data_centres):
-        if name not in known:
+    for position, name in enumerate(deployment.data_centres):
+        if name not in known_data_centres:
             yield findings.Finding(
-                bound.places.place('deployments', index, 'data_centres', place),
+                bound.places.place(
+                    'deployments', index, 'data_centres', position
+                ),
                 f'no VM is in the data centre {name!r}',
             )
--- a/redwingvalve/administration/operations.py
+++ b/redwingvalve/administration/operations.py
@@ -1,4 +1,4 @@
-"""What the API's actions share: their arguments, errors and a base class."""
+"""Arguments, errors and the base class of the API's actions."""
 
 import abc
 import typing
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class Call:
-    """An authenticated call: who, the path's names, the checked body."""
+    """An authenticated call: principal, path parameters, validated body."""
 
     principal: rights.Principal
     path: dict[str, str]
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class OperationError:
-    """Why an action was not done; unknown says that it may have been."""
+    """Why an action failed; with outcome UNKNOWN it may have taken effect."""
 
     status: int
     code: str
@@ -39,7 +39,7 @@
     outcome: outcomes.Outcome = outcomes.Outcome.NOT_RUN
 
     def body(self) -> dict[str, typing.Any]:
-        """Return the stable JSON shape, the same as callers get."""
+        """Return the JSON form, the same as in responses to callers."""
         error: dict[str, typing.Any] = {
             'code': self.code,
             'message': self.message,
@@ -55,20 +55,20 @@
 
 
 class Operations(abc.ABC):
-    """Does the actions of actions.ALL by name."""
+    """Runs the actions of actions.ALL by name."""
 
     @abc.abstractmethod
     async def run(self, name: str, call: Call) -> Answer:
-        """Do one action and return its JSON answer."""
+        """Run an action and return its JSON response."""
 
 
 def missing_right(missing: rights.MissingRight) -> OperationError:
-    """Return the answer to somebody who lacks a right."""
+    """Return the error for a missing right."""
     return OperationError(STATUS_FORBIDDEN, 'missing-right', missing.message)
 
 
 def store_error(error: object_api.ObjectError) -> OperationError:
-    """Return the answer when the store did not do what was wanted."""
+    """Convert an error of the store to an error of an action."""
     if isinstance(error, object_api.NotFound):
         return OperationError(
             STATUS_NOT_FOUND,
@@ -79,13 +79,13 @@
         return OperationError(
             STATUS_CONFLICT,
             'conflict',
-            f'{error.kind} {error.name!r} was changed meanwhile; look again',
+            f'{error.kind} {error.name!r} has changed meanwhile; try again',
         )
     if isinstance(error, object_api.Unavailable):
         return OperationError(
             STATUS_UNAVAILABLE,
             'store-away',
-            f'the platform store is away, so this waits: {error.message}',
+            f'the platform store is unavailable: {error.message}',
             retry_after_s=error.retry_after_s,
             outcome=outcome_of(error.maybe_applied),
         )
@@ -93,7 +93,7 @@
 
 
 def outcome_of(maybe_applied: bool) -> outcomes.Outcome:
-    """Return not-run only if a write surely did not take effect."""
+    """Return NOT_RUN only if a write certainly had no effect."""
     if maybe_applied:
         return outcomes.Outcome.UNKNOWN
     return outcomes.Outcome.NOT_RUN
--- a/redwingvalve/administration/retention.py
+++ b/redwingvalve/administration/retention.py
@@ -1,16 +1,16 @@
-"""How long audit entries are kept in the store.
+"""Deletes expired audit entries and voter registrations from the store.
 
 Load pattern: 1,400 changes a day leave several thousand audit entries a day.
-Without an end the list, which operators read whole, passes a megabyte within a
-week and the store's rate limits within a year. Plans have an end of their own
-(plans.finishing).
+Without retention, the list, which operators read whole, would exceed a
+megabyte within a week and the store's rate limits within a year. Old plans are
+deleted by plans.recovery.
 
-Names of voters that are long gone (at_most_once.voter_registration) go with
-them.
+The names of voters that have been gone for long
+(at_most_once.voter_registration) are deleted as well.
 
-Grounds: a fined target is disputed within a month, so entries stay 35 days.
-One delete every half a second uses under one hundredth of the store's several
-hundred writes a second.
+Missed targets that cost a penalty are disputed within a month, so audit
+entries are kept for 35 days. One delete every half a second uses less than one
+hundredth of the store's several hundred writes a second.
 """
 
 import types
@@ -24,31 +24,31 @@
 from redwingvalve.observability import logs
 from redwingvalve.platform_api import object_api
 
-AUDIT_KEEP_S = 35 * 86_400.0
-SWEEP_EVERY_S = 600.0
-DELETE_EVERY_S = 0.5
-MOST_DELETES = 1_000
+AUDIT_RETENTION_S = 35 * 86_400.0
+SWEEP_INTERVAL_S = 600.0
+DELETE_INTERVAL_S = 0.5
+MAX_DELETES = 1_000
 LOGGER = logs.make_logger('administration')
 
 Stored = object_api.StoredObject
 
 
-def outdated_audits(
-    kept: collections_abc.Iterable[Stored], now_wall_s: float
+def find_expired_audits(
+    stored_objects: collections_abc.Iterable[Stored], now_wall_s: float
 ) -> tuple[Stored, ...]:
-    """Return audit entries older than AUDIT_KEEP_S, oldest first."""
-    old = [
+    """Return audit entries older than AUDIT_RETENTION_S, oldest first."""
+    expired = [
         stored
-        for stored in kept
+        for stored in stored_objects
         if now_wall_s - float(stored.body.get('at_s', now_wall_s))
-        > AUDIT_KEEP_S
+        > AUDIT_RETENTION_S
     ]
-    return tuple(sorted(old, key=lambda stored: stored.name))[:MOST_DELETES]
+    return tuple(sorted(expired, key=lambda stored: stored.name))[:MAX_DELETES]
 
 
-OUTDATED = types.MappingProxyType(
+EXPIRED_FINDERS = types.MappingProxyType(
     {
-        audit.KIND: outdated_audits,
+        audit.KIND: find_expired_audits,
         voter_registration.KIND: voter_registration.find_expired,
     }
 )
@@ -56,36 +56,38 @@
 
 @attrs.frozen
 class Sweeper:
-    """Deletes what is outdated; every delete is bound to a version."""
+    """Deletes expired objects, each only at the version that was read."""
 
     store: object_api.ObjectApi
     time_source: clock.Clock
 
     async def sweep(self) -> int:
-        """Make one pass and return how many objects were deleted."""
+        """Delete expired objects; return how many were deleted."""
         deleted = 0
-        for stored in await self._outdated():
-            gone = await self.store.delete(
+        for stored in await self._find_expired():
+            deletion = await self.store.delete(
                 stored.kind, stored.name, stored.version
             )
-            deleted += gone.is_ok()
-            await self.time_source.sleep(DELETE_EVERY_S)
+            deleted += deletion.is_ok()
+            await self.time_source.sleep(DELETE_INTERVAL_S)
         if deleted:
-            LOGGER.info('%d outdated objects were deleted.', deleted)
+            LOGGER.info('%d expired objects were deleted.', deleted)
         return deleted
 
-    async def _outdated(self) -> tuple[Stored, ...]:
+    async def _find_expired(self) -> tuple[Stored, ...]:
         found: list[Stored] = []
         now_s = self.time_source.wall_s()
-        for kind, choose in OUTDATED.items():
+        for kind, find_expired in EXPIRED_FINDERS.items():
             listed = await self.store.list(kind)
             if listed.is_ok():
-                found.extend(choose(listed.ok.objects, now_s))
+                found.extend(find_expired(listed.ok.objects, now_s))
         return tuple(found)
 
-    async def run(self, on_duty: collections_abc.Callable[[], bool]) -> None:
-        """Sweep until cancelled, whenever this process is on duty."""
+    async def run(
+        self, is_responsible: collections_abc.Callable[[], bool]
+    ) -> None:
+        """Sweep periodically while is_responsible returns true."""
         while True:
-            await self.time_source.sleep(SWEEP_EVERY_S)
-            if on_duty():
+            await self.time_source.sleep(SWEEP_INTERVAL_S)
+            if is_responsible():
                 await self.sweep()
--- a/redwingvalve/administration/rights.py
+++ b/redwingvalve/administration/rights.py
@@ -1,4 +1,4 @@
-"""Roles by team, and the limits on who may touch what."""
+"""Roles, their rights, and scopes that limit which names they may change."""
 
 import enum
 import fnmatch
@@ -10,7 +10,7 @@
 
 
 class Right(enum.StrEnum):
-    """What an action needs."""
+    """The right that an action requires."""
 
     VIEW = 'view'
     PLAN = 'plan'
@@ -20,7 +20,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a token gives its holder."""
+    """The role of a token's holder."""
 
     VIEWER = 'viewer'
     OPERATOR = 'operator'
@@ -46,7 +46,7 @@
 
 @attrs.frozen
 class Principal:
-    """Who acts; scopes are patterns of the names that it may change."""
+    """An authenticated caller; scopes are patterns of names it may change."""
 
     name: str
     team: str
@@ -56,7 +56,7 @@
 
 @attrs.frozen
 class MissingRight:
-    """The action is refused; message says which right is missing."""
+    """An action is refused; message tells which right is missing."""
 
     message: str
 
@@ -64,7 +64,7 @@
 def check_right(
     principal: Principal, right: Right
 ) -> Result[None, MissingRight]:
-    """Check that the role gives a right."""
+    """Check that the role has a right."""
     if right in ROLE_RIGHTS[principal.role]:
         return Ok(None)
     return Error(
@@ -78,7 +78,7 @@
 def check_scope(
     principal: Principal, names: collections_abc.Iterable[str]
 ) -> Result[None, MissingRight]:
-    """Check that every name to be changed lies in the principal's scopes."""
+    """Check that all names to be changed match the principal's scopes."""
     outside = sorted(
         name
         for name in set(names)
@@ -88,11 +88,11 @@
     )
     if not outside:
         return Ok(None)
-    listed = ', '.join(outside)
+    outside_names = ', '.join(outside)
     allowed = ', '.join(principal.scopes) or 'nothing'
     return Error(
         MissingRight(
             f'{principal.name} of team {principal.team} may change {allowed} '
-            f'and lacks the right to change {listed}'
+            f'and lacks the right to change {outside_names}'
         )
     )
--- a/redwingvalve/administration/server.py
+++ b/redwingvalve/administration/server.py
@@ -12,20 +12,20 @@
 
 
 class _ApiConfig(hypercorn.config.Config):
-    """hypercorn's configuration with a context that we reload ourselves."""
+    """hypercorn's configuration with a TLS context reloaded by this package."""
 
-    reloading: contexts.ReloadingContext | None = None
+    reloading_context: contexts.ReloadingContext | None = None
 
     @property
     def ssl_enabled(self) -> bool:
-        """Tell whether a certificate is set."""
-        return self.reloading is not None
+        """Tell whether TLS is enabled."""
+        return self.reloading_context is not None
 
     def create_ssl_context(self) -> ssl.SSLContext | None:
-        """Return the context that follows its files."""
-        if self.reloading is None:
+        """Return the context that is reloaded when its files change."""
+        if self.reloading_context is None:
             return None
-        return self.reloading.context
+        return self.reloading_context.context
 
 
 async def serve_api(
@@ -33,11 +33,11 @@
     host: str,
     port: int,
     stop: http_server.Stop,
-    reloading: contexts.ReloadingContext | None = None,
+    reloading_context: contexts.ReloadingContext | None = None,
 ) -> None:
-    """Serve until stop returns, then let calls in progress finish.
+    """Serve until stop returns, then finish the calls in progress.
 
-    ListenError when the address is taken.
+    Raises ListenError if the address is in use.
     """
     listener = http_server.open_listener(host, port)
     config = _ApiConfig()
@@ -46,5 +46,5 @@
     config.include_server_header = False
     config.errorlog = None
     config.accesslog = None
-    config.reloading = reloading
+    config.reloading_context = reloading_context
     await http_server.serve(api_app.make_api_app(api), config, stop)
--- a/redwingvalve/administration/store_operations.py
+++ b/redwingvalve/administration/store_operations.py
@@ -1,4 +1,4 @@
-"""The actions of the API, done against the store and the plan book."""
+"""The actions of the API, backed by the store and the plan manager."""
 
 import typing
 from collections import abc as collections_abc
@@ -40,7 +40,7 @@
     )
 )
 Answer = operations.Answer
-Runner = collections_abc.Callable[
+Handler = collections_abc.Callable[
     [operations.Call], collections_abc.Awaitable[Answer]
 ]
 InForceReader = collections_abc.Callable[
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class Dependencies:
-    """What the operations work with; in_force asks the live entries."""
+    """Dependencies of the actions; in_force queries the live entries."""
 
     store: object_api.ObjectApi
     vms: vm_list.VmList
@@ -62,19 +62,19 @@
 
 
 class StoreOperations(operations.Operations):
-    """Does the actions; each returns JSON or why it was not done."""
-
-    def __init__(self, surroundings: Dependencies) -> None:
-        """Work with surroundings."""
-        self._its = surroundings
-        drainer = drain_operations.DrainOperations(
-            surroundings.store,
-            surroundings.members,
-            surroundings.clock,
+    """Runs the actions; each returns JSON or an error."""
+
+    def __init__(self, dependencies: Dependencies) -> None:
+        """Run actions with dependencies."""
+        self._deps = dependencies
+        drain_actions = drain_operations.DrainOperations(
+            dependencies.store,
+            dependencies.members,
+            dependencies.clock,
             self._domains,
         )
-        held = token_operations.TokenOperations(surroundings.store)
-        self._runners: dict[str, Runner] = {
+        token_actions = token_operations.TokenOperations(dependencies.store)
+        self._handlers: dict[str, Handler] = {
             'status': self._status,
             'replicas': self._replicas,
             'entries': self._entries,
@@ -85,37 +85,37 @@
             'plan': self._plan,
             'confirm': self._confirm,
             'discard': self._discard,
-            'drain': drainer.drain,
-            'tokens': held.listed,
-            'token-create': held.create,
-            'token-revoke': held.revoke,
+            'drain': drain_actions.drain,
+            'tokens': token_actions.list,
+            'token-create': token_actions.create,
+            'token-revoke': token_actions.revoke,
         }
 
     async def run(self, name: str, call: operations.Call) -> Answer:
-        """Do one action and return its JSON answer."""
-        return await self._runners[name](call)
+        """Run an action and return its JSON response."""
+        return await self._handlers[name](call)
 
     async def _status(self, call: operations.Call) -> Answer:
-        current = await fleet_state.read_current(self._its.store)
+        current = await fleet_state.read_current(self._deps.store)
         if current.is_error():
-            return _plan_problem(current.error)
-        declared = await self._its.store.list(objects.DEPLOYMENTS)
+            return _plan_error_response(current.error)
+        declared = await self._deps.store.list(objects.DEPLOYMENTS)
         if declared.is_error():
             return Error(operations.store_error(declared.error))
         domains = await self._domains()
         if domains.is_error():
             return Error(domains.error)
-        found = await self._its.in_force()
-        shown = views.status(
+        found = await self._deps.in_force()
+        status = views.status(
             current.ok.confirmed.generation,
             views.declared_deployments(declared.ok),
             domains.ok,
         )
         return Ok(
             {
-                **shown,
+                **status,
                 'not_in_force_on': list(found.missing),
-                'waits': self._its.waits(),
+                'waits': self._deps.waits(),
             }
         )
 
@@ -126,9 +126,9 @@
         )
 
     async def _entries(self, call: operations.Call) -> Answer:
-        found = await self._its.in_force()
+        found = await self._deps.in_force()
         rows = views.member_rows(
-            self._its.members.known(), frozenset(found.missing)
+            self._deps.members.known(), frozenset(found.missing)
         )
         return Ok({'entries': rows})
 
@@ -140,7 +140,7 @@
         return await self._rows(AUDITS)
 
     async def _rows(self, kind: str) -> Answer:
-        listed = await self._its.store.list(kind)
+        listed = await self._deps.store.list(kind)
         if listed.is_error():
             return Error(operations.store_error(listed.error))
         return Ok({kind: views.stored_rows(listed.ok)})
@@ -154,55 +154,57 @@
                 'no-such-kind',
                 f'{kind!r} is not one of {listed}',
             )
-        found = await self._its.store.get(kind, call.path['name'])
+        found = await self._deps.store.get(kind, call.path['name'])
         if found.is_error():
             return Error(operations.store_error(found.error))
         return Ok(attrs.asdict(found.ok))
 
     async def _plans(self, call: operations.Call) -> Answer:
-        listed = await self._its.plans.list()
+        listed = await self._deps.plans.list()
         if listed.is_error():
-            return _plan_problem(listed.error)
+            return _plan_error_response(listed.error)
         return Ok({'plans': [codec.to_body(each) for each in listed.ok]})
 
     async def _plan(self, call: operations.Call) -> Answer:
         file_name = str(call.body.get('file_name', 'declaration'))
         checked = reader.read_text(call.body['declaration'], file_name)
         if checked.is_error():
-            return _findings_problem(checked.error.entries)
-        vms = await self._its.vms.read()
+            return _findings_response(checked.error.entries)
+        vms = await self._deps.vms.read()
         if vms.is_error():
             return Error(operations.store_error(vms.error))
-        impossible = tuple(feasibility.find_impossible(checked.ok, vms.ok))
-        if impossible:
-            return _findings_problem(impossible)
+        infeasible = tuple(feasibility.find_impossible(checked.ok, vms.ok))
+        if infeasible:
+            return _findings_response(infeasible)
         declaration = checked.ok.content
-        in_force = await fleet_state.read_current(self._its.store)
+        in_force = await fleet_state.read_current(self._deps.store)
         if in_force.is_error():
-            return _plan_problem(in_force.error)
-        made = await self._its.plans.propose(declaration, call.principal.name)
+            return _plan_error_response(in_force.error)
+        made = await self._deps.plans.propose(declaration, call.principal.name)
         if made.is_error():
-            return _plan_problem(made.error)
+            return _plan_error_response(made.error)
         return Ok(codec.to_body(made.ok))
 
     async def _confirm(self, call: operations.Call) -> Answer:
         name = call.path['name']
-        proposed = await self._its.plans.read(name)
+        proposed = await self._deps.plans.read(name)
         if proposed.is_error():
-            return _plan_problem(proposed.error)
-        allowed = rights.check_scope(call.principal, changed_names(proposed.ok))
-        if allowed.is_error():
-            return Error(operations.missing_right(allowed.error))
-        confirmed = await self._its.plans.confirm(name, call.principal.name)
+            return _plan_error_response(proposed.error)
+        permission = rights.check_scope(
+            call.principal, changed_names(proposed.ok)
+        )
+        if permission.is_error():
+            return Error(operations.missing_right(permission.error))
+        confirmed = await self._deps.plans.confirm(name, call.principal.name)
         if confirmed.is_error():
-            return _plan_problem(confirmed.error)
+            return _plan_error_response(confirmed.error)
         return Ok({'message': f'{name} is confirmed', 'plan': name})
 
     async def _discard(self, call: operations.Call) -> Answer:
         name = call.path['name']
-        discarded = await self._its.plans.discard(name, call.principal.name)
+        discarded = await self._deps.plans.discard(name, call.principal.name)
         if discarded.is_error():
-            return _plan_problem(discarded.error)
+            return _plan_error_response(discarded.error)
         return Ok({'message': f'{name} is discarded', 'plan': name})
 
     async def _domains(
@@ -210,7 +212,7 @@
     ) -> Result[
         tuple[domain_module.FabricDomain, ...], operations.OperationError
     ]:
-        listed = await self._its.store.list(domain_module.KIND)
+        listed = await self._deps.store.list(domain_module.KIND)
         if listed.is_error():
             return Error(operations.store_error(listed.error))
         return Ok(
@@ -231,7 +233,7 @@
     )
 
 
-def _findings_problem(
+def _findings_response(
     found: tuple[findings.Finding, ...],
 ) -> Answer:
     return Error(
@@ -244,7 +246,7 @@
     )
 
 
-def _plan_problem(error: plan.PlanError) -> Answer:
+def _plan_error_response(error: plan.PlanError) -> Answer:
     if isinstance(error, plan.PlanNotFound):
         return operations.refuse(
             operations.STATUS_NOT_FOUND,
@@ -256,27 +258,29 @@
             operations.OperationError(
                 operations.STATUS_UNAVAILABLE,
                 'store-away',
-                f'this waits for the platform store: {error.message}',
+                f'the platform store is unavailable: {error.message}',
                 outcome=operations.outcome_of(error.maybe_applied),
             )
         )
     return operations.refuse(
-        operations.STATUS_CONFLICT, type(error).__name__, _reason(error)
+        operations.STATUS_CONFLICT,
+        type(error).__name__,
+        _conflict_message(error),
     )
 
 
-def _reason(error: typing.Any) -> str:
+def _conflict_message(error: typing.Any) -> str:
     if isinstance(error, plan.PlanLost):
         won = '; '.join(error.changes) or 'see describe plans'
         return (
-            f'{error.confirmed_by} was faster with {error.winning_plan} '
+            f'{error.confirmed_by} confirmed {error.winning_plan} first '
             f'(generation {error.generation}: {won}); plan again'
         )
     if isinstance(error, plan.PlanDecided):
         return f'{error.plan} was {error.state} by {error.decided_by}'
-    return f'{error.plan} no longer holds: {error.reason}; plan again'
+    return f'{error.plan} is outdated: {error.reason}; plan again'
 
 
-def make_store_operations(surroundings: Dependencies) -> StoreOperations:
-    """Return the operations behind the API."""
-    return StoreOperations(surroundings)
+def make_store_operations(dependencies: Dependencies) -> StoreOperations:
+    """Return the actions behind the API."""
+    return StoreOperations(dependencies)
--- a/redwingvalve/administration/tests/test_api.py
+++ b/redwingvalve/administration/tests/test_api.py
@@ -1,4 +1,4 @@
-"""Operators of two teams act on one API, in-process."""
+"""Tests of the administration API with operators of two teams."""
 
 import anyio
 import httpx
@@ -52,12 +52,12 @@
         return False
 
 
-async def nothing_missing():
+async def in_force_everywhere():
     return in_force.InForce(1, ())
 
 
-class Bench:
-    """The API over a store in memory, and a token for each role."""
+class ApiHarness:
+    """The API with an in-memory store, and a token for each role."""
 
     def __init__(self):
         self.store = memory_store.make_memory_object_api()
@@ -73,25 +73,27 @@
                 'ada', 'depot', rights.Role.ADMINISTRATOR
             ),
         }
-        self.bearers = {role: made.bearer for role, made in issued.items()}
-        self.token_cache.replace(made.record for made in issued.values())
+        self.bearers = {
+            role: created.bearer for role, created in issued.items()
+        }
+        self.token_cache.replace(created.record for created in issued.values())
         plans = plan_manager.make_plan_manager(
             self.store, FixedVmList(), self.clock
         )
-        doer = store_operations.make_store_operations(
+        store_actions = store_operations.make_store_operations(
             store_operations.Dependencies(
                 store=self.store,
                 vms=FixedVmList(),
                 plans=plans,
                 members=OneMember(),
                 clock=self.clock,
-                in_force=nothing_missing,
+                in_force=in_force_everywhere,
                 waits=list,
             )
         )
         trail = audit.AuditTrail(self.store, self.clock)
         self.app = app.make_api_app(
-            app.Api(doer, self.token_cache, trail, self.clock)
+            app.Api(store_actions, self.token_cache, trail, self.clock)
         )
 
     async def call(self, role, method, path, body=None, **extra):
@@ -118,23 +120,23 @@
 
 def run(scenario):
     async def body():
-        await scenario(Bench())
+        await scenario(ApiHarness())
 
     anyio.run(body)
 
 
-def test_a_plan_is_made_confirmed_and_seen_in_status():
-    async def scenario(bench):
-        made = (await bench.plan()).json()
-        assert made['state'] == 'proposed'
-        assert (await bench.call('viewer', 'GET', '/status')).json()[
+def test_a_confirmed_plan_is_shown_in_status():
+    async def scenario(harness):
+        created = (await harness.plan()).json()
+        assert created['state'] == 'proposed'
+        assert (await harness.call('viewer', 'GET', '/status')).json()[
             'deployments'
         ] == []
-        confirmed = await bench.call(
-            'operator', 'POST', f'/plans/{made["name"]}/confirm', {}
+        confirmed = await harness.call(
+            'operator', 'POST', f'/plans/{created["name"]}/confirm', {}
         )
         assert confirmed.status_code == 200
-        status = (await bench.call('viewer', 'GET', '/status')).json()
+        status = (await harness.call('viewer', 'GET', '/status')).json()
         assert status['generation'] == 1
         assert status['deployments'][0]['wanted'] == 2
         assert 'quotes: 2 of 2 replicas' in status['at_risk'][0]
@@ -143,7 +145,7 @@
 
 
 @pytest.mark.parametrize(
-    ('role', 'method', 'path', 'body', 'status', 'word'),
+    ('role', 'method', 'path', 'body', 'status', 'text'),
     [
         ('', 'GET', '/status', None, 401, 'bearer token'),
         ('viewer', 'POST', '/plans', {'declaration': 'x: 1'}, 403, "'plan'"),
@@ -163,30 +165,30 @@
         ),
     ],
 )
-def test_a_refused_action_says_why_and_changes_nothing(
-    role, method, path, body, status, word
+def test_a_refused_action_has_a_reason_and_changes_nothing(
+    role, method, path, body, status, text
 ):
-    async def scenario(bench):
+    async def scenario(harness):
         if body == {'declaration': 'x'}:
             body['file_name'] = 'd.yaml'
-        answer = await bench.call(role, method, path, body)
+        answer = await harness.call(role, method, path, body)
         assert answer.status_code == status
-        assert word in answer.text
-        assert not bench.store.list_now('plans').objects
-        assert not bench.store.list_now('drains').objects
+        assert text in answer.text
+        assert not harness.store.list_now('plans').objects
+        assert not harness.store.list_now('drains').objects
 
     run(scenario)
 
 
-def test_the_drain_of_a_vm_that_is_gone_can_be_undone():
-    """An operator takes a drain back after the platform took the VM away.
+def test_the_drain_of_a_removed_vm_can_be_undone():
+    """A drain is undone after the platform has removed the VM.
 
-    No domain names the VM or its replica any more. Otherwise the drain would
-    stand for good and hit a later VM of that name. Who may not change the
-    deployment that was drained may not take it back either.
+    No domain has the VM or its replica any more. If the drain couldn't be
+    undone, it would stay for good and affect a later VM of the same name. An
+    operator who may not change the drained deployment may not undo it either.
     """
 
-    async def scenario(bench):
+    async def scenario(harness):
         replica = domain_module.DomainReplica(
             'q-1',
             'quotes',
@@ -196,7 +198,7 @@
             'quote',
             '1',
         )
-        made = await bench.store.create(
+        created = await harness.store.create(
             domain_module.KIND,
             'd-1',
             domain_module.to_body(
@@ -211,29 +213,31 @@
         )
         drain = {'kind': 'vm', 'name': 'vm-1'}
         undo = {**drain, 'undo': True}
-        answer = await bench.call('operator', 'POST', '/drains', drain)
+        answer = await harness.call('operator', 'POST', '/drains', drain)
         assert answer.status_code == 200
-        await bench.store.delete(domain_module.KIND, 'd-1', made.ok.version)
-        answer = await bench.call('outsider', 'POST', '/drains', undo)
+        await harness.store.delete(
+            domain_module.KIND, 'd-1', created.ok.version
+        )
+        answer = await harness.call('outsider', 'POST', '/drains', undo)
         assert answer.status_code == 403
-        assert bench.store.list_now('drains').objects
-        answer = await bench.call('operator', 'POST', '/drains', undo)
+        assert harness.store.list_now('drains').objects
+        answer = await harness.call('operator', 'POST', '/drains', undo)
         assert answer.status_code == 200
-        assert not bench.store.list_now('drains').objects
-        answer = await bench.call('operator', 'POST', '/drains', undo)
+        assert not harness.store.list_now('drains').objects
+        answer = await harness.call('operator', 'POST', '/drains', undo)
         assert answer.status_code == 404
 
     run(scenario)
 
 
-def test_a_replica_that_no_domain_can_hold_is_a_finding_with_its_place():
-    """An operator types 40 VMs a replica; the largest domain has eight.
+def test_a_replica_too_large_for_all_domains_is_a_finding():
+    """A declaration has 40 VMs per replica; the largest domain has eight.
 
-    The answer names the line, and no plan is kept.
+    The response has the line and column, and no plan is stored.
     """
 
-    async def scenario(bench):
-        answer = await bench.plan(
+    async def scenario(harness):
+        answer = await harness.plan(
             text=DECLARATION.replace(
                 'vms_per_replica: 4', 'vms_per_replica: 40'
             )
@@ -245,46 +249,47 @@
                 'domain has 40 VMs; the largest of its data centres has 8'
             )
         ]
-        assert not bench.store.list_now('plans').objects
+        assert not harness.store.list_now('plans').objects
 
     run(scenario)
 
 
-def test_who_may_not_touch_a_deployment_cannot_confirm_its_plan():
-    """An operator of another team is told the missing right.
+def test_confirming_a_plan_requires_a_scope_for_its_deployments():
+    """An operator of another team confirms a plan.
 
-    The plan stays as it was, the refusal stands in the audit trail.
+    The response has the missing right, the plan stays proposed, and the audit
+    trail has the refusal.
     """
 
-    async def scenario(bench):
-        name = (await bench.plan()).json()['name']
-        answer = await bench.call(
+    async def scenario(harness):
+        name = (await harness.plan()).json()['name']
+        answer = await harness.call(
             'outsider', 'POST', f'/plans/{name}/confirm', {}
         )
         assert answer.status_code == 403
         assert 'lacks the right to change quotes' in answer.text
-        plan = bench.store.list_now('plans').objects[0]
+        plan = harness.store.list_now('plans').objects[0]
         assert plan.body['state'] == 'proposed'
-        audits = (await bench.call('viewer', 'GET', '/audits')).json()
+        audits = (await harness.call('viewer', 'GET', '/audits')).json()
         newest = audits['audits'][0]
         assert (newest['who'], newest['result']) == ('otto', 'refused')
 
     run(scenario)
 
 
-def test_of_two_racing_operators_one_wins_and_the_other_is_told_by_whom():
-    """Both confirm a plan made from the same world; one gets 200.
+def test_of_two_concurrent_confirmations_one_is_refused_with_the_winner():
+    """Two operators confirm plans made from the same state; one gets 200.
 
-    The other gets 409 with the winner's name, and its plan is not in force.
+    The other one gets 409 with the winner's name.
     """
 
-    async def scenario(bench):
-        first = (await bench.plan('operator')).json()['name']
-        second = (await bench.plan('administrator')).json()['name']
+    async def scenario(harness):
+        first = (await harness.plan('operator')).json()['name']
+        second = (await harness.plan('administrator')).json()['name']
         answers = {}
 
         async def confirm(role, name):
-            answers[role] = await bench.call(
+            answers[role] = await harness.call(
                 role, 'POST', f'/plans/{name}/confirm', {}
             )
 
@@ -294,72 +299,71 @@
         codes = sorted(each.status_code for each in answers.values())
         assert codes == [200, 409]
         loser = next(a for a in answers.values() if a.status_code == 409)
-        assert 'olga was faster' in loser.text or (
-            'ada was faster' in loser.text
+        assert 'olga confirmed plan-' in loser.text or (
+            'ada confirmed plan-' in loser.text
         )
 
     run(scenario)
 
 
-def test_no_action_runs_without_its_audit_entry():
-    """With the store away an operator is told so at once and to come back.
+def test_an_action_is_refused_if_its_audit_entry_cannot_be_written():
+    """The store is unavailable, so the audit entry can't be written.
 
-    The audit entry cannot be written, so nothing is done; reading still
-    answers with the reason.
+    The operator gets a 503 at once, and nothing is changed.
     """
 
-    async def scenario(bench):
-        bench.store.set_outage(outage=True)
-        answer = await bench.plan()
+    async def scenario(harness):
+        harness.store.set_outage(outage=True)
+        answer = await harness.plan()
         assert answer.status_code == 503
-        assert 'store is away' in answer.text
-        bench.store.set_outage(outage=False)
-        assert not bench.store.list_now('audits').objects
-        assert not bench.store.list_now('plans').objects
+        assert 'store is unavailable' in answer.text
+        harness.store.set_outage(outage=False)
+        assert not harness.store.list_now('audits').objects
+        assert not harness.store.list_now('plans').objects
 
     run(scenario)
 
 
-def test_an_action_whose_write_may_stand_is_not_called_not_run():
-    """An operator whose plan may have been kept must not read "not-run".
+def test_a_write_with_a_lost_response_has_the_outcome_unknown():
+    """A plan may have been stored although the store's response was lost.
 
-    A store error that may hide a write that stands is told as unknown.
+    The operator must not be told "not-run" then, but "unknown".
     """
     lost = object_api.Unavailable('no answer', maybe_applied=True)
     sure = object_api.Unavailable('no answer', maybe_applied=False)
-    outcomes_told = [
+    outcomes = [
         operations.store_error(error).body()['error']['outcome']
         for error in (lost, sure)
     ]
-    assert outcomes_told == ['unknown', 'not-run']
+    assert outcomes == ['unknown', 'not-run']
 
 
 def test_a_revoked_or_expired_token_is_refused():
-    async def scenario(bench):
-        made = await bench.call(
+    async def scenario(harness):
+        created = await harness.call(
             'administrator',
             'POST',
             '/tokens',
             {'name': 'ci', 'team': 'x', 'role': 'viewer'},
         )
-        bench.bearers['ci'] = made.json()['bearer']
-        assert await bench.token_cache.refresh(bench.store)
-        stored = bench.store.list_now('tokens').objects[0]
-        assert bench.bearers['ci'].split('_')[2] not in str(stored.body)
-        assert (await bench.call('ci', 'GET', '/status')).status_code == 200
+        harness.bearers['ci'] = created.json()['bearer']
+        assert await harness.token_cache.refresh(harness.store)
+        stored = harness.store.list_now('tokens').objects[0]
+        assert harness.bearers['ci'].split('_')[2] not in str(stored.body)
+        assert (await harness.call('ci', 'GET', '/status')).status_code == 200
         record = tokens.decode({**stored.body, 'revoked': True})
-        bench.token_cache.replace([record])
-        assert (await bench.call('ci', 'GET', '/status')).status_code == 401
+        harness.token_cache.replace([record])
+        assert (await harness.call('ci', 'GET', '/status')).status_code == 401
         late = tokens.decode({**stored.body, 'expires_at_s': 999.0})
-        bench.token_cache.replace([late])
-        assert (await bench.call('ci', 'GET', '/status')).status_code == 401
+        harness.token_cache.replace([late])
+        assert (await harness.call('ci', 'GET', '/status')).status_code == 401
 
     run(scenario)
 
 
-def test_every_action_stands_on_the_openapi_page():
-    async def scenario(bench):
-        transport = httpx.ASGITransport(bench.app)
+def test_the_openapi_document_has_all_actions():
+    async def scenario(harness):
+        transport = httpx.ASGITransport(harness.app)
         async with httpx.AsyncClient(
             transport=transport, base_url='http://api'
         ) as client:
--- a/redwingvalve/administration/tests/test_retention.py
+++ b/redwingvalve/administration/tests/test_retention.py
@@ -1,4 +1,4 @@
-"""Old audit entries leave the store, a month of them stays."""
+"""Tests of the retention of audit entries."""
 
 import anyio
 
@@ -9,7 +9,7 @@
 DAY_S = 86_400.0
 
 
-def test_a_sweep_keeps_a_month_of_audits():
+def test_a_sweep_keeps_audits_of_the_last_month():
     async def scenario():
         store = memory_store.make_memory_object_api()
         for day in (0, 10, 40):
--- a/redwingvalve/administration/token_operations.py
+++ b/redwingvalve/administration/token_operations.py
@@ -8,13 +8,13 @@
 
 
 class TokenOperations:
-    """Lists, makes and revokes the tokens in the store."""
+    """Lists, creates and revokes the tokens in the store."""
 
     def __init__(self, store: object_api.ObjectApi) -> None:
-        """Work on the tokens in store."""
+        """Manage the tokens in store."""
         self._store = store
 
-    async def listed(self, call: operations.Call) -> operations.Answer:
+    async def list(self, call: operations.Call) -> operations.Answer:
         """Return all tokens without their secrets."""
         listed = await self._store.list(tokens.KIND)
         if listed.is_error():
@@ -25,7 +25,7 @@
         return Ok({'tokens': rows})
 
     async def create(self, call: operations.Call) -> operations.Answer:
-        """Make a token; its bearer is in this answer only."""
+        """Create a token; its bearer is only in this response."""
         role = call.body['role']
         if role not in set(rights.Role):
             return operations.refuse(
@@ -40,11 +40,11 @@
             tuple(str(scope) for scope in call.body.get('scopes', ['*'])),
             float(call.body.get('expires_at_s', 0)),
         )
-        made = await self._store.create(
+        created = await self._store.create(
             tokens.KIND, issued.record.token_id, tokens.encode(issued.record)
         )
-        if made.is_error():
-            return Error(operations.store_error(made.error))
+        if created.is_error():
+            return Error(operations.store_error(created.error))
         return Ok(
             {
                 'bearer': issued.bearer,
@@ -53,7 +53,7 @@
         )
 
     async def revoke(self, call: operations.Call) -> operations.Answer:
-        """Revoke a token; processes forget it within the refresh interval."""
+        """Revoke a token; processes reject it after their next refresh."""
         found = await self._store.get(tokens.KIND, call.path['name'])
         if found.is_error():
             return Error(operations.store_error(found.error))
--- a/redwingvalve/administration/tokens.py
+++ b/redwingvalve/administration/tokens.py
@@ -1,8 +1,9 @@
 """Bearer tokens of operators, stored as salted hashes.
 
-A token is rwv_<id>_<secret>: the id finds the record without trying every
-hash. The secret has 256 random bits, so the hash need not be slow to resist
-guessing; argon2 at small cost salts it and keeps the time on the loop short.
+A token is rwv_<id>_<secret>. The id allows finding the record without trying
+every hash. The secret has 256 random bits, so the hash need not be slow to
+resist guessing; argon2 at a low cost salts it without blocking the event loop
+for long.
 """
 
 import contextlib
@@ -23,17 +24,17 @@
 PREFIX = 'rwv'
 ID_BYTES = 6
 SECRET_BYTES = 32
-PARTS = 3
+TOKEN_PARTS = 3
 REFRESH_INTERVAL_S = 5.0
-# Known-good tokens are remembered so that a script's hundred calls cost one
-# hash; the bound keeps the memory of a busy controller flat.
-REMEMBERED_TOKENS = 1000
+# Verified tokens are cached so that a hundred calls of a script cost one hash.
+# The limit bounds the memory use of a busy controller.
+MAX_VERIFIED_TOKENS = 1000
 HASHER = argon2.PasswordHasher(time_cost=1, memory_cost=8192, parallelism=1)
 
 
 @attrs.frozen
 class TokenRecord:
-    """A token as the store keeps it; the secret itself is never kept."""
+    """A token as stored; the secret itself is not stored."""
 
     token_id: str
     secret_hash: str
@@ -47,7 +48,7 @@
 
 @attrs.frozen
 class IssuedToken:
-    """A new token; bearer is shown once and never again."""
+    """A new token; bearer is shown only once."""
 
     bearer: str
     record: TokenRecord
@@ -60,7 +61,7 @@
     scopes: tuple[str, ...] = ('*',),
     expires_at_s: float = 0.0,
 ) -> IssuedToken:
-    """Make a token; expires_at_s is wall time, 0 means it does not expire."""
+    """Create a token; expires_at_s is wall time, 0 means no expiry."""
     token_id = secrets.token_hex(ID_BYTES)
     secret = secrets.token_hex(SECRET_BYTES)
     record = TokenRecord(
@@ -76,45 +77,45 @@
 
 
 def encode(record: TokenRecord) -> object_api.Body:
-    """Return the record as the body of a store object."""
+    """Return the record as the body of a stored object."""
     return typing.cast(object_api.Body, cattrs.unstructure(record))
 
 
 def decode(body: object_api.Body) -> TokenRecord:
-    """Read a record; cattrs.BaseValidationError on a foreign shape."""
+    """Decode a record; raises cattrs.BaseValidationError if invalid."""
     return cattrs.structure(body, TokenRecord)
 
 
 class TokenCache:
-    """The tokens that this process knows, refreshed from the store.
+    """A cache of the tokens in the store.
 
-    While the store is away the last known tokens stay valid, so that
-    operators can look at the system in the very hour that they need to.
+    While the store is unavailable, the cached tokens stay valid, so that
+    operators can inspect the system during an outage.
     """
 
     def __init__(self) -> None:
-        """Know no token."""
+        """Start without tokens."""
         self._records: dict[str, TokenRecord] = {}
         self._verified: dict[str, str] = {}
 
     def replace(self, records: typing.Iterable[TokenRecord]) -> None:
-        """Take the store's list as the whole truth."""
+        """Replace all cached tokens."""
         self._records = {record.token_id: record for record in records}
 
     async def refresh(self, store: object_api.ObjectApi) -> bool:
-        """Read the tokens; False leaves the known ones in force."""
+        """Read the tokens; on failure keep the cached ones and return False."""
         listed = await store.list(KIND)
         if listed.is_error():
             return False
-        self.replace(_readable(listed.ok))
+        self.replace(_decode_valid(listed.ok))
         return True
 
     def principal(
         self, bearer: str, now_wall_s: float
     ) -> rights.Principal | None:
-        """Return who holds a token, or None when it is not valid."""
+        """Return the principal of a token, or None if it is invalid."""
         parts = bearer.split('_')
-        if len(parts) != PARTS or parts[0] != PREFIX:
+        if len(parts) != TOKEN_PARTS or parts[0] != PREFIX:
             return None
         record = self._records.get(parts[1])
         if record is None or record.revoked:
@@ -131,8 +132,8 @@
         digest = hashlib.sha256(
             f'{record.secret_hash}:{secret}'.encode()
         ).hexdigest()
-        remembered = self._verified.get(record.token_id, '')
-        if hmac.compare_digest(remembered, digest):
+        verified_digest = self._verified.get(record.token_id, '')
+        if hmac.compare_digest(verified_digest, digest):
             return True
         try:
             HASHER.verify(record.secret_hash, secret)
@@ -140,16 +141,16 @@
             return False
         except argon2_exceptions.InvalidHashError:
             return False
-        if len(self._verified) >= REMEMBERED_TOKENS:
+        if len(self._verified) >= MAX_VERIFIED_TOKENS:
             self._verified.clear()
         self._verified[record.token_id] = digest
         return True
 
 
-def _readable(
+def _decode_valid(
     listed: object_api.ObjectList,
 ) -> typing.Iterator[TokenRecord]:
     for stored in listed.objects:
-        # One spoilt object must not lock every operator out.
+        # A single invalid object must not lock out all operators.
         with contextlib.suppress(cattrs.BaseValidationError):
             yield decode(stored.body)
--- a/redwingvalve/administration/views.py
+++ b/redwingvalve/administration/views.py
@@ -1,4 +1,4 @@
-"""What operators see, as plain JSON; pure."""
+"""The data shown to operators, as plain JSON; pure."""
 
 import typing
 from collections import abc as collections_abc
@@ -10,7 +10,7 @@
 from redwingvalve.replicas import domain as domain_module
 
 Row = dict[str, typing.Any]
-MOST_ROWS = 200
+MAX_ROWS = 200
 
 
 def status(
@@ -18,7 +18,7 @@
     deployments: collections_abc.Sequence[schema.ModelDeployment],
     domains: collections_abc.Sequence[domain_module.FabricDomain],
 ) -> Row:
-    """Return what serves, what waits and what is at risk now."""
+    """Return the state of deployments and domains, and what is at risk."""
     rows = [_deployment(each, domains) for each in deployments]
     return {
         'generation': generation,
@@ -31,7 +31,7 @@
 def replica_rows(
     domains: collections_abc.Sequence[domain_module.FabricDomain],
 ) -> list[Row]:
-    """Return all replicas with where they stand."""
+    """Return all replicas with their location and state."""
     return [
         {
             'name': replica.name,
@@ -52,7 +52,7 @@
 def event_rows(
     domains: collections_abc.Sequence[domain_module.FabricDomain],
 ) -> list[Row]:
-    """Return what the controllers did, newest first."""
+    """Return the events of the controllers, newest first."""
     rows: list[Row] = [
         {
             'at_s': event.at_s,
@@ -64,14 +64,14 @@
         for event in domain.events
     ]
     rows.sort(key=lambda row: row['at_s'], reverse=True)
-    return rows[:MOST_ROWS]
+    return rows[:MAX_ROWS]
 
 
 def member_rows(
     known: collections_abc.Iterable[members.Member],
-    lacking: frozenset[str],
+    not_in_force: frozenset[str],
 ) -> list[Row]:
-    """Return our processes; lacking are those without some configuration."""
+    """Return all processes; not_in_force names those that lack a version."""
     return [
         {
             'name': member.name,
@@ -81,7 +81,7 @@
             'address': f'{member.host}:{member.http_port}',
             'state': member.state.value,
             'incarnation': member.incarnation,
-            'in_force': member.name not in lacking,
+            'in_force': member.name not in not_in_force,
         }
         for member in sorted(known, key=lambda each: each.name)
     ]
@@ -95,14 +95,14 @@
         listed.objects, key=lambda stored: int(stored.version), reverse=True
     )
     return [
-        {'name': stored.name, **stored.body} for stored in newest[:MOST_ROWS]
+        {'name': stored.name, **stored.body} for stored in newest[:MAX_ROWS]
     ]
 
 
 def declared_deployments(
     listed: object_api.ObjectList,
 ) -> tuple[schema.ModelDeployment, ...]:
-    """Return the deployments in force; removed ones are left out."""
+    """Return the declared deployments, without removed ones."""
     found = (
         objects.read_declared(stored, schema.ModelDeployment)
         for stored in listed.objects
