--- a/redwingvalve/declaration/__init__.py
+++ b/redwingvalve/declaration/__init__.py
@@ -1,1 +1,1 @@
-"""What an operator declares: models, replicas, services, client accounts."""
+"""Declarations of models, replicas, services and client accounts."""
--- a/redwingvalve/declaration/reader.py
+++ b/redwingvalve/declaration/reader.py
@@ -1,4 +1,4 @@
-"""Reads a declaration and checks it as a whole, before any plan is made."""
+"""Reads and validates declarations, before a plan is made."""
 
 import re
 from collections import abc as collections_abc
@@ -12,9 +12,9 @@
 
 NAME_PATTERN = re.compile('[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?')
 SHA256_PATTERN = re.compile('[0-9a-f]{64}')
-LOWEST_PRIORITY = 0
-HIGHEST_PRIORITY = 9
-LARGEST_REPLICA_VMS = 64
+MIN_PRIORITY = 0
+MAX_PRIORITY = 9
+MAX_VMS_PER_REPLICA = 64
 
 Bound = binder.BoundDocument[schema.Declaration]
 FoundIterator = collections_abc.Iterator[findings.Finding]
@@ -51,8 +51,8 @@
         if not NAME_PATTERN.fullmatch(declared.name):
             yield findings.Finding(
                 place,
-                f'{declared.name!r} is no name: small letters, digits and '
-                'hyphens, at most 63',
+                f'{declared.name!r} is not a valid name: lower-case letters, '
+                'digits and hyphens, at most 63',
             )
         if declared.name in seen:
             yield findings.Finding(
@@ -64,10 +64,10 @@
 def _check_deployments(bound: Bound) -> FoundIterator:
     for index, deployment in enumerate(bound.content.deployments):
         path = ('deployments', index)
-        if not 0 < deployment.vms_per_replica <= LARGEST_REPLICA_VMS:
+        if not 0 < deployment.vms_per_replica <= MAX_VMS_PER_REPLICA:
             yield _finding(
                 bound,
-                f'must be from 1 to {LARGEST_REPLICA_VMS}',
+                f'must be from 1 to {MAX_VMS_PER_REPLICA}',
                 *path,
                 'vms_per_replica',
             )
@@ -75,7 +75,7 @@
             yield _finding(bound, 'must not be negative', *path, 'replicas')
         if (
             not 0 <= deployment.floor_replicas <= max(deployment.replicas, 0)
-        ) and bound.intact(*path, 'replicas'):
+        ) and bound.is_valid(*path, 'replicas'):
             yield _finding(
                 bound, 'must be from 0 to replicas', *path, 'floor_replicas'
             )
@@ -125,7 +125,7 @@
         seen_prefixes.add(prefix)
         if not service.addresses:
             yield _finding(
-                bound, 'at least one address is needed', *path, 'addresses'
+                bound, 'at least one address is required', *path, 'addresses'
             )
         yield from _check_addresses(bound, service, path)
         yield from _check_positive(
@@ -136,7 +136,7 @@
 def _check_addresses(
     bound: Bound, service: schema.PlainService, path: tuple[str, int]
 ) -> FoundIterator:
-    for place, address in enumerate(service.addresses):
+    for position, address in enumerate(service.addresses):
         host, _, port = address.rpartition(':')
         if not host or not port.isdigit():
             yield _finding(
@@ -144,7 +144,7 @@
                 f'{address!r} is not host:port',
                 *path,
                 'addresses',
-                place,
+                position,
             )
 
 
@@ -154,14 +154,15 @@
         if not SHA256_PATTERN.fullmatch(account.credential_sha256):
             yield _finding(
                 bound,
-                'must be the SHA-256 of the credential, 64 small hex digits',
+                'must be the SHA-256 of the credential, 64 lower-case hex '
+                'digits',
                 *path,
                 'credential_sha256',
             )
-        if not LOWEST_PRIORITY <= account.priority <= HIGHEST_PRIORITY:
+        if not MIN_PRIORITY <= account.priority <= MAX_PRIORITY:
             yield _finding(
                 bound,
-                f'must be from {LOWEST_PRIORITY} to {HIGHEST_PRIORITY}',
+                f'must be from {MIN_PRIORITY} to {MAX_PRIORITY}',
                 *path,
                 'priority',
             )
@@ -173,27 +174,27 @@
         ):
             if getattr(account, name) < 0:
                 yield _finding(bound, 'must not be negative', *path, name)
-        yield from _check_wanted(bound, account, path)
+        yield from _check_account_deployments(bound, account, path)
 
 
-def _check_wanted(
+def _check_account_deployments(
     bound: Bound, account: schema.ClientAccount, path: tuple[str, int]
 ) -> FoundIterator:
     deployments = bound.content.deployments
     if not all(
-        bound.intact('deployments', index, 'name')
+        bound.is_valid('deployments', index, 'name')
         for index in range(len(deployments))
     ):
         return
     known = {deployment.name for deployment in deployments}
-    for place, wanted in enumerate(account.deployments):
-        if wanted not in known:
+    for position, name in enumerate(account.deployments):
+        if name not in known:
             yield _finding(
                 bound,
-                f'no deployment is named {wanted!r}',
+                f'no deployment is named {name!r}',
                 *path,
                 'deployments',
-                place,
+                position,
             )
 
 
--- a/redwingvalve/declaration/schema.py
+++ b/redwingvalve/declaration/schema.py
@@ -1,7 +1,7 @@
-"""The declaration as attrs classes; field names carry their unit.
+"""The declaration as attrs classes; field names have their unit.
 
-Prices are in the operator's own currency; only their ratios matter to the
-decisions (see docs/design/0010-replicas.md).
+Prices are in the operator's own currency. Decisions depend only on their
+ratios (see docs/design/0010-replicas.md).
 """
 
 import enum
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class Prices:
-    """What a minute costs when a target is missed."""
+    """The cost of a minute of downtime or of stranded accelerators."""
 
     downtime_per_replica_minute: float = 1.0
     stranded_per_accelerator_minute: float = 0.05
@@ -28,9 +28,9 @@
 class ModelDeployment:
     """A model served by replicas that span several VMs of one domain.
 
-    Where no domain has VMs free for one more replica, a change of model,
-    version or adapters waits, unless accepts_change_in_place is declared:
-    then replicas above the floor are drained before others are formed.
+    If no domain has VMs free for one more replica, a change of model, version
+    or adapters waits. With accepts_change_in_place, replicas above the floor
+    are drained instead, before new ones are formed.
     """
 
     name: str
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class PlainService:
-    """A plain service beside the model engines; paths are routed to it."""
+    """A plain service besides the model engines, routed by path."""
 
     name: str
     path_prefix: str
@@ -66,7 +66,7 @@
 
 @attrs.frozen
 class ClientAccount:
-    """A caller's account: what it may use, how it ranks, what it costs."""
+    """A caller's account: deployments, priority, limits and penalty."""
 
     name: str
     credential_sha256: str
@@ -81,13 +81,13 @@
 
 @attrs.frozen
 class FailureFigures:
-    """How often things fail and how long they stay away; from records.
+    """Failure rates and repair times, from operational records.
 
     The defaults are those of a fleet of 9,600 VMs, scaled to one VM: 47 VMs
-    fail and 650 are restarted or replaced in a day, a rack or switch goes in
-    45 days, and each of 13 data centres goes every nine years. A restart
-    takes ten minutes; that a rack stays away for four hours and a dark domain
-    for half an hour is assumed until an operator declares his own.
+    fail and 650 are restarted or replaced a day, a rack or switch fails every
+    45 days, and each of 13 data centres fails every nine years. A restart
+    takes ten minutes. That a rack is down for four hours and a failed domain
+    for half an hour are assumptions, for operators to replace with their own.
     """
 
     vm_failures_per_vm_day: float = 47 / 9600
@@ -102,7 +102,7 @@
 
 @attrs.frozen
 class Declaration:
-    """Everything an operator wants; the whole of it, never a difference."""
+    """The complete desired state of an operator, never a difference."""
 
     operator: str
     deployments: tuple[ModelDeployment, ...] = ()
--- a/redwingvalve/declaration/tests/test_reader.py
+++ b/redwingvalve/declaration/tests/test_reader.py
@@ -1,4 +1,4 @@
-"""A declaration is checked as a whole; each finding names its place."""
+"""Tests of reading and validating declarations."""
 
 import hypothesis
 from hypothesis import strategies
@@ -31,7 +31,7 @@
     return [str(finding) for finding in checked.error.entries]
 
 
-def test_a_good_declaration_is_read():
+def test_a_valid_declaration_is_read():
     bound = reader.read_text(GOOD, 'wanted.yaml').ok
     assert bound.content.deployments[0].vms_per_replica == 4
     assert bound.content.client_accounts[0].name == 'depot'
@@ -44,36 +44,36 @@
     found = findings_of(bad)
     assert found == [
         (
-            'wanted.yaml:7:15 (deployments[0].replicas): a whole number is '
-            "wanted here, not 'two'"
+            'wanted.yaml:7:15 (deployments[0].replicas): expected an '
+            "integer, not 'two'"
         ),
         (
-            'wanted.yaml:14:5 (client_accounts[0].priority): the field '
-            "'priority' is missing"
+            'wanted.yaml:14:5 (client_accounts[0].priority): missing field '
+            "'priority'"
         ),
         "wanted.yaml:16:5 (client_accounts[0].prio): unknown field 'prio'",
     ]
 
 
 def test_a_duplicate_name_and_an_unknown_deployment_are_found():
-    twice = GOOD.replace(
+    duplicated = GOOD.replace(
         'services:',
         GOOD.split('deployments:')[1].split('services:')[0].lstrip('\n')
         + 'services:',
     ).replace('[quotes]', '[flags]')
-    found = findings_of(twice)
+    found = findings_of(duplicated)
     assert any("the name 'quotes' is already taken" in line for line in found)
     assert any("no deployment is named 'flags'" in line for line in found)
 
 
-def test_a_key_that_stands_twice_is_found():
+def test_a_duplicate_key_is_found():
     found = findings_of(GOOD.replace('    model:', '    name: x\n    model:'))
     assert found == [
-        "wanted.yaml:5:5 (deployments[0].name): 'name' stands twice"
+        "wanted.yaml:5:5 (deployments[0].name): duplicate key 'name'"
     ]
 
 
-def test_a_file_that_is_not_yaml_is_found_with_its_line():
+def test_invalid_yaml_is_found_with_its_line():
     found = findings_of('operator: [tapiceria\nservices: {')
     assert found[0].startswith('wanted.yaml:2:')
 
@@ -88,13 +88,15 @@
     strategies.sampled_from(GOOD.split()),
     strategies.sampled_from(['[', '{}', '-1', '""', 'null', '!!x y', '&a *b']),
 )
-def test_a_spoilt_declaration_gives_findings_and_never_a_crash(word, spoilt):
-    checked = reader.read_text(GOOD.replace(word, spoilt), 'wanted.yaml')
+def test_a_corrupted_declaration_gives_findings_and_never_a_crash(
+    token, replacement
+):
+    checked = reader.read_text(GOOD.replace(token, replacement), 'wanted.yaml')
     assert checked.is_error() or checked.ok.content.operator is not None
 
 
-def test_a_wrong_type_hides_no_other_finding():
-    """A field of each kind of fault; what rests on a blank is left out."""
+def test_a_wrong_type_does_not_hide_other_findings():
+    """One error of each kind; what depends on a placeholder is left out."""
     bad = (
         GOOD.replace('operator: tapiceria', 'operatr: tapiceria')
         .replace('replicas: 2', 'replicas: two\n    floor_replicas: 1')
@@ -119,7 +121,7 @@
     ]
 
 
-def test_a_deployment_without_a_shape_blames_no_account():
+def test_an_invalid_deployment_causes_no_finding_on_accounts():
     found = findings_of(GOOD.replace('  - name: quotes\n', '  - 3\n  - b: 1\n'))
     assert not any('no deployment is named' in line for line in found)
     assert any('deployments[0]' in line for line in found)
--- a/redwingvalve/documents/__init__.py
+++ b/redwingvalve/documents/__init__.py
@@ -1,1 +1,1 @@
-"""YAML documents bound to attrs classes, with a place for every finding."""
+"""Binding of YAML documents to attrs classes; findings have a position."""
--- a/redwingvalve/documents/binder.py
+++ b/redwingvalve/documents/binder.py
@@ -1,7 +1,7 @@
 """Binds a YAML document to attrs classes and collects all findings.
 
-PyYAML gives the marks (line and column), cattrs the structure; this module
-only joins the two, so that a finding points at the line to mend.
+PyYAML provides the marks (line and column) and cattrs the structure. This
+module combines the two, so that a finding has the line of the error.
 """
 
 import typing
@@ -23,46 +23,48 @@
 
 
 class _FieldError(ValueError):
-    """A value of the wrong type; its text is what the person reads."""
+    """A value has the wrong type; the message is shown to the user."""
 
 
 @attrs.frozen
 class BoundDocument(typing.Generic[BoundType]):
-    """A bound document that still knows where each part stands."""
+    """A bound document with the positions of its parts."""
 
     content: BoundType
     places: 'DocumentPlaces'
-    faulty: tuple[PathParts, ...] = ()
+    invalid_paths: tuple[PathParts, ...] = ()
 
-    def intact(self, *path: str | int) -> bool:
-        """Tell whether what stands at path is the document's own word.
+    def is_valid(self, *path: str | int) -> bool:
+        """Tell whether the value at path is that of the document.
 
-        False where it, a part of it or what holds it was faulty and blanked;
-        a check of one field against another asks this first.
+        False if the value, a part of it or one of its parents is invalid and
+        was replaced by a placeholder. Checks that compare two fields have to
+        call this first.
         """
         return not any(
-            path[: len(fault)] == fault[: len(path)] for fault in self.faulty
+            path[: len(invalid_part)] == invalid_part[: len(path)]
+            for invalid_part in self.invalid_paths
         )
 
 
 @attrs.frozen
-class _Fault:
-    """A finding of the binding, and the path that it spoils."""
+class _InvalidPart:
+    """A finding of the binding, and the path that it makes invalid."""
 
     path: PathParts
     finding: findings.Finding
 
 
 class DocumentPlaces:
-    """Finds the place of a path inside a parsed YAML document."""
+    """Finds the position of a path in a parsed YAML document."""
 
     def __init__(self, file_name: str, root: yaml.Node | None) -> None:
-        """Remember the node tree of one file."""
+        """Use the node tree of one file."""
         self._file_name = file_name
         self._root = root
 
     def place(self, *path: str | int) -> findings.Place:
-        """Return the place of the deepest part of path that exists."""
+        """Return the position of the deepest existing part of path."""
         node = self._root
         line, column = (1, 1)
         for part in (None, *path):
@@ -75,7 +77,7 @@
         return findings.Place(self._file_name, line, column, _dotted_path(path))
 
     def key_place(self, *path: str | int) -> findings.Place:
-        """Return the place of the key itself, for unknown fields."""
+        """Return the position of the key itself, for unknown fields."""
         node = self._root
         for part in path[:-1]:
             node = _child(node, part)
@@ -104,76 +106,83 @@
     target: type[BoundType],
     check: Check | None = None,
 ) -> Result[BoundDocument[BoundType], findings.Findings]:
-    """Bind YAML text to target, or return every finding with its place.
+    """Bind YAML text to target, or return all findings.
 
-    check adds the findings on what is bound. It is also asked when parts are
-    faulty, about the rest; see BoundDocument.intact.
+    check returns the findings on the bound document. It is also called for the
+    valid rest of a document with invalid parts; see BoundDocument.is_valid.
     """
     if len(text.encode()) > MAX_DOCUMENT_BYTES:
-        return _single(file_name, 'the document is larger than 1 MB')
+        return _document_error(file_name, 'the document is larger than 1 MB')
     try:
         root = yaml.compose(text, Loader=yaml.SafeLoader)
     except yaml.MarkedYAMLError as error:
         return Error(findings.Findings((_syntax_finding(file_name, error),)))
     except (yaml.YAMLError, ValueError, RecursionError) as error:
-        return _single(file_name, f'this is not YAML: {error}')
+        return _document_error(file_name, f'invalid YAML: {error}')
     places = DocumentPlaces(file_name, root)
     try:
         plain = yaml.safe_load(text)
     except (yaml.YAMLError, ValueError, RecursionError) as error:
-        return _single(file_name, f'this is not YAML: {error}')
+        return _document_error(file_name, f'invalid YAML: {error}')
     if not isinstance(plain, dict):
-        return _single(file_name, 'a mapping is wanted here')
-    twice = _duplicate_keys(root, (), places)
-    return _bind_whole(plain, places, target, twice, check)
+        return _document_error(file_name, 'expected a mapping')
+    duplicates = _duplicate_keys(root, (), places)
+    return _bind_and_check(plain, places, target, duplicates, check)
 
 
-def _bind_whole(
+def _bind_and_check(
     plain: dict[str, typing.Any],
     places: DocumentPlaces,
     target: type[BoundType],
-    twice: list[_Fault],
+    duplicates: list[_InvalidPart],
     check: Check | None,
 ) -> Result[BoundDocument[BoundType], findings.Findings]:
-    bound, found = _bind_plain(plain, places, target)
-    found.extend(fault.finding for fault in twice)
+    bound, found = _bind_valid_parts(plain, places, target)
+    found.extend(invalid_part.finding for invalid_part in duplicates)
     if bound is not None:
-        faulty = (*bound.faulty, *(fault.path for fault in twice))
-        bound = attrs.evolve(bound, faulty=faulty)
+        invalid_paths = (
+            *bound.invalid_paths,
+            *(invalid_part.path for invalid_part in duplicates),
+        )
+        bound = attrs.evolve(bound, invalid_paths=invalid_paths)
         if check is not None:
-            found.extend(_findings_on_intact(bound, check))
+            found.extend(_findings_on_valid(bound, check))
     if bound is None or found:
-        found.sort(key=lambda one: (one.place.line, one.place.column))
+        found.sort(
+            key=lambda finding: (finding.place.line, finding.place.column)
+        )
         return Error(findings.Findings(tuple(found)))
     return Ok(bound)
 
 
-def _bind_plain(
+def _bind_valid_parts(
     plain: dict[str, typing.Any],
     places: DocumentPlaces,
     target: type[BoundType],
 ) -> tuple[BoundDocument[BoundType] | None, list[findings.Finding]]:
-    """Bind what can be bound, and find what cannot."""
+    """Bind the valid parts, and return findings on the invalid ones."""
     try:
         return BoundDocument(CONVERTER.structure(plain, target), places), []
-    except Exception as error:  # noqa: BLE001 - reported with its place
-        faults = list(_walk(error, (), places))
-    found = [fault.finding for fault in faults]
-    paths = tuple(fault.path for fault in faults)
+    except Exception as error:  # noqa: BLE001 - becomes a finding
+        invalid_parts = list(_invalid_parts_of(error, (), places))
+    found = [invalid_part.finding for invalid_part in invalid_parts]
+    paths = tuple(invalid_part.path for invalid_part in invalid_parts)
     try:
-        mended = placeholders.mend(plain, target, paths)
-    except placeholders.UnmendableError:
+        replaced = placeholders.replace_invalid(plain, target, paths)
+    except placeholders.NoPlaceholderError:
         return None, found
-    content = CONVERTER.structure(mended, target)
+    content = CONVERTER.structure(replaced, target)
     return BoundDocument(content, places, paths), found
 
 
-def _findings_on_intact(
+def _findings_on_valid(
     bound: BoundDocument[typing.Any], check: Check
 ) -> typing.Iterator[findings.Finding]:
-    spoilt = [_dotted_path(path) for path in bound.faulty]
+    invalid_path_names = [_dotted_path(path) for path in bound.invalid_paths]
     for finding in check(bound):
-        if not any(_is_within(finding.place.path, path) for path in spoilt):
+        if not any(
+            _is_within(finding.place.path, path) for path in invalid_path_names
+        ):
             yield finding
 
 
@@ -181,40 +190,44 @@
     return path == outer or path.startswith((f'{outer}.', f'{outer}['))
 
 
-def _walk(
+def _invalid_parts_of(
     error: Exception, path: PathParts, places: DocumentPlaces
-) -> typing.Iterator[_Fault]:
+) -> typing.Iterator[_InvalidPart]:
     if isinstance(error, cattrs_errors.ForbiddenExtraKeysError):
         for name in sorted(map(str, error.extra_fields)):
             finding = findings.Finding(
                 places.key_place(*path, name), f'unknown field {name!r}'
             )
-            yield _Fault((*path, name), finding)
+            yield _InvalidPart((*path, name), finding)
         return
     if isinstance(error, cattrs_errors.ClassValidationError):
-        noted, bare = error.group_exceptions()
+        noted, other = error.group_exceptions()
         for inner, class_note in noted:
-            yield from _walk(inner, (*path, class_note.name), places)
-        for inner in bare:
-            yield from _walk(inner, path, places)
+            yield from _invalid_parts_of(
+                inner, (*path, class_note.name), places
+            )
+        for inner in other:
+            yield from _invalid_parts_of(inner, path, places)
         return
     if isinstance(error, cattrs_errors.IterableValidationError):
-        noted, bare = error.group_exceptions()
+        noted, other = error.group_exceptions()
         for inner, item_note in noted:
-            yield from _walk(inner, (*path, item_note.index), places)
-        for inner in bare:
-            yield from _walk(inner, path, places)
+            yield from _invalid_parts_of(
+                inner, (*path, item_note.index), places
+            )
+        for inner in other:
+            yield from _invalid_parts_of(inner, path, places)
         return
-    finding = findings.Finding(places.place(*path), _explain(error, path))
-    yield _Fault(path, finding)
+    finding = findings.Finding(places.place(*path), _message_for(error, path))
+    yield _InvalidPart(path, finding)
 
 
-def _explain(error: Exception, path: PathParts) -> str:
+def _message_for(error: Exception, path: PathParts) -> str:
     if isinstance(error, KeyError):
-        return f'the field {path[-1] if path else error.args[0]!r} is missing'
+        return f'missing field {path[-1] if path else error.args[0]!r}'
     if isinstance(error, ValueError):
         return str(error)
-    return f'a value of another shape is wanted here ({error})'
+    return f'invalid value ({error})'
 
 
 def _syntax_finding(
@@ -224,10 +237,10 @@
     place = findings.Place(file_name)
     if mark is not None:
         place = findings.Place(file_name, mark.line + 1, mark.column + 1)
-    return findings.Finding(place, f'this is not YAML: {error.problem}')
+    return findings.Finding(place, f'invalid YAML: {error.problem}')
 
 
-def _single(
+def _document_error(
     file_name: str, message: str
 ) -> Result[typing.Any, findings.Findings]:
     finding = findings.Finding(findings.Place(file_name, 1, 1), message)
@@ -247,8 +260,8 @@
 
 def _duplicate_keys(
     node: yaml.Node | None, path: PathParts, places: DocumentPlaces
-) -> list[_Fault]:
-    found: list[_Fault] = []
+) -> list[_InvalidPart]:
+    found: list[_InvalidPart] = []
     if isinstance(node, yaml.SequenceNode):
         for index, member in enumerate(node.value):
             found.extend(_duplicate_keys(member, (*path, index), places))
@@ -266,8 +279,8 @@
                 mark.column + 1,
                 _dotted_path((*path, key)),
             )
-            finding = findings.Finding(place, f'{key!r} stands twice')
-            found.append(_Fault((*path, key), finding))
+            finding = findings.Finding(place, f'duplicate key {key!r}')
+            found.append(_InvalidPart((*path, key), finding))
         seen.add(key)
         found.extend(_duplicate_keys(value_node, (*path, key), places))
     return found
@@ -283,29 +296,29 @@
     return text
 
 
-def _strict(kind: type, wanted: str) -> typing.Callable[..., typing.Any]:
+def _strict(kind: type, expected: str) -> typing.Callable[..., typing.Any]:
     def structure(raw: typing.Any, _: typing.Any) -> typing.Any:
         if isinstance(raw, bool) and kind is not bool:
-            raise _FieldError(f'{wanted} is wanted here, not {raw!r}')
+            raise _FieldError(f'expected {expected}, not {raw!r}')
         if kind is float and isinstance(raw, int):
             return float(raw)
         if not isinstance(raw, kind):
-            raise _FieldError(f'{wanted} is wanted here, not {raw!r}')
+            raise _FieldError(f'expected {expected}, not {raw!r}')
         return raw
 
     return structure
 
 
-def _structure_tuple(raw: typing.Any, wanted: typing.Any) -> typing.Any:
+def _structure_tuple(raw: typing.Any, expected: typing.Any) -> typing.Any:
     if not isinstance(raw, list):
-        raise _FieldError(f'a list is wanted here, not {raw!r}')
-    (member_type, _) = typing.get_args(wanted)
+        raise _FieldError(f'expected a list, not {raw!r}')
+    (member_type, _) = typing.get_args(expected)
     return tuple(CONVERTER.structure(raw, list[member_type]))
 
 
-def _is_variadic_tuple(wanted: typing.Any) -> bool:
-    arguments = typing.get_args(wanted)
-    return typing.get_origin(wanted) is tuple and arguments[-1:] == (...,)
+def _is_variadic_tuple(expected: typing.Any) -> bool:
+    arguments = typing.get_args(expected)
+    return typing.get_origin(expected) is tuple and arguments[-1:] == (...,)
 
 
 def _structure_attrs(cls: type) -> typing.Callable[..., typing.Any]:
@@ -313,20 +326,20 @@
         cls, CONVERTER, _cattrs_forbid_extra_keys=True
     )
 
-    def structure(raw: typing.Any, wanted: typing.Any) -> typing.Any:
+    def structure(raw: typing.Any, expected: typing.Any) -> typing.Any:
         if not isinstance(raw, dict):
-            raise _FieldError(f'a mapping is wanted here, not {raw!r}')
-        return inner(raw, wanted)
+            raise _FieldError(f'expected a mapping, not {raw!r}')
+        return inner(raw, expected)
 
     return structure
 
 
 def _make_converter() -> cattrs.Converter:
     converter = cattrs.Converter(forbid_extra_keys=True)
-    converter.register_structure_hook(str, _strict(str, 'text'))
-    converter.register_structure_hook(int, _strict(int, 'a whole number'))
+    converter.register_structure_hook(str, _strict(str, 'a string'))
+    converter.register_structure_hook(int, _strict(int, 'an integer'))
     converter.register_structure_hook(float, _strict(float, 'a number'))
-    converter.register_structure_hook(bool, _strict(bool, 'true or false'))
+    converter.register_structure_hook(bool, _strict(bool, 'a boolean'))
     converter.register_structure_hook_func(_is_variadic_tuple, _structure_tuple)
     converter.register_structure_hook_factory(attrs.has, _structure_attrs)
     return converter
--- a/redwingvalve/documents/files.py
+++ b/redwingvalve/documents/files.py
@@ -1,4 +1,4 @@
-"""Reads a document from a file; a file that cannot be read is a finding."""
+"""Reads documents from files; reports an unreadable file as a finding."""
 
 import pathlib
 
--- a/redwingvalve/documents/placeholders.py
+++ b/redwingvalve/documents/placeholders.py
@@ -1,7 +1,8 @@
-"""Puts blanks where a document is faulty, so that the rest can be checked.
+"""Replaces invalid parts of a document, so that the rest can be checked.
 
-A person who mends one finding only to be shown the next has to ask again and
-again. What depends on a blank must not be reported, since the blank is ours.
+This way all findings are reported at once, and not one after each correction.
+Findings that depend on a placeholder must not be reported, since it is not
+part of the document.
 """
 
 import copy
@@ -12,7 +13,7 @@
 import attrs
 
 PathParts = tuple[str | int, ...]
-BLANKS: tuple[tuple[type, typing.Any], ...] = (
+PLACEHOLDERS: tuple[tuple[type, typing.Any], ...] = (
     (str, ''),
     (int, 0),
     (float, 0.0),
@@ -20,37 +21,37 @@
 )
 
 
-class UnmendableError(Exception):
-    """A part has a type for which there is no blank."""
+class NoPlaceholderError(Exception):
+    """There is no placeholder for the type of an invalid part."""
 
 
-def mend(
+def replace_invalid(
     plain: dict[str, typing.Any],
     target: type,
-    faulty: collections_abc.Iterable[PathParts],
+    invalid_paths: collections_abc.Iterable[PathParts],
 ) -> dict[str, typing.Any]:
-    """Return a copy with a blank at each faulty path of target.
+    """Return a copy with a placeholder at each invalid path.
 
-    Paths that target does not have are removed. UnmendableError when a part
-    cannot be blanked.
+    Paths that don't exist in target are removed. Raises NoPlaceholderError if
+    there is no placeholder for a part.
     """
-    mended = copy.deepcopy(plain)
-    for path in faulty:
+    result = copy.deepcopy(plain)
+    for path in invalid_paths:
         if not path:
-            raise UnmendableError
-        holder = _holder(mended, path)
-        wanted = _type_at(target, path)
-        if wanted is None:
-            holder.pop(path[-1], None)
+            raise NoPlaceholderError
+        parent = _parent(result, path)
+        expected = _type_at(target, path)
+        if expected is None:
+            parent.pop(path[-1], None)
         else:
-            holder[path[-1]] = _blank(wanted)
-    return mended
+            parent[path[-1]] = _placeholder(expected)
+    return result
 
 
-def _holder(mended: typing.Any, path: PathParts) -> typing.Any:
+def _parent(result: typing.Any, path: PathParts) -> typing.Any:
     for part in path[:-1]:
-        mended = mended[part]
-    return mended
+        result = result[part]
+    return result
 
 
 def _type_at(target: typing.Any, path: PathParts) -> typing.Any:
@@ -65,18 +66,18 @@
     return target
 
 
-def _blank(wanted: typing.Any) -> typing.Any:
-    if typing.get_origin(wanted) is tuple:
+def _placeholder(expected: typing.Any) -> typing.Any:
+    if typing.get_origin(expected) is tuple:
         return []
-    if attrs.has(wanted):
+    if attrs.has(expected):
         return {
-            field.name: _blank(field.type)
-            for field in attrs.fields(wanted)
+            field.name: _placeholder(field.type)
+            for field in attrs.fields(expected)
             if field.default is attrs.NOTHING
         }
-    if isinstance(wanted, type) and issubclass(wanted, enum.Enum):
-        return next(iter(wanted)).value
-    for known, blank in BLANKS:
-        if wanted is known:
-            return blank
-    raise UnmendableError
+    if isinstance(expected, type) and issubclass(expected, enum.Enum):
+        return next(iter(expected)).value
+    for known, placeholder in PLACEHOLDERS:
+        if expected is known:
+            return placeholder
+    raise NoPlaceholderError
--- a/redwingvalve/settings/loader.py
+++ b/redwingvalve/settings/loader.py
@@ -1,4 +1,4 @@
-"""Reads a settings file and checks it as a whole."""
+"""Reads and validates settings files."""
 
 import logging
 import urllib.parse
@@ -10,7 +10,7 @@
 from redwingvalve.documents import binder, files
 from redwingvalve.settings import schema
 
-HIGHEST_PORT = 65535
+MAX_PORT = 65535
 EXPORTERS = frozenset(('none', 'console', 'file'))
 
 Bound = binder.BoundDocument[schema.Settings]
@@ -18,7 +18,7 @@
 
 
 def load_file(file_name: str) -> Result[schema.Settings, findings.Findings]:
-    """Read and check a settings file; every finding names its place."""
+    """Read and check a settings file; findings have their position."""
     text = files.read_text(file_name)
     if text.is_error():
         return Error(text.error)
@@ -49,10 +49,10 @@
             yield _finding(bound, 'must not be empty', 'node', name)
     for port_name in ('http_port', 'peer_port'):
         port = getattr(settings.listen, port_name)
-        if not 0 < port <= HIGHEST_PORT:
+        if not 0 < port <= MAX_PORT:
             yield _finding(bound, f'{port} is not a port', 'listen', port_name)
-    same = settings.listen.http_port == settings.listen.peer_port
-    if same and bound.intact('listen'):
+    same_port = settings.listen.http_port == settings.listen.peer_port
+    if same_port and bound.is_valid('listen'):
         yield _finding(bound, 'http_port and peer_port must differ', 'listen')
 
 
@@ -70,7 +70,7 @@
 
 
 def _check_peers(bound: Bound) -> FoundIterator:
-    for place, contact in enumerate(bound.content.peers.contacts):
+    for position, contact in enumerate(bound.content.peers.contacts):
         host, _, port = contact.rpartition(':')
         if not host or not port.isdigit():
             yield _finding(
@@ -78,7 +78,7 @@
                 f'{contact!r} is not host:port',
                 'peers',
                 'contacts',
-                place,
+                position,
             )
 
 
@@ -99,7 +99,7 @@
         if getattr(getattr(settings, section), name) <= 0:
             yield _finding(bound, 'must be above zero', section, name)
     requests = settings.requests
-    if requests.default_deadline_s > requests.max_deadline_s and bound.intact(
+    if requests.default_deadline_s > requests.max_deadline_s and bound.is_valid(
         'requests'
     ):
         yield _finding(
@@ -114,11 +114,16 @@
     settings = bound.content
     if settings.logs.level not in logging.getLevelNamesMapping():
         yield _finding(
-            bound, f'{settings.logs.level!r} is no level', 'logs', 'level'
+            bound,
+            f'{settings.logs.level!r} is not a log level',
+            'logs',
+            'level',
         )
     if settings.tracing.exporter not in EXPORTERS:
-        wanted = ', '.join(sorted(EXPORTERS))
-        yield _finding(bound, f'must be one of {wanted}', 'tracing', 'exporter')
+        known_exporters = ', '.join(sorted(EXPORTERS))
+        yield _finding(
+            bound, f'must be one of {known_exporters}', 'tracing', 'exporter'
+        )
     if settings.tracing.exporter == 'file' and not settings.tracing.file_name:
         yield _finding(
             bound, 'the file exporter needs file_name', 'tracing', 'file_name'
@@ -132,8 +137,8 @@
     for index, name in enumerate(testing.disabled_safeguards):
         path = ('testing', 'disabled_safeguards', index)
         if name not in set(invariants.Safeguard):
-            yield _finding(bound, f'{name!r} is no safeguard', *path)
-        if not testing.in_test and bound.intact('testing', 'in_test'):
+            yield _finding(bound, f'{name!r} is not a safeguard', *path)
+        if not testing.in_test and bound.is_valid('testing', 'in_test'):
             yield _finding(bound, 'needs testing.in_test: true', *path)
 
 
--- a/redwingvalve/settings/schema.py
+++ b/redwingvalve/settings/schema.py
@@ -1,14 +1,14 @@
-"""Settings of an entry or a controller; every field carries its unit."""
+"""Settings of an entry or a controller; field names have their unit."""
 
 import attrs
 
 
 @attrs.frozen
 class NodeSettings:
-    """Who this process is; it learns its address and data centre here.
+    """Name, location and address of this process.
 
-    Processes with the same vm let one of them gossip for all; set it where
-    several run on a VM. Empty means that each speaks for itself.
+    Of the processes with the same vm, one gossips for all of them. Set vm if
+    several processes run on a VM; if it is empty, the process gossips itself.
     """
 
     name: str
@@ -21,10 +21,10 @@
 
 @attrs.frozen
 class ListenSettings:
-    """Ports of this process; all on node.host.
+    """Ports of this process, on node.host.
 
-    peer_host is listened on for peers instead, where peers reach node.host
-    through something that passes connections on, such as address translation.
+    If set, peer_host is the address for peers to listen on instead. It is
+    needed if peers reach node.host through a proxy or address translation.
     """
 
     http_port: int
@@ -34,7 +34,7 @@
 
 @attrs.frozen
 class PlatformSettings:
-    """Where the platform's services are."""
+    """URLs of the platform's services."""
 
     object_api_url: str
     vm_list_url: str = ''
@@ -45,9 +45,10 @@
 
 @attrs.frozen
 class PeerSettings:
-    """First contacts; the store's node objects name the others.
+    """Initial contacts; other peers are found in the store's node objects.
 
-    Calls to peers come from local_host; empty lets the system choose it.
+    local_host is the source address of calls to peers; if it is empty, the
+    system chooses one.
     """
 
     contacts: tuple[str, ...] = ()
@@ -57,10 +58,10 @@
 
 @attrs.frozen
 class RequestSettings:
-    """Bounds of the request path.
+    """Limits on requests.
 
-    key_resend_s is how long after its first send a caller may send a
-    non-idempotent request again; the same in all processes of a fleet.
+    key_resend_s is the time after its first send within which a caller may
+    resend a non-idempotent request; it must be the same in a whole fleet.
     """
 
     max_body_bytes: int = 4_000_000
@@ -80,7 +81,7 @@
 
 @attrs.frozen
 class MetricSettings:
-    """Where statsd listens; an empty host sends nothing."""
+    """The address of statsd; with an empty host no metrics are sent."""
 
     statsd_host: str = ''
     statsd_port: int = 8125
@@ -98,7 +99,7 @@
 
 @attrs.frozen
 class TlsSettings:
-    """PEM files, read again when they change; empty names mean no TLS."""
+    """PEM files, reloaded when they change; no TLS if the names are empty."""
 
     certificate_file: str = ''
     key_file: str = ''
@@ -107,7 +108,7 @@
 
 @attrs.frozen
 class TestingSettings:
-    """Only for proofs: safeguards that are switched off."""
+    """Safeguards to disable in tests that prove that each is needed."""
 
     in_test: bool = False
     disabled_safeguards: tuple[str, ...] = ()
--- a/redwingvalve/settings/tests/test_loader.py
+++ b/redwingvalve/settings/tests/test_loader.py
@@ -1,4 +1,4 @@
-"""Settings are checked as a whole before a daemon starts."""
+"""Tests of loading and validating settings."""
 
 from redwingvalve.settings import loader
 
@@ -15,18 +15,18 @@
     assert settings.requests.default_deadline_s == 60.0
 
 
-def test_findings_of_all_sections_come_together():
+def test_findings_of_all_sections_are_reported_together():
     bad = GOOD.replace('8081', '8080').replace('http://', 'ftp://')
     found = loader.load_text(f'{bad}logs: {{level: LOUD}}\n', 's.yaml').error
     messages = [finding.message for finding in found.entries]
     assert messages == [
         'http_port and peer_port must differ',
         "'ftp://127.0.0.1:8001' is not an http URL",
-        "'LOUD' is no level",
+        "'LOUD' is not a log level",
     ]
 
 
-def test_a_safeguard_is_only_disabled_in_a_test():
+def test_a_safeguard_can_be_disabled_only_in_tests():
     text = f'{GOOD}testing: {{disabled_safeguards: [answer-identity]}}\n'
     found = loader.load_text(text, 's.yaml').error
     assert [finding.message for finding in found.entries] == [
