--- a/redwingvalve/platform_api/__init__.py
+++ b/redwingvalve/platform_api/__init__.py
@@ -1,1 +1,1 @@
-"""The platform behind abstract base classes: objects, VMs, weights, orders."""
+"""Clients of the platform: object API, VM list, weight store, engine orders."""
--- a/redwingvalve/platform_api/engine_orders.py
+++ b/redwingvalve/platform_api/engine_orders.py
@@ -1,7 +1,7 @@
-"""Orders to the engine of a VM, and its real state read back.
+"""Orders to the engine of a VM, and reads of its actual state.
 
-An order states the desired end, never a step, so that a repeated or late
-order does no harm beyond what its fencing number permits.
+An order has the desired state and not a step towards it, so a repeated or
+late order does no harm beyond what its fencing number permits.
 """
 
 import abc
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class MemberSeen:
-    """A VM that took part in this epoch of its head's replica age_s ago."""
+    """A VM that took part in the current epoch of its replica age_s ago."""
 
     vm: str
     age_s: float
@@ -38,11 +38,12 @@
 
 @attrs.frozen
 class EngineState:
-    """What an engine says of itself; incarnation changes on every start.
+    """The state reported by an engine; incarnation changes on every start.
 
-    members_seen is what a head vouches for: VMs that are ready in the same
-    epoch, by the engines' own protocol. Engines without such a protocol leave
-    it empty; that a head makes tokens does not show that its members are there.
+    members_seen has the VMs that a head attests to be ready in the same epoch,
+    according to the engines' own protocol. Engines without such a protocol
+    leave it empty. Tokens from a head do not prove that its members are
+    reachable.
     """
 
     vm: str
@@ -62,14 +63,14 @@
 
 @attrs.frozen
 class OrderRefused:
-    """The engine refuses: its highest fencing number is greater."""
+    """The engine refused the order: its highest fencing number is greater."""
 
     highest_fencing_number: int
 
 
 @attrs.frozen
 class EngineUnreachable:
-    """No answer; the order may or may not have arrived."""
+    """No response; the order may have arrived unless surely_not_received."""
 
     message: str
     surely_not_received: bool = False
@@ -85,10 +86,10 @@
     async def send(
         self, address: str, order: EngineOrder, timeout_s: float
     ) -> Result[EngineState, OrderError]:
-        """Send an order; the answer is the state right after accepting it."""
+        """Send an order; return the state right after it was accepted."""
 
     @abc.abstractmethod
     async def read_state(
         self, address: str, timeout_s: float
     ) -> Result[EngineState, EngineUnreachable]:
-        """Read the engine's real state; also the probe for evidence."""
+        """Read the engine's actual state; also used to probe it."""
--- a/redwingvalve/platform_api/http_engine_orders.py
+++ b/redwingvalve/platform_api/http_engine_orders.py
@@ -1,9 +1,10 @@
-"""Orders to engines over HTTP, and their state read back.
+"""Orders to engines over HTTP, and reads of their state.
 
-aiohttp, not httpx, carries these calls: an entry probes every VM of its share
-each 0.7 s, at the size to come 76 times a second. In one run on a busy machine
-a probe took 3.0 ms of processor time with httpx and 0.25 ms with aiohttp's
-compiled reader (docs/CAPACITY.md); the budget of a node is 11 ms a second.
+These calls use aiohttp instead of httpx, since an entry probes each VM of its
+share every 0.7 s, which at the planned size is 76 times a second. On a busy
+machine a probe took 3.0 ms of processor time with httpx, and 0.25 ms with the
+compiled parser of aiohttp (docs/CAPACITY.md). The budget of a node is 11 ms a
+second.
 """
 
 import json
@@ -16,57 +17,62 @@
 
 from redwingvalve.platform_api import engine_orders, http_responses
 
-OrderAnswer = Result[engine_orders.EngineState, engine_orders.OrderError]
-StateAnswer = Result[engine_orders.EngineState, engine_orders.EngineUnreachable]
-BROKEN = (aiohttp.ClientError, OSError, TimeoutError)
-NOT_CONNECTED = (
+OrderResult = Result[engine_orders.EngineState, engine_orders.OrderError]
+StateResult = Result[engine_orders.EngineState, engine_orders.EngineUnreachable]
+CONNECTION_ERRORS = (aiohttp.ClientError, OSError, TimeoutError)
+CONNECT_ERRORS = (
     aiohttp.ClientConnectorError,
     aiohttp.ConnectionTimeoutError,
 )
-UNREADABLE = (ValueError, TypeError, KeyError, cattrs.BaseValidationError)
+INVALID_RESPONSE_ERRORS = (
+    ValueError,
+    TypeError,
+    KeyError,
+    cattrs.BaseValidationError,
+)
 
 
 @attrs.frozen
-class _Answer:
-    """An answer that was read to its end."""
+class _Response:
+    """A response that was read completely."""
 
     status: int
     body: bytes
 
 
 class HttpEngineOrders(engine_orders.EngineOrders):
-    """Speaks to the engine at each VM's address."""
+    """Calls engines at their VMs' addresses."""
 
     def __init__(self) -> None:
-        """Connect when first used, since a session belongs to one loop."""
+        """Connect lazily, since a session belongs to one event loop."""
         self._session: aiohttp.ClientSession | None = None
 
     async def send(
         self, address: str, order: engine_orders.EngineOrder, timeout_s: float
-    ) -> OrderAnswer:
-        """Send an order; the answer is the state right after accepting it."""
+    ) -> OrderResult:
+        """Send an order; return the state right after it was accepted."""
         url = f'http://{address}/orders'
         try:
-            answer = await self._call(
+            response = await self._call(
                 'POST', url, timeout_s, json=attrs.asdict(order)
             )
-        except NOT_CONNECTED as error:
+        except CONNECT_ERRORS as error:
             return Error(_unreachable(error, surely_not_received=True))
-        except BROKEN as error:
+        except CONNECTION_ERRORS as error:
             return Error(_unreachable(error))
-        if answer.status == http_responses.STATUS_CONFLICT:
-            return _refused(answer)
-        return _state(answer)
+        if response.status == http_responses.STATUS_CONFLICT:
+            return _decode_refusal(response)
+        return _decode_state(response)
 
-    async def read_state(self, address: str, timeout_s: float) -> StateAnswer:
-        """Read the engine's real state; also the probe for evidence."""
+    async def read_state(self, address: str, timeout_s: float) -> StateResult:
+        """Read the engine's actual state; also used to probe it."""
         try:
-            answer = await self._call(
+            response = await self._call(
                 'GET', f'http://{address}/state', timeout_s
             )
-        except BROKEN as error:
+        except CONNECTION_ERRORS as error:
             return Error(_unreachable(error))
-        return _state(answer)
+        return _decode_state(response)
 
     async def aclose(self) -> None:
         """Close connections."""
@@ -75,14 +81,14 @@
 
     async def _call(
         self, method: str, url: str, timeout_s: float, **more: typing.Any
-    ) -> _Answer:
+    ) -> _Response:
         timeout = aiohttp.ClientTimeout(total=timeout_s)
-        async with self._opened().request(
+        async with self._get_session().request(
             method, url, timeout=timeout, **more
-        ) as answer:
-            return _Answer(answer.status, await answer.read())
+        ) as response:
+            return _Response(response.status, await response.read())
 
-    def _opened(self) -> aiohttp.ClientSession:
+    def _get_session(self) -> aiohttp.ClientSession:
         if self._session is None:
             connector = aiohttp.TCPConnector(limit=0)
             self._session = aiohttp.ClientSession(connector=connector)
@@ -94,23 +100,25 @@
     return HttpEngineOrders()
 
 
-def _state(answer: _Answer) -> StateAnswer:
-    if answer.status >= http_responses.STATUS_BAD_REQUEST:
+def _decode_state(response: _Response) -> StateResult:
+    if response.status >= http_responses.STATUS_BAD_REQUEST:
         return Error(
-            engine_orders.EngineUnreachable(f'it answered {answer.status}')
+            engine_orders.EngineUnreachable(f'HTTP status {response.status}')
         )
     try:
         return Ok(
-            cattrs.structure(json.loads(answer.body), engine_orders.EngineState)
+            cattrs.structure(
+                json.loads(response.body), engine_orders.EngineState
+            )
         )
-    except UNREADABLE as error:
+    except INVALID_RESPONSE_ERRORS as error:
         return Error(_unreachable(error))
 
 
-def _refused(answer: _Answer) -> OrderAnswer:
+def _decode_refusal(response: _Response) -> OrderResult:
     try:
-        highest = int(json.loads(answer.body)['highest_fencing_number'])
-    except UNREADABLE as error:
+        highest = int(json.loads(response.body)['highest_fencing_number'])
+    except INVALID_RESPONSE_ERRORS as error:
         return Error(_unreachable(error))
     return Error(engine_orders.OrderRefused(highest))
 
--- a/redwingvalve/platform_api/http_object_api.py
+++ b/redwingvalve/platform_api/http_object_api.py
@@ -1,8 +1,8 @@
-"""The object API over HTTP, after the REST conventions of Kubernetes.
+"""The object API over HTTP, following the REST conventions of Kubernetes.
 
 Source: the published API conventions (resource versions, Status errors, list
-and watch). Answers that cannot be understood count as no answer, since a
-proxy between may have written them.
+and watch). A response that can't be decoded is treated like no response,
+since it may come from a proxy.
 """
 
 import json
@@ -24,58 +24,64 @@
 
 
 class HttpObjectApi(object_api.ObjectApi):
-    """Calls one object API; each call has timeout_s in all."""
+    """A client of an object API; each call has the timeout of its client."""
 
     def __init__(self, base_url: str, client: httpx.AsyncClient) -> None:
-        """Use client, which carries the timeout, for all calls."""
+        """Use client, which has the timeout, for all calls."""
         self._base_url = base_url.rstrip('/')
         self._client = client
 
     async def get(self, kind: str, name: str) -> Result[Stored, ObjectError]:
         """Return one object."""
-        answer = await self._call('GET', self._url(kind, name))
-        return answer.bind(lambda raw: _read(raw, kind))
+        response = await self._call('GET', self._url(kind, name))
+        return response.bind(lambda raw: _decode_response(raw, kind))
 
     async def list(
         self, kind: str
     ) -> Result[object_api.ObjectList, ObjectError]:
         """Return all objects of a kind at one version."""
-        answer = await self._call('GET', self._url(kind))
-        if answer.is_error():
-            return Error(answer.error)
+        response = await self._call('GET', self._url(kind))
+        if response.is_error():
+            return Error(response.error)
         try:
-            return Ok(_decode_list(kind, answer.ok))
+            return Ok(_decode_list(kind, response.ok))
         except (KeyError, TypeError, AttributeError) as error:
-            return Error(_unreadable(error, maybe_applied=False))
+            return Error(_invalid_response(error, maybe_applied=False))
 
     async def create(
         self, kind: str, name: str, body: object_api.Body
     ) -> Result[Stored, ObjectError]:
-        """Create an object; Conflict when the name exists."""
+        """Create an object; Conflict if the name exists."""
         raw = _encode(kind, name, '', body)
-        answer = await self._call('POST', self._url(kind), raw, (kind, name))
-        return answer.bind(lambda made: _read(made, kind, written=True))
+        response = await self._call('POST', self._url(kind), raw, (kind, name))
+        return response.bind(
+            lambda raw_object: _decode_response(raw_object, kind, is_write=True)
+        )
 
     async def update(self, stored: Stored) -> Result[Stored, ObjectError]:
         """Replace an object if it still has stored.version."""
         raw = _encode(stored.kind, stored.name, stored.version, stored.body)
-        answer = await self._call(
+        response = await self._call(
             'PUT',
             self._url(stored.kind, stored.name),
             raw,
             (stored.kind, stored.name),
         )
-        return answer.bind(lambda made: _read(made, stored.kind, written=True))
+        return response.bind(
+            lambda raw_object: _decode_response(
+                raw_object, stored.kind, is_write=True
+            )
+        )
 
     async def delete(
         self, kind: str, name: str, version: str
     ) -> Result[None, ObjectError]:
         """Delete an object if it still has this version."""
         query = urllib.parse.urlencode({'resourceVersion': version})
-        answer = await self._call(
+        response = await self._call(
             'DELETE', f'{self._url(kind, name)}?{query}', None, (kind, name)
         )
-        return answer.map(lambda _: None)
+        return response.map(lambda _: None)
 
     async def watch(
         self, kind: str, version: str
@@ -95,13 +101,13 @@
         try:
             async with self._client.stream(
                 'GET', url, timeout=timeout
-            ) as answer:
-                async for event in _events(answer, kind):
+            ) as response:
+                async for event in _events(response, kind):
                     yield event
         except httpx.HTTPError as error:
             yield Error(
                 object_api.Unavailable(
-                    f'the watch broke: {error!r}', maybe_applied=False
+                    f'the watch failed: {error!r}', maybe_applied=False
                 )
             )
 
@@ -118,25 +124,31 @@
         method: str,
         url: str,
         body: object_api.Body | None = None,
-        written: tuple[str, str] | None = None,
+        write_target: tuple[str, str] | None = None,
     ) -> Result[typing.Any, ObjectError]:
         try:
-            answer = await self._client.request(method, url, json=body)
+            response = await self._client.request(method, url, json=body)
         except (httpx.ConnectError, httpx.ConnectTimeout) as error:
-            return Error(_no_answer(error, maybe_applied=False))
+            return Error(_no_response(error, maybe_applied=False))
         except httpx.HTTPError as error:
-            # The write may have reached the store before the connection
-            # broke; only a read afterwards can tell.
-            return Error(_no_answer(error, maybe_applied=written is not None))
-        if answer.status_code >= http_responses.STATUS_BAD_REQUEST:
-            kind, name = written or ('', '')
+            # The write may have reached the store before the connection was
+            # lost; only a later read can tell.
+            return Error(
+                _no_response(error, maybe_applied=write_target is not None)
+            )
+        if response.status_code >= http_responses.STATUS_BAD_REQUEST:
+            kind, name = write_target or ('', '')
             return Error(
-                _problem(answer, kind, name, written=written is not None)
+                _error_from_response(
+                    response, kind, name, is_write=write_target is not None
+                )
             )
         try:
-            return Ok(answer.json())
+            return Ok(response.json())
         except ValueError as error:
-            return Error(_unreadable(error, maybe_applied=written is not None))
+            return Error(
+                _invalid_response(error, maybe_applied=write_target is not None)
+            )
 
 
 def make_http_object_api(base_url: str, timeout_s: float) -> HttpObjectApi:
@@ -149,15 +161,15 @@
 
 
 async def _events(
-    answer: httpx.Response, kind: str
+    response: httpx.Response, kind: str
 ) -> collections_abc.AsyncIterator[Result[object_api.WatchEvent, ObjectError]]:
-    if answer.status_code >= http_responses.STATUS_BAD_REQUEST:
-        await answer.aread()
-        yield Error(_problem(answer, kind, '', written=False))
+    if response.status_code >= http_responses.STATUS_BAD_REQUEST:
+        await response.aread()
+        yield Error(_error_from_response(response, kind, '', is_write=False))
         return
-    async for line in answer.aiter_lines():
+    async for line in response.aiter_lines():
         if not line.strip():
-            # Sent to open the stream before the first event.
+            # An empty line opens the stream before the first event.
             continue
         event = _decode_event(kind, line)
         yield event
@@ -193,13 +205,13 @@
     )
 
 
-def _read(
-    raw: object_api.Body, kind: str, *, written: bool = False
+def _decode_response(
+    raw: object_api.Body, kind: str, *, is_write: bool = False
 ) -> Result[Stored, ObjectError]:
     try:
         return Ok(_decode(raw, kind))
     except (KeyError, TypeError) as error:
-        return Error(_unreadable(error, maybe_applied=written))
+        return Error(_invalid_response(error, maybe_applied=is_write))
 
 
 def _decode_event(
@@ -208,15 +220,15 @@
     try:
         raw = json.loads(line)
         if raw['type'] == 'ERROR':
-            return Error(_watch_problem(kind, raw['object']))
+            return Error(_watch_error(kind, raw['object']))
         return Ok(
             object_api.WatchEvent(raw['type'], _decode(raw['object'], kind))
         )
     except (ValueError, KeyError, TypeError) as error:
-        return Error(_unreadable(error, maybe_applied=False))
+        return Error(_invalid_response(error, maybe_applied=False))
 
 
-def _watch_problem(kind: str, status: object_api.Body) -> ObjectError:
+def _watch_error(kind: str, status: object_api.Body) -> ObjectError:
     if status.get('code') == http_responses.STATUS_GONE:
         return object_api.Expired(kind)
     return object_api.Unavailable(
@@ -224,29 +236,29 @@
     )
 
 
-def _problem(
-    answer: httpx.Response, kind: str, name: str, *, written: bool
+def _error_from_response(
+    response: httpx.Response, kind: str, name: str, *, is_write: bool
 ) -> ObjectError:
-    message = answer.text[:200]
-    if answer.status_code == http_responses.STATUS_NOT_FOUND:
+    message = response.text[:200]
+    if response.status_code == http_responses.STATUS_NOT_FOUND:
         return object_api.NotFound(kind, name)
-    if answer.status_code == http_responses.STATUS_CONFLICT:
+    if response.status_code == http_responses.STATUS_CONFLICT:
         return object_api.Conflict(kind, name, message)
-    if answer.status_code == http_responses.STATUS_GONE:
+    if response.status_code == http_responses.STATUS_GONE:
         return object_api.Expired(kind)
-    if answer.status_code == http_responses.STATUS_TOO_MANY:
+    if response.status_code == http_responses.STATUS_TOO_MANY:
         return object_api.Unavailable(
             'the rate limit of the store is reached',
             maybe_applied=False,
-            retry_after_s=http_responses.retry_after_s(answer),
+            retry_after_s=http_responses.retry_after_s(response),
         )
-    if answer.status_code >= http_responses.STATUS_SERVER_ERROR:
-        # A gateway may answer 5xx after the store has taken the write.
-        return object_api.Unavailable(message, maybe_applied=written)
+    if response.status_code >= http_responses.STATUS_SERVER_ERROR:
+        # A gateway may respond with 5xx after the store applied the write.
+        return object_api.Unavailable(message, maybe_applied=is_write)
     return object_api.Refused(message)
 
 
-def _no_answer(
+def _no_response(
     error: httpx.HTTPError, *, maybe_applied: bool
 ) -> object_api.Unavailable:
     return object_api.Unavailable(
@@ -254,9 +266,9 @@
     )
 
 
-def _unreadable(
+def _invalid_response(
     error: Exception, *, maybe_applied: bool
 ) -> object_api.Unavailable:
     return object_api.Unavailable(
-        f'the answer cannot be read: {error!r}', maybe_applied=maybe_applied
+        f'the response cannot be read: {error!r}', maybe_applied=maybe_applied
     )
--- a/redwingvalve/platform_api/http_responses.py
+++ b/redwingvalve/platform_api/http_responses.py
@@ -1,4 +1,4 @@
-"""What the platform's HTTP clients share: statuses and unreadable answers."""
+"""HTTP statuses and errors shared by the clients of the platform."""
 
 import cattrs
 import httpx
@@ -11,9 +11,9 @@
 STATUS_SERVER_ERROR = 500
 DEFAULT_RETRY_AFTER_S = 1.0
 
-# What reading an answer may raise when it is missing or not the one expected,
-# such as the error page of a gateway between.
-UNREADABLE = (
+# Exceptions raised while a response is received and decoded, including those
+# for unexpected content such as the error page of a gateway.
+INVALID_RESPONSE_ERRORS = (
     httpx.HTTPError,
     ValueError,
     KeyError,
@@ -23,9 +23,9 @@
 )
 
 
-def retry_after_s(answer: httpx.Response) -> float:
-    """Return the Retry-After header in seconds, or a second."""
+def retry_after_s(response: httpx.Response) -> float:
+    """Return the Retry-After header in seconds; without one, a second."""
     try:
-        return max(0.0, float(answer.headers['retry-after']))
+        return max(0.0, float(response.headers['retry-after']))
     except (KeyError, ValueError):
         return DEFAULT_RETRY_AFTER_S
--- a/redwingvalve/platform_api/http_vm_list.py
+++ b/redwingvalve/platform_api/http_vm_list.py
@@ -11,21 +11,21 @@
     """Reads the list at one URL."""
 
     def __init__(self, url: str, client: httpx.AsyncClient) -> None:
-        """Use client, which carries the timeout."""
+        """Use client, which has the timeout."""
         self._url = f'{url.rstrip("/")}/vms'
         self._client = client
 
     async def read(
         self,
     ) -> Result[tuple[vm_list.Vm, ...], object_api.Unavailable]:
-        """Return all VMs that the list shows now."""
+        """Return all VMs in the list."""
         try:
-            answer = await self._client.get(self._url)
-            answer.raise_for_status()
+            response = await self._client.get(self._url)
+            response.raise_for_status()
             return Ok(
-                cattrs.structure(answer.json()['vms'], tuple[vm_list.Vm, ...])
+                cattrs.structure(response.json()['vms'], tuple[vm_list.Vm, ...])
             )
-        except http_responses.UNREADABLE as error:
+        except http_responses.INVALID_RESPONSE_ERRORS as error:
             return _unavailable(error)
 
 
--- a/redwingvalve/platform_api/http_weight_store.py
+++ b/redwingvalve/platform_api/http_weight_store.py
@@ -11,23 +11,23 @@
 
 
 class HttpWeightStore(weight_store.WeightStore):
-    """Reserves loads at one URL."""
+    """A client of the weight store at one URL."""
 
     def __init__(self, url: str, client: httpx.AsyncClient) -> None:
-        """Use client, which carries the timeout."""
+        """Use client, which has the timeout."""
         self._url = f'{url.rstrip("/")}/loads'
         self._client = client
 
     async def reserve_load(
         self, model: str, version: str
     ) -> Result[weight_store.LoadTicket, object_api.Unavailable]:
-        """Reserve one load; Unavailable tells when to come back."""
-        wanted = {'model': model, 'version': version}
+        """Reserve one load; Unavailable has the time after which to retry."""
+        request_body = {'model': model, 'version': version}
         try:
-            answer = await self._client.post(self._url, json=wanted)
-            return _read(answer)
-        except http_responses.UNREADABLE as error:
-            return _unavailable(f'the weight store is away: {error!r}')
+            response = await self._client.post(self._url, json=request_body)
+            return _decode_ticket(response)
+        except http_responses.INVALID_RESPONSE_ERRORS as error:
+            return _unavailable(f'the weight store is unavailable: {error!r}')
 
 
 def make_http_weight_store(url: str, timeout_s: float) -> HttpWeightStore:
@@ -35,19 +35,19 @@
     return HttpWeightStore(url, httpx.AsyncClient(timeout=timeout_s))
 
 
-def _read(
-    answer: httpx.Response,
+def _decode_ticket(
+    response: httpx.Response,
 ) -> Result[weight_store.LoadTicket, object_api.Unavailable]:
-    if answer.status_code == http_responses.STATUS_TOO_MANY:
+    if response.status_code == http_responses.STATUS_TOO_MANY:
         return _unavailable(
             'the rate limit of the weight store is reached',
-            http_responses.retry_after_s(answer),
+            http_responses.retry_after_s(response),
         )
-    answer.raise_for_status()
-    granted = answer.json()
+    response.raise_for_status()
+    ticket = response.json()
     return Ok(
         weight_store.LoadTicket(
-            str(granted['ticket']), float(granted['expires_after_s'])
+            str(ticket['ticket']), float(ticket['expires_after_s'])
         )
     )
 
--- a/redwingvalve/platform_api/object_api.py
+++ b/redwingvalve/platform_api/object_api.py
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class StoredObject:
-    """An object as the store holds it; body is its spec as plain JSON."""
+    """An object as stored; body is its spec as plain JSON."""
 
     kind: str
     name: str
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class WatchEvent:
-    """A change seen by a watch; type is ADDED, MODIFIED or DELETED."""
+    """A change from a watch; type is ADDED, MODIFIED or DELETED."""
 
     type: str
     stored: StoredObject
@@ -34,7 +34,7 @@
 
 @attrs.frozen
 class ObjectList:
-    """A list at one version, from which a watch can go on."""
+    """A list at one version, from which a watch can start."""
 
     version: str
     objects: tuple[StoredObject, ...]
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class NotFound:
-    """No object of this kind and name exists."""
+    """There is no object of this kind and name."""
 
     kind: str
     name: str
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class Conflict:
-    """The object has another version than the write was made from."""
+    """The object's version is not the one that the write is based on."""
 
     kind: str
     name: str
@@ -59,17 +59,17 @@
 
 @attrs.frozen
 class Expired:
-    """The version to watch from is too old; list again."""
+    """The version to watch from is too old; the caller has to list again."""
 
     kind: str
 
 
 @attrs.frozen
 class Unavailable:
-    """No usable answer came.
+    """There was no usable response.
 
-    maybe_applied is true when a write may have taken effect: the writer reads
-    back before it does anything else.
+    If maybe_applied is true, a write may have taken effect. The writer has to
+    read the object before it does anything else.
     """
 
     message: str
@@ -79,7 +79,7 @@
 
 @attrs.frozen
 class Refused:
-    """The store refuses the call for good, such as a value too large."""
+    """The store refused the call permanently, e.g. for a value too large."""
 
     message: str
 
@@ -88,7 +88,7 @@
 
 
 class ObjectApi(abc.ABC):
-    """Holds configuration, status and the system's own object kinds."""
+    """Stores configuration, status and the system's own object kinds."""
 
     @abc.abstractmethod
     async def get(
@@ -104,7 +104,7 @@
     async def create(
         self, kind: str, name: str, body: Body
     ) -> Result[StoredObject, ObjectError]:
-        """Create an object; Conflict when the name exists."""
+        """Create an object; Conflict if the name exists."""
 
     @abc.abstractmethod
     async def update(
--- a/redwingvalve/platform_api/observing_object_api.py
+++ b/redwingvalve/platform_api/observing_object_api.py
@@ -1,7 +1,7 @@
-"""The object API of a process that tells another slice what it sees.
+"""An object API that passes the objects read and written to a callback.
 
-A controller reads and writes the domain objects of its region anyway. What it
-sees goes on to the entries from here, without a watch of their own.
+A controller reads and writes the domain objects of its region anyway. With
+this class it can pass them on to the entries, which then need no watch.
 """
 
 from collections import abc as collections_abc
@@ -12,20 +12,22 @@
 
 Stored = object_api.StoredObject
 StoredResult = Result[Stored, object_api.ObjectError]
-Seen = collections_abc.Callable[[Stored], None]
+ObjectCallback = collections_abc.Callable[[Stored], None]
 
 
 class ObservingObjectApi(object_api.ObjectApi):
-    """Passes calls on, and each single object that an answer brings."""
+    """Delegates calls, and passes single objects of responses to a callback."""
 
-    def __init__(self, objects: object_api.ObjectApi, seen: Seen) -> None:
-        """Call seen with each object read or written by name."""
+    def __init__(
+        self, objects: object_api.ObjectApi, on_object: ObjectCallback
+    ) -> None:
+        """Call on_object with each object read or written by name."""
         self._objects = objects
-        self._seen = seen
+        self._on_object = on_object
 
     async def get(self, kind: str, name: str) -> StoredResult:
         """Return one object."""
-        return self._told(await self._objects.get(kind, name))
+        return self._observe(await self._objects.get(kind, name))
 
     async def list(
         self, kind: str
@@ -37,11 +39,11 @@
         self, kind: str, name: str, body: object_api.Body
     ) -> StoredResult:
         """Create an object; Conflict when the name exists."""
-        return self._told(await self._objects.create(kind, name, body))
+        return self._observe(await self._objects.create(kind, name, body))
 
     async def update(self, stored: Stored) -> StoredResult:
         """Replace an object if it still has stored.version."""
-        return self._told(await self._objects.update(stored))
+        return self._observe(await self._objects.update(stored))
 
     async def delete(
         self, kind: str, name: str, version: str
@@ -61,14 +63,14 @@
         """Close connections."""
         await self._objects.aclose()
 
-    def _told(self, answer: StoredResult) -> StoredResult:
-        if answer.is_ok():
-            self._seen(answer.ok)
-        return answer
+    def _observe(self, response: StoredResult) -> StoredResult:
+        if response.is_ok():
+            self._on_object(response.ok)
+        return response
 
 
 def make_observing_object_api(
-    objects: object_api.ObjectApi, seen: Seen
+    objects: object_api.ObjectApi, on_object: ObjectCallback
 ) -> object_api.ObjectApi:
-    """Return objects that tell seen of what they bring."""
-    return ObservingObjectApi(objects, seen)
+    """Return an object API that calls on_object for each object."""
+    return ObservingObjectApi(objects, on_object)
--- a/redwingvalve/platform_api/prefix_hashes.py
+++ b/redwingvalve/platform_api/prefix_hashes.py
@@ -1,9 +1,9 @@
-"""How engines name prompt prefixes in their cache events.
+"""The hashes that identify prompt prefixes in the engines' cache events.
 
-One hash for each whole block of the prompt's text, over all text up to the
-block's end, so that equal hashes mean equal beginnings. An engine that names
-prefixes otherwise publishes nothing that an entry knows, and routing then
-goes by what the entry sent itself.
+There is one hash for each whole block of the prompt's text, over all text up
+to the end of the block, so equal hashes mean equal prefixes. If an engine
+uses other hashes, entries don't recognize them, and routing uses only the
+requests that the entry has sent itself.
 """
 
 import hashlib
@@ -15,7 +15,7 @@
 
 
 def prompt_text(prompt: typing.Any) -> str:
-    """Return the text of messages or of a plain prompt, as engines see it."""
+    """Return the text of messages or of a plain prompt, as engines do."""
     if not isinstance(prompt, list):
         return str(prompt)
     if not all(isinstance(message, dict) for message in prompt):
@@ -29,15 +29,15 @@
 def prefix_hashes(
     text: str, block_counts: collections_abc.Iterable[int]
 ) -> tuple[str, ...]:
-    """Return the hashes after some numbers of blocks, which must rise."""
-    running = hashlib.sha256()
-    done = 0
+    """Return the hashes at the given block counts, in increasing order."""
+    digest = hashlib.sha256()
+    hashed_characters = 0
     hashes: list[str] = []
     for count in block_counts:
         end = count * BLOCK_CHARACTERS
         if end > len(text):
             break
-        running.update(text[done:end].encode())
-        hashes.append(running.hexdigest()[:HASH_CHARACTERS])
-        done = end
+        digest.update(text[hashed_characters:end].encode())
+        hashes.append(digest.hexdigest()[:HASH_CHARACTERS])
+        hashed_characters = end
     return tuple(hashes)
--- a/redwingvalve/platform_api/vm_list.py
+++ b/redwingvalve/platform_api/vm_list.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of live and leaving VMs."""
+"""The platform's list of live and leaving VMs, which may be outdated."""
 
 import abc
 import enum
@@ -10,7 +10,7 @@
 
 
 class VmState(enum.StrEnum):
-    """What the list says of a VM; it lags behind the truth."""
+    """The state of a VM according to the list, which may be outdated."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
@@ -30,8 +30,8 @@
 
 
 class VmList(abc.ABC):
-    """Reads the list; a VM that is absent may be new, gone or late."""
+    """Reads the list; an absent VM may be new, removed or not yet listed."""
 
     @abc.abstractmethod
     async def read(self) -> Result[tuple[Vm, ...], object_api.Unavailable]:
-        """Return all VMs that the list shows now."""
+        """Return all VMs in the list."""
--- a/redwingvalve/platform_api/weight_store.py
+++ b/redwingvalve/platform_api/weight_store.py
@@ -10,17 +10,17 @@
 
 @attrs.frozen
 class LoadTicket:
-    """Leave to start one load, until expires_after_s has passed."""
+    """Permission to start one load within expires_after_s."""
 
     ticket: str
     expires_after_s: float
 
 
 class WeightStore(abc.ABC):
-    """Grants loads at a bounded rate."""
+    """Grants loads at a limited rate."""
 
     @abc.abstractmethod
     async def reserve_load(
         self, model: str, version: str
     ) -> Result[LoadTicket, object_api.Unavailable]:
-        """Reserve one load; Unavailable tells when to come back."""
+        """Reserve one load; Unavailable has the time after which to retry."""
