--- a/redwingvalve/documents/binder.py
+++ b/redwingvalve/documents/binder.py
@@ -164,9 +164,9 @@
     try:
         return BoundDocument(CONVERTER.structure(plain, target), places), []
     except Exception as error:  # noqa: BLE001 - becomes a finding
-        invalid_parts = list(_invalid_parts_of(error, (), places))
-    found = [invalid_part.finding for invalid_part in invalid_parts]
-    paths = tuple(invalid_part.path for invalid_part in invalid_parts)
+        faults = list(_invalid_parts_of(error, (), places))
+    found = [invalid_part.finding for invalid_part in faults]
+    paths = tuple(invalid_part.path for invalid_part in faults)
     try:
         replaced = placeholders.replace_invalid(plain, target, paths)
     except placeholders.NoPlaceholderError:
--- a/redwingvalve/documents/placeholders.py
+++ b/redwingvalve/documents/placeholders.py
@@ -39,12 +39,12 @@
     for path in invalid_paths:
         if not path:
             raise NoPlaceholderError
-        parent = _parent(result, path)
+        holder = _parent(result, path)
         expected = _type_at(target, path)
         if expected is None:
-            parent.pop(path[-1], None)
+            holder.pop(path[-1], None)
         else:
-            parent[path[-1]] = _placeholder(expected)
+            holder[path[-1]] = _placeholder(expected)
     return result
 
 
