--- a/redwingvalve/administration/feasibility.py
+++ b/redwingvalve/administration/feasibility.py
@@ -30,7 +30,7 @@
         largest = max(domain_sizes.values(), default=0)
         if largest < deployment.vms_per_replica:
             yield findings.Finding(
-                bound.places.place('deployments', index, 'vms_per_replica'),
+                bound.locations.locate('deployments', index, 'vms_per_replica'),
                 f'no fabric domain has {deployment.vms_per_replica} VMs; '
                 f'the largest of its data centres has {largest}',
             )
--- a/redwingvalve/documents/binder.py
+++ b/redwingvalve/documents/binder.py
@@ -84,7 +84,7 @@
         for part in path[:-1]:
             node = _child(node, part)
         if not isinstance(node, yaml.MappingNode):
-            return self.place(*path)
+            return self.locate(*path)
         for key_node, _ in node.value:
             if key_node.value == path[-1]:
                 mark = key_node.start_mark
@@ -94,7 +94,7 @@
                     mark.column + 1,
                     _dotted_path(path),
                 )
-        return self.place(*path)
+        return self.locate(*path)
 
 
 Check = collections_abc.Callable[
@@ -134,7 +134,7 @@
 
 def _bind_and_check(
     plain: dict[str, typing.Any],
-    places: DocumentPlaces,
+    locations: DocumentLocations,
     target: type[BoundType],
     duplicates: list[_InvalidPart],
     check: Check | None,
@@ -159,7 +159,7 @@
 
 def _bind_valid_parts(
     plain: dict[str, typing.Any],
-    places: DocumentPlaces,
+    locations: DocumentLocations,
     target: type[BoundType],
 ) -> tuple[BoundDocument[BoundType] | None, list[findings.Finding]]:
     """Bind the valid parts, and return findings on the invalid ones."""
@@ -199,7 +199,7 @@
     if isinstance(error, cattrs_errors.ForbiddenExtraKeysError):
         for name in sorted(map(str, error.extra_fields)):
             finding = findings.Finding(
-                places.key_place(*path, name), f'unknown field {name!r}'
+                locations.locate_key(*path, name), f'unknown field {name!r}'
             )
             yield _InvalidPart((*path, name), finding)
         return
@@ -267,7 +267,7 @@
     found: list[_InvalidPart] = []
     if isinstance(node, yaml.SequenceNode):
         for index, member in enumerate(node.value):
-            found.extend(_duplicate_keys(member, (*path, index), places))
+            found.extend(_duplicate_keys(member, (*path, index), locations))
         return found
     if not isinstance(node, yaml.MappingNode):
         return found
@@ -277,7 +277,7 @@
         if key in seen:
             mark = key_node.start_mark
             place = findings.Location(
-                places.place().file_name,
+                locations.locate().file_name,
                 mark.line + 1,
                 mark.column + 1,
                 _dotted_path((*path, key)),
@@ -285,7 +285,7 @@
             finding = findings.Finding(place, f'duplicate key {key!r}')
             found.append(_InvalidPart((*path, key), finding))
         seen.add(key)
-        found.extend(_duplicate_keys(value_node, (*path, key), places))
+        found.extend(_duplicate_keys(value_node, (*path, key), locations))
     return found
 
 
