--- a/redwingvalve/administration/feasibility.py
+++ b/redwingvalve/administration/feasibility.py
@@ -45,7 +45,7 @@
     for position, name in enumerate(deployment.data_centres):
         if name not in known_data_centres:
             yield findings.Finding(
-                bound.places.place(
+                bound.locations.locate(
                     'deployments', index, 'data_centres', position
                 ),
                 f'no VM is in the data centre {name!r}',
--- a/redwingvalve/declaration/reader.py
+++ b/redwingvalve/declaration/reader.py
@@ -47,16 +47,16 @@
 def _check_names(bound: Bound, section: str) -> FoundIterator:
     seen: set[str] = set()
     for index, declared in enumerate(getattr(bound.content, section)):
-        place = bound.locations.locate(section, index, 'name')
+        location = bound.locations.locate(section, index, 'name')
         if not NAME_PATTERN.fullmatch(declared.name):
             yield findings.Finding(
-                place,
+                location,
                 f'{declared.name!r} is not a valid name: lower-case letters, '
                 'digits and hyphens, at most 63',
             )
         if declared.name in seen:
             yield findings.Finding(
-                place, f'the name {declared.name!r} is already taken'
+                location, f'the name {declared.name!r} is already taken'
             )
         seen.add(declared.name)
 
--- a/redwingvalve/documents/binder.py
+++ b/redwingvalve/documents/binder.py
@@ -31,7 +31,7 @@
     """A bound document with the positions of its parts."""
 
     content: BoundType
-    places: 'DocumentPlaces'
+    locations: 'DocumentLocations'
     invalid_paths: tuple[PathParts, ...] = ()
 
     def is_valid(self, *path: str | int) -> bool:
@@ -55,7 +55,7 @@
     finding: findings.Finding
 
 
-class DocumentPlaces:
+class DocumentLocations:
     """Finds the position of a path in a parsed YAML document."""
 
     def __init__(self, file_name: str, root: yaml.Node | None) -> None:
@@ -63,7 +63,7 @@
         self._file_name = file_name
         self._root = root
 
-    def place(self, *path: str | int) -> findings.Location:
+    def locate(self, *path: str | int) -> findings.Location:
         """Return the position of the deepest existing part of path."""
         node = self._root
         line, column = (1, 1)
@@ -78,7 +78,7 @@
             self._file_name, line, column, _dotted_path(path)
         )
 
-    def key_place(self, *path: str | int) -> findings.Location:
+    def locate_key(self, *path: str | int) -> findings.Location:
         """Return the position of the key itself, for unknown fields."""
         node = self._root
         for part in path[:-1]:
@@ -121,15 +121,15 @@
         return Error(findings.Findings((_syntax_finding(file_name, error),)))
     except (yaml.YAMLError, ValueError, RecursionError) as error:
         return _document_error(file_name, f'invalid YAML: {error}')
-    places = DocumentPlaces(file_name, root)
+    locations = DocumentLocations(file_name, root)
     try:
         plain = yaml.safe_load(text)
     except (yaml.YAMLError, ValueError, RecursionError) as error:
         return _document_error(file_name, f'invalid YAML: {error}')
     if not isinstance(plain, dict):
         return _document_error(file_name, 'expected a mapping')
-    duplicates = _duplicate_keys(root, (), places)
-    return _bind_and_check(plain, places, target, duplicates, check)
+    duplicates = _duplicate_keys(root, (), locations)
+    return _bind_and_check(plain, locations, target, duplicates, check)
 
 
 def _bind_and_check(
@@ -139,7 +139,7 @@
     duplicates: list[_InvalidPart],
     check: Check | None,
 ) -> Result[BoundDocument[BoundType], findings.Findings]:
-    bound, found = _bind_valid_parts(plain, places, target)
+    bound, found = _bind_valid_parts(plain, locations, target)
     found.extend(invalid_part.finding for invalid_part in duplicates)
     if bound is not None:
         invalid_paths = (
@@ -164,9 +164,9 @@
 ) -> tuple[BoundDocument[BoundType] | None, list[findings.Finding]]:
     """Bind the valid parts, and return findings on the invalid ones."""
     try:
-        return BoundDocument(CONVERTER.structure(plain, target), places), []
+        return BoundDocument(CONVERTER.structure(plain, target), locations), []
     except Exception as error:  # noqa: BLE001 - becomes a finding
-        faults = list(_invalid_parts_of(error, (), places))
+        faults = list(_invalid_parts_of(error, (), locations))
     found = [invalid_part.finding for invalid_part in faults]
     paths = tuple(invalid_part.path for invalid_part in faults)
     try:
@@ -174,7 +174,7 @@
     except placeholders.NoPlaceholderError:
         return None, found
     content = CONVERTER.structure(replaced, target)
-    return BoundDocument(content, places, paths), found
+    return BoundDocument(content, locations, paths), found
 
 
 def _findings_on_valid(
@@ -194,7 +194,7 @@
 
 
 def _invalid_parts_of(
-    error: Exception, path: PathParts, places: DocumentPlaces
+    error: Exception, path: PathParts, locations: DocumentLocations
 ) -> typing.Iterator[_InvalidPart]:
     if isinstance(error, cattrs_errors.ForbiddenExtraKeysError):
         for name in sorted(map(str, error.extra_fields)):
@@ -207,21 +207,23 @@
         noted, other = error.group_exceptions()
         for inner, class_note in noted:
             yield from _invalid_parts_of(
-                inner, (*path, class_note.name), places
+                inner, (*path, class_note.name), locations
             )
         for inner in other:
-            yield from _invalid_parts_of(inner, path, places)
+            yield from _invalid_parts_of(inner, path, locations)
         return
     if isinstance(error, cattrs_errors.IterableValidationError):
         noted, other = error.group_exceptions()
         for inner, item_note in noted:
             yield from _invalid_parts_of(
-                inner, (*path, item_note.index), places
+                inner, (*path, item_note.index), locations
             )
         for inner in other:
-            yield from _invalid_parts_of(inner, path, places)
+            yield from _invalid_parts_of(inner, path, locations)
         return
-    finding = findings.Finding(places.place(*path), _message_for(error, path))
+    finding = findings.Finding(
+        locations.locate(*path), _message_for(error, path)
+    )
     yield _InvalidPart(path, finding)
 
 
@@ -237,10 +239,10 @@
     file_name: str, error: yaml.MarkedYAMLError
 ) -> findings.Finding:
     mark = error.problem_mark or error.context_mark
-    place = findings.Location(file_name)
+    location = findings.Location(file_name)
     if mark is not None:
-        place = findings.Location(file_name, mark.line + 1, mark.column + 1)
-    return findings.Finding(place, f'invalid YAML: {error.problem}')
+        location = findings.Location(file_name, mark.line + 1, mark.column + 1)
+    return findings.Finding(location, f'invalid YAML: {error.problem}')
 
 
 def _document_error(
@@ -262,7 +264,7 @@
 
 
 def _duplicate_keys(
-    node: yaml.Node | None, path: PathParts, places: DocumentPlaces
+    node: yaml.Node | None, path: PathParts, locations: DocumentLocations
 ) -> list[_InvalidPart]:
     found: list[_InvalidPart] = []
     if isinstance(node, yaml.SequenceNode):
@@ -276,13 +278,13 @@
         key = str(key_node.value)
         if key in seen:
             mark = key_node.start_mark
-            place = findings.Location(
+            location = findings.Location(
                 locations.locate().file_name,
                 mark.line + 1,
                 mark.column + 1,
                 _dotted_path((*path, key)),
             )
-            finding = findings.Finding(place, f'duplicate key {key!r}')
+            finding = findings.Finding(location, f'duplicate key {key!r}')
             found.append(_InvalidPart((*path, key), finding))
         seen.add(key)
         found.extend(_duplicate_keys(value_node, (*path, key), locations))
--- a/redwingvalve/documents/files.py
+++ b/redwingvalve/documents/files.py
@@ -12,6 +12,6 @@
     try:
         return Ok(pathlib.Path(file_name).read_text(encoding='utf-8'))
     except (OSError, UnicodeDecodeError) as error:
-        place = findings.Location(file_name)
-        finding = findings.Finding(place, f'cannot be read: {error}')
+        location = findings.Location(file_name)
+        finding = findings.Finding(location, f'cannot be read: {error}')
         return Error(findings.Findings((finding,)))
