--- a/redwingvalve/configuration/tests/test_domains.py
+++ b/redwingvalve/configuration/tests/test_domains.py
@@ -126,11 +126,11 @@
                 highest[index, record.name] = record.version
     newest = {stored.name: stored for stored in history}
     _settle(fleet, newest.values())
-    wanted = _Process()
+    expected = _Process()
     for stored in newest.values():
-        wanted.observe(stored)
+        expected.observe(stored)
     for process in fleet:
-        assert process.bodies() == wanted.bodies()
+        assert process.bodies() == expected.bodies()
 
 
 class _CountedStore(memory_store.MemoryObjectApi):
--- a/redwingvalve/plans/applier.py
+++ b/redwingvalve/plans/applier.py
@@ -52,7 +52,7 @@
 async def _apply_objects(
     store: object_api.ObjectApi, confirmed: plan.Plan, generation: int
 ) -> Result[None, object_api.ObjectError]:
-    wanted = objects.declared_objects(confirmed.declaration)
+    declared = objects.declared_objects(confirmed.declaration)
     for kind in (
         objects.DEPLOYMENTS,
         objects.SERVICES,
@@ -62,14 +62,14 @@
         if listed.is_error():
             return Error(listed.error)
         existing = {each.name: each for each in listed.ok.objects}
-        names = {name for of_kind, name in wanted if of_kind == kind}
+        names = {name for of_kind, name in declared if of_kind == kind}
         for name in sorted({*existing, *names}):
             written = await _put(
                 store,
                 (kind, name),
                 existing.get(name),
                 generation,
-                wanted.get((kind, name)),
+                declared.get((kind, name)),
             )
             if written.is_error():
                 return written
--- a/redwingvalve/plans/tests/test_manager.py
+++ b/redwingvalve/plans/tests/test_manager.py
@@ -205,7 +205,7 @@
         store = memory_store.make_memory_object_api()
         plans = make_manager(store)
         proposed = (await plans.propose(declared(), 'ana')).ok
-        store.faults.lose_answers = lost
+        store.faults.responses_to_drop = lost
         assert (await plans.confirm(proposed.name, 'ana')).is_ok()
 
     anyio.run(scenario)
