--- a/redwingvalve/entry/tests/test_account_gate.py
+++ b/redwingvalve/entry/tests/test_account_limiter.py
@@ -1,7 +1,7 @@
-"""Limits of accounts hold over all entries, and refuse at once."""
+"""Account limits hold over all entries and refuse requests at once."""
 
 from redwingvalve.core import clock
-from redwingvalve.entry import account_gate
+from redwingvalve.entry import account_limiter
 from redwingvalve.entry.tests import fakes
 from redwingvalve.membership import members
 from redwingvalve.news import bus
@@ -9,8 +9,8 @@
 LIMIT_PER_S = 100.0
 
 
-class SharedBoard(bus.NewsBus):
-    """News that reaches the others at once, unless it is cut."""
+class SharedNews(bus.NewsBus):
+    """A news bus that delivers immediately; cut ones get only their own."""
 
     def __init__(self, owner, shared, cut):
         self.owner, self.shared, self.cut = owner, shared, cut
@@ -26,7 +26,7 @@
         )
 
 
-class Present(fakes.Members):
+class FixedMembers(fakes.Members):
     def __init__(self, name, names):
         super().__init__()
         self.name, self.names = name, names
@@ -41,67 +41,67 @@
         return members.Member(name, 1, 'entry', 'h', 1, 2, 'hall-a', 'tx')
 
 
-def make_gates(time_source, shared, cut=()):
+def make_limiters(time_source, shared, cut=()):
     names = ('e1', 'e2', 'e3')
     account = fakes.account(tokens_per_s=LIMIT_PER_S)
     source = fakes.Source(fakes.make_snapshot(client_accounts=(account,)))
-    gates = [
-        account_gate.AccountGate(
+    limiters = [
+        account_limiter.AccountLimiter(
             source,
-            Present(name, names),
-            SharedBoard(name, shared, name in cut),
+            FixedMembers(name, names),
+            SharedNews(name, shared, name in cut),
             time_source,
         )
         for name in names
     ]
-    return gates, account
+    return limiters, account
 
 
-def granted(gates, account, time_source, duration_s, busy):
-    """Ask far more than the limit at the busy gates; return what passed."""
+def granted_tokens(limiters, account, time_source, duration_s, flooded):
+    """Request far more than the limit at flooded; return granted tokens."""
     passed = 0.0
     for _ in range(round(duration_s / 0.1)):
-        for gate in gates:
-            gate._update()
-        for gate in busy:
+        for limiter in limiters:
+            limiter._update()
+        for limiter in flooded:
             for _ in range(10):
-                passed += gate.refuse_tokens(account, 5.0) is None and 5.0
+                passed += limiter.check_tokens(account, 5.0) is None and 5.0
         time_source.advance(0.1)
     return passed
 
 
-def test_the_sum_over_all_entries_stays_at_the_limit_and_follows_demand():
-    """A caller that floods three entries gets one account's limit in all.
+def test_total_of_all_entries_stays_at_the_limit():
+    """Flooding three entries grants the limit of one account in total.
 
-    Then it moves to one entry alone and still gets most of its limit there.
+    A caller that then uses only one entry gets most of its limit there.
     """
     time_source = clock.ManualClock(100.0)
-    gates, account = make_gates(time_source, {})
-    granted(gates, account, time_source, 20, gates)
-    passed = granted(gates, account, time_source, 20, gates)
+    limiters, account = make_limiters(time_source, {})
+    granted_tokens(limiters, account, time_source, 20, limiters)
+    passed = granted_tokens(limiters, account, time_source, 20, limiters)
     assert 0.8 * LIMIT_PER_S * 20 <= passed <= LIMIT_PER_S * 21
-    granted(gates, account, time_source, 20, gates[:1])
-    moved = granted(gates, account, time_source, 20, gates[:1])
+    granted_tokens(limiters, account, time_source, 20, limiters[:1])
+    moved = granted_tokens(limiters, account, time_source, 20, limiters[:1])
     assert 0.6 * LIMIT_PER_S * 20 <= moved <= LIMIT_PER_S * 21
 
 
-def test_entries_that_cannot_hear_each_other_stay_within_the_limit():
-    """In a partition a flooding caller gets no more than the limit in all.
+def test_partitioned_entries_stay_within_the_limit():
+    """Partitioned entries grant no more than the limit in total.
 
-    All three entries are cut from each other; each still counts the others.
+    All three entries are isolated; each still counts the others' shares.
     """
     time_source = clock.ManualClock(100.0)
-    gates, account = make_gates(time_source, {}, cut=('e1', 'e2', 'e3'))
-    granted(gates, account, time_source, 10, gates)
-    passed = granted(gates, account, time_source, 20, gates)
+    limiters, account = make_limiters(time_source, {}, cut=('e1', 'e2', 'e3'))
+    granted_tokens(limiters, account, time_source, 10, limiters)
+    passed = granted_tokens(limiters, account, time_source, 20, limiters)
     assert passed <= LIMIT_PER_S * 21
 
 
-def test_a_request_above_the_limit_is_refused_at_once_and_not_run():
-    """The caller gets 429, not-run and when to come back; no endpoint is asked.
+def test_request_above_the_limit_is_refused():
+    """The caller gets 429, not-run and a retry-after; nothing is sent.
 
-    An entry has no share in the first seconds after its start, since what an
-    earlier incarnation lent may still be in use.
+    An entry has no share in the first seconds after its start, because shares
+    lent by its previous incarnation may still be in use.
     """
     engines = fakes.Engines({'r1:1': fakes.streaming(3)})
     account = fakes.account(tokens_per_s=LIMIT_PER_S)
@@ -115,8 +115,10 @@
     assert not engines.sent
 
 
-def test_an_account_without_a_limit_is_never_refused():
+def test_account_without_a_limit_is_never_refused():
     time_source = clock.ManualClock(0.0)
-    gates, _ = make_gates(time_source, {})
-    free = fakes.account('free')
-    assert all(gate.refuse_tokens(free, 1e9) is None for gate in gates)
+    limiters, _ = make_limiters(time_source, {})
+    unlimited = fakes.account('free')
+    assert all(
+        limiter.check_tokens(unlimited, 1e9) is None for limiter in limiters
+    )
