--- a/redwingvalve/documents/files.py
+++ b/redwingvalve/documents/files.py
@@ -1,4 +1,4 @@
-"""Reads a document from a file; a file that cannot be read is a finding."""
+"""Reads documents from files; reports an unreadable file as a finding."""
 
 import pathlib
 
@@ -12,6 +12,6 @@
     try:
         return Ok(pathlib.Path(file_name).read_text(encoding='utf-8'))
     except (OSError, UnicodeDecodeError) as error:
-        place = findings.Location(file_name)
-        finding = findings.Finding(place, f'cannot be read: {error}')
+        location = findings.Location(file_name)
+        finding = findings.Finding(location, f'cannot be read: {error}')
         return Error(findings.Findings((finding,)))
