--- a/redwingvalve/__init__.py
+++ b/redwingvalve/__init__.py
@@ -1,5 +1,5 @@
-"""Serves language models that span several VMs.
+"""Serves language models whose replicas span several VMs.
 
-The package is a library with thin daemons: each slice (a sub-package) holds
-one duty with its state, its messages and its tests.
+The package is a library with thin daemons. Each sub-package implements one
+responsibility, with its state, its messages and its tests.
 """
--- a/redwingvalve/__main__.py
+++ b/redwingvalve/__main__.py
@@ -1,4 +1,4 @@
-"""Lets the package run as a program."""
+"""Entry point for `python -m redwingvalve`."""
 
 import sys
 
@@ -6,7 +6,7 @@
 
 
 def run() -> None:
-    """Run the command and leave with its exit status."""
+    """Run the command and exit with its status."""
     sys.exit(main.main())
 
 
--- a/redwingvalve/core/__init__.py
+++ b/redwingvalve/core/__init__.py
@@ -1,1 +1,1 @@
-"""What every slice shares: clocks, findings, outcomes, errors, invariants."""
+"""Shared basics: clocks, findings, outcomes, errors and invariants."""
--- a/redwingvalve/core/clock.py
+++ b/redwingvalve/core/clock.py
@@ -1,4 +1,4 @@
-"""Clocks as arguments, so that decisions can be tested in virtual time."""
+"""Clocks, passed as arguments so that tests can use virtual time."""
 
 import abc
 import time
@@ -7,51 +7,54 @@
 
 
 class Clock(abc.ABC):
-    """A source of time; all readings are seconds."""
+    """A source of time; all readings are in seconds."""
 
     @abc.abstractmethod
     def monotonic_s(self) -> float:
-        """Return a reading that never goes back within a process."""
+        """Return a reading that never decreases within a process."""
 
     @abc.abstractmethod
     def wall_s(self) -> float:
-        """Return seconds since the Unix epoch; it may jump."""
+        """Return seconds since the Unix epoch; may jump if the clock is set."""
 
     @abc.abstractmethod
     async def sleep(self, duration_s: float) -> None:
-        """Wait for duration_s."""
+        """Sleep for duration_s."""
 
 
 class SystemClock(Clock):
-    """The machine's own clocks."""
+    """The clocks of the operating system."""
 
     def monotonic_s(self) -> float:
-        """Return the monotonic reading of the machine."""
+        """Return the monotonic clock of the operating system."""
         return time.monotonic()
 
     def wall_s(self) -> float:
-        """Return the wall clock of the machine."""
+        """Return the wall clock of the operating system."""
         return time.time()
 
     async def sleep(self, duration_s: float) -> None:
-        """Wait on the event loop."""
+        """Sleep without blocking the event loop."""
         await anyio.sleep(duration_s)
 
 
 def boot_s() -> float:
-    """Return seconds since boot, with those in which the VM was suspended.
+    """Return seconds since boot, including time spent suspended.
 
-    The monotonic clock stands still meanwhile: a lease that is judged by it
-    seems to hold long after another process has taken it.
+    The monotonic clock stops while the VM is suspended. A lease timed by it
+    would still seem valid long after another process has acquired it.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class ManualClock(Clock):
-    """A clock that moves only when told; sleeping moves it at once."""
+    """A clock for tests that advances only on request.
+
+    sleep advances it by the whole duration and returns without waiting.
+    """
 
     def __init__(self, start_s: float = 0.0) -> None:
-        """Start both readings at start_s."""
+        """Start both the monotonic and the wall clock at start_s."""
         self._now_s = start_s
 
     def monotonic_s(self) -> float:
@@ -63,15 +66,15 @@
         return self._now_s
 
     async def sleep(self, duration_s: float) -> None:
-        """Move on by duration_s and let other tasks run."""
+        """Advance by duration_s and let other tasks run."""
         self.advance(duration_s)
         await anyio.lowlevel.checkpoint()
 
     def advance(self, duration_s: float) -> None:
-        """Move on by duration_s."""
+        """Advance both clocks by duration_s."""
         self._now_s += duration_s
 
 
 def make_system_clock() -> Clock:
-    """Return the clock that daemons use."""
+    """Return the clock that the daemons use."""
     return SystemClock()
--- a/redwingvalve/core/environment.py
+++ b/redwingvalve/core/environment.py
@@ -1,4 +1,7 @@
-"""The surroundings of a command, passed in so that tests run in-process."""
+"""The process environment of a command.
+
+It is passed in, so that tests can run commands in their own process.
+"""
 
 import os
 import sys
@@ -12,7 +15,7 @@
 
 @attrs.define
 class Environment:
-    """Streams, variables and the clock that a command may use."""
+    """The streams, environment variables and clock that a command may use."""
 
     stdout: TextIO
     stderr: TextIO
@@ -23,7 +26,7 @@
 
 
 def make_environment() -> Environment:
-    """Return the surroundings of this process."""
+    """Return the environment of this process."""
     return Environment(
         stdout=sys.stdout,
         stderr=sys.stderr,
--- a/redwingvalve/core/exit_status.py
+++ b/redwingvalve/core/exit_status.py
@@ -4,7 +4,7 @@
 
 
 class ExitStatus(enum.IntEnum):
-    """What the command tells the shell."""
+    """The exit status that the command returns to the shell."""
 
     SUCCESS = 0
     FAILURE = 1
--- a/redwingvalve/core/findings.py
+++ b/redwingvalve/core/findings.py
@@ -1,11 +1,11 @@
-"""Findings: what is wrong with an input, where, all reported together."""
+"""Validation errors of an input with their locations, reported together."""
 
 import attrs
 
 
 @attrs.frozen
 class Location:
-    """Where a finding belongs; line and column count from 1, 0 is unknown."""
+    """Where a finding is; lines and columns count from 1, 0 is unknown."""
 
     file_name: str = ''
     line: int = 0
@@ -13,7 +13,7 @@
     path: str = ''
 
     def __str__(self) -> str:
-        """Return file:line:column and the path inside the document."""
+        """Return file:line:column and the path within the document."""
         position = ''
         if self.line:
             position = f':{self.line}:{self.column}'
@@ -25,19 +25,19 @@
 
 @attrs.frozen
 class Finding:
-    """One thing that is wrong, said so that a person can mend it."""
+    """One validation error, worded so that a person can correct it."""
 
     location: Location
     message: str
 
     def __str__(self) -> str:
-        """Return the place and the message on one line."""
+        """Return the location and the message on one line."""
         return f'{self.location}: {self.message}'
 
 
 @attrs.frozen
 class Findings:
-    """The error side of a check: at least one finding, in reading order."""
+    """The error value of a check: one or more findings in document order."""
 
     entries: tuple[Finding, ...]
 
--- a/redwingvalve/core/http_server.py
+++ b/redwingvalve/core/http_server.py
@@ -1,4 +1,4 @@
-"""Listening sockets, and hypercorn with cancellations let through."""
+"""Listening sockets, and hypercorn with correct propagation of cancellation."""
 
 import asyncio
 import socket
@@ -13,11 +13,11 @@
 
 
 class ListenError(Exception):
-    """An address cannot be listened on; the message is for the operator."""
+    """The server cannot listen on an address; the message is for operators."""
 
 
 def open_listener(host: str, port: int) -> socket.socket:
-    """Return a listening socket; ListenError when the address is taken."""
+    """Return a listening socket; raises ListenError if bind fails."""
     family = socket.AF_INET6 if ':' in host else socket.AF_INET
     listener = socket.socket(family)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -37,10 +37,10 @@
 ) -> None:
     """Serve until stop returns, then let requests in progress finish.
 
-    hypercorn runs in a task of its own: its shutdown cancels the task that it
-    runs in and does not take all of that back, so that the next cancel scope
-    of the same task would let its own cancellation out, and a graceful stop
-    ended with a traceback and status 1.
+    hypercorn runs in a separate task: its shutdown cancels the task that it
+    runs in and does not undo all of that. In the caller's task, the next
+    cancel scope would then raise its own cancellation, and a graceful stop
+    would end with a traceback and status 1.
     """
     async with anyio.create_task_group() as group:
         group.start_soon(_serve, application, config, stop)
@@ -54,8 +54,9 @@
             application, config, shutdown_trigger=stop
         )
     except asyncio.InvalidStateError:
-        # When a fault elsewhere in the process cancels the server, hypercorn
-        # asks its cancelled future for an exception. The log would name that
-        # and hide the fault; the pending cancellation is raised instead.
+        # When an error elsewhere in the process cancels the server, hypercorn
+        # asks its cancelled future for an exception. That InvalidStateError
+        # would hide the original error in the log, so the pending cancellation
+        # is raised instead.
         await anyio.lowlevel.checkpoint()
         raise
--- a/redwingvalve/core/invariants.py
+++ b/redwingvalve/core/invariants.py
@@ -1,8 +1,9 @@
-"""Invariants asserted inside the program, and safeguards that tests disable.
+"""Runtime invariants, and the safeguards that tests can disable.
 
-Each promise of the product is asserted where it could break. A safeguard has
-a name, so that a proof can switch it off and show that the breach is found;
-daemons refuse such a switch unless their settings say that they are in a test.
+Each guarantee of the product is asserted where it could be violated. A
+safeguard has a name, so that a test can disable it and verify that the
+violation is detected. Daemons reject disabled safeguards unless their settings
+enable test mode.
 """
 
 import contextlib
@@ -11,17 +12,17 @@
 
 
 class InvariantBreachError(AssertionError):
-    """A promise of the product was broken; the process reports and stops."""
+    """An invariant was violated; the process logs it and stops."""
 
     def __init__(self, invariant: str, details: str) -> None:
-        """Name the invariant and the events that broke it."""
+        """Name the invariant and describe the events that violated it."""
         super().__init__(f'{invariant}: {details}')
         self.invariant = invariant
         self.details = details
 
 
 class Safeguard(enum.StrEnum):
-    """Every safeguard that a proof may disable, by the promise it keeps."""
+    """Every safeguard that tests may disable, by the guarantee it enforces."""
 
     EVIDENCE_REQUIRED = 'evidence-required'
     DOMAIN_CONDITIONAL_WRITE = 'domain-conditional-write'
@@ -38,41 +39,42 @@
 
 
 class SafeguardSwitches:
-    """Which safeguards are off; outside of tests none is."""
+    """The set of disabled safeguards; empty outside of tests."""
 
     def __init__(
         self, disabled: collections_abc.Iterable[Safeguard] = ()
     ) -> None:
-        """Disable the given safeguards; for tests and proofs only."""
+        """Disable the given safeguards; for tests only."""
         self._disabled = frozenset(disabled)
 
     def enabled(self, safeguard: Safeguard) -> bool:
-        """Tell whether a safeguard is in force."""
+        """Return whether a safeguard is enabled."""
         return safeguard not in self._disabled
 
 
 def require(holds: bool, invariant: str, details: str) -> None:
-    """Raise InvariantBreachError unless holds."""
+    """Raise InvariantBreachError unless the invariant holds."""
     if not holds:
         raise InvariantBreachError(invariant, details)
 
 
 @contextlib.contextmanager
 def unwrap_breaches() -> collections_abc.Iterator[None]:
-    """Raise a breach itself out of the group that a task group makes of it.
+    """Re-raise an InvariantBreachError out of its exception group.
 
-    A daemon stops on a breach; inside a group it would look like any error.
+    A task group wraps every exception in a group. A daemon stops on a breach,
+    but would treat one inside a group like any other error.
     """
     try:
         yield
     except BaseExceptionGroup as group:
-        found = group.subgroup(InvariantBreachError)
-        if found is None:
+        breaches = group.subgroup(InvariantBreachError)
+        if breaches is None:
             raise
-        raise _first(found) from group
+        raise _first_leaf(breaches) from group
 
 
-def _first(group: BaseException) -> BaseException:
+def _first_leaf(group: BaseException) -> BaseException:
     while isinstance(group, BaseExceptionGroup):
         group = group.exceptions[0]
     return group
--- a/redwingvalve/core/outcomes.py
+++ b/redwingvalve/core/outcomes.py
@@ -1,7 +1,8 @@
-"""What became of a request, said truthfully on every answer.
+"""The outcome of a request, reported on every response.
 
-A caller decides from the outcome whether it may send again: after NOT_RUN it
-may, after RAN it need not, after UNKNOWN only if the request is idempotent.
+The outcome tells a caller whether it may retry: after NOT_RUN it may, after
+RAN it need not, after UNKNOWN only if the request is idempotent. It must
+therefore never claim more than is known.
 """
 
 import enum
@@ -26,7 +27,7 @@
 
 @attrs.frozen
 class ErrorResponse:
-    """An error as callers receive it; the JSON shape is stable."""
+    """An error response to a caller; the format of its JSON is stable."""
 
     status: int
     code: str
