--- a/redwingvalve/reports/results.py
+++ b/redwingvalve/reports/results.py
@@ -1,8 +1,8 @@
-"""Results of experiments as JSON lines: one row for each run.
+"""Experiment results as JSON lines, one line for each run.
 
-A row holds the run's policy, seed and load, what each account received, and a
-time line. Latencies travel as encoded HDR histograms, so that repetitions can
-be added without losing their tails.
+A line holds the run's policy, seed and load, the results of each account and
+a timeline. Latencies are stored as encoded HDR histograms, so that repetitions
+can be merged without losing the tails of their distributions.
 """
 
 import json
@@ -14,17 +14,19 @@
 import cattrs
 from hdrh import histogram
 
-LOWEST_US = 100
-HIGHEST_US = 600_000_000
-DIGITS = 3
+MIN_LATENCY_US = 100
+MAX_LATENCY_US = 600_000_000
+SIGNIFICANT_DIGITS = 3
 US_PER_S = 1_000_000
 
 
 @attrs.define
 class AccountResult:
-    """What one account received; in_target counts whole and timely answers.
+    """Request counts and latencies of one account.
 
-    first_token holds the encoded histogram in microseconds.
+    in_target counts complete responses whose first token arrived within the
+    account's target, late the other complete ones. first_token is the encoded
+    histogram of the time to the first token, in microseconds.
     """
 
     sent: int = 0
@@ -37,7 +39,7 @@
 
 @attrs.frozen
 class TimelineSample:
-    """One sample of the time line; at_s counts from the start."""
+    """One sample of a run's timeline; at_s is the time since its start."""
 
     at_s: float
     replicas_down: int = 0
@@ -47,7 +49,10 @@
 
 @attrs.frozen
 class RunResult:
-    """One run of one policy; load is relative to the file's rate."""
+    """One run of one policy.
+
+    load is a multiple of the request rates in the experiment file.
+    """
 
     experiment: str
     policy: str
@@ -64,53 +69,60 @@
 
     @property
     def goodput_per_s(self) -> float:
-        """Return timely whole answers a second over all accounts."""
+        """Return complete responses within target per second, all accounts."""
         served = sum(row.in_target for row in self.accounts.values())
         return served / self.duration_s
 
     @property
     def offered_per_s(self) -> float:
-        """Return requests a second over all accounts."""
+        """Return requests sent per second, all accounts."""
         sent = sum(row.sent for row in self.accounts.values())
         return sent / self.duration_s
 
 
 def make_histogram() -> histogram.HdrHistogram:
-    """Return an empty histogram of microseconds, up to ten minutes."""
-    return histogram.HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+    """Return an empty histogram in microseconds, 100 us to ten minutes."""
+    return histogram.HdrHistogram(
+        MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS
+    )
 
 
-def record_s(into: histogram.HdrHistogram, duration_s: float) -> None:
-    """Record a duration; what is out of range counts as its bound."""
-    recorded_us = min(HIGHEST_US, max(LOWEST_US, duration_s * US_PER_S))
-    into.record_value(int(recorded_us))
+def record_s(latencies: histogram.HdrHistogram, duration_s: float) -> None:
+    """Record a duration, clamped to the range of the histogram."""
+    recorded_us = min(
+        MAX_LATENCY_US, max(MIN_LATENCY_US, duration_s * US_PER_S)
+    )
+    latencies.record_value(int(recorded_us))
 
 
-def encode_histogram(held: histogram.HdrHistogram) -> str:
-    """Return a histogram as text."""
-    return str(held.encode().decode())
+def encode_histogram(latencies: histogram.HdrHistogram) -> str:
+    """Return a histogram in its compressed, base64-encoded form."""
+    return str(latencies.encode().decode())
 
 
 def percentile_s(
     encoded: collections_abc.Iterable[str], percentile: float
 ) -> float:
-    """Return a percentile over several histograms; 0.0 without values."""
-    total = make_histogram()
-    for text in encoded:
-        if text:
-            total.decode_and_add(text)
-    if not total.get_total_count():
+    """Return a percentile of the merged histograms; 0.0 if they are empty."""
+    merged = make_histogram()
+    for serialized in encoded:
+        if serialized:
+            merged.decode_and_add(serialized)
+    if not merged.get_total_count():
         return 0.0
-    return float(total.get_value_at_percentile(percentile)) / US_PER_S
+    return float(merged.get_value_at_percentile(percentile)) / US_PER_S
 
 
 def to_json_line(result: RunResult) -> str:
-    """Return a run as one JSON line without its end."""
+    """Return a run as one JSON line, without the newline."""
     return json.dumps(cattrs.unstructure(result))
 
 
 def read_file(file_name: str) -> tuple[RunResult, ...]:
-    """Return the runs of a file; OSError or ValueError when it is none."""
+    """Return the runs in a results file.
+
+    Raises OSError if it cannot be read, ValueError if a line is not a run.
+    """
     rows = pathlib.Path(file_name).read_text(encoding='utf-8').splitlines()
     return tuple(_read_row(row) for row in rows if row.strip())
 
@@ -120,4 +132,4 @@
     try:
         return cattrs.structure(parsed, RunResult)
     except (cattrs.BaseValidationError, TypeError, KeyError) as error:
-        raise ValueError(f'this is no result of a run: {error}') from error
+        raise ValueError(f'invalid run result: {error}') from error
--- a/redwingvalve/reports/tests/test_report.py
+++ b/redwingvalve/reports/tests/test_report.py
@@ -1,4 +1,4 @@
-"""Results survive their file, and a page with every plot comes of them."""
+"""Results are read back as written, and the report contains every plot."""
 
 import pytest
 
@@ -6,14 +6,14 @@
 from redwingvalve.reports import plots, results
 
 
-def make_run(policy, load, repetition):
-    held = results.make_histogram()
-    for step in range(1, 101):
-        results.record_s(held, step / 100)
+def build_run(policy, load, repetition):
+    latencies = results.make_histogram()
+    for index in range(1, 101):
+        results.record_s(latencies, index / 100)
     account = results.AccountResult(
         sent=100,
         in_target=80 - repetition,
-        first_token=results.encode_histogram(held),
+        first_token=results.encode_histogram(latencies),
     )
     return results.RunResult(
         experiment='morning',
@@ -30,17 +30,19 @@
     )
 
 
-def test_the_page_holds_each_policy_and_plot(tmp_path, capsys):
+def test_report_contains_every_policy_and_plot(tmp_path, capsys):
     runs = [
-        make_run(policy, load, repetition)
+        build_run(policy, load, repetition)
         for policy in ('redwingvalve', 'round-robin')
         for load in (1.0, 1.5)
         for repetition in (0, 1)
     ]
-    file = tmp_path / 'results.jsonl'
-    file.write_text('\n'.join(map(results.to_json_line, runs)))
-    assert results.read_file(str(file)) == tuple(runs)
-    status = main.main(['report', str(file), '--folder', str(tmp_path / 'out')])
+    results_file = tmp_path / 'results.jsonl'
+    results_file.write_text('\n'.join(map(results.to_json_line, runs)))
+    assert results.read_file(str(results_file)) == tuple(runs)
+    status = main.main(
+        ['report', str(results_file), '--folder', str(tmp_path / 'out')]
+    )
     assert status == 0
     assert capsys.readouterr().out.startswith('8 runs')
     page = (tmp_path / 'out' / 'report.html').read_text()
@@ -52,8 +54,8 @@
     ) == pytest.approx(0.95, rel=0.01)
 
 
-def test_a_file_that_holds_no_results_is_refused(tmp_path, capsys):
-    file = tmp_path / 'bad.jsonl'
-    file.write_text('{"policy": 3}\n')
-    assert main.main(['report', str(file)]) == 3
-    assert 'no result' in capsys.readouterr().err
+def test_invalid_results_file_is_rejected(tmp_path, capsys):
+    results_file = tmp_path / 'bad.jsonl'
+    results_file.write_text('{"policy": 3}\n')
+    assert main.main(['report', str(results_file)]) == 3
+    assert 'invalid run result' in capsys.readouterr().err
