--- a/redwingvalve/reports/page.py
+++ b/redwingvalve/reports/page.py
@@ -15,7 +15,7 @@
     """Write the page and the plots into folder; return the page's path."""
     target = pathlib.Path(folder)
     target.mkdir(parents=True, exist_ok=True)
-    grouped = summary.group(runs, lambda run: run.experiment)
+    grouped = summary.group_runs(runs, lambda run: run.experiment)
     experiments = [
         _draw_experiment(name, same, target) for name, same in grouped.items()
     ]
@@ -32,7 +32,7 @@
         (target / f'{name}-{short_name}.png').write_bytes(png)
     return {
         'name': name,
-        'rows': summary.table(same),
+        'rows': summary.summarize(same),
         'plots': [
             {'title': title, 'png': _encode(drawn[plot_name])}
             for plot_name, title, _ in plots.PLOTS
--- a/redwingvalve/reports/plots.py
+++ b/redwingvalve/reports/plots.py
@@ -31,7 +31,7 @@
 def _latency_by_account(drawing: typing.Any, runs: summary.Runs) -> None:
     axes = drawing.subplots()
     accounts = sorted({name for run in runs for name in run.accounts})
-    policies = summary.group(runs, lambda run: run.policy)
+    policies = summary.group_runs(runs, lambda run: run.policy)
     width = BAR_GROUP_WIDTH / max(1, len(policies))
     for index, (policy, same) in enumerate(policies.items()):
         spreads = [_p95_spread(same, account) for account in accounts]
@@ -68,7 +68,7 @@
 
 def _goodput_against_load(drawing: typing.Any, runs: summary.Runs) -> None:
     axes = drawing.subplots()
-    rows = summary.table(runs)
+    rows = summary.summarize(runs)
     for policy in dict.fromkeys(row.policy for row in rows):
         same = sorted(
             (row for row in rows if row.policy == policy),
@@ -99,7 +99,9 @@
         ),
         strict=True,
     ):
-        for policy, same in summary.group(runs, lambda run: run.policy).items():
+        for policy, same in summary.group_runs(
+            runs, lambda run: run.policy
+        ).items():
             _draw_band(axes, same, field, policy)
         axes.set_xlabel('s')
         axes.set_title(label, fontsize=9)
@@ -135,7 +137,9 @@
 
 def _cost_against_size(drawing: typing.Any, runs: summary.Runs) -> None:
     axes = drawing.subplots()
-    for policy, same in summary.group(runs, lambda run: run.policy).items():
+    for policy, same in summary.group_runs(
+        runs, lambda run: run.policy
+    ).items():
         ordered = sorted(same, key=lambda run: run.size)
         axes.plot(
             [run.size for run in ordered],
--- a/redwingvalve/reports/summary.py
+++ b/redwingvalve/reports/summary.py
@@ -1,4 +1,4 @@
-"""Groups runs by experiment, policy and load, with their spread."""
+"""Groups runs by a key and summarizes them by policy and load."""
 
 import collections
 import statistics
@@ -10,12 +10,12 @@
 from redwingvalve.reports import results
 
 Runs = collections_abc.Sequence[results.RunResult]
-Key = collections_abc.Callable[[results.RunResult], typing.Any]
+KeyFunction = collections_abc.Callable[[results.RunResult], typing.Any]
 
 
 @attrs.frozen
 class Spread:
-    """The middle and the ends over repetitions."""
+    """Median, minimum and maximum over repetitions."""
 
     median: float
     low: float
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class PolicyRow:
-    """One line of the report's table."""
+    """One row of the report's table: all runs of one policy and load."""
 
     policy: str
     load: float
@@ -37,14 +37,16 @@
     first_token_p95_s: float
 
 
-def spread(figures: collections_abc.Iterable[float]) -> Spread:
-    """Return the spread of at least one figure."""
-    ordered = sorted(figures)
+def spread(values: collections_abc.Iterable[float]) -> Spread:
+    """Return the spread of the values, of which there is at least one."""
+    ordered = sorted(values)
     return Spread(statistics.median(ordered), ordered[0], ordered[-1])
 
 
-def group(runs: Runs, key: Key) -> dict[typing.Any, list[results.RunResult]]:
-    """Return the runs by key, keys in the order of their first run."""
+def group_runs(
+    runs: Runs, key: KeyFunction
+) -> dict[typing.Any, list[results.RunResult]]:
+    """Group runs by key, in the order in which the keys first appear."""
     grouped: dict[typing.Any, list[results.RunResult]] = (
         collections.defaultdict(list)
     )
@@ -53,26 +55,31 @@
     return dict(grouped)
 
 
-def table(runs: Runs) -> tuple[PolicyRow, ...]:
+def summarize(runs: Runs) -> tuple[PolicyRow, ...]:
     """Return one row for each policy and load."""
-    grouped = group(runs, lambda run: (run.policy, run.load))
+    grouped = group_runs(runs, lambda run: (run.policy, run.load))
     return tuple(
-        _row(policy, load, same) for (policy, load), same in grouped.items()
+        _summarize_policy(policy, load, policy_runs)
+        for (policy, load), policy_runs in grouped.items()
     )
 
 
-def _row(policy: str, load: float, same: Runs) -> PolicyRow:
+def _summarize_policy(policy: str, load: float, policy_runs: Runs) -> PolicyRow:
     return PolicyRow(
         policy=policy,
         load=load,
-        runs=len(same),
-        offered_per_s=spread(run.offered_per_s for run in same),
-        goodput_per_s=spread(run.goodput_per_s for run in same),
-        downtime_s=spread(run.downtime_s for run in same),
-        stranded_s=spread(run.stranded_s for run in same),
-        processor_s=spread(run.processor_s for run in same),
+        runs=len(policy_runs),
+        offered_per_s=spread(run.offered_per_s for run in policy_runs),
+        goodput_per_s=spread(run.goodput_per_s for run in policy_runs),
+        downtime_s=spread(run.downtime_s for run in policy_runs),
+        stranded_s=spread(run.stranded_s for run in policy_runs),
+        processor_s=spread(run.processor_s for run in policy_runs),
         first_token_p95_s=results.percentile_s(
-            (row.first_token for run in same for row in run.accounts.values()),
+            (
+                account.first_token
+                for run in policy_runs
+                for account in run.accounts.values()
+            ),
             95.0,
         ),
     )
