--- a/redwingvalve/reports/time_plots.py
+++ b/redwingvalve/reports/time_plots.py
@@ -5,7 +5,7 @@
 
 from matplotlib import figure
 
-SIZE_INCHES = (9.0, 4.2)
+FIGURE_SIZE_INCHES = (9.0, 4.2)
 DOTS_PER_INCH = 110
 
 
@@ -17,10 +17,10 @@
 
     moments_s are the beginnings of equal spans, in seconds.
     """
-    drawing = figure.Figure(
-        figsize=SIZE_INCHES, dpi=DOTS_PER_INCH, layout='constrained'
+    fig = figure.Figure(
+        figsize=FIGURE_SIZE_INCHES, dpi=DOTS_PER_INCH, layout='constrained'
     )
-    axes = drawing.subplots()
+    axes = fig.subplots()
     width_s = moments_s[1] - moments_s[0] if len(moments_s) > 1 else 1.0
     below = [0 for _ in moments_s]
     for name, counts in series.items():
@@ -31,6 +31,6 @@
     axes.set_xlabel('seconds')
     axes.set_ylabel('requests')
     axes.legend(fontsize=7)
-    png = io.BytesIO()
-    drawing.savefig(png, format='png')
-    return png.getvalue()
+    buffer = io.BytesIO()
+    fig.savefig(buffer, format='png')
+    return buffer.getvalue()
