--- a/redwingvalve/reports/__init__.py
+++ b/redwingvalve/reports/__init__.py
@@ -1,1 +1,1 @@
-"""Turns results of benches and experiments into plots and one HTML page."""
+"""Renders benchmark and experiment results as plots and an HTML page."""
--- a/redwingvalve/reports/time_plots.py
+++ b/redwingvalve/reports/time_plots.py
@@ -10,25 +10,28 @@
 
 
 def draw_stacked(
-    moments_s: collections_abc.Sequence[float],
+    starts_s: collections_abc.Sequence[float],
     series: collections_abc.Mapping[str, collections_abc.Sequence[int]],
 ) -> bytes:
-    """Return a PNG with the counts of each series, one above the other.
+    """Return a PNG with a stacked bar chart of the counts of each series.
 
-    moments_s are the beginnings of equal spans, in seconds.
+    starts_s are the start times of intervals of equal length, in seconds.
     """
     fig = figure.Figure(
         figsize=FIGURE_SIZE_INCHES, dpi=DOTS_PER_INCH, layout='constrained'
     )
     axes = fig.subplots()
-    width_s = moments_s[1] - moments_s[0] if len(moments_s) > 1 else 1.0
-    below = [0 for _ in moments_s]
+    width_s = starts_s[1] - starts_s[0] if len(starts_s) > 1 else 1.0
+    bottoms = [0 for _ in starts_s]
     for name, counts in series.items():
         axes.bar(
-            moments_s, counts, width_s, bottom=below, align='edge', label=name
+            starts_s, counts, width_s, bottom=bottoms, align='edge', label=name
         )
-        below = [low + count for low, count in zip(below, counts, strict=True)]
-    axes.set_xlabel('seconds')
+        bottoms = [
+            bottom + count
+            for bottom, count in zip(bottoms, counts, strict=True)
+        ]
+    axes.set_xlabel('time (s)')
     axes.set_ylabel('requests')
     axes.legend(fontsize=7)
     buffer = io.BytesIO()
