--- a/redwingvalve/standins/engine.py
+++ b/redwingvalve/standins/engine.py
@@ -32,6 +32,7 @@
 # treat it as failed; runs cut within this time are attributed to the fault.
 FAULT_AFTEREFFECT_S = 15.0
 PAUSE_CHECK_S = 0.01
+# Above 0.0, which means that no VM is missing.
 MIN_ABSENCE_S = 0.000001
 
 
@@ -145,7 +146,7 @@
     def apply(
         self, order: engine_orders.EngineOrder
     ) -> Result[bool, engine_orders.OrderRefused]:
-        """Apply an order; cut all runs if it changes replica or weights."""
+        """Apply an order; cut all runs if it changes the assignment."""
         before = self.orders.assigned_state
         failed = self.missing().by_fault
         applied = self.orders.apply(order, time.monotonic())
@@ -207,7 +208,7 @@
         priority: int,
         done: int = 0,
     ) -> batching.Run:
-        """Queue a run of which done tokens were delivered by another VM."""
+        """Queue a run of which done tokens were delivered before."""
         run = batching.Run(
             request_id=request_id,
             prompt=prompt,
--- a/redwingvalve/standins/engine_app.py
+++ b/redwingvalve/standins/engine_app.py
@@ -303,8 +303,8 @@
         )
 
     def _headers(self) -> dict[str, str]:
-        shown_request = self._builder.request.request_id
-        return {outcomes.REQUEST_ID_HEADER: shown_request}
+        request_id = self._builder.request.request_id
+        return {outcomes.REQUEST_ID_HEADER: request_id}
 
 
 def _error(code: str, message: str) -> dict[str, typing.Any]:
