--- a/redwingvalve/entry/caller.py
+++ b/redwingvalve/entry/caller_request.py
@@ -1,4 +1,4 @@
-"""A caller's request as the entry reads it from ASGI, checked as a whole."""
+"""Reads and validates callers' requests from ASGI."""
 
 import json
 import re
@@ -19,16 +19,16 @@
 
 REQUEST_ID_PATTERN = re.compile('[A-Za-z0-9._-]{1,128}')
 REQUEST_KEY_PATTERN = re.compile('[!-~]{1,255}')
-TRUE_WORDS = frozenset(('true', '1'))
-FALSE_WORDS = frozenset(('false', '0'))
+TRUE_VALUES = frozenset(('true', '1'))
+FALSE_VALUES = frozenset(('false', '0'))
 MS_PER_S = 1000
 
 
 @attrs.frozen
-class CallerHead:
-    """Everything of a request but its body; deadline_s counts from arrival.
+class RequestHead:
+    """A request without its body; deadline_s counts from arrived_s.
 
-    priority and idempotent are None where the caller says nothing.
+    priority and idempotent are None if the caller didn't set them.
     """
 
     method: str
@@ -44,25 +44,25 @@
     request_key: str = ''
 
     def remaining_s(self, now_s: float) -> float:
-        """Return the seconds until the deadline; negative once it passed."""
+        """Return the time until the deadline; negative after it."""
         return self.arrived_s + self.deadline_s - now_s
 
 
-class CallerGoneError(Exception):
-    """The caller hung up before its whole request had arrived."""
+class CallerDisconnectedError(Exception):
+    """The caller disconnected before its request had arrived completely."""
 
 
 def read_head(
     scope: Scope, settings: settings_schema.RequestSettings, now_s: float
-) -> Result[CallerHead, outcomes.ErrorResponse]:
-    """Read and check the request line and headers."""
+) -> Result[RequestHead, outcomes.ErrorResponse]:
+    """Read and validate the request line and headers."""
     headers = {
         name.decode('latin1').lower(): text.decode('latin1')
         for name, text in scope['headers']
     }
     problems: list[str] = []
     request_id = _request_id(headers, problems)
-    head = CallerHead(
+    head = RequestHead(
         method=scope['method'],
         path=scope['path'],
         query=scope.get('query_string', b'').decode('latin1'),
@@ -82,23 +82,26 @@
 
 async def read_body(
     receive: Receive,
-    head: CallerHead,
+    head: RequestHead,
     max_body_bytes: int,
 ) -> Result[bytes, outcomes.ErrorResponse]:
-    """Read the body up to its bound; CallerGoneError when the caller goes."""
+    """Read the body up to max_body_bytes.
+
+    Raises CallerDisconnectedError if the caller disconnects.
+    """
     announced = head.headers.get('content-length', '')
     if announced.isdigit() and int(announced) > max_body_bytes:
-        return Error(_too_large(max_body_bytes, head.request_id))
+        return Error(_body_too_large(max_body_bytes, head.request_id))
     parts: list[bytes] = []
     size_bytes = 0
     while True:
         message = await receive()
         if message['type'] == 'http.disconnect':
-            raise CallerGoneError(head.request_id)
+            raise CallerDisconnectedError(head.request_id)
         part = message.get('body', b'')
         size_bytes += len(part)
         if size_bytes > max_body_bytes:
-            return Error(_too_large(max_body_bytes, head.request_id))
+            return Error(_body_too_large(max_body_bytes, head.request_id))
         parts.append(part)
         if not message.get('more_body', False):
             return Ok(b''.join(parts))
@@ -107,7 +110,7 @@
 def parse_json_object(
     body: bytes, request_id: str
 ) -> Result[dict[str, typing.Any], outcomes.ErrorResponse]:
-    """Parse a body that must be a JSON object; the error names its place."""
+    """Parse a body that must be a JSON object; errors give the position."""
     try:
         parsed = json.loads(body)
     except json.JSONDecodeError as error:
@@ -116,12 +119,12 @@
     except (UnicodeDecodeError, RecursionError) as error:
         return Error(malformed(f'body:1:1: {error}', request_id))
     if not isinstance(parsed, dict):
-        return Error(malformed('body:1:1: a JSON object is wanted', request_id))
+        return Error(malformed('body:1:1: must be a JSON object', request_id))
     return Ok(parsed)
 
 
 def malformed(message: str, request_id: str) -> outcomes.ErrorResponse:
-    """Return the answer to a request that cannot be understood."""
+    """Return the error for an invalid request."""
     return outcomes.ErrorResponse(
         status=400,
         code='malformed-request',
@@ -131,25 +134,27 @@
     )
 
 
-def _too_large(max_body_bytes: int, request_id: str) -> outcomes.ErrorResponse:
+def _body_too_large(
+    max_body_bytes: int, request_id: str
+) -> outcomes.ErrorResponse:
     return outcomes.ErrorResponse(
         status=413,
         code='body-too-large',
-        message=f'body: at most {max_body_bytes} bytes are taken',
+        message=f'request body exceeds {max_body_bytes} bytes',
         outcome=outcomes.Outcome.NOT_RUN,
         request_id=request_id,
     )
 
 
 def _request_id(headers: dict[str, str], problems: list[str]) -> str:
-    given = headers.get(outcomes.REQUEST_ID_HEADER, '')
-    if not given:
+    value = headers.get(outcomes.REQUEST_ID_HEADER, '')
+    if not value:
         return uuid.uuid4().hex
-    if REQUEST_ID_PATTERN.fullmatch(given):
-        return given
+    if REQUEST_ID_PATTERN.fullmatch(value):
+        return value
     problems.append(
-        f'header {outcomes.REQUEST_ID_HEADER}: 1 to 128 letters, digits, '
-        'dots, hyphens or underscores'
+        f'header {outcomes.REQUEST_ID_HEADER}: must be 1 to 128 letters, '
+        'digits, dots, hyphens or underscores'
     )
     return ''
 
@@ -164,46 +169,50 @@
     settings: settings_schema.RequestSettings,
     problems: list[str],
 ) -> float:
-    given = headers.get(outcomes.DEADLINE_HEADER, '')
-    if not given:
+    value = headers.get(outcomes.DEADLINE_HEADER, '')
+    if not value:
         return settings.default_deadline_s
-    if not given.isascii() or not given.isdigit() or int(given) == 0:
+    if not value.isascii() or not value.isdigit() or int(value) == 0:
         problems.append(
-            f'header {outcomes.DEADLINE_HEADER}: a whole number of '
-            'milliseconds above zero'
+            f'header {outcomes.DEADLINE_HEADER}: must be a positive integer '
+            'number of milliseconds'
         )
         return settings.default_deadline_s
-    return min(int(given) / MS_PER_S, settings.max_deadline_s)
+    return min(int(value) / MS_PER_S, settings.max_deadline_s)
 
 
 def _priority(headers: dict[str, str], problems: list[str]) -> int | None:
-    given = headers.get(outcomes.PRIORITY_HEADER, '')
-    if not given:
+    value = headers.get(outcomes.PRIORITY_HEADER, '')
+    if not value:
         return None
-    if len(given) == 1 and given.isascii() and given.isdigit():
-        return int(given)
-    problems.append(f'header {outcomes.PRIORITY_HEADER}: a digit from 0 to 9')
+    if len(value) == 1 and value.isascii() and value.isdigit():
+        return int(value)
+    problems.append(
+        f'header {outcomes.PRIORITY_HEADER}: must be a digit from 0 to 9'
+    )
     return None
 
 
 def _idempotent(headers: dict[str, str], problems: list[str]) -> bool | None:
-    given = headers.get(outcomes.IDEMPOTENT_HEADER, '').lower()
-    if not given:
+    value = headers.get(outcomes.IDEMPOTENT_HEADER, '').lower()
+    if not value:
         return None
-    if given in TRUE_WORDS:
+    if value in TRUE_VALUES:
         return True
-    if given in FALSE_WORDS:
+    if value in FALSE_VALUES:
         return False
-    problems.append(f'header {outcomes.IDEMPOTENT_HEADER}: true or false')
+    problems.append(
+        f'header {outcomes.IDEMPOTENT_HEADER}: must be true or false'
+    )
     return None
 
 
 def _request_key(headers: dict[str, str], problems: list[str]) -> str:
-    given = headers.get(outcomes.REQUEST_KEY_HEADER, '')
-    if given and not REQUEST_KEY_PATTERN.fullmatch(given):
+    value = headers.get(outcomes.REQUEST_KEY_HEADER, '')
+    if value and not REQUEST_KEY_PATTERN.fullmatch(value):
         problems.append(
-            f'header {outcomes.REQUEST_KEY_HEADER}: 1 to 255 printable '
-            'characters without spaces'
+            f'header {outcomes.REQUEST_KEY_HEADER}: must be 1 to 255 '
+            'printable characters without spaces'
         )
         return ''
-    return given
+    return value
--- a/redwingvalve/entry/delivered.py
+++ b/redwingvalve/entry/delivered_events.py
@@ -1,40 +1,40 @@
-"""What a caller has of a stream so far, so that it can go on elsewhere."""
+"""Records the events delivered to a caller, so that a stream can resume."""
 
 import json
 import typing
 
 import attrs
 
-from redwingvalve.entry import answer_check
+from redwingvalve.entry import response_check
 
 DATA_FIELD = b'data:'
 
 
 @attrs.define
-class Delivered:
-    """The events that were written to the caller, over all sends.
+class DeliveredEvents:
+    """The events written to the caller by all attempts.
 
-    They are kept as bytes and parsed only when a stream breaks: a parse of
-    each token would cost more than its relay. kept is false for requests
-    that are never resumed, whose events are only counted.
+    They are stored as bytes and parsed only if a stream breaks: parsing each
+    token would cost more than relaying it. recorded is false for requests that
+    are never resumed; their events are only counted.
     """
 
-    kept: bool
+    recorded: bool
     count: int = 0
     _events: bytearray = attrs.field(factory=bytearray)
 
     def add(self, events: list[bytes]) -> None:
-        """Count events as delivered."""
+        """Add delivered events."""
         self.count += len(events)
-        if self.kept:
+        if self.recorded:
             for event in events:
                 self._events += event
 
-    def read(self) -> 'DeliveredText':
-        """Return the tokens delivered, and whether the answer had ended."""
+    def parse(self) -> 'DeliveredText':
+        """Return the delivered tokens and whether the answer was finished."""
         tokens: list[str] = []
         ended = False
-        for event in bytes(self._events).split(answer_check.EVENT_END):
+        for event in bytes(self._events).split(response_check.EVENT_END):
             if not event:
                 continue
             choice = _choice(json.loads(event[len(DATA_FIELD) :]))
@@ -47,7 +47,7 @@
 
 @attrs.frozen
 class DeliveredText:
-    """Tokens in order; ended once a finish reason was delivered."""
+    """Tokens in order; ended means that a finish reason was delivered."""
 
     tokens: tuple[str, ...]
     ended: bool
@@ -59,7 +59,7 @@
 
 
 def is_resumable(fields: dict[str, typing.Any]) -> bool:
-    """Tell whether a stream is plain text, which alone can be continued."""
+    """Return whether a stream is plain text; others can't be resumed."""
     if fields.get('n', 1) != 1:
         return False
     return not any(name in fields for name in ('tools', 'logprobs', 'echo'))
--- a/redwingvalve/entry/tests/test_caller_server.py
+++ b/redwingvalve/entry/tests/test_caller_server.py
@@ -1,4 +1,4 @@
-"""The server of callers' traffic: stops, streams and callers that leave."""
+"""The caller-facing server: stopping, streaming and disconnects."""
 
 import contextlib
 
@@ -16,11 +16,11 @@
 from redwingvalve.observability import tracing
 
 
-def test_a_stop_lets_a_stream_end_whole():
-    """The caller has half its stream when the entry is told to stop.
+def test_stop_lets_streams_complete():
+    """The entry is stopped in the middle of a stream.
 
-    The port closes at once, the stream goes on to its end with the chunk that
-    says so, and only then does the server return.
+    The port closes at once, the stream continues to its last chunk, and only
+    then does the server return.
     """
     go_on = anyio.Event()
 
@@ -31,7 +31,7 @@
         await send(callers.part(b'last', more=False))
 
     async def scenario():
-        async with callers.served(halfway) as (port, stop, ended):
+        async with callers.served(halfway) as (port, stop, server_stopped):
             async with await anyio.connect_tcp('127.0.0.1', port) as stream:
                 await stream.send(callers.GET)
                 begun = await callers.read_until(stream, b'first')
@@ -40,10 +40,10 @@
                     while True:
                         async with await anyio.connect_tcp('127.0.0.1', port):
                             await anyio.sleep(0.01)
-                early = ended.is_set()
+                early = server_stopped.is_set()
                 go_on.set()
                 rest = await callers.read_all(stream)
-            await ended.wait()
+            await server_stopped.wait()
             return begun + rest, early
 
     answer, early = anyio.run(scenario)
@@ -52,11 +52,11 @@
 
 
 @pytest.mark.parametrize('begun', [b'', b'first'])
-def test_a_stop_cuts_off_what_outlives_its_time(begun):
-    """A request hangs for ever when the entry is told to stop.
+def test_stop_cancels_requests_after_the_graceful_timeout(begun):
+    """The entry is stopped while a request hangs.
 
-    It is cancelled after its time. Its caller sees a connection that broke,
-    and no answer that the server made up without an outcome.
+    It is cancelled after the graceful timeout. Its caller gets a broken
+    connection and no response made up by the server, which has no outcome.
     """
     started, seen = anyio.Event(), []
 
@@ -74,13 +74,13 @@
         async with callers.connected(hang, timeout_s=0.2) as (
             stream,
             stop,
-            ended,
+            server_stopped,
         ):
             await stream.send(callers.GET)
             await started.wait()
             stop.set()
             answer = await callers.read_all(stream)
-            await ended.wait()
+            await server_stopped.wait()
             return answer
 
     answer = anyio.run(scenario)
@@ -89,8 +89,8 @@
     assert answer.count(b'HTTP/1.1') == len(begun[:1])
 
 
-def test_a_cancelled_server_breaks_what_is_open():
-    """A fault elsewhere ends the process; no caller waits for ever."""
+def test_cancelled_server_aborts_open_connections():
+    """The server is cancelled by an error elsewhere; no caller may hang."""
     answers = []
 
     async def hang(scope, receive, send):
@@ -106,7 +106,7 @@
                 serving.serve,
                 hang,
                 f'fd://{listener.detach()}',
-                callers.PATIENCE_S,
+                callers.DEFAULT_TIMEOUT_S,
                 anyio.sleep_forever,
             )
             async with await anyio.connect_tcp('127.0.0.1', port) as stream:
@@ -115,7 +115,7 @@
                 group.cancel_scope.cancel()
                 with (
                     anyio.CancelScope(shield=True),
-                    anyio.fail_after(callers.GUARD_S),
+                    anyio.fail_after(callers.TEST_TIMEOUT_S),
                 ):
                     answers.append(await callers.read_all(stream))
 
@@ -123,8 +123,8 @@
     assert len(answers) == 1 and not answers[0].endswith(callers.LAST_CHUNK)
 
 
-def test_a_caller_that_hangs_up_frees_its_tokens():
-    """The caller leaves in the middle; the engine is told to stop."""
+def test_caller_disconnect_cancels_the_upstream_request():
+    """The caller disconnects in mid-stream; the engine gets a cancellation."""
     engines = fakes.Engines()
 
     async def one_token(request):
@@ -132,7 +132,7 @@
             yield fakes.event(request.request_id, ' t1')
             await anyio.sleep_forever()
 
-        return upstream.UpstreamAnswer(
+        return upstream.UpstreamResponse(
             200, (('x-request-id', request.request_id),), chunks()
         )
 
@@ -150,8 +150,8 @@
     assert engines.cancelled == [engines.sent[0].request_id]
 
 
-def test_the_end_of_an_answer_is_not_a_caller_that_hung_up():
-    """The server says disconnect after each answer, also when it is whole."""
+def test_disconnect_after_a_complete_response_is_ignored():
+    """ASGI servers send a disconnect after each complete response too."""
     exporter = in_memory_span_exporter.InMemorySpanExporter()
     provider = sdk_trace.TracerProvider()
     provider.add_span_processor(export.SimpleSpanProcessor(exporter))
@@ -166,21 +166,21 @@
                 await callers.read_until(stream, callers.LAST_CHUNK)
 
     anyio.run(scenario)
-    ended = [
+    entry_spans = [
         span
         for span in exporter.get_finished_spans()
         if span.name == 'entry request'
     ]
-    assert len(ended) == 5
-    said = [event.name for span in ended for event in span.events]
-    assert 'caller gone' not in said
+    assert len(entry_spans) == 5
+    event_names = [event.name for span in entry_spans for event in span.events]
+    assert 'caller gone' not in event_names
 
 
-def test_a_slow_reader_holds_its_own_stream_back():
+def test_slow_reader_causes_backpressure():
     """The caller reads nothing while the engine could send 256 MB.
 
-    Without a bound the entry would hold all of it. It writes until the
-    socket's buffers are full, and goes on as the caller reads.
+    Without backpressure the entry would buffer all of it. It must write until
+    the socket buffers are full and continue as the caller reads.
     """
     written = []
 
--- a/redwingvalve/replicas/placement.py
+++ b/redwingvalve/replicas/placement.py
@@ -1,14 +1,15 @@
-"""Decides what becomes of the replicas of one fabric domain.
-
-Load pattern: VMs die, pause, come back and are replaced one by one (47 a day
-at 9,600 VMs), a rack or the whole domain at once now and then, and versions
-roll several times a day. Without one decision over the whole domain, remnants
-of broken replicas lie idle beside each other, replicas that come back are
-loaded again, and two losses are healed with one spare.
-
-Each step takes the domain and returns the next one, so that one conditional
-write moves everything. The order of the steps is the order of the promises:
-first stop what may not serve, then adopt what runs, then heal the dearest.
+"""Computes the next state of the replicas of one fabric domain.
+
+Load pattern: VMs die, pause, return and are replaced one by one (47 a day at
+9,600 VMs), now and then a rack or the whole domain fails at once, and versions
+roll several times a day. If replicas were not decided together, remaining VMs
+of broken replicas would lie idle beside each other, replicas that return would
+be loaded again, and one spare would be used to heal two losses.
+
+The steps change a working copy of the domain, which is then stored by one
+conditional write. They follow the priority of the guarantees: first stop
+replicas that must not serve, then adopt those that run as ordered, then heal
+those with the highest downtime price.
 """
 
 from redwingvalve.core import invariants
@@ -27,12 +28,12 @@
     switches: invariants.SafeguardSwitches,
     policy: draft_module.PlacementPolicy,
 ) -> domain_module.FabricDomain:
-    """Return the domain as it should stand next."""
+    """Return the next state of the domain."""
     draft = Draft(view, switches, policy)
     _drop_drained(draft)
-    _break_lost(draft)
-    _adopt_running(draft)
-    _retire_surplus(draft)
+    _mark_broken(draft)
+    _adopt_ready(draft)
+    _drain_surplus(draft)
     healing.heal_broken(draft)
     _form_missing(draft)
     _replace_outdated(draft)
@@ -42,12 +43,12 @@
 
 def _drop_drained(draft: Draft) -> None:
     for replica in draft.in_state(State.DRAINING):
-        # With a VM gone nothing of the drain is left to finish.
+        # The requests in flight at a replica with a lost VM cannot finish.
         if replica.name in draft.view.drained or draft.lost_members(replica):
             draft.drop(replica)
 
 
-def _break_lost(draft: Draft) -> None:
+def _mark_broken(draft: Draft) -> None:
     for replica in draft.in_state(State.SERVING, State.FORMING):
         lost = draft.lost_members(replica)
         if lost:
@@ -65,15 +66,15 @@
             )
 
 
-def _adopt_running(draft: Draft) -> None:
+def _adopt_ready(draft: Draft) -> None:
     for replica in draft.in_state(State.BROKEN, State.FORMING):
         if not replica.members:
             continue
-        as_ordered = view_module.reads_back(draft.view, replica)
-        # An order that was accepted is not yet a loaded model, and an engine
-        # that ignores fencing may have obeyed another holder since: callers
-        # would get errors or another model's answers. The state read back is
-        # what serves, so nothing else is believed.
+        as_ordered = view_module.all_members_ready(draft.view, replica)
+        # An accepted order does not mean that the model is loaded, and an
+        # engine that ignores fencing may have obeyed another holder since.
+        # Callers would get errors or answers of another model. Only the state
+        # read back from the engines shows what they serve.
         if not as_ordered and draft.switches.enabled(STATE_READ_BACK):
             continue
         invariants.require(
@@ -85,50 +86,52 @@
             draft.set_state(replica, State.SERVING, '')
 
 
-def _retire_surplus(draft: Draft) -> None:
+def _drain_surplus(draft: Draft) -> None:
     for name in sorted({each.deployment for each in draft.domain.replicas}):
-        wanted = draft.view.desired_share(name)
-        _retire(draft, name, wanted.replicas if wanted else 0)
+        desired = draft.view.desired_share(name)
+        _drain_deployment(draft, name, desired.replicas if desired else 0)
 
 
-def _retire(draft: Draft, deployment: str, wanted: int) -> None:
-    serving = draft.of(deployment, State.SERVING)
+def _drain_deployment(draft: Draft, deployment: str, desired: int) -> None:
+    serving = draft.of_deployment(deployment, State.SERVING)
     current = [each for each in serving if not draft.outdated(each)]
-    if len(current) >= wanted:
-        for replica in draft.of(deployment, State.BROKEN, State.FORMING):
+    if len(current) >= desired:
+        for replica in draft.of_deployment(
+            deployment, State.BROKEN, State.FORMING
+        ):
             draft.drop(replica)
-    surplus = max(len(serving) - wanted, 0)
-    for victim in sorted(serving, key=draft.keep_rank)[:surplus]:
+    surplus = max(len(serving) - desired, 0)
+    for victim in sorted(serving, key=draft.drain_rank)[:surplus]:
         draft.set_state(victim, State.DRAINING, 'surplus')
 
 
 def _form_missing(draft: Draft) -> None:
-    for wanted in sorted(draft.view.wanted, key=draft_module.value_rank):
-        held = draft.of(
-            wanted.deployment.name, State.FORMING, State.SERVING, State.BROKEN
+    for desired in sorted(draft.view.desired, key=draft_module.price_rank):
+        held = draft.of_deployment(
+            desired.deployment.name, State.FORMING, State.SERVING, State.BROKEN
         )
-        for _ in range(wanted.replicas - len(held)):
-            if not healing.form(draft, wanted.deployment):
+        for _ in range(desired.replicas - len(held)):
+            if not healing.form_replica(draft, desired.deployment):
                 break
 
 
 def _replace_outdated(draft: Draft) -> None:
-    for wanted in draft.view.wanted:
-        _replace_one(draft, wanted)
+    for desired in draft.view.desired:
+        _replace_one(draft, desired)
 
 
-def _replace_one(draft: Draft, wanted: view_module.DesiredShare) -> None:
-    """Form a replacement first if VMs are free, else drain one."""
-    name = wanted.deployment.name
-    serving = draft.of(name, State.SERVING)
+def _replace_one(draft: Draft, desired: view_module.DesiredShare) -> None:
+    """Form a replacement first if VMs are free, else drain an old replica."""
+    name = desired.deployment.name
+    serving = draft.of_deployment(name, State.SERVING)
     outdated = [each for each in serving if draft.outdated(each)]
-    if not outdated or draft.of(name, State.FORMING, State.DRAINING):
+    if not outdated or draft.of_deployment(name, State.FORMING, State.DRAINING):
         return
-    if healing.form(draft, wanted.deployment):
+    if healing.form_replica(draft, desired.deployment):
         return
-    victim = min(outdated, key=draft.keep_rank)
+    victim = min(outdated, key=draft.drain_rank)
     leaving = draft.has_leaving(victim)
-    above_floor = len(serving) > wanted.floor_replicas
-    if leaving or (wanted.in_place and above_floor):
+    above_floor = len(serving) > desired.floor_replicas
+    if leaving or (desired.in_place and above_floor):
         reason = 'a VM is leaving' if leaving else 'outdated'
         draft.set_state(victim, State.DRAINING, reason)
