--- a/redwingvalve/documents/__init__.py
+++ b/redwingvalve/documents/__init__.py
@@ -1,1 +1,1 @@
-"""Binding of YAML documents to attrs classes; findings have a position."""
+"""Binding of YAML documents to attrs classes; findings have a location."""
--- a/redwingvalve/documents/binder.py
+++ b/redwingvalve/documents/binder.py
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class BoundDocument(typing.Generic[BoundType]):
-    """A bound document with the positions of its parts."""
+    """A bound document with the locations of its parts."""
 
     content: BoundType
     locations: 'DocumentLocations'
@@ -42,8 +42,8 @@
         call this first.
         """
         return not any(
-            path[: len(invalid_part)] == invalid_part[: len(path)]
-            for invalid_part in self.invalid_paths
+            path[: len(invalid_path)] == invalid_path[: len(path)]
+            for invalid_path in self.invalid_paths
         )
 
 
@@ -56,7 +56,7 @@
 
 
 class DocumentLocations:
-    """Finds the position of a path in a parsed YAML document."""
+    """Finds the location of a path in a parsed YAML document."""
 
     def __init__(self, file_name: str, root: yaml.Node | None) -> None:
         """Use the node tree of one file."""
@@ -64,7 +64,7 @@
         self._root = root
 
     def locate(self, *path: str | int) -> findings.Location:
-        """Return the position of the deepest existing part of path."""
+        """Return the location of the deepest existing part of path."""
         node = self._root
         line, column = (1, 1)
         for part in (None, *path):
@@ -79,7 +79,7 @@
         )
 
     def locate_key(self, *path: str | int) -> findings.Location:
-        """Return the position of the key itself, for unknown fields."""
+        """Return the location of the key itself, for unknown fields."""
         node = self._root
         for part in path[:-1]:
             node = _child(node, part)
@@ -140,11 +140,11 @@
     check: Check | None,
 ) -> Result[BoundDocument[BoundType], findings.Findings]:
     bound, found = _bind_valid_parts(plain, locations, target)
-    found.extend(invalid_part.finding for invalid_part in duplicates)
+    found.extend(invalid.finding for invalid in duplicates)
     if bound is not None:
         invalid_paths = (
             *bound.invalid_paths,
-            *(invalid_part.path for invalid_part in duplicates),
+            *(invalid.path for invalid in duplicates),
         )
         bound = attrs.evolve(bound, invalid_paths=invalid_paths)
         if check is not None:
@@ -167,8 +167,8 @@
         return BoundDocument(CONVERTER.structure(plain, target), locations), []
     except Exception as error:  # noqa: BLE001 - becomes a finding
         faults = list(_invalid_parts_of(error, (), locations))
-    found = [invalid_part.finding for invalid_part in faults]
-    paths = tuple(invalid_part.path for invalid_part in faults)
+    found = [invalid.finding for invalid in faults]
+    paths = tuple(invalid.path for invalid in faults)
     try:
         replaced = placeholders.replace_invalid(plain, target, paths)
     except placeholders.NoPlaceholderError:
--- a/redwingvalve/settings/loader.py
+++ b/redwingvalve/settings/loader.py
@@ -18,7 +18,7 @@
 
 
 def load_file(file_name: str) -> Result[schema.Settings, findings.Findings]:
-    """Read and check a settings file; findings have their position."""
+    """Read and check a settings file; findings have their location."""
     text = files.read_text(file_name)
     if text.is_error():
         return Error(text.error)
