--- a/redwingvalve/http1/__init__.py
+++ b/redwingvalve/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 connections over asyncio, parsed by httptools."""
+"""An HTTP/1.1 client and server over asyncio, parsed by httptools."""
--- a/redwingvalve/http1/client.py
+++ b/redwingvalve/http1/client.py
@@ -1,8 +1,8 @@
-"""Connections to endpoints and to the store, each with one request at a time.
+"""Client connections to endpoints and the store, one request at a time each.
 
-An answer counts only if it is the answer to the request that was sent: late
-answers of earlier requests are skipped by their echoed id, and a connection
-that delivers more than one answer, or ends oddly, is never used again.
+A response is accepted only for the request that was sent. Late responses to
+earlier requests are recognized by their echoed id and skipped. A connection
+that delivers more than one response, or ends abnormally, is never reused.
 """
 
 import abc
@@ -14,62 +14,63 @@
 
 from redwingvalve.http1 import messages
 
-# An endpoint may send one answer twice; more strays than this are no HTTP.
-MAX_STRAY_ANSWERS = 3
-# Kept connections are left unused for the last fifth of the time that the
-# peer grants, so that a request doesn't cross the peer's close.
-KEEP_ALIVE_USED = 0.8
+# An endpoint may send a response twice; more unrelated responses than this are
+# a protocol error.
+MAX_STRAY_RESPONSES = 3
+# Idle connections are not reused in the last fifth of the peer's keep-alive
+# timeout, so that a request does not cross with the peer's close.
+KEEP_ALIVE_FRACTION = 0.8
 _NO_BODY_STATUSES: typing.Final = frozenset((204, 304))
 _FIRST_FINAL_STATUS = 200
 
 
 class ResponseHandler(abc.ABC):
-    """What is done with the answer to one request."""
+    """Receives the response to one request."""
 
     @abc.abstractmethod
     def accepts(self, head: messages.ResponseHead) -> bool:
-        """Return whether the head answers this request."""
+        """Return whether the head belongs to this request's response."""
 
     @abc.abstractmethod
     def head_received(self, head: messages.ResponseHead) -> None:
-        """Take the status and the headers."""
+        """Receive the status and the headers."""
 
     @abc.abstractmethod
     def body_received(self, chunk: bytes) -> None:
-        """Take a piece of the body."""
+        """Receive a chunk of the body."""
 
     @abc.abstractmethod
     def completed(self) -> None:
-        """Note that the answer came whole."""
+        """Handle the end of a complete response."""
 
     @abc.abstractmethod
     def broken(self, reason: str) -> None:
-        """Note that the connection ended before the answer did."""
+        """Handle a connection that ended before the response was complete."""
 
 
 class Connection(asyncio.Protocol):
-    """One connection to a peer."""
+    """One client connection."""
 
     def __init__(self) -> None:
-        """Wait for the transport."""
+        """Create a connection without a transport yet."""
         self.transport: asyncio.Transport | None = None
         self.idle_since_s = 0.0
         self.keep_alive_s: float | None = None
         self.used = False
-        self._exchange: ResponseHandler | None = None
+        self._handler: ResponseHandler | None = None
         self._parser: typing.Any = None
         self._headers: messages.Headers = []
-        self._skipping = False
-        self._strays = 0
-        self._whole = False
-        self._unframed = False
+        self._is_skipping = False
+        self._stray_responses = 0
+        self._is_complete = False
+        self._close_delimited = False
         self._reusable = True
-        self._extra = False
+        self._has_extra_bytes = False
         self._on_idle: typing.Callable[[Connection], None] | None = None
 
     @property
     def is_open(self) -> bool:
-        """Return whether a request may be sent."""
+        """Return whether a request can be sent."""
         transport = self.transport
         return transport is not None and not transport.is_closing()
 
@@ -79,67 +80,71 @@
         exchange: ResponseHandler,
         on_idle: typing.Callable[['Connection'], None],
     ) -> None:
-        """Send a request; on_idle is called if more may follow."""
+        """Send a request; on_idle is called if the connection is reusable."""
         assert self.transport is not None
-        self._exchange = exchange
+        self._handler = exchange
         self._on_idle = on_idle
         self._parser = httptools.HttpResponseParser(self)
-        self._whole = False
-        self._strays = 0
+        self._is_complete = False
+        self._stray_responses = 0
         self.used = True
         self.transport.write(request)
 
     def abandon(self) -> None:
-        """Close at once; the exchange isn't told."""
-        self._exchange = None
+        """Abort the connection without calling the response handler."""
+        self._handler = None
         if self.transport is not None:
             self.transport.abort()
 
     def pause(self) -> None:
-        """Read nothing until resume."""
+        """Stop reading until resume is called."""
         if self.is_open:
             self.transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading."""
         if self.is_open:
             self.transport.resume_reading()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = typing.cast(asyncio.Transport, transport)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Tell the exchange, whose answer isn't whole."""
-        if self._unframed and error is None and self._exchange is not None:
+        """Fail the pending response, unless the close delimits its body."""
+        if (
+            self._close_delimited
+            and error is None
+            and self._handler is not None
+        ):
             self._finish()
             return
         self._break('reset' if error else 'closed')
 
     def eof_received(self) -> bool:
-        """Close in turn; an answer without a length ends with it."""
+        """Close the transport; this ends a response without a length."""
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came."""
-        if self._exchange is None:
-            # Bytes that nobody asked for belong to no request.
+        """Parse received bytes."""
+        if self._handler is None:
+            # Unsolicited bytes belong to no request.
             self.abandon()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            if not self._whole:
+            if not self._is_complete:
                 self._break(f'no answer: {error}')
                 return
-            self._extra = True
-        if self._whole:
+            self._has_extra_bytes = True
+        if self._is_complete:
             self._finish()
 
     def on_message_begin(self) -> None:
-        """Start a head; after a whole answer it is a stray one."""
-        if self._whole:
-            self._extra = True
+        """Start a head; one after a complete response is a stray one."""
+        if self._is_complete:
+            self._has_extra_bytes = True
         self._headers = []
 
     def on_header(self, name: bytes, content: bytes) -> None:
@@ -147,49 +152,50 @@
         self._headers.append((name.lower(), content))
 
     def on_headers_complete(self) -> None:
-        """Hand the head on unless it belongs to another request."""
+        """Pass the head on unless it belongs to another request."""
         status = self._parser.get_status_code()
-        if self._whole or status < _FIRST_FINAL_STATUS:
+        if self._is_complete or status < _FIRST_FINAL_STATUS:
             return
         head = messages.ResponseHead(
             status, self._headers, self._parser.should_keep_alive()
         )
-        exchange = self._exchange
+        exchange = self._handler
         if exchange is None:
             return
-        self._skipping = not exchange.accepts(head)
-        if self._skipping:
+        self._is_skipping = not exchange.accepts(head)
+        if self._is_skipping:
             return
         self._reusable = head.keep_alive
-        self._unframed = _is_unframed(head)
+        self._close_delimited = _is_close_delimited(head)
         self._read_keep_alive(head)
         exchange.head_received(head)
 
     def on_body(self, chunk: bytes) -> None:
-        """Hand a piece of the body on."""
-        if self._skipping or self._whole or self._exchange is None:
+        """Pass a chunk of the body on."""
+        if self._is_skipping or self._is_complete or self._handler is None:
             return
-        self._exchange.body_received(chunk)
+        self._handler.body_received(chunk)
 
     def on_message_complete(self) -> None:
-        """Note the end of the answer, or of one that was skipped."""
+        """Record the end of the response, or of a skipped one."""
         if self._parser.get_status_code() < _FIRST_FINAL_STATUS:
             return
-        if not self._skipping:
-            self._whole = True
+        if not self._is_skipping:
+            self._is_complete = True
             return
-        self._strays += 1
-        self._skipping = False
-        if self._strays > MAX_STRAY_ANSWERS:
+        self._stray_responses += 1
+        self._is_skipping = False
+        if self._stray_responses > MAX_STRAY_RESPONSES:
             self._break('answers of other requests')
 
     def _finish(self) -> None:
-        exchange = self._exchange
-        self._exchange = None
-        # Bytes of a long body that the peer answered early stay unsent.
+        exchange = self._handler
+        self._handler = None
+        # A peer may respond before it has read the whole request body; the
+        # rest of the body is then still in the write buffer.
         unsent = self.is_open and self.transport.get_write_buffer_size() > 0
-        keep = self._reusable and not self._extra and not unsent
-        if keep and self.is_open and not self._unframed:
+        reuse = self._reusable and not self._has_extra_bytes and not unsent
+        if reuse and self.is_open and not self._close_delimited:
             self.idle_since_s = time.monotonic()
             if self._on_idle is not None:
                 self._on_idle(self)
@@ -199,8 +205,8 @@
             exchange.completed()
 
     def _break(self, reason: str) -> None:
-        exchange = self._exchange
-        self._exchange = None
+        exchange = self._handler
+        self._handler = None
         if self.transport is not None:
             self.transport.abort()
         if exchange is not None:
@@ -211,10 +217,10 @@
         for part in text.split(b','):
             name, _, seconds = part.strip().partition(b'=')
             if name.lower() == b'timeout' and seconds.isdigit():
-                self.keep_alive_s = int(seconds) * KEEP_ALIVE_USED
+                self.keep_alive_s = int(seconds) * KEEP_ALIVE_FRACTION
 
 
-def _is_unframed(head: messages.ResponseHead) -> bool:
+def _is_close_delimited(head: messages.ResponseHead) -> bool:
     if head.status in _NO_BODY_STATUSES:
         return False
     if head.header(b'content-length') is not None:
--- a/redwingvalve/http1/messages.py
+++ b/redwingvalve/http1/messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers as they stand on a connection."""
+"""HTTP requests and response heads as sent on a connection."""
 
 import typing
 
@@ -6,7 +6,7 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# Headers that concern one connection only and are never passed on.
+# Hop-by-hop headers, and those that are set anew for each hop; never forwarded.
 HOP_HEADERS: typing.Final = frozenset(
     (
         b'connection',
@@ -24,10 +24,10 @@
 
 @attrs.frozen
 class Request:
-    """A whole request of a caller."""
+    """A complete request from a caller."""
 
     method: bytes
-    # Path and query, byte for byte.
+    # Path and query string, unmodified.
     target: bytes
     # Names in lower case, values as sent.
     headers: Headers
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class ResponseHead:
-    """Status and headers of an answer."""
+    """Status and headers of a response."""
 
     status: int
     headers: Headers
@@ -53,7 +53,7 @@
 
 
 def render_head(start_line: bytes, headers: Headers) -> bytes:
-    """Return the bytes of a start line and headers, with the blank line."""
+    """Return the encoded start line and headers with the blank line."""
     lines = [start_line]
     lines.extend(b'%b: %b' % header for header in headers)
     lines.append(b'\r\n')
@@ -61,7 +61,7 @@
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Return the headers without those of one connection."""
+    """Return the headers without hop-by-hop ones."""
     named = set(HOP_HEADERS)
     for name, content in headers:
         if name == b'connection':
--- a/redwingvalve/http1/pool.py
+++ b/redwingvalve/http1/pool.py
@@ -1,14 +1,14 @@
-"""Kept connections to each peer."""
+"""Pool of keep-alive connections per peer."""
 
 import asyncio
 import time
 
 from redwingvalve.http1 import client
 
-# A round trip between data centres takes 3 ms; a connection that isn't there
-# after this has met a peer that is dark or a queue that is full.
+# A round trip between data centres takes 3 ms; a connect that takes longer
+# than this means that the peer is down or its accept queue is full.
 CONNECT_TIMEOUT_S = 0.3
-# Peers that state no time close idle connections after some seconds.
+# Peers that send no keep-alive timeout close idle connections within seconds.
 DEFAULT_KEEP_ALIVE_S = 2.0
 MAX_IDLE_PER_PEER = 16
 
@@ -16,22 +16,22 @@
 
 
 class ConnectError(Exception):
-    """No connection was made, so that nothing was sent.
+    """The connection could not be established, so nothing was sent.
 
-    was_refused: the host answered that nothing listens there.
+    was_refused: the host replied that nothing listens on the port.
     """
 
     def __init__(self, reason: str, was_refused: bool = False) -> None:
-        """Keep the reason."""
+        """Store the reason."""
         super().__init__(reason)
         self.was_refused = was_refused
 
 
 class Pool:
-    """Connections by address; the newest idle one is used first."""
+    """Connections by address; the most recently used idle one comes first."""
 
     def __init__(self, connect_timeout_s: float = CONNECT_TIMEOUT_S) -> None:
-        """Start with none."""
+        """Create an empty pool."""
         self.opened = 0
         self._connect_timeout_s = connect_timeout_s
         self._idle: dict[Address, list[client.Connection]] = {}
@@ -39,11 +39,11 @@
     def take_idle(
         self, address: Address, max_idle_s: float
     ) -> client.Connection | None:
-        """Return a kept connection that was idle for max_idle_s at most."""
-        kept = self._idle.get(address)
+        """Return a pooled connection idle for at most max_idle_s, or None."""
+        idle = self._idle.get(address)
         now_s = time.monotonic()
-        while kept:
-            connection = kept.pop()
+        while idle:
+            connection = idle.pop()
             granted_s = connection.keep_alive_s or DEFAULT_KEEP_ALIVE_S
             idle_s = now_s - connection.idle_since_s
             if connection.is_open and idle_s <= min(granted_s, max_idle_s):
@@ -69,38 +69,38 @@
     async def take(
         self, address: Address, max_idle_s: float = DEFAULT_KEEP_ALIVE_S
     ) -> client.Connection:
-        """Return a kept connection or a new one; raises ConnectError."""
-        kept = self.take_idle(address, max_idle_s)
-        if kept is not None:
-            return kept
+        """Return a pooled connection or a new one; raises ConnectError."""
+        idle = self.take_idle(address, max_idle_s)
+        if idle is not None:
+            return idle
         return await self.connect(address)
 
-    def release_callback(self, address: Address) -> 'Keeper':
-        """Return what takes back connections to this address."""
-        return Keeper(self, address)
+    def release_callback(self, address: Address) -> 'ReleaseCallback':
+        """Return a callback that returns connections of this address."""
+        return ReleaseCallback(self, address)
 
-    def keep(self, address: Address, connection: client.Connection) -> None:
-        """Take a connection back."""
-        kept = self._idle.setdefault(address, [])
-        if len(kept) >= MAX_IDLE_PER_PEER:
+    def release(self, address: Address, connection: client.Connection) -> None:
+        """Return a connection to the pool."""
+        idle = self._idle.setdefault(address, [])
+        if len(idle) >= MAX_IDLE_PER_PEER:
             connection.abandon()
             return
-        kept.append(connection)
+        idle.append(connection)
 
     def forget(self, address: Address) -> None:
-        """Close what is idle to a peer that is gone."""
+        """Close the idle connections to a peer that is gone."""
         for connection in self._idle.pop(address, ()):
             connection.abandon()
 
 
-class Keeper:
-    """Hands idle connections of one address back to their pool."""
+class ReleaseCallback:
+    """Returns idle connections of one address to their pool."""
 
     def __init__(self, pool: Pool, address: Address) -> None:
-        """Serve one address of a pool."""
+        """Bind the callback to one address of a pool."""
         self._pool = pool
         self._address = address
 
     def __call__(self, connection: client.Connection) -> None:
-        """Take the connection back."""
-        self._pool.keep(self._address, connection)
+        """Return the connection to the pool."""
+        self._pool.release(self._address, connection)
--- a/redwingvalve/http1/request_parser.py
+++ b/redwingvalve/http1/request_parser.py
@@ -1,4 +1,4 @@
-"""Reads requests from the bytes of one connection, within bounds."""
+"""Parses the requests of one connection within size limits."""
 
 import abc
 import typing
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class ServerLimits:
-    """Bounds on what a caller may send, and how slowly."""
+    """Limits on the size of a request and on how slowly it may arrive."""
 
     head_bytes: int
     body_bytes: int
@@ -25,40 +25,40 @@
 
 
 class RequestHandler(abc.ABC):
-    """What is told of requests on a connection."""
+    """Receives the events of the parser."""
 
     @abc.abstractmethod
-    def begun(self) -> None:
-        """Note that a head has begun."""
+    def head_started(self) -> None:
+        """Handle the start of a head."""
 
     @abc.abstractmethod
-    def head_read(self) -> None:
-        """Note that the body follows, if there is one."""
+    def head_completed(self) -> None:
+        """Handle the end of the head; the body follows, if any."""
 
     @abc.abstractmethod
-    def taken(self, request: messages.Request) -> None:
-        """Take a whole request."""
+    def request_completed(self, request: messages.Request) -> None:
+        """Handle a complete request."""
 
     @abc.abstractmethod
     def refused(self, status: int) -> None:
-        """Refuse what was read; nothing more is."""
+        """Handle a rejected request; nothing more is parsed after it."""
 
     @abc.abstractmethod
     def write(self, data: bytes) -> None:
-        """Send an interim answer."""
+        """Send an interim response."""
 
 
 class RequestParser:
-    """Parses requests; bounds are asked for anew at each."""
+    """Parses requests; the limits are read again for each check."""
 
     def __init__(
         self,
-        taker: RequestHandler,
+        handler: RequestHandler,
         limits: typing.Callable[[], ServerLimits],
     ) -> None:
-        """Tell the taker."""
+        """Create a parser that calls handler."""
         self.is_reading = False
-        self._taker = taker
+        self._handler = handler
         self._limits = limits
         self._parser: typing.Any = httptools.HttpRequestParser(self)
         self._target = b''
@@ -67,22 +67,22 @@
         self._in_head = False
         self._head_bytes = 0
         self._body_bytes = 0
-        self._is_refused = False
+        self._is_rejected = False
 
     def feed(self, data: bytes) -> None:
-        """Parse what came."""
-        if self._is_refused:
+        """Parse received bytes."""
+        if self._is_rejected:
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserUpgrade, httptools.HttpParserError):
-            self.refuse(MALFORMED)
+            self.reject(MALFORMED)
 
-    def refuse(self, status: int) -> None:
-        """Read nothing more."""
-        if not self._is_refused:
-            self._is_refused = True
-            self._taker.refused(status)
+    def reject(self, status: int) -> None:
+        """Reject the current request and parse nothing more."""
+        if not self._is_rejected:
+            self._is_rejected = True
+            self._handler.refused(status)
 
     def on_message_begin(self) -> None:
         """Start a head."""
@@ -93,10 +93,10 @@
         self._target = b''
         self._headers = []
         self._body = []
-        self._taker.begun()
+        self._handler.head_started()
 
     def on_url(self, target: bytes) -> None:
-        """Collect the target, which may come in pieces."""
+        """Append to the target, which may arrive in several parts."""
         self._target += target
         self._count_head(len(target))
 
@@ -106,27 +106,27 @@
         self._count_head(len(name) + len(content))
 
     def on_headers_complete(self) -> None:
-        """Answer a caller that waits before it sends its body."""
+        """Send 100 Continue if the caller waits for it before the body."""
         self._in_head = False
-        self._taker.head_read()
+        self._handler.head_completed()
         for name, content in self._headers:
             if name == b'expect' and content.lower() == b'100-continue':
-                self._taker.write(_CONTINUE)
+                self._handler.write(_CONTINUE)
 
     def on_body(self, chunk: bytes) -> None:
-        """Collect a piece of the body."""
+        """Append a chunk of the body."""
         self._body_bytes += len(chunk)
         if self._body_bytes > self._limits().body_bytes:
-            self.refuse(BODY_TOO_LARGE)
+            self.reject(BODY_TOO_LARGE)
             return
         self._body.append(chunk)
 
     def on_message_complete(self) -> None:
-        """Hand the request on."""
+        """Pass the complete request on."""
         self.is_reading = False
-        if self._is_refused:
+        if self._is_rejected:
             return
-        self._taker.taken(
+        self._handler.request_completed(
             messages.Request(
                 method=self._parser.get_method(),
                 target=self._target,
@@ -139,4 +139,4 @@
     def _count_head(self, size: int) -> None:
         self._head_bytes += size
         if self._head_bytes > self._limits().head_bytes:
-            self.refuse(HEAD_TOO_LARGE)
+            self.reject(HEAD_TOO_LARGE)
--- a/redwingvalve/http1/server.py
+++ b/redwingvalve/http1/server.py
@@ -1,7 +1,7 @@
-"""Serves callers' connections; one request of a connection at a time.
+"""HTTP/1.1 server connections; each serves one request at a time.
 
-While a request is answered its connection is read on, so that a caller that
-leaves is noticed at once; later requests on it wait in order.
+Reading goes on while a request is being served, so that a caller's disconnect
+is noticed at once. Pipelined requests wait in order.
 """
 
 import abc
@@ -12,7 +12,7 @@
 
 from redwingvalve.http1 import messages, request_parser
 
-# Requests that a caller sent ahead; more are not read until some are answered.
+# Reading pauses while more pipelined requests than this are waiting.
 MAX_PIPELINED = 8
 HEAD_TIMEOUT = 408
 _REASONS: typing.Final = types.MappingProxyType(
@@ -33,26 +33,26 @@
 
 
 class Application(abc.ABC):
-    """What answers the requests of all connections."""
+    """Serves the requests of all connections."""
 
     @abc.abstractmethod
     def limits(self) -> request_parser.ServerLimits:
-        """Return the bounds in force."""
+        """Return the limits in force."""
 
     @abc.abstractmethod
     def is_closing(self) -> bool:
-        """Return whether answers should end their connections."""
+        """Return whether connections should close after their response."""
 
     @abc.abstractmethod
     def serve(self, request: messages.Request, responder: 'Responder') -> None:
-        """Start to answer a request; returns at once."""
+        """Start serving a request; must not block."""
 
 
 class Responder:
-    """The answer to one request."""
+    """Writes the response to one request."""
 
     def __init__(self, connection: 'ServerConnection', keep: bool) -> None:
-        """Answer on a connection that is kept afterwards if keep."""
+        """Write to a connection, which stays open afterwards if keep."""
         self.on_disconnect: typing.Callable[[], None] | None = None
         self.on_writable: typing.Callable[[], None] | None = None
         self.is_started = False
@@ -62,18 +62,18 @@
 
     @property
     def is_disconnected(self) -> bool:
-        """Return whether the caller has left."""
+        """Return whether the caller has disconnected."""
         return self.connection.is_closed
 
     @property
     def is_write_paused(self) -> bool:
-        """Return whether the caller reads more slowly than we write."""
+        """Return whether the write buffer is above its high-water mark."""
         return self.connection.is_write_paused
 
     def send_response(
         self, status: int, headers: messages.Headers, body: bytes
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         if self.is_done or self.is_started:
             return
         length = (b'content-length', b'%d' % len(body))
@@ -83,26 +83,29 @@
         self._end()
 
     def start(self, status: int, headers: messages.Headers) -> None:
-        """Begin an answer whose length isn't known."""
+        """Start a chunked response, whose length is not known in advance."""
         self.is_started = True
         chunked = (b'transfer-encoding', b'chunked')
         self.connection.write(self._head(status, [*headers, chunked]))
 
     def write(self, piece: bytes) -> None:
-        """Send a piece of the body; it must not be empty."""
+        """Send a chunk of the body; it must not be empty.
+
+        An empty chunk would end the response.
+        """
         if self.is_done:
             return
         self.connection.write(b'%x\r\n%b\r\n' % (len(piece), piece))
 
     def finish(self) -> None:
-        """End an answer that start began."""
+        """End a chunked response."""
         if self.is_done:
             return
         self.connection.write(b'0\r\n\r\n')
         self._end()
 
     def abort(self) -> None:
-        """Break the answer off so that it can't pass as complete."""
+        """Abort the response so that it cannot be taken for complete."""
         if self.is_done:
             return
         self.is_done = True
@@ -121,84 +124,89 @@
     def _end(self) -> None:
         self.is_done = True
         self.on_disconnect = None
-        self.connection.answered(self._keep)
+        self.connection.response_completed(self._keep)
 
 
 class ServerConnection(asyncio.Protocol, request_parser.RequestHandler):
     """One connection of a caller."""
 
     def __init__(self, application: Application) -> None:
-        """Hand requests to the application."""
+        """Pass requests to the application."""
         self.application = application
         self.is_closed = False
         self.is_write_paused = False
         self.is_idle = True
         self._transport: asyncio.Transport | None = None
-        self._reader = request_parser.RequestParser(self, application.limits)
+        self._parser = request_parser.RequestParser(self, application.limits)
         self._timer: asyncio.TimerHandle | None = None
-        self._waiting: collections.deque[messages.Request] = collections.deque()
+        self._pipelined: collections.deque[messages.Request] = (
+            collections.deque()
+        )
         self._current: Responder | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Expect the first head within the idle time."""
+        """Start the idle timeout for the first head."""
         self._transport = typing.cast(asyncio.Transport, transport)
         self._restart_timer(self.application.limits().idle_timeout_s)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the request that is being answered."""
+        """Notify the request being served."""
         self.is_closed = True
         self._stop_timer()
-        self._waiting.clear()
+        self._pipelined.clear()
         responder = self._current
         self._current = None
         if responder is not None and responder.on_disconnect is not None:
             responder.on_disconnect()
 
     def eof_received(self) -> bool:
-        """Close; a caller that ends its side has left."""
+        """Close; a half-closed connection counts as a disconnect."""
         return False
 
     def pause_writing(self) -> None:
-        """Note that the caller reads slowly."""
+        """Record that the write buffer is full."""
         self.is_write_paused = True
 
     def resume_writing(self) -> None:
-        """Note that the caller has caught up."""
+        """Notify the response that it may write again."""
         self.is_write_paused = False
         current = self._current
         if current is not None and current.on_writable is not None:
             current.on_writable()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came."""
+        """Parse received bytes."""
         self.is_idle = False
-        self._reader.feed(data)
+        self._parser.feed(data)
 
-    def begun(self) -> None:
-        """Bound the time of a head."""
+    def head_started(self) -> None:
+        """Start the timeout for a head."""
         self._restart_timer(self.application.limits().head_timeout_s)
 
-    def head_read(self) -> None:
-        """Bound the time of a body, which may be long and the link slow."""
+    def head_completed(self) -> None:
+        """Start the longer timeout for a body.
+
+        Bodies may be long and the link slow.
+        """
         self._restart_timer(self.application.limits().idle_timeout_s)
 
-    def taken(self, request: messages.Request) -> None:
-        """Answer a request when those before it are answered."""
+    def request_completed(self, request: messages.Request) -> None:
+        """Queue a request behind the earlier ones of the connection."""
         self._stop_timer()
-        self._waiting.append(request)
-        if len(self._waiting) > MAX_PIPELINED and self._transport:
+        self._pipelined.append(request)
+        if len(self._pipelined) > MAX_PIPELINED and self._transport:
             self._transport.pause_reading()
         self._serve_next()
 
     def refused(self, status: int) -> None:
-        """Answer a request that can't be read, and close."""
+        """Respond to a request that cannot be parsed, and close."""
         if self._current is None:
             Responder(self, keep=False).send_response(status, [], b'')
         elif self._transport is not None:
             self._transport.close()
 
     def write(self, data: bytes) -> None:
-        """Send bytes if the caller is still there."""
+        """Send bytes unless the connection is closed."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
@@ -208,30 +216,30 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def answered(self, keep: bool) -> None:
-        """Go on with the next request, or close after the last answer."""
+    def response_completed(self, keep: bool) -> None:
+        """Serve the next request, or close after the last response."""
         self._current = None
         if self._transport is None or self._transport.is_closing():
             return
         if not keep:
             self._transport.close()
             return
-        if self._waiting:
+        if self._pipelined:
             self._transport.resume_reading()
             self._serve_next()
-        elif not self._reader.is_reading:
+        elif not self._parser.is_reading:
             self.is_idle = True
             self._restart_timer(self.application.limits().idle_timeout_s)
 
     def close_if_idle(self) -> None:
-        """Close a connection on which no request waits."""
+        """Close the connection if it has no request."""
         if self.is_idle and self._transport is not None:
             self._transport.close()
 
     def _serve_next(self) -> None:
-        if self._current is not None or not self._waiting:
+        if self._current is not None or not self._pipelined:
             return
-        request = self._waiting.popleft()
+        request = self._pipelined.popleft()
         responder = Responder(self, request.keep_alive)
         self._current = responder
         self.application.serve(request, responder)
@@ -247,7 +255,7 @@
             self._timer = None
 
     def _expire(self) -> None:
-        if self._reader.is_reading:
-            self._reader.refuse(HEAD_TIMEOUT)
+        if self._parser.is_reading:
+            self._parser.reject(HEAD_TIMEOUT)
         elif self._transport is not None:
             self._transport.close()
