--- a/redwingvalve/wire/__init__.py
+++ b/redwingvalve/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Thrift between our own processes."""
+"""Thrift RPC between the processes of one installation."""
--- a/redwingvalve/wire/call_errors.py
+++ b/redwingvalve/wire/call_errors.py
@@ -1,4 +1,4 @@
-"""Why a call to a peer failed."""
+"""Errors of calls to peers."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class CallErrorKind(enum.StrEnum):
-    """What the caller saw; REFUSED means that the host itself answers."""
+    """How a call failed; REFUSED means that the host is up but not the port."""
 
     REFUSED = 'refused'
     UNREACHABLE = 'unreachable'
--- a/redwingvalve/wire/framing.py
+++ b/redwingvalve/wire/framing.py
@@ -1,9 +1,9 @@
-"""One thrift message a frame, encoded and decoded whole by compiled code.
+"""Framed thrift messages, encoded and decoded by thriftpy2's compiled codec.
 
-thriftpy2's asyncio protocol awaits each field of a message in Python. At rest a
-member makes and answers six calls a second, and that reading was a third of
-their cost; a frame that is read first is decoded by the compiled codec in one
-go. The bytes on the wire are the same framed binary protocol.
+thriftpy2's asyncio protocol awaits each field of a message in Python. An idle
+member makes and answers six calls a second, and that decoding was a third of
+their cost. Here a frame is read completely and then decoded by the compiled
+codec in one call. The bytes on the wire are the same framed binary protocol.
 """
 
 import asyncio
@@ -20,16 +20,16 @@
 
 SERVICE = messages.peer.Peer
 LENGTH = struct.Struct('!i')
-# The largest messages are copies of request keys and configuration records;
-# a length above this is not one of ours and must not fill the memory.
+# The largest messages are copies of request keys and configuration records. A
+# larger length cannot come from a peer and must not exhaust the memory.
 MAX_FRAME_BYTES = 64_000_000
-BROKEN_CONNECTION = (
+CONNECTION_ERRORS = (
     OSError,
     EOFError,
     transport.TTransportException,
     protocol_exc.TProtocolException,
 )
-UNREADABLE = (
+DECODE_ERRORS = (
     cybin.ProtocolError,
     ValueError,
     TypeError,
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class Call:
-    """A call as a server reads it; method is '' when it is not known."""
+    """A decoded call; method is '' if the service has no such method."""
 
     name: str
     sequence: int
@@ -52,7 +52,7 @@
 async def read_frame(
     reader: asyncio.StreamReader, counted: traffic.Traffic
 ) -> bytes:
-    """Read one frame; one of BROKEN_CONNECTION when there is none."""
+    """Read one frame; raises one of CONNECTION_ERRORS on failure."""
     header = await reader.readexactly(LENGTH.size)
     length = LENGTH.unpack(header)[0]
     if not 0 <= length <= MAX_FRAME_BYTES:
@@ -68,14 +68,14 @@
 async def write_frame(
     writer: asyncio.StreamWriter, frame: bytes, counted: traffic.Traffic
 ) -> None:
-    """Write one frame and wait while the peer does not read."""
+    """Write one frame and wait until the write buffer has drained."""
     counted.sent_bytes += LENGTH.size + len(frame)
     writer.write(LENGTH.pack(len(frame)) + frame)
     await writer.drain()
 
 
 def encode_call(method: str, argument: typing.Any) -> bytes:
-    """Return the frame of a call with one argument."""
+    """Return the encoded call with one argument."""
     arguments = getattr(SERVICE, f'{method}_args')()
     for _, name, *_ in arguments.thrift_spec.values():
         setattr(arguments, name, argument)
@@ -83,13 +83,13 @@
 
 
 def decode_call(frame: bytes) -> Call:
-    """Return the call of a frame."""
+    """Decode the call in a frame."""
     protocol = _FACTORY.get_protocol(transport.TMemoryBuffer(frame))
-    name, _, sequence = _sound(protocol.read_message_begin)
+    name, _, sequence = _decode(protocol.read_message_begin)
     if name not in SERVICE.thrift_services:
         return Call(name, sequence)
     arguments = getattr(SERVICE, f'{name}_args')()
-    _sound(arguments.read, protocol)
+    _decode(arguments.read, protocol)
     return Call(
         name,
         sequence,
@@ -101,29 +101,31 @@
     )
 
 
-def encode_answer(call: Call, answer: typing.Any) -> bytes:
-    """Return the frame of an answer."""
+def encode_reply(call: Call, answer: typing.Any) -> bytes:
+    """Return the encoded reply to a call."""
     outcome = getattr(SERVICE, f'{call.method}_result')(success=answer)
     return _encode(call.name, thrift.TMessageType.REPLY, call.sequence, outcome)
 
 
-def encode_failure(call: Call, failure: thrift.TApplicationException) -> bytes:
-    """Return the frame that tells a caller of a failure."""
+def encode_exception(
+    call: Call, failure: thrift.TApplicationException
+) -> bytes:
+    """Return the encoded exception for a failed call."""
     return _encode(
         call.name, thrift.TMessageType.EXCEPTION, call.sequence, failure
     )
 
 
-def decode_answer(method: str, frame: bytes) -> typing.Any:
-    """Return the answer of a frame; TApplicationException if it has none."""
+def decode_reply(method: str, frame: bytes) -> typing.Any:
+    """Decode the reply in a frame; raises TApplicationException if none."""
     protocol = _FACTORY.get_protocol(transport.TMemoryBuffer(frame))
-    _, kind, _ = _sound(protocol.read_message_begin)
+    _, kind, _ = _decode(protocol.read_message_begin)
     if kind == thrift.TMessageType.EXCEPTION:
         failure = thrift.TApplicationException()
-        _sound(failure.read, protocol)
+        _decode(failure.read, protocol)
         raise failure
     outcome = getattr(SERVICE, f'{method}_result')()
-    _sound(outcome.read, protocol)
+    _decode(outcome.read, protocol)
     if outcome.success is None:
         raise thrift.TApplicationException(
             thrift.TApplicationException.MISSING_RESULT
@@ -131,16 +133,16 @@
     return outcome.success
 
 
-def _sound(
+def _decode(
     read: collections_abc.Callable[..., typing.Any], *arguments: typing.Any
 ) -> typing.Any:
-    """Return what read returns; a broken connection if it is no message.
+    """Call a decoder and turn its errors into TProtocolException.
 
-    What other programs write to our port must end their connection only.
+    Bytes from other programs must end only the connection they came on.
     """
     try:
         return read(*arguments)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise protocol_exc.TProtocolException(
             protocol_exc.TProtocolException.INVALID_DATA, repr(error)
         ) from error
--- a/redwingvalve/wire/handlers.py
+++ b/redwingvalve/wire/handlers.py
@@ -1,8 +1,8 @@
-"""The one service of a process, put together from the slices' handlers.
+"""The Peer service of a process, composed of registered handlers.
 
-A slice that answers peers implements one of the abstract base classes here
-and registers it; a call for which nobody has registered is refused, which the
-caller sees as a call error of kind REMOTE.
+A package that serves peers implements one of the abstract base classes here
+and registers the implementation. A call without a registered handler fails,
+which the caller sees as a call error of kind REMOTE.
 """
 
 import abc
@@ -11,74 +11,74 @@
 from redwingvalve.wire import messages
 
 
-class HandlerMissingError(Exception):
-    """This process does not answer such calls."""
+class HandlerNotRegisteredError(Exception):
+    """No handler is registered for the called method."""
 
 
 class GossipHandler(abc.ABC):
-    """Answers exchanges and probes; implemented by the membership slice."""
+    """Serves gossip exchanges and probes; implemented by membership."""
 
     @abc.abstractmethod
     async def exchange(self, packed: bytes) -> bytes:
-        """Take a packed Exchange and return one."""
+        """Process a packed Exchange and return the reply, packed as well."""
 
     @abc.abstractmethod
     async def probe(self, request: messages.peer.ProbeRequest) -> bool:
-        """Try to reach a member on behalf of another."""
+        """Probe a member on behalf of another."""
 
 
 class ConfigurationHandler(abc.ABC):
-    """Answers for configuration; implemented by the configuration slice."""
+    """Serves configuration records; implemented by configuration."""
 
     @abc.abstractmethod
     async def fetch_records(
         self, request: messages.peer.RecordsRequest
     ) -> messages.peer.RecordsReply:
-        """Return the records that the asker lacks."""
+        """Return the records that the caller lacks."""
 
     @abc.abstractmethod
     async def find_missing(
         self, request: messages.peer.InForceRequest
     ) -> messages.peer.InForceReply:
-        """Name the entries of this region that lack a version."""
+        """Return the entries of this region that lack a version."""
 
 
 class KeyClaimHandler(abc.ABC):
-    """Answers claims of request keys; implemented by at_most_once."""
+    """Decides on claims of request keys; implemented by at_most_once."""
 
     @abc.abstractmethod
     async def claim_key(
         self, claim: messages.peer.KeyClaim
     ) -> messages.peer.KeyVerdict:
-        """Say whether the claimant may run the request."""
+        """Return whether the claimant may run the request."""
 
 
 class KeyRecordHandler(abc.ABC):
-    """Keeps claims of request keys; implemented by at_most_once."""
+    """Stores claims of request keys; implemented by at_most_once."""
 
     @abc.abstractmethod
     async def report_key(self, report: messages.peer.KeyReport) -> bool:
-        """Take the claimant's word on the end of its request."""
+        """Record the outcome that the claimant reports for its request."""
 
     @abc.abstractmethod
     async def copy_keys(
         self, request: messages.peer.KeyCopyRequest
     ) -> messages.peer.KeyCopy:
-        """Hand out all claims to an entry that has become a voter."""
+        """Return all claims, for an entry that has become a voter."""
 
 
 class PeerHandler:
-    """Dispatches the Peer service to the registered slices."""
+    """Dispatches calls of the Peer service to the registered handlers."""
 
     def __init__(self) -> None:
-        """Start with nothing registered."""
+        """Create a dispatcher without handlers."""
         self.gossip_handler: GossipHandler | None = None
         self.configuration_handler: ConfigurationHandler | None = None
         self.key_claim_handler: KeyClaimHandler | None = None
         self.key_record_handler: KeyRecordHandler | None = None
 
     async def exchange(self, packed: bytes) -> bytes:
-        """Exchange gossip."""
+        """Process a gossip exchange."""
         return await _registered(self.gossip_handler).exchange(packed)
 
     async def probe(self, request: messages.peer.ProbeRequest) -> bool:
@@ -88,14 +88,14 @@
     async def fetch_records(
         self, request: messages.peer.RecordsRequest
     ) -> messages.peer.RecordsReply:
-        """Hand out configuration."""
+        """Return configuration records."""
         handler = _registered(self.configuration_handler)
         return await handler.fetch_records(request)
 
     async def find_missing(
         self, request: messages.peer.InForceRequest
     ) -> messages.peer.InForceReply:
-        """Name entries without a version."""
+        """Return the entries that lack a version."""
         handler = _registered(self.configuration_handler)
         return await handler.find_missing(request)
 
@@ -106,13 +106,13 @@
         return await _registered(self.key_claim_handler).claim_key(claim)
 
     async def report_key(self, report: messages.peer.KeyReport) -> bool:
-        """Learn what became of a claimed request."""
+        """Record the outcome of a claimed request."""
         return await _registered(self.key_record_handler).report_key(report)
 
     async def copy_keys(
         self, request: messages.peer.KeyCopyRequest
     ) -> messages.peer.KeyCopy:
-        """Hand out claims of request keys."""
+        """Return the claims of request keys."""
         return await _registered(self.key_record_handler).copy_keys(request)
 
 
@@ -121,10 +121,12 @@
 
 def _registered(handler: HandlerType | None) -> HandlerType:
     if handler is None:
-        raise HandlerMissingError('this process does not answer such calls')
+        raise HandlerNotRegisteredError(
+            'no handler is registered for this call'
+        )
     return handler
 
 
 def make_peer_handler() -> PeerHandler:
-    """Return a handler with nothing registered."""
+    """Return a dispatcher without handlers."""
     return PeerHandler()
--- a/redwingvalve/wire/messages.py
+++ b/redwingvalve/wire/messages.py
@@ -1,4 +1,4 @@
-"""The thrift messages, loaded from peer.thrift without a generator."""
+"""The thrift messages, loaded from peer.thrift without generated code."""
 
 import pathlib
 
--- a/redwingvalve/wire/packing.py
+++ b/redwingvalve/wire/packing.py
@@ -1,10 +1,10 @@
 """Packs large messages with thriftpy2's compiled codec and zlib.
 
-The asyncio protocol of thriftpy2 awaits each field, which costs a
-millisecond for a message of some hundred fields; one compiled call over a
-whole buffer costs a few dozen microseconds. Large messages therefore travel
-as one binary field of a small call. Names that repeat from record to record
-make up most of a large message, so that it is compressed.
+thriftpy2's asyncio protocol awaits each field, which takes a millisecond for
+a message of some hundred fields; one compiled call over the whole buffer
+takes a few dozen microseconds. Large messages are therefore sent as one binary
+field of a small call. They are compressed, because names that repeat in every
+record make up most of them.
 """
 
 import typing
@@ -19,9 +19,10 @@
 StructType = typing.TypeVar('StructType')
 
 MAX_PLAIN_BYTES = 2_000_000
-# A message at rest is about this large; compressing it would save little.
+# An exchange in an idle fleet is about this large; compression would save
+# little.
 COMPRESSED_FROM_BYTES = 400
-# The fastest level: 40 microseconds for 3 KB, halved in size.
+# The fastest level: takes 40 microseconds for 3 KB and halves the size.
 COMPRESSION_LEVEL = 1
 _PLAIN = b'\0'
 _COMPRESSED = b'\1'
@@ -40,7 +41,7 @@
 
 
 def pack(message: typing.Any) -> bytes:
-    """Return the bytes of a thrift struct."""
+    """Serialize a thrift struct, compressing large ones."""
     plain = utils.serialize(message, _FACTORY)
     if len(plain) < COMPRESSED_FROM_BYTES:
         return _PLAIN + plain
@@ -48,20 +49,20 @@
 
 
 def unpack(empty: StructType, packed: bytes) -> Result[StructType, str]:
-    """Fill an empty struct from bytes, or say why that failed."""
+    """Deserialize bytes into an empty struct, or return the error."""
     try:
-        plain = _plain_of(packed)
+        plain = _decompress(packed)
         return Ok(utils.deserialize(empty, plain, _FACTORY))
     except _DECODE_ERRORS as error:
         return Error(f'not a message: {error}')
 
 
-def _plain_of(packed: bytes) -> bytes:
+def _decompress(packed: bytes) -> bytes:
     if packed[:1] == _PLAIN:
         return packed[1:]
-    # Bounded, so that a small message can't fill the memory.
+    # Limits the output, so that a decompression bomb can't exhaust the memory.
     inflater = zlib.decompressobj()
     plain = inflater.decompress(packed[1:], MAX_PLAIN_BYTES)
     if inflater.unconsumed_tail or not inflater.eof:
-        raise ValueError('more than a message may have')
+        raise ValueError(f'truncated or larger than {MAX_PLAIN_BYTES} bytes')
     return plain
--- a/redwingvalve/wire/rpc.py
+++ b/redwingvalve/wire/rpc.py
@@ -1,9 +1,9 @@
-"""Calls to peers: connections are reused and failures are typed results.
+"""Calls to peers over pooled connections, with failures as typed results.
 
 Load pattern: a node exchanges gossip a few times a second, mostly with peers
-of its region, and at times claims a request key under load. Without reuse
-each call pays a TCP and TLS handshake; without a bound on idle connections
-they would grow with the fleet.
+of its region, and claims request keys while it serves requests. Without reuse,
+each call would cost a TCP and TLS handshake; without a limit on idle
+connections, their number would grow with the fleet.
 """
 
 import asyncio
@@ -19,8 +19,8 @@
 from redwingvalve.core import clock
 from redwingvalve.wire import call_errors, framing, traffic
 
-# Peers of the same region meet every few seconds; a connection that has been
-# idle for longer is not worth its memory.
+# Two peers of a region exchange gossip every few seconds; a connection that has
+# been idle for longer than this is not worth its memory.
 MAX_IDLE_S = 30.0
 MAX_IDLE_PER_ADDRESS = 2
 MAX_IDLE_CONNECTIONS = 96
@@ -38,14 +38,14 @@
     idle_since_s: float = 0.0
 
     def usable(self, now_s: float) -> bool:
-        """Tell whether the connection may carry another call."""
+        """Return whether the connection may carry another call."""
         if self.writer.is_closing():
             return False
         return now_s - self.idle_since_s <= MAX_IDLE_S
 
 
 class PeerCaller:
-    """Calls the Peer service of any address."""
+    """Calls the Peer service at any address."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         counted: traffic.Traffic,
         local_host: str = '',
     ) -> None:
-        """Use tls for new connections unless it is None."""
+        """Create a caller; connections are unencrypted if tls is None."""
         self._local = (local_host, 0) if local_host else None
         self.traffic = counted
         self._clock = timers
@@ -64,7 +64,7 @@
         )
 
     def replace_tls(self, tls: ssl.SSLContext) -> None:
-        """Use another context for new connections and drop idle ones."""
+        """Use another context for new connections and close idle ones."""
         self._tls = tls
         self.close_idle()
 
@@ -75,7 +75,7 @@
         argument: typing.Any,
         timeout_s: float = DEFAULT_TIMEOUT_S,
     ) -> CallResult:
-        """Call a method; the error tells whether it may have arrived."""
+        """Call a method; the error states whether it may have arrived."""
         try:
             with anyio.fail_after(timeout_s):
                 return await self._call(address, method, argument)
@@ -111,23 +111,23 @@
                 )
         kept = False
         try:
-            answer = await self._ask(connection, method, argument)
+            answer = await self._exchange_frames(connection, method, argument)
             kept = True
             return Ok(answer)
         except thrift.TApplicationException as error:
             kept = True
             return failed(Kind.REMOTE, str(error.message))
-        except framing.BROKEN_CONNECTION as error:
+        except framing.CONNECTION_ERRORS as error:
             return failed(Kind.BROKEN, str(error))
         finally:
-            # A call that was cut short leaves its answer in the stream; the
-            # next caller would take it for its own.
+            # An interrupted call leaves its reply in the stream, where the
+            # next call on the connection would read it as its own.
             if kept:
                 self._keep(address, connection)
             else:
                 connection.writer.close()
 
-    async def _ask(
+    async def _exchange_frames(
         self, connection: _Connection, method: str, argument: typing.Any
     ) -> typing.Any:
         await framing.write_frame(
@@ -136,7 +136,7 @@
             self.traffic,
         )
         frame = await framing.read_frame(connection.reader, self.traffic)
-        return framing.decode_answer(method, frame)
+        return framing.decode_reply(method, frame)
 
     async def _connect(self, address: Address) -> _Connection:
         host, port = address
@@ -161,9 +161,9 @@
             return
         connection.idle_since_s = self._clock.monotonic_s()
         connections.append(connection)
-        self._bound_idle()
+        self._limit_idle()
 
-    def _bound_idle(self) -> None:
+    def _limit_idle(self) -> None:
         if len(self._idle) <= MAX_IDLE_CONNECTIONS:
             return
         now_s = self._clock.monotonic_s()
@@ -181,7 +181,7 @@
 def failed(
     kind: Kind, message: str, *, surely_not_received: bool = False
 ) -> CallResult:
-    """Return the result of a failed call."""
+    """Return the error result of a call."""
     return Error(call_errors.CallError(kind, message, surely_not_received))
 
 
--- a/redwingvalve/wire/server.py
+++ b/redwingvalve/wire/server.py
@@ -1,8 +1,8 @@
-"""The thrift server of a process, on the loop that already runs.
+"""The thrift server of a process, on the running event loop.
 
-thriftpy2 brings the codec. Its own server starts a loop, ends each connection
-after three seconds and lets a handler's failure close the connection; this one
-does not.
+Only the codec comes from thriftpy2. thriftpy2's own server starts an event
+loop, ends each connection after three seconds, and closes the connection when
+a handler fails.
 """
 
 import asyncio
@@ -26,26 +26,26 @@
         """Dispatch calls to handler."""
         self._traffic = counted
         self._handler = handler
-        self._busy: set[asyncio.Task[typing.Any]] = set()
+        self._active_calls: set[asyncio.Task[typing.Any]] = set()
         self._server: asyncio.Server | None = None
         self._connections: set[asyncio.Task[None]] = set()
         self._closing = False
 
     @property
     def port(self) -> int:
-        """Return the port that is listened on."""
+        """Return the port that the server listens on."""
         return self._server.sockets[0].getsockname()[1]
 
     async def start(
         self, host: str, port: int, tls: ssl.SSLContext | None = None
     ) -> None:
-        """Listen; OSError when the address is taken."""
+        """Start listening; raises OSError if the address is in use."""
         self._server = await asyncio.start_server(
             self._serve_connection, host, port, ssl=tls
         )
 
     async def replace_tls(self, tls: ssl.SSLContext) -> None:
-        """Use another context for new connections; old ones go on.
+        """Use another context for new connections; existing ones continue.
 
         The new server listens on a duplicate of the same socket, so that no
         connection is refused in between.
@@ -57,13 +57,13 @@
         replaced.close()
 
     async def aclose(self, grace_s: float = 1.0) -> None:
-        """Stop listening, let calls in progress end, then close."""
+        """Stop listening, wait for calls in progress, then close."""
         if self._server is None:
             return
         self._closing = True
         self._server.close()
-        if self._busy:
-            await asyncio.wait(set(self._busy), timeout=grace_s)
+        if self._active_calls:
+            await asyncio.wait(set(self._active_calls), timeout=grace_s)
         remaining = set(self._connections)
         for connection in remaining:
             connection.cancel()
@@ -72,10 +72,11 @@
     async def _serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        # A connection accepted just before the close comes here after aclose
-        # has listed what it must end. Served, a stopped member would go on
-        # answering its peers and be held for alive; nothing of it was read
-        # yet, so that closing it cuts no call off.
+        # A connection accepted just before the close gets here after aclose
+        # has collected the connections to cancel. If it were served, a stopped
+        # member would go on answering its peers, which would consider it
+        # alive. Nothing has been read from it yet, so closing it interrupts
+        # no call.
         if self._closing:
             writer.close()
             return
@@ -83,10 +84,10 @@
         self._connections.add(connection)
         try:
             await self._serve_calls(reader, writer)
-        except framing.BROKEN_CONNECTION:
-            LOG.debug('a peer closed its connection')
+        except framing.CONNECTION_ERRORS:
+            LOG.debug('connection closed by the peer or broken')
         except asyncio.CancelledError:
-            LOG.debug('a connection was closed by us')
+            LOG.debug('connection closed by the server')
         finally:
             self._connections.discard(connection)
             writer.close()
@@ -105,21 +106,21 @@
         self, call: framing.Call, writer: asyncio.StreamWriter
     ) -> None:
         current = asyncio.current_task()
-        self._busy.add(current)
+        self._active_calls.add(current)
         try:
             frame = await self._answer(call)
             await framing.write_frame(writer, frame, self._traffic)
         finally:
-            self._busy.discard(current)
+            self._active_calls.discard(current)
 
     async def _answer(self, call: framing.Call) -> bytes:
-        """Return a frame, also for a failure of the handler.
+        """Return the encoded reply, or an exception if the handler failed.
 
-        Were the connection closed instead, the caller could not tell a fault
-        in the handler from a dead process.
+        If the connection were closed instead, the caller could not tell an
+        error in the handler from a dead process.
         """
         if not call.method:
-            return framing.encode_failure(
+            return framing.encode_exception(
                 call,
                 thrift.TApplicationException(
                     thrift.TApplicationException.UNKNOWN_METHOD
@@ -127,17 +128,17 @@
             )
         try:
             answer = await getattr(self._handler, call.method)(*call.arguments)
-            return framing.encode_answer(call, answer)
-        except Exception as error:  # noqa: BLE001 - told to the caller
+            return framing.encode_reply(call, answer)
+        except Exception as error:  # noqa: BLE001 - returned to the caller
             LOG.warning(f'the call {call.name} failed: {error!r}')
             failure = thrift.TApplicationException(
                 thrift.TApplicationException.INTERNAL_ERROR, repr(error)
             )
-            return framing.encode_failure(call, failure)
+            return framing.encode_exception(call, failure)
 
 
 def make_peer_server(
     handler: handlers.PeerHandler, counted: traffic.Traffic | None = None
 ) -> PeerServer:
-    """Return a server that does not listen yet."""
+    """Return a server that is not listening yet."""
     return PeerServer(handler, counted or traffic.Traffic())
--- a/redwingvalve/wire/structs.py
+++ b/redwingvalve/wire/structs.py
@@ -1,7 +1,7 @@
-"""Thrift structs without their declaration file, and their bytes.
+"""Thrift structs defined in Python, and their serialization.
 
-Reading a .thrift file takes 0.05 s of processor time at each start, while
-callers wait.
+Parsing a .thrift file takes 0.05 s of CPU time at each start, while callers
+wait.
 """
 
 import typing
@@ -14,15 +14,15 @@
 
 
 class StructError(ValueError):
-    """Bytes that are no such struct."""
+    """Bytes that cannot be decoded as the expected struct."""
 
 
 def make_struct(
     name: str, *fields: tuple[typing.Any, ...] | None
 ) -> typing.Any:
-    """Return a struct with fields of type, name and, if nested, content.
+    """Return a struct class; a field is a type, a name and nested content.
 
-    Fields are numbered from 1; None stands for one that is no longer used.
+    Fields are numbered from 1; None reserves the number of a removed field.
     """
     members = {
         'thrift_spec': {
@@ -38,14 +38,14 @@
 
 
 def pack(struct: typing.Any) -> bytes:
-    """Return the bytes of a struct."""
+    """Serialize a struct."""
     return utils.serialize(struct, _FACTORY)
 
 
 def unpack(packed: bytes, kind: typing.Any) -> typing.Any:
-    """Return the struct of a kind in some bytes; raises StructError."""
+    """Deserialize bytes into a struct class; raises StructError."""
     try:
         return utils.deserialize(kind(), packed, _FACTORY)
     except Exception as error:
-        # The codec raises many kinds for bytes that are no struct.
+        # The codec raises many exception types for invalid bytes.
         raise StructError(str(error)) from error
--- a/redwingvalve/wire/tests/test_late_connections.py
+++ b/redwingvalve/wire/tests/test_late_connections.py
@@ -1,4 +1,4 @@
-"""A connection that arrives while its server closes."""
+"""Connections that arrive while the server is closing."""
 
 import asyncio
 import socket
@@ -8,13 +8,14 @@
 
 from redwingvalve.wire import framing, handlers, messages, server, traffic
 
-# Accepting takes a few turns of the loop; the close falls into each of them.
-TURNS = range(8)
-# asyncio itself drops a connection that it has accepted but not yet handed
-# over when the server closes, without ending it: it stays silent instead.
-# The pause is no bound: a slow machine can only make a served one look silent.
+# Accepting takes a few iterations of the event loop; the close happens in each
+# of them.
+LOOP_ITERATIONS = range(8)
+# When the server closes, asyncio drops a connection that it has accepted but
+# not yet passed on, without closing it, so that it stays silent. On a slow
+# machine a connection that is served may look silent; never the reverse.
 SILENCE_S = 1.0
-UNSERVED = (*framing.BROKEN_CONNECTION, TimeoutError)
+UNSERVED = (*framing.CONNECTION_ERRORS, TimeoutError)
 
 
 class _Claims(handlers.KeyClaimHandler):
@@ -28,13 +29,13 @@
         raise NotImplementedError
 
 
-@pytest.mark.parametrize('turns', TURNS)
-def test_a_connection_accepted_during_the_close_is_not_served(turns):
-    """A member is stopped just when a peer opens a connection to it.
+@pytest.mark.parametrize('turns', LOOP_ITERATIONS)
+def test_a_connection_accepted_during_the_close_is_not_served(iterations):
+    """A peer connects to a member that is just being stopped.
 
-    The connection is accepted, then the server closes. Were it served all the
-    same, the member would go on answering exchanges, and its peers would hold
-    a stopped member for alive as long as they keep the connection.
+    The connection is accepted, then the server closes. If it were served, the
+    stopped member would go on answering exchanges, and its peers would consider
+    it alive for as long as they keep the connection.
     """
 
     async def scenario():
@@ -43,10 +44,10 @@
         peer_server = server.make_peer_server(handler)
         await peer_server.start('127.0.0.1', 0)
         address = ('127.0.0.1', peer_server.port)
-        # A plain connect does not let the loop run: the server has accepted
-        # nothing when the turns begin.
+        # A blocking connect does not let the event loop run, so the server has
+        # accepted nothing before the first iteration.
         with socket.create_connection(address) as connected:
-            for _ in range(turns):
+            for _ in range(iterations):
                 await asyncio.sleep(0)
             await peer_server.aclose()
             with pytest.raises(UNSERVED):
@@ -64,4 +65,4 @@
             writer, framing.encode_call('claim_key', claim), counted
         )
         frame = await framing.read_frame(reader, counted)
-    return framing.decode_answer('claim_key', frame)
+    return framing.decode_reply('claim_key', frame)
--- a/redwingvalve/wire/tests/test_rpc.py
+++ b/redwingvalve/wire/tests/test_rpc.py
@@ -1,4 +1,4 @@
-"""Calls between processes over real sockets on the loopback."""
+"""Calls between processes over loopback sockets."""
 
 import asyncio
 
@@ -50,7 +50,7 @@
 
 
 def test_answers_reach_their_own_callers_and_faults_are_typed():
-    """A slow answer is given up on; the next call must not receive it."""
+    """A call times out; the next call must not receive its late reply."""
 
     async def scenario():
         handler, peer_server, caller = await _started()
@@ -79,7 +79,7 @@
 
 
 def test_a_closing_server_lets_the_call_in_progress_end():
-    """The caller of a call in progress receives its answer, then refusals."""
+    """The server closes during a call; the caller still receives the reply."""
 
     async def scenario():
         handler, peer_server, caller = await _started()
@@ -101,10 +101,10 @@
 
 
 def test_what_is_no_message_ends_its_own_connection_only():
-    """Something else connects to the port, or a message is cut or forged.
+    """Another protocol, a truncated or a forged message reaches the port.
 
-    Its connection ends; the length that it claims is not believed, and the
-    next caller is answered as before.
+    Only its connection is closed. The length in the frame header is not
+    trusted, and the next caller is answered as before.
     """
 
     async def scenario():
@@ -136,5 +136,5 @@
 def test_any_frame_is_read_or_refused(frame):
     try:
         assert framing.decode_call(frame) is not None
-    except framing.BROKEN_CONNECTION as refused:
+    except framing.CONNECTION_ERRORS as refused:
         assert refused is not None
--- a/redwingvalve/wire/traffic.py
+++ b/redwingvalve/wire/traffic.py
@@ -1,11 +1,11 @@
-"""Counts what goes over the connections between our processes."""
+"""Counts traffic on the connections between processes."""
 
 import attrs
 
 
 @attrs.define
 class Traffic:
-    """Bytes as sockets see them (under TLS before encryption), and calls."""
+    """Counters of calls and of bytes, including frame headers, before TLS."""
 
     sent_bytes: int = 0
     received_bytes: int = 0
