--- a/redwingvalve/standins/memory_store.py
+++ b/redwingvalve/standins/memory_store.py
@@ -1,8 +1,9 @@
-"""An object API in memory, with the faults of the real one.
+"""An in-memory object API with fault injection.
 
-The HTTP stand-in serves it, and tests of decisions use it directly. It keeps
-the rules of the published API: versions rise over the whole store, an update
-needs the current version, a watch goes on from a version it still remembers.
+object_api_app serves it over HTTP; unit tests use it directly. It follows the
+rules of the published API: versions increase across the whole store, an
+update requires the current version, and a watch resumes from any version that
+is still in the event history.
 """
 
 import collections
@@ -16,7 +17,7 @@
 from redwingvalve.platform_api import object_api
 
 MAX_VALUE_BYTES = 1_000_000
-REMEMBERED_EVENTS = 10_000
+EVENT_HISTORY_SIZE = 10_000
 
 Stored = object_api.StoredObject
 ObjectError = object_api.ObjectError
@@ -24,7 +25,10 @@
 
 @attrs.define
 class StoreFaults:
-    """Switches for the faults of the store; all off by default."""
+    """Faults of the store; all are off by default.
+
+    responses_to_drop counts writes that take effect without a response.
+    """
 
     outage: bool = False
     responses_to_drop: int = 0
@@ -33,7 +37,7 @@
 
 @attrs.define
 class CallCounts:
-    """Calls so far by kind; a waiting watch counts as one read."""
+    """Numbers of calls; opening a watch counts once."""
 
     reads: int = 0
     writes: int = 0
@@ -41,7 +45,7 @@
 
 
 class MemoryObjectApi(object_api.ObjectApi):
-    """Objects by kind and name; one version counter for the store."""
+    """Objects by kind and name, with one version counter for all."""
 
     def __init__(self) -> None:
         """Start empty at version 1."""
@@ -81,15 +85,15 @@
     async def create(
         self, kind: str, name: str, body: object_api.Body
     ) -> Result[Stored, ObjectError]:
-        """Create an object; Conflict when the name exists."""
+        """Create an object; Conflict if the name exists."""
         refused = await self._before_write(body)
         if refused is not None:
             return Error(refused)
         if name in self._objects[kind]:
-            return self._answer(
+            return self._return_or_drop(
                 Error(object_api.Conflict(kind, name, 'it exists'))
             )
-        return self._answer(Ok(self._put('ADDED', kind, name, body)))
+        return self._return_or_drop(Ok(self._put('ADDED', kind, name, body)))
 
     async def update(self, stored: Stored) -> Result[Stored, ObjectError]:
         """Replace an object if it still has stored.version."""
@@ -100,8 +104,8 @@
             stored.kind, stored.name, stored.version
         )
         if problem is not None:
-            return self._answer(Error(problem))
-        return self._answer(
+            return self._return_or_drop(Error(problem))
+        return self._return_or_drop(
             Ok(self._put('MODIFIED', stored.kind, stored.name, stored.body))
         )
 
@@ -114,18 +118,20 @@
             return Error(refused)
         problem = self._version_problem(kind, name, version)
         if problem is not None:
-            return self._answer(Error(problem))
-        gone = self._objects[kind].pop(name)
+            return self._return_or_drop(Error(problem))
+        deleted = self._objects[kind].pop(name)
         self._version += 1
-        self._record('DELETED', attrs.evolve(gone, version=str(self._version)))
-        return self._answer(Ok(None))
+        self._record(
+            'DELETED', attrs.evolve(deleted, version=str(self._version))
+        )
+        return self._return_or_drop(Ok(None))
 
     async def watch(
         self, kind: str, version: str
     ) -> collections_abc.AsyncIterator[
         Result[object_api.WatchEvent, ObjectError]
     ]:
-        """Yield changes after version until an error or an outage."""
+        """Yield changes after version until an error or an outage occurs."""
         self.calls.watches += 1
         seen = int(version)
         if seen < self._oldest_event - 1:
@@ -144,7 +150,7 @@
             await changed.wait()
 
     def list_now(self, kind: str) -> object_api.ObjectList:
-        """Return a list without delay, fault or count; for tests."""
+        """Return a list, bypassing delays, faults and counters; for tests."""
         named = self._objects[kind]
         return object_api.ObjectList(
             str(self._version),
@@ -152,7 +158,7 @@
         )
 
     def set_outage(self, *, outage: bool) -> None:
-        """Begin or end an outage; waiting watches end at once."""
+        """Start or end an outage; an outage ends open watches at once."""
         self.faults.outage = outage
         self._wake()
 
@@ -183,11 +189,11 @@
             )
         return None
 
-    def _answer(
-        self, answer: Result[object, ObjectError]
+    def _return_or_drop(
+        self, result: Result[object, ObjectError]
     ) -> Result[object, ObjectError]:
         if not self.faults.responses_to_drop:
-            return answer
+            return result
         self.faults.responses_to_drop -= 1
         return _unavailable(maybe_applied=True)
 
@@ -205,7 +211,7 @@
     def _record(self, event_type: str, stored: Stored) -> None:
         event = object_api.WatchEvent(event_type, _copy(stored))
         self._events.append((self._version, event))
-        while len(self._events) > REMEMBERED_EVENTS:
+        while len(self._events) > EVENT_HISTORY_SIZE:
             number, _ = self._events.popleft()
             self._oldest_event = number + 1
         self._wake()
