--- a/redwingvalve/bench/experiment_run.py
+++ b/redwingvalve/bench/experiment_run.py
@@ -224,7 +224,7 @@
     wanted = experiment.fleet.replicas
     down = [
         (at_s, max(0, wanted - heads), stranded)
-        for at_s, heads, stranded in measured.capacity_samples
+        for at_s, heads, stranded in measured.moments
     ]
     return results.RunResult(
         experiment=experiment.name,
--- a/redwingvalve/ingress/request_handler.py
+++ b/redwingvalve/ingress/request_handler.py
@@ -169,7 +169,7 @@
             self._state.targets.suspect(target.endpoint_id, str(error))
             return upstream.Outcome.NOT_RUN
         if self._responder.is_disconnected:
-            connections.keep(target.address, connection)
+            connections.release(target.address, connection)
             return upstream.Outcome.CALLER_GONE
         self._sent_count += 1
         upstream_request = self._make_upstream_request(admission)
