--- a/redwingvalve/process/__init__.py
+++ b/redwingvalve/process/__init__.py
@@ -1,1 +1,1 @@
-"""The daemons: each role composed from its slices, from settings alone."""
+"""Composes the daemon of each role from its settings."""
--- a/redwingvalve/process/control.py
+++ b/redwingvalve/process/control.py
@@ -35,7 +35,7 @@
 
 
 async def run_control(settings: schema.Settings, stop: anyio.Event) -> None:
-    """Run until stop is set, then give leases back and end."""
+    """Serve until stop is set, then release the leases and return."""
     tls = contexts.make_server_context(
         settings.administration_tls, mutual=False
     )
@@ -46,16 +46,16 @@
         anyio.create_task_group() as group,
     ):
         token_cache = tokens.TokenCache()
-        group.start_soon(_follow_tokens, dependencies, token_cache)
-        group.start_soon(key_votes.vote, dependencies)
+        group.start_soon(_refresh_tokens, dependencies, token_cache)
+        group.start_soon(key_votes.run_voter, dependencies)
         if tls.ok is not None:
             group.start_soon(tls.ok.follow, dependencies.clock)
-        async with anyio.create_task_group() as loops:
+        async with anyio.create_task_group() as loop_group:
             reader = drains.make_drain_reader(dependencies.objects)
             control_loop = make_loop(dependencies, reader)
-            loops.start_soon(control_loop.run)
-            loops.start_soon(waits.publish, control_loop, dependencies)
-            loops.start_soon(_run_duties, dependencies, reader)
+            loop_group.start_soon(control_loop.run)
+            loop_group.start_soon(waits.publish, control_loop, dependencies)
+            loop_group.start_soon(_run_duties, dependencies, reader)
             LOGGER.info('The controller is ready.')
             await server.serve_api(
                 _make_api(dependencies, token_cache),
@@ -64,9 +64,9 @@
                 stop.wait,
                 tls.ok,
             )
-            # Cancelling the loop gives its leases back, so that the next
-            # holder need not wait for them to lapse.
-            loops.cancel_scope.cancel()
+            # Cancelling the loop releases its leases, so that the next holder
+            # need not wait for them to expire.
+            loop_group.cancel_scope.cancel()
         group.cancel_scope.cancel()
     LOGGER.info('The controller has ended.')
 
@@ -75,10 +75,10 @@
     dependencies: process_dependencies.ProcessDependencies,
     reader: drains.DrainReader,
 ) -> loop.ControlLoop:
-    """Return the control loop of one process."""
-    me = dependencies.node.members.local_member()
-    owner = f'{me.name}/{me.incarnation}'
-    tools = controller.Dependencies(
+    """Return the control loop of this process, as owner of its leases."""
+    local_member = dependencies.node.members.local_member()
+    owner = f'{local_member.name}/{local_member.incarnation}'
+    controller_dependencies = controller.Dependencies(
         objects=dependencies.objects,
         orders=dependencies.orders,
         weights=dependencies.weights,
@@ -91,9 +91,12 @@
         rng=random.Random(owner),
         switches=dependencies.switches,
     )
-    listed = drains.make_drained_vm_list(dependencies.vms, reader)
+    drained_vm_list = drains.make_drained_vm_list(dependencies.vms, reader)
     return loop.make_control_loop(
-        owner, tools, listed, dependencies.node.members
+        owner,
+        controller_dependencies,
+        drained_vm_list,
+        dependencies.node.members,
     )
 
 
@@ -101,7 +104,7 @@
     dependencies: process_dependencies.ProcessDependencies,
     token_cache: tokens.TokenCache,
 ) -> app.Api:
-    doer = store_operations.make_store_operations(
+    operations = store_operations.make_store_operations(
         store_operations.Dependencies(
             store=dependencies.objects,
             vms=dependencies.vms,
@@ -110,15 +113,15 @@
             ),
             members=dependencies.node.members,
             clock=dependencies.clock,
-            in_force=lambda: _in_force(dependencies),
+            in_force=lambda: _collect_in_force(dependencies),
             waits=lambda: waits.read(dependencies.node.news),
         )
     )
-    trail = audit.AuditTrail(dependencies.objects, dependencies.clock)
-    return app.Api(doer, token_cache, trail, dependencies.clock)
+    audit_trail = audit.AuditTrail(dependencies.objects, dependencies.clock)
+    return app.Api(operations, token_cache, audit_trail, dependencies.clock)
 
 
-async def _in_force(
+async def _collect_in_force(
     dependencies: process_dependencies.ProcessDependencies,
 ) -> in_force.InForce:
     """Ask every region for each kind of configuration that changed."""
@@ -136,11 +139,13 @@
     dependencies: process_dependencies.ProcessDependencies,
     reader: drains.DrainReader,
 ) -> None:
-    """Run what a few controllers do for all, until cancelled."""
+    """Run the duties that a few controllers share, until cancelled."""
     async with anyio.create_task_group() as group:
         group.start_soon(reader.follow, dependencies.clock)
         group.start_soon(entry_drains.publish, dependencies, reader)
-        group.start_soon(leaving_vms.LeavingTeller(dependencies, reader).run)
+        group.start_soon(
+            leaving_vms.LeavingVmPublisher(dependencies, reader).run
+        )
         group.start_soon(_sweep, dependencies)
 
 
@@ -149,11 +154,11 @@
 ) -> None:
     sweeper = retention.Sweeper(dependencies.objects, dependencies.clock)
     await sweeper.run(
-        lambda: duty_assignment.is_mine(dependencies, 'sweep', holders=1)
+        lambda: duty_assignment.is_assigned(dependencies, 'sweep', holders=1)
     )
 
 
-async def _follow_tokens(
+async def _refresh_tokens(
     dependencies: process_dependencies.ProcessDependencies,
     token_cache: tokens.TokenCache,
 ) -> None:
--- a/redwingvalve/process/dependencies.py
+++ b/redwingvalve/process/dependencies.py
@@ -1,4 +1,4 @@
-"""What every daemon is built from, opened from its settings."""
+"""Opens the dependencies that daemons of every role share."""
 
 import contextlib
 from collections import abc as collections_abc
@@ -31,12 +31,12 @@
 
 
 class ProcessError(Exception):
-    """A daemon cannot start; the message is for the operator."""
+    """A daemon cannot start; its message is shown to the operator."""
 
 
 @attrs.frozen
 class ProcessDependencies:
-    """One process's share of everything."""
+    """Clients of the platform, peer node and telemetry of one process."""
 
     settings: schema.Settings
     clock: clock.Clock
@@ -54,9 +54,9 @@
 async def open_process(
     settings: schema.Settings, role: str
 ) -> collections_abc.AsyncIterator[ProcessDependencies]:
-    """Open what a role needs and close it at the end of the block.
+    """Open the dependencies of a role; close them at the end of the block.
 
-    ProcessError when an address is taken or a certificate is unusable.
+    Raises ProcessError if an address is in use or a certificate is unusable.
     """
     time_source = clock.make_system_clock()
     switches = invariants.SafeguardSwitches(
@@ -67,7 +67,7 @@
     objects = http_object_api.make_http_object_api(
         platform.object_api_url, platform.timeout_s
     )
-    tls_pair = _peer_tls(settings.peer_tls)
+    tls_pair = _make_peer_tls(settings.peer_tls)
     peer_node = await _start_node(
         settings, role, time_source, objects, switches, tls_pair
     )
@@ -94,7 +94,7 @@
     try:
         async with anyio.create_task_group() as group:
             group.start_soon(peer_node.run)
-            _follow_certificates(group, tls_pair, time_source)
+            _start_certificate_reload(group, tls_pair, time_source)
             yield dependencies
             group.cancel_scope.cancel()
     finally:
@@ -117,11 +117,11 @@
     switches: invariants.SafeguardSwitches,
     tls_pair: TlsPair,
 ) -> node.PeerNode:
-    me = node.make_member(settings, role, time_source.wall_s())
+    local_member = node.make_member(settings, role, time_source.wall_s())
     server_tls, client_tls = tls_pair
     try:
         return await node.start_peer_node(
-            me,
+            local_member,
             time_source,
             settings.peers.contacts,
             objects,
@@ -137,22 +137,23 @@
         )
     except OSError as error:
         raise ProcessError(
-            f'{me.host}:{me.peer_port} cannot be listened on: {error}'
+            f'cannot listen on {local_member.host}:{local_member.peer_port}: '
+            f'{error}'
         ) from error
 
 
-def _peer_tls(settings: schema.TlsSettings) -> TlsPair:
+def _make_peer_tls(settings: schema.TlsSettings) -> TlsPair:
     server = contexts.make_server_context(settings, mutual=True)
     client = contexts.make_client_context(settings)
-    for made in (server, client):
-        if made.is_error():
-            raise ProcessError(str(made.error))
+    for tls_context in (server, client):
+        if tls_context.is_error():
+            raise ProcessError(str(tls_context.error))
     return (server.ok, client.ok)
 
 
-def _follow_certificates(
+def _start_certificate_reload(
     group: anyio_abc.TaskGroup, tls_pair: TlsPair, time_source: clock.Clock
 ) -> None:
-    for followed in tls_pair:
-        if followed is not None:
-            group.start_soon(followed.follow, time_source)
+    for tls_context in tls_pair:
+        if tls_context is not None:
+            group.start_soon(tls_context.follow, time_source)
--- a/redwingvalve/process/duty_assignment.py
+++ b/redwingvalve/process/duty_assignment.py
@@ -1,24 +1,26 @@
-"""Duties that a few controllers have for all, without anybody deciding it."""
+"""Assigns duties to a few controllers by rendezvous hashing."""
 
 from redwingvalve.membership import rendezvous
 from redwingvalve.process import dependencies as process_dependencies
 
 CONTROL_ROLE = 'control'
-HOLDERS = 2
+DEFAULT_HOLDERS = 2
 
 
-def is_mine(
+def is_assigned(
     dependencies: process_dependencies.ProcessDependencies,
     duty: str,
-    holders: int = HOLDERS,
+    holders: int = DEFAULT_HOLDERS,
 ) -> bool:
-    """Tell whether this controller holds a duty.
+    """Return whether this controller holds a duty.
 
-    Members may be seen differently for a while, so that more or fewer than
-    holders may hold it; every duty must bear that.
+    While controllers' views of the members differ, more or fewer than holders
+    of them may hold it; every duty must tolerate that.
     """
     present = {
         member.name for member in dependencies.node.members.alive(CONTROL_ROLE)
     }
-    mine = dependencies.settings.node.name
-    return mine in rendezvous.select(sorted(present | {mine}), duty, holders)
+    own_name = dependencies.settings.node.name
+    return own_name in rendezvous.select(
+        sorted(present | {own_name}), duty, holders
+    )
--- a/redwingvalve/process/entry.py
+++ b/redwingvalve/process/entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon: the request path with its evidence."""
+"""The entry daemon: serves requests and probes for evidence."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 async def run_entry(settings: schema.Settings, stop: anyio.Event) -> None:
-    """Run until stop is set and all requests in progress have ended."""
+    """Serve until stop is set and all requests in progress have ended."""
     async with (
         process_dependencies.open_process(settings, ROLE) as dependencies,
         anyio.create_task_group() as group,
@@ -28,12 +28,12 @@
         )
         group.start_soon(_make_prober(dependencies, evidence).run)
         group.start_soon(leaving_vms.follow, dependencies, permits)
-        group.start_soon(key_votes.keep_registered, dependencies)
+        group.start_soon(key_votes.refresh_registration, dependencies)
         group.start_soon(
             entry_drains.follow, dependencies, dependencies.node.members.leave
         )
         await daemon.serve_entry(
-            _make_entry_parts(
+            _make_entry_dependencies(
                 dependencies, permits, await key_votes.make_claims(dependencies)
             ),
             settings,
@@ -57,7 +57,7 @@
     )
 
 
-def _make_entry_parts(
+def _make_entry_dependencies(
     dependencies: process_dependencies.ProcessDependencies,
     permits: serving_permits.EvidencePermits,
     key_claims: claims.KeyClaims,
--- a/redwingvalve/process/entry_drains.py
+++ b/redwingvalve/process/entry_drains.py
@@ -1,8 +1,8 @@
-"""Operators' drains of entries, told to the entries as news.
+"""Publishes operators' drains of entries to the entries as news.
 
-Load pattern: a few drains a day, and 360 entries that must hear of them. Were
-each entry to read the store for them, that alone would be a hundred reads a
-second; two controllers read, and news carries the names.
+Load pattern: a few drains a day, which 360 entries must learn of. If each entry
+read them from the store, that alone would be a hundred reads a second; two
+controllers read the store instead and publish the names as news.
 """
 
 from collections import abc as collections_abc
@@ -13,8 +13,8 @@
 from redwingvalve.process import dependencies as process_dependencies
 from redwingvalve.process import duty_assignment
 
-TELL_EVERY_S = 2.0
-LISTEN_EVERY_S = 0.5
+PUBLISH_INTERVAL_S = 2.0
+READ_INTERVAL_S = 0.5
 LOGGER = logs.make_logger('drains')
 CHANNEL = bus.Channel(
     name='entry-drains',
@@ -28,43 +28,45 @@
     dependencies: process_dependencies.ProcessDependencies,
     reader: drains.DrainReader,
 ) -> None:
-    """Tell, until cancelled, which entries operators want drained."""
-    told: set[str] = set()
+    """Publish, until cancelled, the entries that operators drain."""
+    published: set[str] = set()
     while True:
-        if duty_assignment.is_mine(dependencies, CHANNEL.name):
-            wanted = reader.entries
-            if wanted is not None:
-                told = _tell(dependencies.node.news, told, wanted)
-        await dependencies.clock.sleep(TELL_EVERY_S)
+        if duty_assignment.is_assigned(dependencies, CHANNEL.name):
+            drains_by_entry = reader.entries
+            if drains_by_entry is not None:
+                published = _publish_changes(
+                    dependencies.node.news, published, drains_by_entry
+                )
+        await dependencies.clock.sleep(PUBLISH_INTERVAL_S)
 
 
 async def follow(
     dependencies: process_dependencies.ProcessDependencies,
     leave: collections_abc.Callable[[], None],
 ) -> None:
-    """Call leave once when this entry is to be drained.
+    """Wait until an operator drains this entry, then call leave once.
 
-    A member that has left does not come back under its incarnation, so that
-    late news cannot make it look alive; it takes work again after a restart.
+    A member that has left does not rejoin under the same incarnation, so that
+    delayed news cannot make it look alive; it takes work again after a restart.
     """
-    mine = dependencies.settings.node.name
-    while not _is_wanted(dependencies.node.news, mine):
-        await dependencies.clock.sleep(LISTEN_EVERY_S)
+    own_name = dependencies.settings.node.name
+    while not _is_drained(dependencies.node.news, own_name):
+        await dependencies.clock.sleep(READ_INTERVAL_S)
     LOGGER.info('An operator drains this entry.')
     leave()
 
 
-def _tell(
+def _publish_changes(
     news: bus.NewsBus,
-    told: set[str],
-    wanted: dict[str, str],
+    published: set[str],
+    drains_by_entry: dict[str, str],
 ) -> set[str]:
-    for gone in told - set(wanted):
-        news.publish(CHANNEL, gone, b'')
-    for name, by in wanted.items():
+    for undrained in published - set(drains_by_entry):
+        news.publish(CHANNEL, undrained, b'')
+    for name, by in drains_by_entry.items():
         news.publish(CHANNEL, name, by.encode())
-    return set(wanted)
+    return set(drains_by_entry)
 
 
-def _is_wanted(news: bus.NewsBus, name: str) -> bool:
-    return any(published.key == name for published in news.read(CHANNEL))
+def _is_drained(news: bus.NewsBus, name: str) -> bool:
+    return any(item.key == name for item in news.read(CHANNEL))
--- a/redwingvalve/process/key_votes.py
+++ b/redwingvalve/process/key_votes.py
@@ -1,4 +1,4 @@
-"""This process's vote on request keys, for entries and controllers."""
+"""Runs this process's voter on request keys, in entries and controllers."""
 
 import anyio
 
@@ -14,13 +14,13 @@
 async def make_claims(
     dependencies: process_dependencies.ProcessDependencies,
 ) -> claims.KeyClaims:
-    """Return the claims of request keys, answering the other voters too."""
-    myself = dependencies.node.members.local_member()
+    """Register a voter, serve its peers and return its claims of keys."""
+    local_member = dependencies.node.members.local_member()
     started = await voter_registration.register(
-        dependencies.objects, myself.name, dependencies.clock.wall_s()
+        dependencies.objects, local_member.name, dependencies.clock.wall_s()
     )
     own_voter = voter.make_voter(
-        myself,
+        local_member,
         dependencies.clock,
         dependencies.switches,
         first_start=started.first,
@@ -28,9 +28,9 @@
         alone=not dependencies.settings.peers.contacts,
         resend_s=dependencies.settings.requests.key_resend_s,
     )
-    answers = thrift_peers.VoterHandler(own_voter)
-    dependencies.node.handler.key_claim_handler = answers
-    dependencies.node.handler.key_record_handler = answers
+    handler = thrift_peers.VoterHandler(own_voter)
+    dependencies.node.handler.key_claim_handler = handler
+    dependencies.node.handler.key_record_handler = handler
     return claims.make_claims(
         own_voter,
         thrift_peers.make_thrift_key_peers(dependencies.node.caller),
@@ -39,10 +39,10 @@
     )
 
 
-async def keep_registered(
+async def refresh_registration(
     dependencies: process_dependencies.ProcessDependencies,
 ) -> None:
-    """Let voters that start know of this one, until cancelled."""
+    """Refresh the registration, by which new voters learn of this one."""
     await voter_registration.keep_refreshed(
         dependencies.objects,
         dependencies.settings.node.name,
@@ -50,9 +50,11 @@
     )
 
 
-async def vote(dependencies: process_dependencies.ProcessDependencies) -> None:
-    """Vote for ever, as a process does that makes no claims itself."""
+async def run_voter(
+    dependencies: process_dependencies.ProcessDependencies,
+) -> None:
+    """Vote until cancelled, in a process that makes no claims itself."""
     key_claims = await make_claims(dependencies)
     async with anyio.create_task_group() as group:
-        group.start_soon(keep_registered, dependencies)
+        group.start_soon(refresh_registration, dependencies)
         group.start_soon(key_claims.keep_synced)
--- a/redwingvalve/process/leaving_vms.py
+++ b/redwingvalve/process/leaving_vms.py
@@ -1,7 +1,7 @@
-"""Takes VMs that leave from the platform's list to the entries, past the store.
+"""Publishes leaving VMs of the platform's list to entries, without the store.
 
-Two controllers read the list every second and tell the names as news; see
-evidence.leaving for why the store's way is not enough.
+Two controllers read the list every second and publish the names as news;
+evidence.leaving says why the path through the store is not enough.
 """
 
 from redwingvalve.administration import drains
@@ -10,55 +10,57 @@
 from redwingvalve.process import dependencies as process_dependencies
 from redwingvalve.process import duty_assignment
 
-LOOK_EVERY_S = 0.25
+READ_INTERVAL_S = 0.25
 DUTY = 'leaving-vms'
 
 
-class LeavingTeller:
-    """One controller's part in telling which VMs leave."""
+class LeavingVmPublisher:
+    """Publishes which VMs leave while this controller holds the duty."""
 
     def __init__(
         self,
         dependencies: process_dependencies.ProcessDependencies,
         reader: drains.DrainReader,
     ) -> None:
-        """Know of none; drains come from reader, which nobody waits for.
+        """Publish the drained VMs of reader too, without waiting for it.
 
-        A silent store must not hold up the platform's list.
+        A store that does not answer must not delay the platform's list.
         """
-        self._parts = dependencies
+        self._dependencies = dependencies
         self._reader = reader
-        self._told: frozenset[str] = frozenset()
+        self._published: frozenset[str] = frozenset()
 
     async def run(self) -> None:
-        """Tell until cancelled."""
-        interval_s = self._parts.settings.platform.vm_list_interval_s
+        """Publish until cancelled."""
+        interval_s = self._dependencies.settings.platform.vm_list_interval_s
         while True:
-            if self._on_duty():
-                await self._tell()
-            await self._parts.clock.sleep(interval_s)
+            if self._is_assigned():
+                await self._publish()
+            await self._dependencies.clock.sleep(interval_s)
 
-    async def _tell(self) -> None:
-        listed = await self._parts.vms.read()
-        if listed.is_error():
-            # The last word holds until it is too old.
+    async def _publish(self) -> None:
+        listing = await self._dependencies.vms.read()
+        if listing.is_error():
+            # The last published item stays valid until its maximum age.
             return
         gone = {
-            vm.name for vm in listed.ok if vm.state == vm_list.VmState.LEAVING
+            vm.name for vm in listing.ok if vm.state == vm_list.VmState.LEAVING
         }
-        self._told = leaving.publish(
-            self._parts.node.news, gone | self._reader.vms, self._told
+        self._published = leaving.publish(
+            self._dependencies.node.news,
+            gone | self._reader.vms,
+            self._published,
         )
 
-    def _on_duty(self) -> bool:
-        return duty_assignment.is_mine(self._parts, DUTY)
+    def _is_assigned(self) -> bool:
+        return duty_assignment.is_assigned(self._dependencies, DUTY)
 
 
 async def follow(
     dependencies: process_dependencies.ProcessDependencies,
     permits: serving_permits.EvidencePermits,
 ) -> None:
-    """Keep an entry's permits up to date until cancelled."""
+    """Update an entry's permits from the news until cancelled."""
     while True:
         permits.replace_leaving(leaving.read(dependencies.node.news))
-        await dependencies.clock.sleep(LOOK_EVERY_S)
+        await dependencies.clock.sleep(READ_INTERVAL_S)
--- a/redwingvalve/process/tests/test_tls.py
+++ b/redwingvalve/process/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""Daemons that trust only certificates of one authority."""
+"""Daemons that trust only the certificates of one authority."""
 
 import ssl
 
@@ -30,37 +30,37 @@
         return await client.get(f'https://{address}/admin/v1/entries')
 
 
-async def until(question):
+async def wait_until(condition):
     with anyio.fail_after(30):
-        while not await question():
+        while not await condition():
             await anyio.sleep(0.05)
 
 
 def test_peers_and_operators_are_served_over_tls_and_across_a_renewal(
     tmp_path, monkeypatch
 ):
-    """An operator sees both processes; a stranger without certificate none.
+    """An operator sees both processes; a peer without certificate is refused.
 
-    The entry and the controller know each other over mutual TLS. Then the
-    certificates are replaced while both run; new connections use the new ones
-    and the API answers a client that trusts only the new authority.
+    The entry and the controller connect over mutual TLS. Then the certificates
+    are replaced while both run; new connections use the new ones and the API
+    answers a client that trusts only the new authority.
     """
     monkeypatch.setattr(contexts, 'RELOAD_INTERVAL_S', 0.1)
     certificates.write_certificate(tmp_path, 'first')
     tls = certificates.settings_in(tmp_path)
 
     async def scenario():
-        async with platform.run_platform({'d-1': 1}) as small:
-            fleet = walkthrough.make_fleet_settings(small)
+        async with platform.run_platform({'d-1': 1}) as fake_platform:
+            fleet = walkthrough.make_fleet_settings(fake_platform)
             node = with_tls(fleet.entries[0], tls)
             controller = with_tls(fleet.control, tls)
-            bearer = await operator.issue_first_token(small.store)
+            bearer = await operator.issue_first_token(fake_platform.store)
             stop = anyio.Event()
             async with anyio.create_task_group() as group:
                 group.start_soon(entry.run_entry, node, stop)
                 group.start_soon(control.run_control, controller, stop)
 
-                async def both_are_seen():
+                async def both_processes_are_listed():
                     try:
                         answer = await call_api(
                             controller, bearer, tls.authority_file
@@ -72,9 +72,11 @@
                     names = {row['name'] for row in answer.json()['entries']}
                     return names == {'entry-1', 'control-1'}
 
-                await until(both_are_seen)
-                stranger = rpc.make_peer_caller(clock.make_system_clock())
-                refused = await stranger.call(
+                await wait_until(both_processes_are_listed)
+                caller_without_certificate = rpc.make_peer_caller(
+                    clock.make_system_clock()
+                )
+                refused = await caller_without_certificate.call(
                     ('127.0.0.1', node.listen.peer_port),
                     'probe',
                     messages.peer.ProbeRequest(),
@@ -82,7 +84,7 @@
                 )
                 assert refused.is_error()
                 certificates.write_certificate(tmp_path, 'renewed-name')
-                await until(both_are_seen)
+                await wait_until(both_processes_are_listed)
                 stop.set()
 
     anyio.run(scenario)
@@ -90,9 +92,9 @@
 
 def test_a_daemon_with_unusable_certificates_does_not_start(tmp_path):
     async def scenario():
-        async with platform.run_platform({'d-1': 1}) as small:
+        async with platform.run_platform({'d-1': 1}) as fake_platform:
             settings = with_tls(
-                walkthrough.make_fleet_settings(small).control,
+                walkthrough.make_fleet_settings(fake_platform).control,
                 schema.TlsSettings('absent.pem', 'absent.pem', 'absent.pem'),
             )
             with pytest.raises(Exception, match='absent.pem'):
--- a/redwingvalve/process/waits.py
+++ b/redwingvalve/process/waits.py
@@ -1,8 +1,8 @@
-"""What each controller waits for, told to all as news.
+"""Publishes what each controller waits for as news.
 
-The controller that holds a domain's lease knows best why the domain does not
-move on, above all while the store is away and nothing can be written; an
-operator may ask any other controller.
+The controller that holds a domain's lease knows best why the domain makes no
+progress, above all while the store is unavailable and nothing can be written;
+an operator may ask any other controller.
 """
 
 import json
@@ -11,7 +11,7 @@
 from redwingvalve.news import bus
 from redwingvalve.process import dependencies as process_dependencies
 
-PUBLISH_EVERY_S = 2.0
+PUBLISH_INTERVAL_S = 2.0
 CHANNEL = bus.Channel(
     name='waits',
     scope=bus.Scope.EVERYWHERE,
@@ -24,27 +24,27 @@
     control_loop: loop.ControlLoop,
     dependencies: process_dependencies.ProcessDependencies,
 ) -> None:
-    """Tell, until cancelled, what this controller's domains wait for."""
-    told: set[str] = set()
+    """Publish, until cancelled, what this controller's domains wait for."""
+    published: set[str] = set()
     while True:
         waiting = {
             status.domain: status.waiting_for
             for status in control_loop.status()
             if status.waiting_for
         }
-        for domain in told - set(waiting):
+        for domain in published - set(waiting):
             dependencies.node.news.publish(CHANNEL, domain, b'')
         for domain, reasons in waiting.items():
             dependencies.node.news.publish(CHANNEL, domain, _encode(reasons))
-        told = set(waiting)
-        await dependencies.clock.sleep(PUBLISH_EVERY_S)
+        published = set(waiting)
+        await dependencies.clock.sleep(PUBLISH_INTERVAL_S)
 
 
 def read(news: bus.NewsBus) -> list[str]:
-    """Return a sentence for each domain that waits."""
+    """Return one line for each domain that waits, sorted."""
     return sorted(
-        f'{published.key} ({published.owner}): {_decode(published.body)}'
-        for published in news.read(CHANNEL)
+        f'{item.key} ({item.owner}): {_decode(item.body)}'
+        for item in news.read(CHANNEL)
     )
 
 
