--- a/tests/integration/node_world.py
+++ b/tests/integration/node_world.py
@@ -1,7 +1,8 @@
-"""Node processes on the loopback, with the platform's stand-ins around them.
+"""Node processes on the loopback interface with a fake platform.
 
-The store and the endpoints run in this process and keep what nodes do to
-them; each node is a process of its own and reaches the store through a proxy.
+The fake store and endpoints run in the test process and record what nodes do
+to them. Each node runs as a separate process and reaches the store through a
+fault proxy.
 """
 
 import asyncio
@@ -29,44 +30,47 @@
     20_003,
     20_004,
 )
-ENGINES = 9
-PLAIN = 3
+ENGINE_COUNT = 9
+PLAIN_COUNT = 3
 STOP_TIMEOUT_S = 8.0
-_SERVES = frozenset(('open', 'closing'))
+_SERVING_STATES = frozenset(('open', 'closing'))
 
 
 class WatchedEndpoint(fake_endpoint.FakeEndpoint):
-    """An endpoint that knows when an order breaks a promise."""
+    """A fake endpoint that records join orders that violate an invariant."""
 
-    def __init__(self, world, name, service, domain=''):
-        super().__init__(world.store, name, service, domain)
-        self.world = world
+    def __init__(self, cluster, name, service, domain=''):
+        super().__init__(cluster.store, name, service, domain)
+        self.cluster = cluster
         self.is_alive = True
 
     def serves(self, group):
-        """Return whether this head serves a group now."""
+        """Return whether this head currently serves the group."""
         is_same = self.group is not None and (
             (self.group['name'], self.group['epoch'])
             == (group['name'], group['epoch'])
         )
-        return self.is_alive and is_same and self.group['state'] in _SERVES
+        return (
+            self.is_alive and is_same and self.group['state'] in _SERVING_STATES
+        )
 
     def crash(self):
         self.is_alive = False
-        head = self.world.head_of(self)
+        head = self.cluster.replica_head(self)
         super().crash()
         if head is not None and head is not self:
-            # It goes on accepting requests, and nothing moves.
+            # The head still accepts requests, but makes no progress without
+            # the member.
             head.faults.is_stalled = True
 
     def _join(self, order):
         old = self.group
-        head = self.world.head_of(self)
+        head = self.cluster.replica_head(self)
         key = (order['group'], order['epoch'])
         is_other = old is not None and (old['name'], old['epoch']) != key
         is_taken = is_other and order['epoch'] >= self._epoch
         if is_taken and head is not None and head.serves(old):
-            self.world.breaches.append(
+            self.cluster.breaches.append(
                 f'{self.endpoint_id} joined {key} while {old} was served'
             )
         status = super()._join(order)
@@ -77,17 +81,17 @@
 
 @attrs.define(eq=False)
 class NodeProcess:
-    """One node: its settings file, its log and its process."""
+    """A node process with its settings file and log."""
 
     number: int
     ip: str
     proxy: fault_proxy.FaultProxy
-    folder: pathlib.Path
+    directory: pathlib.Path
     process: subprocess.Popen | None = None
     is_paused: bool = False
 
     def write_settings(self):
-        document = {
+        settings = {
             'node': f'node-{self.number}',
             'ip': self.ip,
             'zone': 'zone-1',
@@ -102,11 +106,11 @@
             'bounds': fleet_harness.BOUNDS,
             'platform': {'address': self.proxy.address},
         }
-        self.settings_path.write_text(json.dumps(document))
+        self.settings_path.write_text(json.dumps(settings))
 
     @property
     def settings_path(self):
-        return self.folder / f'node-{self.number}.json'
+        return self.directory / f'node-{self.number}.json'
 
     @property
     def is_running(self):
@@ -117,7 +121,7 @@
             **os.environ,
             'REDWINGVALVE_BOOT': str(self.settings_path),
         }
-        with (self.folder / f'node-{self.number}.log').open('ab') as log:
+        with (self.directory / f'node-{self.number}.log').open('ab') as log:
             self.process = subprocess.Popen(
                 [sys.executable, '-m', 'redwingvalve.node'],
                 stdout=log,
@@ -127,18 +131,18 @@
                 env=environment,
             )
 
-    def send(self, number):
+    def send_signal(self, number):
         if self.is_running:
             os.kill(self.process.pid, number)
 
     def kill(self):
-        self.send(signal.SIGCONT)
-        self.send(signal.SIGKILL)
+        self.send_signal(signal.SIGCONT)
+        self.send_signal(signal.SIGKILL)
         if self.process is not None:
             self.process.wait()
 
-    async def end(self):
-        """Wait for a process that was told to stop."""
+    async def wait_stopped(self):
+        """Wait until a terminating process exits; kill it on timeout."""
         with anyio.move_on_after(STOP_TIMEOUT_S):
             while self.is_running:
                 await anyio.sleep(0.02)
@@ -146,60 +150,60 @@
         self.kill()
 
 
-class World:
-    """Store, endpoints and nodes of one run."""
+class NodeCluster:
+    """The store, endpoints and nodes of one run."""
 
-    def __init__(self, seed, nodes, folder):
-        self.chance = random.Random(seed)
+    def __init__(self, seed, nodes, directory):
+        self.rng = random.Random(seed)
         self.store = fake_store.FakeStore()
         self.endpoints = {}
         self.nodes = []
         self.breaches = []
-        self._count = nodes
-        self._folder = pathlib.Path(folder)
-        self._numbers = 0
-        # Each run has addresses of its own on the loopback.
-        chance = random.SystemRandom()
-        self._net = f'127.{chance.randint(1, 254)}.{chance.randint(0, 254)}'
+        self._node_count = nodes
+        self._directory = pathlib.Path(directory)
+        self._endpoint_count = 0
+        # Each run uses its own loopback subnet, so that runs do not collide.
+        rng = random.SystemRandom()
+        self._subnet = f'127.{rng.randint(1, 254)}.{rng.randint(0, 254)}'
 
     async def start(self, group):
         listening = await _listen(self.store)
         self.store.put('config', 'main', fleet_harness.configuration())
-        for _ in range(ENGINES):
-            await self.add(fleet_harness.ENGINE_SERVICE, 'domain-1')
-        for _ in range(PLAIN):
-            await self.add(fleet_harness.PLAIN_SERVICE)
-        for number in range(self._count):
+        for _ in range(ENGINE_COUNT):
+            await self.add_endpoint(fleet_harness.ENGINE_SERVICE, 'domain-1')
+        for _ in range(PLAIN_COUNT):
+            await self.add_endpoint(fleet_harness.PLAIN_SERVICE)
+        for number in range(self._node_count):
             proxy = fault_proxy.FaultProxy(listening, group)
             await proxy.start()
             node = NodeProcess(
-                number, f'{self._net}.{number + 1}', proxy, self._folder
+                number, f'{self._subnet}.{number + 1}', proxy, self._directory
             )
             node.write_settings()
             node.start()
             self.nodes.append(node)
 
-    async def add(self, service, domain=''):
-        self._numbers += 1
-        name = f'e{self._numbers}'
+    async def add_endpoint(self, service, domain=''):
+        self._endpoint_count += 1
+        name = f'e{self._endpoint_count}'
         endpoint = WatchedEndpoint(self, name, service, domain)
         self.endpoints[name] = endpoint
         await endpoint.start()
         return endpoint
 
-    def living(self, service):
+    def ready_endpoints(self, service):
         return [
             one
             for one in self.endpoints.values()
             if one.is_alive and one.state == 'ready' and one._service == service
         ]
 
-    def head_of(self, member):
+    def replica_head(self, member):
         if member.group is None or not member.members:
             return None
         return self.endpoints.get(member.members[0])
 
-    def runs_of(self, attempt):
+    def count_runs(self, attempt):
         return sum(
             1
             for endpoint in self.endpoints.values()
