--- a/conftest.py
+++ b/conftest.py
@@ -1,4 +1,4 @@
-"""Settings that every test shares."""
+"""Shared pytest and Hypothesis configuration."""
 
 import os
 import pathlib
@@ -6,13 +6,13 @@
 import hypothesis
 import pytest
 
-# Tests that fail for faults that are known and open: the test's id, the
-# command and seed, what was seen and the issue, parted by bars. They run and
-# are printed; the verdict passes over just these.
+# Known failures, one per line: test id, command and seed, observed failure and
+# issue, separated by " | ". These tests run and are printed, but their failure
+# does not fail the test run.
 KNOWN_RED = pathlib.Path(__file__).with_name('KNOWN-RED.txt')
 
-# CI gives the same verdict each time: examples are derived from the test,
-# not from a random seed, and a slow machine fails nothing.
+# Results in CI are deterministic: examples are derived from the test instead
+# of a random seed, and no test fails because the machine is slow.
 hypothesis.settings.register_profile(
     'ci',
     derandomize=True,
@@ -33,7 +33,7 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Let known failures fail without a verdict."""
+    """Mark known failures as expected failures (non-strict xfail)."""
     entries = known_red()
     for item in items:
         if item.nodeid in entries:
@@ -42,6 +42,6 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Print each known failure, also where it passed this time."""
+    """Print each known failure, even if it passed in this run."""
     for test_id, rest in known_red().items():
         terminalreporter.write_line(f'KNOWN RED {test_id}: {rest}')
--- a/tests/integration/fault_proxy.py
+++ b/tests/integration/fault_proxy.py
@@ -1,8 +1,7 @@
-"""A TCP proxy that does to connections what networks do to them.
+"""A TCP proxy that injects network faults into connections.
 
-Only for tests. One proxy stands before one address; its faults are switched
-by attributes, or by a schedule derived from a seed, so that a run can be
-repeated.
+Only for tests. Each proxy forwards to one address. Faults are set through
+attributes or by a schedule derived from a seed, so that runs are reproducible.
 """
 
 import contextlib
@@ -15,10 +14,10 @@
 from anyio import abc as anyio_abc
 
 CHUNK_BYTES = 65_536
-QUIET_S = 0.05
-PARTNER_TIMEOUT_S = 1.0
-LINGER_0_S = struct.pack('ii', 1, 0)
-BROKEN = (
+POLL_INTERVAL_S = 0.05
+SWAP_TIMEOUT_S = 1.0
+LINGER_ZERO = struct.pack('ii', 1, 0)
+CONNECTION_ERRORS = (
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
     anyio.EndOfStream,
@@ -28,26 +27,27 @@
 
 @attrs.define
 class LinkFaults:
-    """What happens to bytes now; all off by default.
+    """Active faults of a proxy; all off by default.
 
-    refuse resets new connections; black_hole accepts and answers nothing;
-    cut_requests and cut_answers lose one way; stall holds both ways back;
-    truncate_after_bytes ends each answer cleanly after so many bytes;
-    cross_answers counts the pairs of answers still to be exchanged.
+    refuse closes new connections; black_hole accepts connections but forwards
+    nothing; cut_requests and cut_responses drop the bytes of one direction;
+    stall holds back both directions; truncate_after_bytes closes the
+    connection cleanly after that many response bytes; swap_responses is the
+    number of response pairs still to be swapped between connections.
     """
 
     refuse: bool = False
     black_hole: bool = False
     delay_s: float = 0.0
     cut_requests: bool = False
-    cut_answers: bool = False
+    cut_responses: bool = False
     stall: bool = False
     truncate_after_bytes: int = 0
-    cross_answers: int = 0
+    swap_responses: int = 0
 
 
 class FaultProxy:
-    """Forwards connections to one address through its faults."""
+    """Forwards connections to one address and applies faults to them."""
 
     def __init__(self, target: str, group: anyio_abc.TaskGroup) -> None:
         """Forward to target (host:port); connections run in group."""
@@ -56,42 +56,42 @@
         self._group = group
         self._listener: anyio_abc.Listener | None = None
         self._streams: set[anyio_abc.SocketStream] = set()
-        self._held: tuple[list, anyio.Event] | None = None
-        # Addresses whose bytes are held back, both ways, until healed.
+        self._pending_swap: tuple[list, anyio.Event] | None = None
+        # Client addresses whose traffic is held back in both directions.
         self.cut_from: set[str] = set()
         self.faults = LinkFaults()
         self.address = ''
         self.connections = 0
 
     async def start(self, host: str = '127.0.0.1', port: int = 0) -> None:
-        """Listen on the loopback, on a free port if none is given."""
+        """Listen on host, on a free port if none is given."""
         self._listener = await anyio.create_tcp_listener(
             local_host=host, local_port=port
         )
         port = self._listener.extra(anyio_abc.SocketAttribute.local_port)
         self.address = f'{host}:{port}'
-        self._group.start_soon(self._listener.serve, self._connected)
+        self._group.start_soon(self._listener.serve, self._handle_connection)
 
     def heal(self) -> None:
-        """End every fault; bytes that were held back flow again."""
+        """Clear all faults; bytes that were held back are forwarded."""
         self.faults = LinkFaults()
 
     async def reset_all(self) -> None:
-        """Break every open connection."""
+        """Reset every open connection."""
         for stream in tuple(self._streams):
-            with contextlib.suppress(*BROKEN):
+            with contextlib.suppress(*CONNECTION_ERRORS):
                 raw = stream.extra(anyio_abc.SocketAttribute.raw_socket)
-                # Closing with a linger of 0 s sends RST instead of FIN.
-                raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_0_S)
+                # Closing with SO_LINGER set to 0 s sends RST instead of FIN.
+                raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
                 await stream.aclose()
 
-    async def _connected(self, client: anyio_abc.SocketStream) -> None:
+    async def _handle_connection(self, client: anyio_abc.SocketStream) -> None:
         self.connections += 1
         self._streams.add(client)
         try:
             async with client:
                 await self._forward(client)
-        except BROKEN:
+        except CONNECTION_ERRORS:
             return
         finally:
             self._streams.discard(client)
@@ -101,72 +101,72 @@
             return
         source = client.extra(anyio_abc.SocketAttribute.remote_address)[0]
         while self.faults.black_hole or source in self.cut_from:
-            await anyio.sleep(QUIET_S)
+            await anyio.sleep(POLL_INTERVAL_S)
         async with (
             await anyio.connect_tcp(*self._target) as server,
             anyio.create_task_group() as group,
         ):
-            group.start_soon(self._requests, client, server, source)
-            with contextlib.suppress(*BROKEN):
-                await self._answers(server, client, source)
+            group.start_soon(self._forward_requests, client, server, source)
+            with contextlib.suppress(*CONNECTION_ERRORS):
+                await self._forward_responses(server, client, source)
             group.cancel_scope.cancel()
 
-    async def _requests(self, client, server, source) -> None:
-        with contextlib.suppress(*BROKEN):
+    async def _forward_requests(self, client, server, source) -> None:
+        with contextlib.suppress(*CONNECTION_ERRORS):
             while True:
-                part = await client.receive(CHUNK_BYTES)
+                chunk = await client.receive(CHUNK_BYTES)
                 await self._hold_back(source)
                 if not self.faults.cut_requests:
-                    await server.send(part)
-        with contextlib.suppress(*BROKEN):
+                    await server.send(chunk)
+        with contextlib.suppress(*CONNECTION_ERRORS):
             await server.aclose()
 
-    async def _answers(self, server, client, source) -> None:
-        told_bytes = 0
+    async def _forward_responses(self, server, client, source) -> None:
+        sent_bytes = 0
         while True:
-            part = await server.receive(CHUNK_BYTES)
+            chunk = await server.receive(CHUNK_BYTES)
             await self._hold_back(source)
-            if self.faults.cut_answers:
+            if self.faults.cut_responses:
                 continue
-            # Pairs that meet at once may count below 0.
-            if self.faults.cross_answers > 0:
-                part = await self._cross(server, part)
+            # Concurrent swaps may decrement the counter below 0.
+            if self.faults.swap_responses > 0:
+                chunk = await self._swap_response(server, chunk)
             limit = self.faults.truncate_after_bytes
-            if limit and told_bytes + len(part) > limit:
-                await client.send(part[: max(0, limit - told_bytes)])
+            if limit and sent_bytes + len(chunk) > limit:
+                await client.send(chunk[: max(0, limit - sent_bytes)])
                 return
-            told_bytes += len(part)
-            await client.send(part)
+            sent_bytes += len(chunk)
+            await client.send(chunk)
 
     async def _hold_back(self, source: str) -> None:
         if self.faults.delay_s:
             await anyio.sleep(self.faults.delay_s)
         while self.faults.stall or source in self.cut_from:
-            await anyio.sleep(QUIET_S)
+            await anyio.sleep(POLL_INTERVAL_S)
 
-    async def _cross(self, server, part: bytes) -> bytes:
-        """Exchange this whole answer for that of another connection."""
-        whole = part
-        with contextlib.suppress(*BROKEN):
+    async def _swap_response(self, server, chunk: bytes) -> bytes:
+        """Swap this complete response with that of another connection."""
+        whole = chunk
+        with contextlib.suppress(*CONNECTION_ERRORS):
             while True:
-                with anyio.move_on_after(QUIET_S) as quiet:
+                with anyio.move_on_after(POLL_INTERVAL_S) as quiet:
                     whole += await server.receive(CHUNK_BYTES)
                 if quiet.cancelled_caught:
                     break
-        if self._held is None:
+        if self._pending_swap is None:
             mailbox, arrived = [whole], anyio.Event()
-            self._held = (mailbox, arrived)
-            with anyio.move_on_after(PARTNER_TIMEOUT_S):
+            self._pending_swap = (mailbox, arrived)
+            with anyio.move_on_after(SWAP_TIMEOUT_S):
                 await arrived.wait()
             if not arrived.is_set():
-                self._held = None
+                self._pending_swap = None
             return mailbox[0]
-        mailbox, arrived = self._held
-        self._held = None
-        self.faults.cross_answers -= 1
-        other, mailbox[0] = mailbox[0], whole
+        mailbox, arrived = self._pending_swap
+        self._pending_swap = None
+        self.faults.swap_responses -= 1
+        other_response, mailbox[0] = mailbox[0], whole
         arrived.set()
-        return other
+        return other_response
 
 
 @attrs.frozen
@@ -179,7 +179,7 @@
     name: str
 
     def apply(self, faults: LinkFaults) -> None:
-        """Switch the fault on."""
+        """Activate the fault."""
         if self.name == 'delay':
             faults.delay_s = 0.2
         elif self.name != 'reset':
@@ -191,29 +191,29 @@
     'black_hole',
     'delay',
     'cut_requests',
-    'cut_answers',
+    'cut_responses',
     'stall',
     'reset',
 )
 
 
 def make_schedule(
-    seed: int, links: list[str], duration_s: float, every_s: float
+    seed: int, links: list[str], duration_s: float, mean_interval_s: float
 ) -> list[ScheduledFault]:
-    """Return the faults of a run, in the order of their time."""
-    chance = random.Random(seed)
+    """Return the faults of a run, ordered by start time."""
+    rng = random.Random(seed)
     schedule = []
     at_s = 0.0
     while True:
-        at_s += chance.expovariate(1 / every_s)
+        at_s += rng.expovariate(1 / mean_interval_s)
         if at_s > duration_s:
             return schedule
         schedule.append(
             ScheduledFault(
                 at_s,
-                chance.uniform(0.2, 3.0),
-                chance.choice(links),
-                chance.choice(LINK_FAULTS),
+                rng.uniform(0.2, 3.0),
+                rng.choice(links),
+                rng.choice(LINK_FAULTS),
             )
         )
 
@@ -221,10 +221,10 @@
 async def run_schedule(
     schedule: list[ScheduledFault], proxies: dict[str, FaultProxy]
 ) -> None:
-    """Apply each fault at its time, counted from now."""
+    """Apply each fault at its time, relative to now."""
     start_s = anyio.current_time()
 
-    async def one(fault: ScheduledFault) -> None:
+    async def apply_at_time(fault: ScheduledFault) -> None:
         await anyio.sleep_until(start_s + fault.at_s)
         proxy = proxies[fault.link]
         fault.apply(proxy.faults)
@@ -235,4 +235,4 @@
 
     async with anyio.create_task_group() as group:
         for fault in schedule:
-            group.start_soon(one, fault)
+            group.start_soon(apply_at_time, fault)
--- a/tests/integration/node_faults.py
+++ b/tests/integration/node_faults.py
@@ -85,7 +85,7 @@
 
     async def cut_node_from_store(self):
         proxy = self.rng.choice(self.cluster.nodes).proxy
-        name = self.rng.choice(('black_hole', 'cut_answers', 'stall'))
+        name = self.rng.choice(('black_hole', 'cut_responses', 'stall'))
         setattr(proxy.faults, name, True)
         await anyio.sleep(self.rng.uniform(0.5, 3))
         proxy.heal()
--- a/tests/integration/process_daemons.py
+++ b/tests/integration/process_daemons.py
@@ -1,7 +1,8 @@
-"""Daemons of a soak run as real processes: SIGKILL, SIGSTOP, SIGTERM.
+"""Runs the daemons of a soak run as child processes controlled by signals.
 
-Only for tests. The stand-ins stay in the process of the run, so that its
-checks read their ledgers directly.
+Only for tests. Daemons receive SIGKILL, SIGSTOP and SIGTERM. The stand-ins
+stay in the process of the soak run, so that its checks can read their ledgers
+directly.
 """
 
 import time
@@ -15,11 +16,11 @@
 
 END_TIMEOUT_S = 60.0
 LISTENING_TIMEOUT_S = 20.0
-BREACH_MARK = 'InvariantBreachError'
+BREACH_MARKER = 'InvariantBreachError'
 
 
 class ProcessDaemons(daemons.Daemons):
-    """Each daemon is a child process, ended and frozen by its id."""
+    """Runs each daemon as a child process, signalled by its process id."""
 
     can_pause = True
 
@@ -28,7 +29,7 @@
         children: processes.Processes,
         group: anyio_abc.TaskGroup | None = None,
     ) -> None:
-        """With a group, a proxy stands before each daemon's peer port."""
+        """Put a fault proxy before each peer port if a group is given."""
         super().__init__()
         self._children = children
         self._group = group
@@ -38,21 +39,22 @@
 
     async def start(self, daemon: daemons.Daemon) -> None:
         if self._group is not None and daemon.name not in self.proxies:
-            await self._lay_link(daemon, self._group)
-        plain = attrs.asdict(
+            await self._start_proxy(daemon, self._group)
+        content = attrs.asdict(
             daemon.settings,
             value_serializer=lambda _, __, value: (
                 list(value) if isinstance(value, tuple) else value
             ),
         )
-        file = self._children.write_yaml(daemon.name, plain)
+        file = self._children.write_yaml(daemon.name, content)
         self._children.start(daemon.name, 'redwingvalve', daemon.role, file)
 
     async def wait_listening(self, daemon: daemons.Daemon) -> None:
-        # A SIGTERM before the daemon has its handler just ends the process.
+        # SIGTERM kills the process if the daemon has not yet installed its
+        # handler.
         host, _, port = daemon.address.rpartition(':')
         with anyio.move_on_after(LISTENING_TIMEOUT_S):
-            while not await listens(host, int(port)):
+            while not await is_listening(host, int(port)):
                 await anyio.sleep(0.05)
 
     async def end_now(self, daemon: daemons.Daemon) -> None:
@@ -64,7 +66,9 @@
         child.stop()
         status = await child.wait(END_TIMEOUT_S)
         if status != 0:
-            self._note_breach(daemon, RuntimeError(f'it ended with {status}'))
+            self._note_breach(
+                daemon, RuntimeError(f'exited with status {status}')
+            )
 
     async def freeze(self, daemon: daemons.Daemon, duration_s: float) -> None:
         child = self._children.children[daemon.name]
@@ -79,7 +83,7 @@
         self._apply_cuts()
 
     async def heal_links(self, daemon: daemons.Daemon) -> None:
-        # Cuts of one daemon may overlap; the oldest ends first.
+        # Cuts of one daemon may overlap; remove the oldest.
         self._cuts.remove(
             next(cut for cut in self._cuts if cut[0] == daemon.name)
         )
@@ -97,7 +101,7 @@
             if (name, True) in self._cuts:
                 proxy.cut_from.update(hosts.values())
 
-    async def _lay_link(
+    async def _start_proxy(
         self, daemon: daemons.Daemon, group: anyio_abc.TaskGroup
     ) -> None:
         listen = daemon.settings.listen
@@ -111,9 +115,9 @@
         await super().end_all()
         for daemon in self.by_name.values():
             child = self._children.children[daemon.name]
-            if BREACH_MARK in child.text():
-                lines = child.text().splitlines()
-                marked = [line for line in lines if BREACH_MARK in line]
+            if BREACH_MARKER in child.read_log():
+                lines = child.read_log().splitlines()
+                marked = [line for line in lines if BREACH_MARKER in line]
                 self.breaches.append(
                     breaches.Breach(
                         breaches.Promise.INVARIANT,
@@ -124,8 +128,8 @@
                 )
 
 
-async def listens(host: str, port: int) -> bool:
-    """Tell whether a port accepts connections."""
+async def is_listening(host: str, port: int) -> bool:
+    """Return whether a port accepts connections."""
     try:
         stream = await anyio.connect_tcp(host, port)
     except OSError:
--- a/tests/integration/processes.py
+++ b/tests/integration/processes.py
@@ -1,7 +1,7 @@
-"""Real processes on the loopback: started, paused and killed by id.
+"""Child processes on the loopback interface: start, pause, resume, kill.
 
-Only for tests. A child is always one that this module started; nothing is
-ever ended by name.
+Only for tests. Signals are sent by process id, and only to processes that this
+module started; no process is ended by name.
 """
 
 import contextlib
@@ -24,12 +24,12 @@
 
 
 class Child:
-    """One child process; its output goes into a file of its own."""
+    """A child process that writes its output to its own log file."""
 
-    def __init__(self, name: str, arguments: list[str], folder: str) -> None:
+    def __init__(self, name: str, arguments: list[str], directory: str) -> None:
         """Start `python -m ...` with the arguments."""
         self.name = name
-        self.log = pathlib.Path(folder) / f'{name}.log'
+        self.log = pathlib.Path(directory) / f'{name}.log'
         with self.log.open('ab') as output:
             self._process = subprocess.Popen(
                 [sys.executable, '-m', *arguments],
@@ -40,94 +40,94 @@
             )
 
     @property
-    def running(self) -> bool:
-        """Tell whether the process has not ended."""
+    def is_running(self) -> bool:
+        """Return whether the process is running."""
         return self._process.poll() is None
 
     @property
     def exit_status(self) -> int | None:
-        """Return the exit status, None while it runs."""
+        """Return the exit status, or None while the process runs."""
         return self._process.poll()
 
     def pause(self) -> None:
-        """Stop it in its tracks (SIGSTOP)."""
+        """Suspend the process (SIGSTOP)."""
         os.kill(self._process.pid, signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it go on (SIGCONT)."""
+        """Resume the process (SIGCONT)."""
         os.kill(self._process.pid, signal.SIGCONT)
 
     def kill(self) -> None:
-        """Kill it without warning (SIGKILL)."""
-        if self.running:
+        """Kill the process (SIGKILL) and reap it."""
+        if self.is_running:
             self._process.kill()
         self._process.wait()
 
     def stop(self) -> None:
-        """Ask it to end gracefully (SIGTERM) without waiting."""
-        if self.running:
+        """Request graceful termination (SIGTERM) without waiting."""
+        if self.is_running:
             self._process.terminate()
 
     async def wait(self, timeout_s: float = END_TIMEOUT_S) -> int:
-        """Return the exit status once it has ended."""
+        """Wait for the process to exit and return its exit status."""
         with anyio.fail_after(timeout_s):
-            while self.running:
+            while self.is_running:
                 await anyio.sleep(0.02)
         return self._process.returncode
 
-    def text(self) -> str:
-        """Return everything it wrote."""
+    def read_log(self) -> str:
+        """Return the contents of the log."""
         return self.log.read_text(errors='replace')
 
 
 class Processes:
-    """All children of one test, in one folder."""
+    """The child processes of one test, with a common directory."""
 
-    def __init__(self, folder: str) -> None:
-        """Keep settings and logs in folder."""
-        self.folder = folder
+    def __init__(self, directory: str) -> None:
+        """Keep settings and logs in directory."""
+        self.directory = directory
         self.children: dict[str, Child] = {}
 
     def start(self, name: str, *arguments: str) -> Child:
-        """Start a child; a name that ended may be started again."""
-        child = Child(name, list(arguments), self.folder)
+        """Start a child; the name of an exited child may be reused."""
+        child = Child(name, list(arguments), self.directory)
         self.children[name] = child
         return child
 
     def write_yaml(self, name: str, content: object) -> str:
         """Write a YAML file and return its path."""
-        path = pathlib.Path(self.folder) / f'{name}.yaml'
+        path = pathlib.Path(self.directory) / f'{name}.yaml'
         path.write_text(yaml.safe_dump(content))
         return str(path)
 
     def kill_all(self) -> None:
-        """End every child that still runs."""
+        """Kill all children that are still running."""
         for child in self.children.values():
-            if child.running:
+            if child.is_running:
                 child.resume()
                 child.kill()
 
 
 @contextlib.contextmanager
 def make_processes() -> collections_abc.Iterator[Processes]:
-    """Give an empty set of children; all end with the block."""
-    with tempfile.TemporaryDirectory() as folder:
-        processes = Processes(folder)
+    """Yield an empty set of children; kill them when the block ends."""
+    with tempfile.TemporaryDirectory() as directory:
+        processes = Processes(directory)
         try:
             yield processes
         finally:
             processes.kill_all()
 
 
-async def wait_answering(
+async def wait_responding(
     client: httpx.AsyncClient, url: str, timeout_s: float = READY_TIMEOUT_S
 ) -> httpx.Response:
-    """Return the first answer below 500 from url."""
-    ends_at_s = time.monotonic() + timeout_s
-    while time.monotonic() < ends_at_s:
+    """Poll url and return the first response with a status below 500."""
+    deadline_s = time.monotonic() + timeout_s
+    while time.monotonic() < deadline_s:
         with contextlib.suppress(httpx.HTTPError):
-            answer = await client.get(url, timeout=2.0)
-            if answer.status_code < 500:
-                return answer
+            response = await client.get(url, timeout=2.0)
+            if response.status_code < 500:
+                return response
         await anyio.sleep(0.05)
-    raise TimeoutError(f'{url} does not answer')
+    raise TimeoutError(f'{url} did not respond')
--- a/tests/integration/promises.py
+++ b/tests/integration/promises.py
@@ -101,7 +101,7 @@
 async def cross_answers(stage: Stage) -> None:
     """Whole answers are exchanged between two connections."""
     for proxy in stage.proxies_of_services():
-        proxy.faults.cross_answers = 2
+        proxy.faults.swap_responses = 2
     await stage.ask(work.Kind.FETCH, 12)
 
 
--- a/tests/integration/prove_safeguards.py
+++ b/tests/integration/prove_safeguards.py
@@ -1,4 +1,4 @@
-"""Runs each attack with its safeguard and without, and prints the table.
+"""Runs each attack with and without its safeguard; prints a JSON line each.
 
 python -m tests.integration.prove_safeguards [ATTACK ...]
 """
--- a/tests/integration/soak_processes.py
+++ b/tests/integration/soak_processes.py
@@ -1,6 +1,6 @@
-"""A soak run over real processes: python -m tests.integration.soak_processes.
+"""Soak run with child processes: python -m tests.integration.soak_processes.
 
-Prints one JSON line of figures, and on a breach all that repeats it.
+Prints a JSON line of figures and, on a breach, what is needed to reproduce it.
 """
 
 import argparse
@@ -40,7 +40,7 @@
     )
     with processes.make_processes() as children:
         if arguments.keep_logs:
-            children.folder = arguments.keep_logs
+            children.directory = arguments.keep_logs
         outcome = anyio.run(
             functools.partial(
                 runner.run_soak,
--- a/tests/integration/test_fault_proxy.py
+++ b/tests/integration/test_fault_proxy.py
@@ -1,4 +1,4 @@
-"""The fault proxy itself does what its faults say."""
+"""Tests of the fault proxy and of child processes."""
 
 import anyio
 import httpx
@@ -29,14 +29,14 @@
 
 
 async def call(client, name):
-    answer = await client.post('/x', headers={'x-request-id': name})
-    return answer.headers['x-request-id']
+    response = await client.post('/x', headers={'x-request-id': name})
+    return response.headers['x-request-id']
 
 
-def test_lost_answers_and_lost_requests_differ_at_the_endpoint():
+def test_only_cut_responses_let_requests_reach_the_endpoint():
     async def scenario(proxy, client, service):
         assert await call(client, 'a') == 'a'
-        proxy.faults.cut_answers = True
+        proxy.faults.cut_responses = True
         with pytest.raises(httpx.ReadTimeout):
             await call(client, 'ran')
         proxy.heal()
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize('fault', ['refuse', 'black_hole', 'stall'])
-def test_a_fault_breaks_calls_until_it_is_healed(fault):
+def test_fault_fails_calls_until_healed(fault):
     async def scenario(proxy, client, service):
         setattr(proxy.faults, fault, True)
         with pytest.raises(httpx.TransportError):
@@ -84,9 +84,9 @@
     run_through_proxy(scenario)
 
 
-def test_whole_answers_are_exchanged_between_connections():
+def test_swaps_responses_between_connections():
     async def scenario(proxy, client, service):
-        proxy.faults.cross_answers = 1
+        proxy.faults.swap_responses = 1
         got = {}
 
         async def ask(name):
@@ -100,13 +100,13 @@
     run_through_proxy(scenario)
 
 
-def test_a_schedule_is_the_same_for_the_same_seed():
+def test_schedule_is_reproducible_from_its_seed():
     first = fault_proxy.make_schedule(7, ['a', 'b'], 60, 2)
     assert first == fault_proxy.make_schedule(7, ['a', 'b'], 60, 2)
     assert first != fault_proxy.make_schedule(8, ['a', 'b'], 60, 2)
 
 
-def test_a_child_is_paused_resumed_and_killed_by_id():
+def test_child_is_paused_resumed_and_killed():
     async def scenario():
         with processes.make_processes() as children:
             port = ports.free_ports(1)[0]
@@ -119,7 +119,7 @@
             )
             url = f'http://127.0.0.1:{port}/ledger'
             async with httpx.AsyncClient() as client:
-                await processes.wait_answering(client, url)
+                await processes.wait_responding(client, url)
                 child.pause()
                 with pytest.raises(httpx.TimeoutException):
                     await client.get(url, timeout=0.3)
--- a/tests/integration/test_frozen_controller.py
+++ b/tests/integration/test_frozen_controller.py
@@ -50,7 +50,7 @@
             vm_list.make_vm_row(name, proxy.address, 'nave-a', 'd-0', 'mvd')
             for name, proxy in self.proxies.items()
         ]
-        vms_file = f'{self.children.folder}/vms.json'
+        vms_file = f'{self.children.directory}/vms.json'
         async with await anyio.open_file(vms_file, 'w') as opened:
             await opened.write(json.dumps({'vms': rows}))
         self._standin('object-api', 0)
--- a/tests/integration/test_peer_nodes.py
+++ b/tests/integration/test_peer_nodes.py
@@ -290,7 +290,7 @@
             others = ('e1', 'e2', 'e4')
             await links.cut('e1', 'e2', black_hole=True)
             for name in others:
-                await links.cut(name, 'e3', cut_answers=True)
+                await links.cut(name, 'e3', cut_responses=True)
             for _ in range(40):
                 await anyio.sleep(0.1)
                 assert 'dead' not in fleet.states('e2').values()
--- a/tests/integration/test_whole_path.py
+++ b/tests/integration/test_whole_path.py
@@ -55,7 +55,7 @@
             )
             for n, port in enumerate(engine_ports)
         ]
-        vms_file = f'{self.children.folder}/vms.json'
+        vms_file = f'{self.children.directory}/vms.json'
         with open(vms_file, 'w', encoding='utf-8') as opened:
             json.dump({'vms': rows}, opened)
         self._standin('object-api', 0)
@@ -106,8 +106,8 @@
 async def wait_for_platform(fleet):
     async with httpx.AsyncClient() as client:
         kind = f'{http_object_api.GROUP_PATH}/tokens'
-        await processes.wait_answering(client, f'{fleet.store_url}{kind}')
-        await processes.wait_answering(client, f'http://{fleet.api}/healthz')
+        await processes.wait_responding(client, f'{fleet.store_url}{kind}')
+        await processes.wait_responding(client, f'http://{fleet.api}/healthz')
 
 
 async def engine_state(address):
@@ -172,7 +172,7 @@
         assert received[0].chunks == MAX_TOKENS
         assert received[0].entry == fleet.entries[0]
         stopped = children.children['entry-1']
-        assert await stopped.wait() == 0, stopped.text()
+        assert await stopped.wait() == 0, stopped.read_log()
         again = await staying.stream_chat('quotes', 'another', 3)
         assert again.whole
 
