--- a/tests/integration/promises.py
+++ b/tests/integration/promises.py
@@ -1,7 +1,8 @@
-"""Directed attacks on the promises, for fleets of real processes.
+"""Directed fault scenarios ("attacks") against fleets of child processes.
 
-Only for tests. Each attack is short and sure: with its safeguard disabled it
-breaks its promise on every run, and with it in force on none.
+Only for tests. Each attack is short and deterministic in its effect: it breaks
+its promise on every run with the safeguard disabled, and on no run with the
+safeguard enabled.
 """
 
 import contextlib
@@ -29,28 +30,29 @@
 
 Promise = breaches.Promise
 Safeguard = invariants.Safeguard
-SETTLE_S = 15.0
-OTHERS_GONE_S = 8.0
-PATIENT_ATTEMPTS = 14
-# The platform's list lags, and two controllers tell what it shows.
-TOLD_S = 2.0
+SETTLE_TIMEOUT_S = 15.0
+OTHERS_UNREACHABLE_S = 8.0
+EXTENDED_MAX_ATTEMPTS = 14
+# Time for a drain to propagate: the VM list lags behind the platform, and two
+# controllers report what it shows.
+DRAIN_PROPAGATION_S = 2.0
 
 
 @attrs.define
-class Stage:
-    """A fleet of processes whose endpoints stand behind fault proxies."""
+class AttackFleet:
+    """A fleet of child processes with a fault proxy before each endpoint."""
 
     run: fleet_run.FleetRun
-    hit: targets.Targets
+    fault_targets: targets.Targets
     proxies: dict[str, fault_proxy.FaultProxy]
-    asking: list[callers.Caller] = attrs.field(factory=list)
+    active_callers: list[callers.Caller] = attrs.field(factory=list)
 
     def caller(self) -> callers.Caller:
-        """Return a new caller, whose records count at the end."""
-        index = len(self.asking)
-        made = self.run.make_caller(f'a{index}', index)
-        self.asking.append(made)
-        return made
+        """Return a new caller, whose records are checked by find_breaches."""
+        index = len(self.active_callers)
+        new_caller = self.run.make_caller(f'a{index}', index)
+        self.active_callers.append(new_caller)
+        return new_caller
 
     async def ask(
         self,
@@ -58,143 +60,147 @@
         count: int,
         max_attempts: int = callers.MAX_ATTEMPTS,
     ) -> None:
-        """Let so many callers make one request each, all at once."""
+        """Let count callers make one request each, concurrently."""
         async with anyio.create_task_group() as group:
             for _ in range(count):
                 group.start_soon(self.caller().call, kind, '', max_attempts)
 
-    async def ask_for(
+    async def call_repeatedly(
         self, kind: work.Kind, duration_s: float, count: int = 4
     ) -> None:
-        """Let so many callers make requests without a pause."""
-        ends_at_s = time.monotonic() + duration_s
+        """Let count callers make requests back to back for duration_s."""
+        deadline_s = time.monotonic() + duration_s
 
         async def one(caller: callers.Caller) -> None:
-            while time.monotonic() < ends_at_s:
+            while time.monotonic() < deadline_s:
                 await caller.call(kind)
 
         async with anyio.create_task_group() as group:
             for _ in range(count):
                 group.start_soon(one, self.caller())
 
-    def proxies_of_services(self) -> list[fault_proxy.FaultProxy]:
+    def service_proxies(self) -> list[fault_proxy.FaultProxy]:
         return [
             self.proxies[service.server.address]
             for service in self.run.platform.services
         ]
 
     async def settle(self) -> None:
-        """End all faults and wait until every replica serves again."""
+        """Clear all faults and wait until every replica serves again."""
         for proxy in self.proxies.values():
             proxy.heal()
         self.run.platform.heal()
         wanted = operators.Wish(1).replicas
-        with anyio.move_on_after(SETTLE_S):
+        with anyio.move_on_after(SETTLE_TIMEOUT_S):
             while len(self.run.platform.serving_heads()) < wanted:
                 await anyio.sleep(0.1)
 
-    def found(self) -> tuple[breaches.Breach, ...]:
-        """Compare all that callers and endpoints saw."""
-        return self.run.compare((), self.hit, self.asking).breaches
+    def find_breaches(self) -> tuple[breaches.Breach, ...]:
+        """Compare the records of callers and endpoints; return breaches."""
+        return self.run.compare(
+            (), self.fault_targets, self.active_callers
+        ).breaches
 
 
-async def cross_answers(stage: Stage) -> None:
-    """Whole answers are exchanged between two connections."""
-    for proxy in stage.proxies_of_services():
+async def cross_answers(fleet: AttackFleet) -> None:
+    """Complete responses are swapped between two connections."""
+    for proxy in fleet.service_proxies():
         proxy.faults.swap_responses = 2
-    await stage.ask(work.Kind.FETCH, 12)
+    await fleet.ask(work.Kind.FETCH, 12)
 
 
-async def truncate_streams(stage: Stage) -> None:
-    """Streams end cleanly in the middle, without a [DONE]."""
-    for head in stage.run.platform.serving_heads():
+async def truncate_streams(fleet: AttackFleet) -> None:
+    """Streams are closed cleanly midway, without a [DONE]."""
+    for head in fleet.run.platform.serving_heads():
         head.faults.truncate = 2
-    await stage.ask(work.Kind.NARRATIVE, 8)
+    await fleet.ask(work.Kind.NARRATIVE, 8)
 
 
-async def reset_while_running(stage: Stage) -> None:
-    """Connections break after the engines have begun to run quotes."""
+async def reset_while_running(fleet: AttackFleet) -> None:
+    """Connections are reset after engines have started to run quotes."""
     async with anyio.create_task_group() as group:
-        group.start_soon(stage.ask, work.Kind.QUOTE, 8)
+        group.start_soon(fleet.ask, work.Kind.QUOTE, 8)
         await anyio.sleep(0.15)
-        for proxy in stage.proxies.values():
+        for proxy in fleet.proxies.values():
             await proxy.reset_all()
 
 
-async def lose_answers_of_flags(stage: Stage) -> None:
-    """A service runs flags and dies before it answers; callers resend.
+async def lose_answers_of_flags(fleet: AttackFleet) -> None:
+    """A service runs flags and fails before it responds; callers retry.
 
-    They do so long enough that the poison guard, which holds back what was
-    lost with its endpoint, lets all of them through to a second run.
+    They retry long enough for the poison guard, which holds back requests that
+    were lost with their endpoint, to admit all of them for a second run.
     """
-    for service in stage.run.platform.services:
+    for service in fleet.run.platform.services:
         service.lose_answers = 3
-    await stage.ask(work.Kind.FLAG, 6, PATIENT_ATTEMPTS)
+    await fleet.ask(work.Kind.FLAG, 6, EXTENDED_MAX_ATTEMPTS)
 
 
 @contextlib.asynccontextmanager
 async def without_controllers(
-    stage: Stage,
+    fleet: AttackFleet,
 ) -> collections_abc.AsyncIterator[None]:
-    """Kill every controller and start them again after the block."""
-    controls = stage.run.daemons.role(daemons.CONTROL)
-    for daemon in controls:
+    """Kill all controllers and restart them after the block."""
+    controllers = fleet.run.daemons.role(daemons.CONTROL)
+    for daemon in controllers:
         daemon.away = True
-        await stage.run.daemons.end_now(daemon)
+        await fleet.run.daemons.end_now(daemon)
     yield
-    for daemon in controls:
-        await stage.run.daemons.start(daemon)
+    for daemon in controllers:
+        await fleet.run.daemons.start(daemon)
         daemon.away = False
 
 
-async def lose_workers(stage: Stage) -> None:
-    """Each replica loses a VM while no controller is there to see it."""
+async def lose_workers(fleet: AttackFleet) -> None:
+    """Each replica loses a VM while no controller is running."""
     workers = [
-        head.state().members[-1] for head in stage.run.platform.serving_heads()
+        head.state().members[-1] for head in fleet.run.platform.serving_heads()
     ]
-    engines = stage.run.platform.engines
-    async with without_controllers(stage):
+    engines = fleet.run.platform.engines
+    async with without_controllers(fleet):
         for worker in workers:
             engines.engines[worker].die()
-        await stage.ask_for(work.Kind.NARRATIVE, 6.0)
+        await fleet.call_repeatedly(work.Kind.NARRATIVE, 6.0)
         for worker in workers:
             await engines.revive(worker)
 
 
-async def leave_under_load(stage: Stage) -> None:
-    """A head is told to leave while it has long work and more comes."""
-    heads = stage.run.platform.serving_heads()
+async def leave_under_load(fleet: AttackFleet) -> None:
+    """A head is drained while it runs long requests and receives more."""
+    heads = fleet.run.platform.serving_heads()
     for head in heads:
         head.faults.straggle_factor = 3.0
     async with anyio.create_task_group() as group:
-        group.start_soon(stage.ask, work.Kind.SCAN, 8)
+        group.start_soon(fleet.ask, work.Kind.SCAN, 8)
         await anyio.sleep(0.5)
-        await _leave(stage, heads[0], 24)
+        await _drain_head(fleet, heads[0], 24)
 
 
-async def leave_while_wanted(stage: Stage) -> None:
-    """A head is told to leave, then no controller and no other head is there.
+async def leave_while_wanted(fleet: AttackFleet) -> None:
+    """A head is drained, then all controllers and other heads are unavailable.
 
-    Long work keeps it from being stopped before, and routing has nobody else;
-    only the safeguard keeps new work away from it.
+    Long requests keep it from being stopped earlier, and routing has no other
+    head; only the safeguard keeps new requests away from it.
     """
-    heads = stage.run.platform.serving_heads()
+    heads = fleet.run.platform.serving_heads()
     for head in heads:
         head.faults.straggle_factor = 3.0
     async with anyio.create_task_group() as group:
-        group.start_soon(stage.ask, work.Kind.SCAN, 2 * len(heads))
+        group.start_soon(fleet.ask, work.Kind.SCAN, 2 * len(heads))
         await anyio.sleep(0.5)
         leaving = max(heads, key=_running)
-        group.start_soon(_leave, stage, leaving, 6)
-        await anyio.sleep(TOLD_S)
+        group.start_soon(_drain_head, fleet, leaving, 6)
+        await anyio.sleep(DRAIN_PROPAGATION_S)
         for head in heads:
             if head is leaving:
                 continue
-            head.faults.unreachable_until_s = time.monotonic() + OTHERS_GONE_S
+            head.faults.unreachable_until_s = (
+                time.monotonic() + OTHERS_UNREACHABLE_S
+            )
             head.note_disturbance()
-        async with without_controllers(stage):
+        async with without_controllers(fleet):
             leaving.faults.straggle_factor = 1.0
-            await anyio.sleep(OTHERS_GONE_S)
+            await anyio.sleep(OTHERS_UNREACHABLE_S)
 
 
 def _running(head: engine.Engine) -> int:
@@ -203,86 +209,92 @@
     )
 
 
-async def _leave(stage: Stage, head: engine.Engine, count: int) -> None:
-    listed = stage.run.platform.listed
+async def _drain_head(
+    fleet: AttackFleet, head: engine.Engine, count: int
+) -> None:
+    listed = fleet.run.platform.listed
     vm = head.options.vm
-    told_s = time.time() + listed.lag_s
+    drained_at_s = time.time() + listed.lag_s
     listed.mark(vm, 'leaving')
-    await stage.ask_for(work.Kind.QUOTE, 7.0, count)
+    await fleet.call_repeatedly(work.Kind.QUOTE, 7.0, count)
     listed.mark(vm, 'live')
-    stage.hit.leaving.append(comparing.ReleaseState(vm, told_s, time.time()))
+    fleet.fault_targets.leaving.append(
+        comparing.ReleaseState(vm, drained_at_s, time.time())
+    )
 
 
-async def restore_old_objects(stage: Stage) -> None:
-    """The store comes back from a backup with older account objects."""
-    store = stage.run.platform.store.store
+async def restore_old_objects(fleet: AttackFleet) -> None:
+    """The store is restored from a backup with older account objects."""
+    store = fleet.run.platform.store.store
     kind = objects.CLIENT_ACCOUNTS
     old = store.list_now(kind).objects
-    await stage.run.declare(operators.Wish(50))
+    await fleet.run.declare(operators.Wish(50))
     await anyio.sleep(2.0)
     new = store.list_now(kind).objects
-    _put_back(store, old)
+    _overwrite_objects(store, old)
     await anyio.sleep(3.0)
-    _put_back(store, new)
+    _overwrite_objects(store, new)
 
 
-def _put_back(store, stored_objects) -> None:
+def _overwrite_objects(store, stored_objects) -> None:
     for stored in stored_objects:
         store._version += 1
         store._objects[stored.kind][stored.name] = stored
         store._record('MODIFIED', stored)
 
 
-async def send_poison_each_second(stage: Stage) -> None:
-    """A request that kills each engine that runs it is sent each second."""
-    _poison_all(stage)
-    await stage.caller().call(
+async def send_poison_each_second(fleet: AttackFleet) -> None:
+    """A request that crashes every engine that runs it is sent each second."""
+    _poison_all(fleet)
+    await fleet.caller().call(
         work.Kind.NARRATIVE, 'poison-here', max_attempts=6, pause_s=1.0
     )
 
 
-async def send_poison_at_once(stage: Stage) -> None:
-    """The same, sent again as soon as the answer allows."""
-    _poison_all(stage)
-    await stage.caller().call(work.Kind.NARRATIVE, 'poison-here')
+async def send_poison_at_once(fleet: AttackFleet) -> None:
+    """The poison request is retried as soon as the response allows it."""
+    _poison_all(fleet)
+    await fleet.caller().call(work.Kind.NARRATIVE, 'poison-here')
 
 
-def _poison_all(stage: Stage) -> None:
-    for each in stage.run.platform.engines.engines.values():
+def _poison_all(fleet: AttackFleet) -> None:
+    for each in fleet.run.platform.engines.engines.values():
         each.faults.poison_marker = 'poison-here'
         each.faults.restart_after_s = 1.0
 
 
-async def stop_an_entry(stage: Stage) -> None:
+async def stop_an_entry(fleet: AttackFleet) -> None:
     """An entry is stopped gracefully while streams run through it."""
     async with anyio.create_task_group() as group:
-        group.start_soon(stage.ask_for, work.Kind.NARRATIVE, 4.0)
+        group.start_soon(fleet.call_repeatedly, work.Kind.NARRATIVE, 4.0)
         await anyio.sleep(0.5)
-        entry = stage.run.daemons.role(daemons.ENTRY)[0]
-        await stage.run.daemons.stop(entry.name, 0.5)
+        entry = fleet.run.daemons.role(daemons.ENTRY)[0]
+        await fleet.run.daemons.stop(entry.name, 0.5)
 
 
-async def race_operators(stage: Stage) -> None:
-    """Two operators confirm at one moment while the store loses answers."""
-    await stage.run.platform.store_fault(name='lose-answers', count=2)
+async def race_operators(fleet: AttackFleet) -> None:
+    """Two operators confirm concurrently while the store drops responses."""
+    await fleet.run.platform.store_fault(name='lose-answers', count=2)
     fault = schedule.Fault(0.0, schedule.FaultName.OPERATORS_RACE, 0.1, 0.0)
     from redwingvalve.soak import daemon_faults
 
-    await daemon_faults.operators_race(stage.hit, fault)
-    await stage.run.platform.heal_store()
+    await daemon_faults.operators_race(fleet.fault_targets, fault)
+    await fleet.run.platform.heal_store()
 
 
 @attrs.frozen
 class Attack:
-    """An attack, the safeguard that withstands it, what breaks without."""
+    """An attack, the safeguard against it and the promises it breaks."""
 
-    act: collections_abc.Callable[[Stage], collections_abc.Awaitable[None]]
-    breaks: frozenset[Promise]
+    execute: collections_abc.Callable[
+        [AttackFleet], collections_abc.Awaitable[None]
+    ]
+    broken_promises: frozenset[Promise]
     safeguard: Safeguard | None = None
 
     @property
     def name(self) -> str:
-        return self.act.__name__.replace('_', ' ')
+        return self.execute.__name__.replace('_', ' ')
 
 
 ATTACKS = (
@@ -338,10 +350,10 @@
 
 
 @contextlib.asynccontextmanager
-async def open_stage(
+async def open_attack_fleet(
     disabled: tuple[Safeguard, ...] = (), seed: int = 1
-) -> collections_abc.AsyncIterator[Stage]:
-    """Give a fleet of processes behind proxies, with safeguards disabled."""
+) -> collections_abc.AsyncIterator[AttackFleet]:
+    """Yield a fleet behind fault proxies, with safeguards disabled."""
     proxies: dict[str, fault_proxy.FaultProxy] = {}
     async with anyio.create_task_group() as group:
 
@@ -362,6 +374,6 @@
                 options,
                 lambda _: process_daemons.ProcessDaemons(children),
             ) as run:
-                hit = run.make_targets(run.make_caller('nobody', 999))
-                yield Stage(run, hit, proxies)
+                fault_targets = run.make_targets(run.make_caller('nobody', 999))
+                yield AttackFleet(run, fault_targets, proxies)
         group.cancel_scope.cancel()
--- a/tests/integration/prove_safeguards.py
+++ b/tests/integration/prove_safeguards.py
@@ -15,11 +15,11 @@
 
 async def attack_once(attack, disabled):
     started_s = time.monotonic()
-    async with promises.open_stage(disabled) as stage:
-        await attack.act(stage)
+    async with promises.open_attack_fleet(disabled) as fleet:
+        await attack.execute(fleet)
         await anyio.sleep(1.0)
-    found = stage.found()
-    requests = sum(len(caller.records) for caller in stage.asking)
+    found = fleet.find_breaches()
+    requests = sum(len(caller.records) for caller in fleet.active_callers)
     return {
         'attack': attack.name,
         'disabled': list(disabled),
@@ -30,19 +30,21 @@
             if any(breach.promise is promise for breach in found)
         },
         'first': str(found[0].details)[:160] if found else '',
-        'caught': any(breach.promise in attack.breaks for breach in found),
+        'caught': any(
+            breach.promise in attack.broken_promises for breach in found
+        ),
         'took_s': round(time.monotonic() - started_s, 1),
     }
 
 
 async def main(wanted):
     for attack in promises.ATTACKS:
-        if wanted and attack.act.__name__ not in wanted:
+        if wanted and attack.execute.__name__ not in wanted:
             continue
-        tries = [()]
+        safeguard_sets = [()]
         if attack.safeguard is not None:
-            tries.append((attack.safeguard,))
-        for disabled in tries:
+            safeguard_sets.append((attack.safeguard,))
+        for disabled in safeguard_sets:
             row = await attack_once(attack, disabled)
             print(json.dumps(row), flush=True)
 
--- a/tests/integration/test_frozen_controller.py
+++ b/tests/integration/test_frozen_controller.py
@@ -1,4 +1,4 @@
-"""A controller that is frozen past its lease while it forms or heals."""
+"""Controllers paused beyond their lease while they form or repair replicas."""
 
 import json
 
@@ -13,7 +13,7 @@
 
 VMS = 9
 GUARD_S = 150
-LOOKS = 20
+ENGINE_CHECKS = 20
 LINK_DELAY_S = 0.05
 DECLARATION = """
 operator: depot
@@ -29,7 +29,7 @@
 
 
 class Fleet(test_whole_path.Fleet):
-    """Two controllers and nine engines, each engine behind a proxy."""
+    """Two controllers and nine engines, each engine behind a fault proxy."""
 
     def __init__(self, children, trust):
         super().__init__(children)
@@ -38,7 +38,7 @@
         self.proxies = {}
         self.fencing_number = 0
 
-    async def begin(self, group):
+    async def start_with_proxies(self, group):
         for number in range(VMS):
             self._start_engine(number)
             name = f'vm-{number}'
@@ -60,7 +60,7 @@
         self._daemon('control', 'control-1', 7)
 
     def engine_port(self, number):
-        # Neither entry runs here; the ninth engine takes a port of theirs.
+        # No entries run here; the ninth engine uses a port reserved for them.
         return [*self.ports[9:], self.ports[5]][number]
 
     def _start_engine(self, number):
@@ -81,15 +81,15 @@
     async def declare(self):
         await test_whole_path.wait_for_platform(self)
         bearer = await operator.issue_first_token(self.store)
-        acting = operator.DemoOperator(self.api, bearer)
-        await acting.wait_until_reachable()
-        await acting.wait_until_listed(VMS)
+        demo_operator = operator.DemoOperator(self.api, bearer)
+        await demo_operator.wait_until_reachable()
+        await demo_operator.wait_until_listed(VMS)
         text = DECLARATION.format(trust=self.trust)
-        plan = await acting.plan(text, 'depot.yaml')
-        await acting.confirm(plan['name'])
+        plan = await demo_operator.plan(text, 'depot.yaml')
+        await demo_operator.confirm(plan['name'])
 
-    async def look(self):
-        """Read the domain and check what must hold at any time."""
+    async def read_domain(self):
+        """Read the domain and check its invariants."""
         answer = await self.store.get(domain_module.KIND, 'd-0')
         if answer.is_error():
             return None
@@ -99,10 +99,10 @@
         self.fencing_number = domain.fencing_number
         return domain
 
-    async def until(self, holds):
+    async def wait_for(self, condition):
         while True:
-            domain = await self.look()
-            if domain is not None and holds(domain):
+            domain = await self.read_domain()
+            if domain is not None and condition(domain):
                 return domain
             await anyio.sleep(0.05)
 
@@ -110,17 +110,17 @@
         names = ('control-1', 'control-2')
         return next(n for n in names if domain.lease.holder.startswith(n))
 
-    async def outlive(self, domain):
-        """Freeze the holder until another one has taken its lease."""
+    async def pause_until_lease_taken(self, domain):
+        """Pause the lease holder until another controller takes the lease."""
         frozen = self.children.children[self.holder(domain)]
         frozen.pause()
         before = domain.fencing_number
-        await self.until(lambda now: now.fencing_number > before)
+        await self.wait_for(lambda now: now.fencing_number > before)
         frozen.resume()
 
-    async def engines_obey(self):
-        """Compare every engine of a serving replica with its replica."""
-        domain = await self.look()
+    async def check_engines(self):
+        """Compare the state of every engine with the replica it belongs to."""
+        domain = await self.read_domain()
         for replica in domain.replicas:
             for member in replica.members:
                 state = await test_whole_path.engine_state(
@@ -132,39 +132,43 @@
                 ), member
 
 
-def both_serve(domain):
+def both_replicas_serving(domain):
     return [each.state for each in domain.replicas] == ['serving'] * 2
 
 
-def forms(domain):
+def has_forming_replica(domain):
     return any(each.state == 'forming' for each in domain.replicas)
 
 
 @pytest.mark.slow
 @pytest.mark.parametrize('trust', ['refuses-old-orders', 'ignores-fencing'])
-def test_a_frozen_controller_wakes_to_another_holder(trust):
-    """Callers find two whole replicas in the end, and never a mixed one.
+def test_paused_controller_resumes_after_its_lease_was_taken(trust):
+    """Two complete replicas serve in the end, and none ever has mixed members.
 
-    The holder of the lease gets SIGSTOP while it forms replicas; its lease
-    lapses, the other one takes over and goes on; SIGCONT wakes it with its old
-    orders in hand. Then a VM is lost and the new holder is frozen likewise
-    while it heals. Each engine must stay as the domain object says.
+    The lease holder gets SIGSTOP while it forms replicas; its lease expires and
+    the other controller takes over; after SIGCONT the first one still has its
+    outdated orders to send. Then a VM is lost, and the new holder is paused in
+    the same way during the repair. Each engine must match the domain object.
     """
 
     async def scenario(children):
         fleet = Fleet(children, trust)
         with anyio.fail_after(GUARD_S):
             async with anyio.create_task_group() as group:
-                await fleet.begin(group)
+                await fleet.start_with_proxies(group)
                 await fleet.declare()
-                await fleet.outlive(await fleet.until(forms))
-                served = await fleet.until(both_serve)
+                await fleet.pause_until_lease_taken(
+                    await fleet.wait_for(has_forming_replica)
+                )
+                served = await fleet.wait_for(both_replicas_serving)
                 lost = served.replicas[0].members[1]
                 children.children[lost].kill()
-                await fleet.outlive(await fleet.until(forms))
-                await fleet.until(both_serve)
-                for _ in range(LOOKS):
-                    await fleet.engines_obey()
+                await fleet.pause_until_lease_taken(
+                    await fleet.wait_for(has_forming_replica)
+                )
+                await fleet.wait_for(both_replicas_serving)
+                for _ in range(ENGINE_CHECKS):
+                    await fleet.check_engines()
                     await anyio.sleep(0.1)
                 group.cancel_scope.cancel()
         await fleet.store.aclose()
--- a/tests/integration/test_fuzz.py
+++ b/tests/integration/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Whatever arrives: a clear error, never a crash, a hang or a change."""
+"""Fuzz tests: any input gives a clear error, no crash, hang or change."""
 
 import asyncio
 import json
@@ -48,7 +48,7 @@
         JSON_VALUES,
         min_size=1,
         max_size=2,
-    ).map(lambda spoilt: json.dumps({**GOOD_BODY, **spoilt}).encode())
+    ).map(lambda replaced: json.dumps({**GOOD_BODY, **replaced}).encode())
 )
 HEADERS = strategies.dictionaries(
     strategies.sampled_from(
@@ -106,7 +106,7 @@
 
 
 @hypothesis.given(strategies.binary(max_size=300))
-def test_bytes_that_are_no_message_are_refused(packed):
+def test_rejects_invalid_packed_messages(packed):
     for empty in (
         messages.peer.KeyClaim(),
         messages.peer.RecordsReply(),
@@ -120,10 +120,10 @@
 @hypothesis.given(
     strategies.lists(strategies.binary(max_size=80), min_size=1, max_size=4)
 )
-def test_a_peer_server_outlives_any_bytes(junk):
-    """A peer of another version, or a scanner, sends what is no call.
+def test_peer_server_survives_arbitrary_bytes(junk):
+    """A peer of another version or a port scanner sends invalid calls.
 
-    The connection may end; the next proper call is answered as ever.
+    The connection may be closed; the next valid call must get a response.
     """
 
     async def scenario():
@@ -160,10 +160,10 @@
         {'generation': JSON_VALUES, 'content': JSON_VALUES}
     ),
 )
-def test_an_unreadable_object_stops_nobody_from_following_the_store(kind, body):
-    """An object of a later version, or one that a person spoilt, is listed.
+def test_unreadable_object_does_not_stop_the_store_watch(kind, body):
+    """The store lists an object of a later version or a malformed one.
 
-    The readable objects beside it come into force as ever.
+    The readable objects listed with it must still come into force.
     """
 
     async def scenario():
@@ -177,7 +177,7 @@
             clock.make_system_clock(),
             random.Random(1),
         )
-        await store.create(kind, 'spoilt', body)
+        await store.create(kind, 'malformed', body)
         account = fakes.account()
         await store.create(
             objects.CLIENT_ACCOUNTS,
--- a/tests/integration/test_peer_nodes.py
+++ b/tests/integration/test_peer_nodes.py
@@ -1,4 +1,4 @@
-"""Whole peer nodes on the loopback: membership, news and configuration."""
+"""Peer nodes on the loopback: membership, news and configuration."""
 
 import contextlib
 
@@ -25,7 +25,7 @@
 
 
 def declared(content):
-    """Return the body that a confirmed plan writes."""
+    """Return the object body that a confirmed plan writes."""
     return {'generation': 1, 'content': content}
 
 
@@ -33,7 +33,7 @@
 
 
 class Fleet:
-    """Nodes that share a loop; each can be stopped like a killed process."""
+    """Nodes that share an event loop; each can be stopped abruptly."""
 
     def __init__(self, group):
         self.group = group
@@ -43,17 +43,22 @@
         self.contacts = ()
 
     async def start(
-        self, name, region='r1', objects=True, incarnation=1, within=BOUNDS
+        self,
+        name,
+        region='r1',
+        objects=True,
+        incarnation=1,
+        membership_bounds=BOUNDS,
     ):
-        me = members.Member(
+        local = members.Member(
             name, incarnation, 'entry', '127.0.0.1', 0, 1, f'{region}-a', region
         )
         started = await node.start_peer_node(
-            me,
+            local,
             clock.make_system_clock(),
             self.contacts,
             self.store if objects else None,
-            bounds=within,
+            bounds=membership_bounds,
         )
         self.contacts += (f'127.0.0.1:{started.server.port}',)
         scope = anyio.CancelScope()
@@ -93,43 +98,49 @@
             each.caller.close_idle()
 
 
-async def until(condition):
+async def wait_until(condition):
     with anyio.fail_after(GUARD_S):
         while not condition():
             await anyio.sleep(0.02)
 
 
-def test_members_find_each_other_and_tell_leaving_from_death():
-    """An entry that leaves is shown as leaving by all, then one is killed.
+def test_members_discover_each_other_and_distinguish_leaving_from_dead():
+    """All members see one entry leave, then another one killed.
 
-    Callers must not be sent to either; the killed one is found by probes that
-    its host refuses, without any message of its own.
+    Callers must not be sent to either. The killed entry sends no message; it is
+    detected by probes that its host refuses.
     """
 
     async def scenario():
         async with make_fleet() as fleet:
             for name in ('e1', 'e2', 'e3', 'e4'):
                 await fleet.start(name, 'r2' if name == 'e4' else 'r1')
-            await until(
+            await wait_until(
                 lambda: all(
                     len(each.members.alive()) == 4
                     for each in fleet.nodes.values()
                 )
             )
             fleet.nodes['e2'].members.leave()
-            await until(lambda: set(fleet.states('e2').values()) == {'leaving'})
+            await wait_until(
+                lambda: set(fleet.states('e2').values()) == {'leaving'}
+            )
             await fleet.kill('e3')
-            await until(lambda: set(fleet.states('e3').values()) == {'dead'})
-            await until(lambda: set(fleet.states('e1').values()) == {'alive'})
+            await wait_until(
+                lambda: set(fleet.states('e3').values()) == {'dead'}
+            )
+            await wait_until(
+                lambda: set(fleet.states('e1').values()) == {'alive'}
+            )
 
     anyio.run(scenario)
 
 
 def test_configuration_is_in_force_and_survives_a_restart_in_an_outage():
-    """A change reaches entries that see the store and entries that don't.
+    """A change reaches entries with and without access to the store.
 
-    Then the store goes away and an entry is replaced: it must serve by what
-    its peers know, and the next change comes through when the store is back.
+    Then the store fails and an entry is replaced: it must serve with the
+    configuration of its peers. The next change arrives once the store is back.
     """
 
     async def scenario():
@@ -143,7 +154,7 @@
             version = int(created.ok.version)
             source = fleet.nodes['e1'].configuration
 
-            async def everywhere():
+            async def wait_in_force_everywhere():
                 with anyio.fail_after(GUARD_S):
                     answer = await source.in_force('clientaccounts', version)
                     while answer.entries < 3 or answer.missing:
@@ -152,27 +163,27 @@
                             'clientaccounts', version
                         )
 
-            await everywhere()
+            await wait_in_force_everywhere()
             unknown = await source.in_force('clientaccounts', version + 1)
             assert unknown.missing == ('e1', 'e2', 'e3')
             fleet.store.set_outage(outage=True)
             await fleet.kill('e2')
-            reborn = await fleet.start('e2', incarnation=2)
-            await until(reborn.configuration.ready)
-            accounts = reborn.configuration.current().client_accounts
+            restarted = await fleet.start('e2', incarnation=2)
+            await wait_until(restarted.configuration.ready)
+            accounts = restarted.configuration.current().client_accounts
             assert [account.name for account in accounts] == ['a']
             fleet.store.set_outage(outage=False)
             changed = await fleet.store.create(
                 'clientaccounts', 'b', declared({**ACCOUNT, 'name': 'b'})
             )
             version = int(changed.ok.version)
-            await everywhere()
+            await wait_in_force_everywhere()
 
     anyio.run(scenario)
 
 
 def test_news_stays_in_its_region_and_is_retracted():
-    """News of a region reaches its members only; the owner takes it back."""
+    """Regional news reaches only members of the region until retracted."""
 
     async def scenario():
         async with make_fleet() as fleet:
@@ -180,22 +191,22 @@
             second = await fleet.start('e2')
             third = await fleet.start('e3', 'r2')
             first.news.publish(CHANNEL, 'k', b'7')
-            await until(lambda: second.news.read(CHANNEL))
+            await wait_until(lambda: second.news.read(CHANNEL))
             item = second.news.read(CHANNEL)[0]
             assert (item.owner, item.body) == ('e1', b'7')
             first.news.publish(CHANNEL, 'k', b'')
-            await until(lambda: not second.news.read(CHANNEL))
-            await until(lambda: len(third.members.alive()) == 3)
+            await wait_until(lambda: not second.news.read(CHANNEL))
+            await wait_until(lambda: len(third.members.alive()) == 3)
             assert not third.news.read(CHANNEL)
 
     anyio.run(scenario)
 
 
 def test_urgent_news_does_not_wait_for_the_next_exchange():
-    """A poison request sent again at once meets entries that know of it.
+    """Entries must know of a poison request before it is retried at once.
 
-    Exchanges are as good as never due here; an urgent item is passed on from
-    entry to entry all the same.
+    Periodic exchanges are practically disabled here; an urgent item must still
+    be forwarded from entry to entry.
     """
     rare = attrs.evolve(BOUNDS, round_s=1000.0, foreign_interval_s=1000.0)
     urgent = attrs.evolve(CHANNEL, name='urgent', urgent=True)
@@ -204,16 +215,16 @@
         async with make_fleet() as fleet:
             names = [f'e{number}' for number in range(7)]
             for name in names:
-                started = await fleet.start(name, within=rare)
+                started = await fleet.start(name, membership_bounds=rare)
                 started.news.read(urgent)
-            await until(
+            await wait_until(
                 lambda: all(
                     len(each.members.alive()) == 7
                     for each in fleet.nodes.values()
                 )
             )
             fleet.nodes['e0'].news.publish(urgent, 'k', b'1')
-            await until(
+            await wait_until(
                 lambda: all(
                     each.news.read(urgent) for each in fleet.nodes.values()
                 )
@@ -223,31 +234,31 @@
 
 
 class Links:
-    """A fault proxy on each way between two nodes."""
+    """A fault proxy for each direction between each pair of nodes."""
 
     def __init__(self, fleet, group):
         self.fleet = fleet
         self.group = group
         self.proxies = {}
 
-    async def lay(self):
-        for asker, one in self.fleet.nodes.items():
+    async def install_proxies(self):
+        for source_name, one in self.fleet.nodes.items():
             routes = {}
-            for asked, other in self.fleet.nodes.items():
+            for target_name, other in self.fleet.nodes.items():
                 port = other.server.port
                 proxy = fault_proxy.FaultProxy(f'127.0.0.1:{port}', self.group)
                 await proxy.start()
-                routes['127.0.0.1', port] = parse(proxy.address)
-                self.proxies[asker, asked] = proxy
+                routes['127.0.0.1', port] = parse_address(proxy.address)
+                self.proxies[source_name, target_name] = proxy
             one.caller._connect = self._through(one.caller._connect, routes)
-            # A direct connection that carries a call now would be kept and
-            # used past the proxies; none is kept.
+            # A direct connection in use now would otherwise return to the
+            # pool and bypass the proxies; no connection is reused.
             one.caller._keep = close_instead
             one.caller.close_idle()
         await anyio.sleep(BOUNDS.probe_timeout_s)
 
-    async def cut(self, asker, asked, **faults):
-        proxy = self.proxies[asker, asked]
+    async def cut(self, source_name, target_name, **faults):
+        proxy = self.proxies[source_name, target_name]
         proxy.faults = fault_proxy.LinkFaults(**faults)
         await proxy.reset_all()
 
@@ -262,31 +273,31 @@
     connection.writer.close()
 
 
-def parse(address):
+def parse_address(address):
     host, _, port = address.rpartition(':')
     return host, int(port)
 
 
-def test_one_way_cuts_make_no_death_and_a_cut_off_entry_takes_itself_out():
-    """e1 can't reach e2; then nobody reaches e3, which still reaches others.
+def test_one_way_partitions_kill_nobody_and_isolated_entry_reports_itself():
+    """e1 can't reach e2; nobody reaches e3, which still reaches the others.
 
-    Nobody may be called dead for either. At last e3 is cut off both ways: the
-    others call it dead, it says of itself that it is cut off, and calls nobody
-    dead; when the link is back all see each other alive.
+    Neither may be declared dead. Then e3 is partitioned in both directions: the
+    others declare it dead, and it reports itself as isolated and declares
+    nobody dead. Once the links are healed, all see each other alive.
     """
 
     async def scenario():
         async with make_fleet() as fleet:
             for name in ('e1', 'e2', 'e3', 'e4'):
                 await fleet.start(name, objects=False)
-            await until(
+            await wait_until(
                 lambda: all(
                     len(each.members.alive()) == 4
                     for each in fleet.nodes.values()
                 )
             )
             links = Links(fleet, fleet.group)
-            await links.lay()
+            await links.install_proxies()
             others = ('e1', 'e2', 'e4')
             await links.cut('e1', 'e2', black_hole=True)
             for name in others:
@@ -298,22 +309,22 @@
             for name in others:
                 await links.cut(name, 'e3', black_hole=True)
                 await links.cut('e3', name, cut_requests=True)
-            alone = fleet.nodes['e3'].members
-            await until(alone.isolated)
-            await until(
+            isolated_members = fleet.nodes['e3'].members
+            await wait_until(isolated_members.isolated)
+            await wait_until(
                 lambda: list(fleet.states('e3').values()).count('dead') == 3
             )
             assert all(
                 member.state is not members.MemberState.DEAD
-                for member in alone.known()
+                for member in isolated_members.known()
             )
             for proxy in links.proxies.values():
                 proxy.heal()
                 await proxy.reset_all()
-            await until(
+            await wait_until(
                 lambda: (
                     set(fleet.states('e3').values()) == {'alive'}
-                    and not alone.isolated()
+                    and not isolated_members.isolated()
                 )
             )
 
--- a/tests/integration/test_promises.py
+++ b/tests/integration/test_promises.py
@@ -1,8 +1,8 @@
-"""Each promise withstands its attack, and the attack can break it.
+"""Tests that promises hold under attack, and that each attack is effective.
 
-The fleets are real processes behind fault proxies. With a safeguard disabled
-the attack must be seen to break its promise; otherwise the proof would prove
-nothing. The attacks that need longer are run by prove_safeguards.py.
+The fleets are child processes behind fault proxies. An attack must break its
+promise when the safeguard is disabled; otherwise, passing with the safeguard
+enabled would prove nothing. prove_safeguards.py runs the longer attacks.
 """
 
 import anyio
@@ -12,7 +12,7 @@
 
 pytestmark = pytest.mark.slow
 GUARD_S = 150
-ALL_TOGETHER = (
+COMBINED_ATTACKS = (
     promises.cross_answers,
     promises.truncate_streams,
     promises.reset_while_running,
@@ -20,52 +20,56 @@
     promises.race_operators,
     promises.stop_an_entry,
 )
-BROKEN_TOGETHER = (
+DISABLED_SAFEGUARDS = (
     promises.Safeguard.ANSWER_IDENTITY,
     promises.Safeguard.ANSWER_COMPLETENESS,
     promises.Safeguard.RUN_AT_MOST_ONCE,
 )
 
 
-def run_attacks(acts, disabled=()):
+def run_attacks(attacks_to_run, disabled=()):
     async def scenario():
         with anyio.fail_after(GUARD_S):
-            async with promises.open_stage(disabled) as stage:
-                for act in acts:
-                    await act(stage)
-                    await stage.settle()
-            return stage
+            async with promises.open_attack_fleet(disabled) as fleet:
+                for attack in attacks_to_run:
+                    await attack(fleet)
+                    await fleet.settle()
+            return fleet
 
     return anyio.run(scenario)
 
 
 def test_no_promise_breaks_under_attack():
-    """Callers get only whole answers of their own, or the truth.
+    """Callers get only their own complete responses, or an accurate error.
 
-    Answers are crossed and truncated, connections reset under running quotes,
-    flags run without an answer and sent again, operators race while the store
-    loses answers, and an entry is stopped under streams.
+    Responses are swapped and truncated, connections are reset while quotes
+    run, flags run without a response and are retried, operators race while the
+    store drops responses, and an entry is stopped while it relays streams.
     """
-    stage = run_attacks(ALL_TOGETHER)
-    assert stage.found() == ()
+    fleet = run_attacks(COMBINED_ATTACKS)
+    assert fleet.find_breaches() == ()
     answered = sum(
-        record.answered for caller in stage.asking for record in caller.records
+        record.answered
+        for caller in fleet.active_callers
+        for record in caller.records
     )
     assert answered > 20
 
 
 def test_each_attack_breaks_its_promise_without_the_safeguard():
-    """The same attacks, with the checks of answers and of keys disabled.
+    """The same attacks with response and idempotency checks disabled.
 
-    Callers now receive a foreign answer and half a stream as whole, and a
-    flag that is sent again runs twice.
+    Callers receive a response of another request and a truncated stream as
+    complete, and a retried flag runs twice.
     """
     attacks = [
         attack
         for attack in promises.ATTACKS
-        if attack.safeguard in BROKEN_TOGETHER
+        if attack.safeguard in DISABLED_SAFEGUARDS
     ]
-    stage = run_attacks([attack.act for attack in attacks], BROKEN_TOGETHER)
-    found = {breach.promise for breach in stage.found()}
+    fleet = run_attacks(
+        [attack.execute for attack in attacks], DISABLED_SAFEGUARDS
+    )
+    found = {breach.promise for breach in fleet.find_breaches()}
     for attack in attacks:
-        assert attack.breaks & found, attack.name
+        assert attack.broken_promises & found, attack.name
--- a/tests/integration/test_soak.py
+++ b/tests/integration/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak run: the same faults each time, compared at the end."""
+"""Short soak run with a fixed schedule of faults."""
 
 import anyio
 import pytest
@@ -11,9 +11,9 @@
 SEED = 436
 DURATION_S = 32.0
 Name = schedule.FaultName
-# Faults after which every promise holds at once. Those that allow seconds
-# (a VM lost or leaving) are left to the long runs, since a machine that is
-# busy with something else would decide them.
+# Faults after which every promise must hold immediately. Faults with a grace
+# period of seconds (a VM lost or leaving) are left to the long runs, because
+# their outcome would depend on the load of the machine.
 FAULTS = frozenset(
     (
         Name.ANSWER_CROSSED,
@@ -33,11 +33,11 @@
 
 
 def test_no_promise_breaks_in_a_short_run_with_peers_cut_off():
-    """Quotes, flags, streams and fetches go on while daemons fail.
+    """Quotes, flags, streams and fetches continue while daemons fail.
 
-    Entries die, freeze, stop and lose their peers, the store goes away and
-    loses answers, services lose theirs, operators race. Callers get the whole
-    of their own answers or the truth, and nothing runs twice.
+    Entries crash, pause, stop and lose their peers, the store is unavailable
+    or drops responses, services drop responses, and operators race. Callers
+    get their own complete responses or an accurate error; nothing runs twice.
     """
     options = fleet_run.Options(SEED, DURATION_S, only=FAULTS)
 
--- a/tests/integration/test_whole_path.py
+++ b/tests/integration/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path with every role as a process of its own, on loopback."""
+"""End-to-end tests with every role as a separate process on the loopback."""
 
 import hashlib
 import json
@@ -32,7 +32,7 @@
 
 
 class Fleet:
-    """Stand-ins, two entries and a controller, by their ports."""
+    """Stand-ins, two entries and a controller, addressed by port."""
 
     def __init__(self, children):
         self.children = children
@@ -115,45 +115,45 @@
         return (await client.get(f'http://{address}/state')).json()
 
 
-async def confirm(fleet):
+async def confirm_plan(fleet):
     await wait_for_platform(fleet)
     store = http_object_api.make_http_object_api(fleet.store_url, 5.0)
     bearer = await operator.issue_first_token(store)
     await store.aclose()
-    acting = operator.DemoOperator(fleet.api, bearer)
-    await acting.wait_until_reachable()
-    await acting.wait_until_listed(VMS)
-    plan = await acting.plan(DECLARATION, 'depot.yaml')
-    await acting.confirm(plan['name'])
-    await acting.wait_until_serving('quotes', 2)
+    demo_operator = operator.DemoOperator(fleet.api, bearer)
+    await demo_operator.wait_until_reachable()
+    await demo_operator.wait_until_listed(VMS)
+    plan = await demo_operator.plan(DECLARATION, 'depot.yaml')
+    await demo_operator.confirm(plan['name'])
+    await demo_operator.wait_until_serving('quotes', 2)
 
 
-async def stream_until_whole(calling):
+async def wait_until_stream_complete(client):
     with anyio.fail_after(30):
         while True:
-            streamed = await calling.stream_chat('quotes', 'x', 3)
+            streamed = await client.stream_chat('quotes', 'x', 3)
             if streamed.whole:
                 return
             await anyio.sleep(0.1)
 
 
 @pytest.mark.slow
-def test_a_stream_arrives_whole_while_its_entry_is_stopped_gracefully():
-    """The caller sees all 60 tokens and the end, though its entry is stopped.
+def test_stream_completes_while_its_entry_stops_gracefully():
+    """The caller gets all 60 tokens and the end although its entry is stopped.
 
-    Order: the stream has begun; SIGTERM reaches the entry that relays it; the
-    entry is no longer named to callers, finishes the stream and ends with 0.
+    The stream has started when its entry receives SIGTERM; the entry is no
+    longer announced to callers, finishes the stream and exits with status 0.
     """
 
     async def scenario(children):
         fleet = Fleet(children)
         fleet.start()
-        await confirm(fleet)
+        await confirm_plan(fleet)
         leaving = caller.DemoCaller((fleet.entries[0],), 'secret')
         leaving.entry_address = lambda: _always(fleet.entries[0])
         staying = caller.DemoCaller((fleet.entries[1],), 'secret')
-        await stream_until_whole(leaving)
-        await stream_until_whole(staying)
+        await wait_until_stream_complete(leaving)
+        await wait_until_stream_complete(staying)
         received = []
 
         async def stream():
