--- a/redwingvalve/discovery/balanced_directory.py
+++ b/redwingvalve/discovery/balanced_directory.py
@@ -16,22 +16,22 @@
         present: members.Members,
         news: bus.NewsBus,
         keep_s: float,
-        randomness: random.Random,
+        rng: random.Random,
     ) -> None:
         """Name members of present for about keep_s."""
         self._members = present
         self._news = news
         self._keep_s = keep_s
-        self._randomness = randomness
+        self._rng = rng
 
     def entries(self) -> directory.EntryList:
         """Return the entries for one caller."""
-        named = entry_selection.name_entries(
+        selected = entry_selection.select_entries(
             self._members.known(),
             load_reports.read_loads(self._news),
             self._members.local_member(),
             self._keep_s,
-            self._randomness,
+            self._rng,
             isolated=self._members.isolated(),
         )
         return directory.EntryList(
@@ -39,9 +39,9 @@
                 directory.EntryAddress(
                     f'{member.host}:{member.http_port}', member.data_centre
                 )
-                for member in named.entries
+                for member in selected.entries
             ),
-            round(named.keep_s, 1),
+            round(selected.keep_s, 1),
         )
 
 
@@ -49,7 +49,7 @@
     present: members.Members,
     news: bus.NewsBus,
     keep_s: float,
-    randomness: random.Random,
+    rng: random.Random,
 ) -> directory.EntryDirectory:
     """Return the directory that entries use."""
-    return BalancedDirectory(present, news, keep_s, randomness)
+    return BalancedDirectory(present, news, keep_s, rng)
--- a/redwingvalve/discovery/entry_selection.py
+++ b/redwingvalve/discovery/entry_selection.py
@@ -16,46 +16,48 @@
 
 from redwingvalve.membership import members
 
-NAMED_ENTRIES = 4
+MAX_ENTRIES = 4
 # Weight of an entry that reports to be full; above it, it isn't named.
-FULL_SHARE = 0.95
+FULL_LOAD = 0.95
 # No entry is so empty that others of its data centre get nothing.
-LEAST_WEIGHT = 0.05
+MIN_WEIGHT = 0.05
 # Callers in the same data centre are sent there this much more often; the
 # rest keeps connections elsewhere in use, so that a loss of the data centre
 # does not find the others unknown.
-NEAR_FACTOR = 4.0
-FOREIGN_FACTOR = 0.01
+SAME_DATA_CENTRE_FACTOR = 4.0
+OTHER_REGION_FACTOR = 0.01
 KEEP_JITTER = 0.25
 
 
 @attrs.frozen
-class Naming:
+class EntrySelection:
     """The entries for one caller; keep_s is how long to use them."""
 
     entries: tuple[members.Member, ...]
     keep_s: float
 
 
-def name_entries(
+def select_entries(
     present: collections_abc.Iterable[members.Member],
     loads: collections_abc.Mapping[str, float],
     here: members.Member,
     keep_s: float,
-    randomness: random.Random,
+    rng: random.Random,
     *,
     isolated: bool = False,
-) -> Naming:
+) -> EntrySelection:
     """Choose entries; loads are shares of each entry's room in use.
 
     The first named is drawn by weight; at least one of another data centre
     is among the others when there is one, so that a caller whose data centre
     goes has an address that works.
     """
-    jittered_s = keep_s * randomness.uniform(1 - KEEP_JITTER, 1.0)
+    jittered_s = keep_s * rng.uniform(1 - KEEP_JITTER, 1.0)
     candidates = _candidates(present, loads, here, isolated=isolated)
-    drawn = _draw(candidates, loads, here, randomness)
-    return Naming(_with_other_data_centre(drawn, candidates), jittered_s)
+    drawn = _draw(candidates, loads, here, rng)
+    return EntrySelection(
+        _with_other_data_centre(drawn, candidates), jittered_s
+    )
 
 
 def _candidates(
@@ -72,25 +74,25 @@
         and member.state is members.MemberState.ALIVE
         and not (isolated and member.name == here.name)
     ]
-    roomy = [
-        member for member in alive if loads.get(member.name, 0.0) < FULL_SHARE
+    available = [
+        member for member in alive if loads.get(member.name, 0.0) < FULL_LOAD
     ]
     # When all are full, refusing to name any would only move the callers'
     # retries here; they are spread over all instead.
-    return roomy or alive
+    return available or alive
 
 
 def _draw(
     candidates: list[members.Member],
     loads: collections_abc.Mapping[str, float],
     here: members.Member,
-    randomness: random.Random,
+    rng: random.Random,
 ) -> list[members.Member]:
     # Weighted sampling without replacement (Efraimidis and Spirakis 2006).
     keyed = []
     for candidate in candidates:
         weight = _weight(candidate, loads, here)
-        key = randomness.random() ** (1 / weight)
+        key = rng.random() ** (1 / weight)
         keyed.append((key, candidate.name, candidate))
     keyed.sort(key=lambda drawn: drawn[:2], reverse=True)
     return [member for _, _, member in keyed]
@@ -101,24 +103,24 @@
     loads: collections_abc.Mapping[str, float],
     here: members.Member,
 ) -> float:
-    room = max(1.0 - loads.get(member.name, 0.0), LEAST_WEIGHT)
+    spare = max(1.0 - loads.get(member.name, 0.0), MIN_WEIGHT)
     if member.region != here.region:
-        return room * FOREIGN_FACTOR
+        return spare * OTHER_REGION_FACTOR
     if member.data_centre == here.data_centre:
-        return room * NEAR_FACTOR
-    return room
+        return spare * SAME_DATA_CENTRE_FACTOR
+    return spare
 
 
 def _with_other_data_centre(
     drawn: list[members.Member], candidates: list[members.Member]
 ) -> tuple[members.Member, ...]:
-    named = drawn[:NAMED_ENTRIES]
-    data_centres = {member.data_centre for member in named}
+    selected = drawn[:MAX_ENTRIES]
+    data_centres = {member.data_centre for member in selected}
     others = [
         member
-        for member in drawn[NAMED_ENTRIES:]
+        for member in drawn[MAX_ENTRIES:]
         if member.data_centre not in data_centres
     ]
     if len(data_centres) == 1 and others:
-        named[-1] = others[0]
-    return tuple(named)
+        selected[-1] = others[0]
+    return tuple(selected)
--- a/redwingvalve/discovery/load_reports.py
+++ b/redwingvalve/discovery/load_reports.py
@@ -18,10 +18,10 @@
 )
 LOAD_KEY = 'load'
 STEPS = 16
-REPEAT_S = 5.0
+REPEAT_INTERVAL_S = 5.0
 # A step is left only when the load has moved by this share of a step beyond
 # its border; a load that swings around a border would be said all the time.
-BORDER_SHARE = 0.25
+HYSTERESIS_SHARE = 0.25
 
 
 class LoadReporter:
@@ -31,20 +31,24 @@
         """Nothing is said before report."""
         self._news = news
         self._clock = timers
-        self._said = -1
-        self._said_s = float('-inf')
+        self._published_step = -1
+        self._published_s = float('-inf')
 
     def report(self, share: float) -> None:
         """Note the share of this entry's room that is in use, 0 to 1."""
         scaled = min(max(share, 0.0), 1.0) * STEPS
-        moved = abs(scaled - self._said - 0.5) > 0.5 + BORDER_SHARE
+        moved = (
+            abs(scaled - self._published_step - 0.5) > 0.5 + HYSTERESIS_SHARE
+        )
         now_s = self._clock.monotonic_s()
-        if not moved and now_s - self._said_s < REPEAT_S:
+        if not moved and now_s - self._published_s < REPEAT_INTERVAL_S:
             return
         if moved:
-            self._said = math.floor(scaled)
-        self._said_s = now_s
-        self._news.publish(LOAD_CHANNEL, LOAD_KEY, bytes([self._said]))
+            self._published_step = math.floor(scaled)
+        self._published_s = now_s
+        self._news.publish(
+            LOAD_CHANNEL, LOAD_KEY, bytes([self._published_step])
+        )
 
 
 def read_loads(news: bus.NewsBus) -> dict[str, float]:
--- a/redwingvalve/discovery/tests/test_entry_selection.py
+++ b/redwingvalve/discovery/tests/test_entry_selection.py
@@ -17,9 +17,9 @@
 
 
 def first_choices(present, load, here, count=3000):
-    randomness = random.Random(1)
+    rng = random.Random(1)
     return collections.Counter(
-        entry_selection.name_entries(present, load, here, 10.0, randomness)
+        entry_selection.select_entries(present, load, here, 10.0, rng)
         .entries[0]
         .name
         for _ in range(count)
@@ -36,7 +36,7 @@
     ]
     here = make_member('good')
     assert set(first_choices(present, {'full': 0.97}, here)) == {'good'}
-    alone = entry_selection.name_entries(
+    alone = entry_selection.select_entries(
         present, {}, here, 10.0, random.Random(1), isolated=True
     )
     assert 'good' not in {entry.name for entry in alone.entries}
@@ -66,14 +66,14 @@
 def test_answers_hold_another_data_centre_and_uneven_keep_times():
     present = [make_member(f'a{index}', 'a') for index in range(9)]
     present += [make_member('b0', 'b'), make_member('z', 'z', 'far')]
-    randomness = random.Random(3)
-    named = [
-        entry_selection.name_entries(present, {}, present[0], 10.0, randomness)
+    rng = random.Random(3)
+    selected = [
+        entry_selection.select_entries(present, {}, present[0], 10.0, rng)
         for _ in range(50)
     ]
-    for each in named:
+    for each in selected:
         assert {entry.data_centre for entry in each.entries} - {'a'}
-    keeps = {round(each.keep_s, 2) for each in named}
+    keeps = {round(each.keep_s, 2) for each in selected}
     assert len(keeps) > 20
     assert min(keeps) >= 7.5
     assert max(keeps) <= 10.0
@@ -81,10 +81,10 @@
 
 class _Board:
     def __init__(self):
-        self.said = []
+        self.published = []
 
     def publish(self, channel, key, body):
-        self.said.append(body[0])
+        self.published.append(body[0])
 
 
 def test_load_is_said_in_steps_and_does_not_flap():
@@ -93,8 +93,8 @@
     reporter = load_reports.make_load_reporter(board, timers)
     for share in (0.5, 0.51, 0.499, 0.505, 0.497):
         reporter.report(share)
-    assert board.said == [8]
+    assert board.published == [8]
     reporter.report(0.9)
-    timers.advance(load_reports.REPEAT_S)
+    timers.advance(load_reports.REPEAT_INTERVAL_S)
     reporter.report(0.9)
-    assert board.said == [8, 14, 14]
+    assert board.published == [8, 14, 14]
--- a/redwingvalve/evidence/leaving.py
+++ b/redwingvalve/evidence/leaving.py
@@ -23,13 +23,13 @@
     urgent=True,
 )
 KEY = 'vms'
-MOST_VMS = 300
+MAX_VMS = 300
 
 
 def publish(
     news: bus.NewsBus,
     leaving: collections_abc.Iterable[str],
-    told: frozenset[str],
+    published: frozenset[str],
 ) -> frozenset[str]:
     """Publish which VMs leave; return what is now told.
 
@@ -37,23 +37,25 @@
     MOST_VMS leaving at once is the loss of a data centre, which evidence and
     healing answer; the item keeps its size.
     """
-    named = frozenset(sorted(leaving)[:MOST_VMS])
-    if named or told:
-        body = json.dumps(sorted(named)).encode() if named else b''
+    listed = frozenset(sorted(leaving)[:MAX_VMS])
+    if listed or published:
+        body = json.dumps(sorted(listed)).encode() if listed else b''
         news.publish(CHANNEL, KEY, body)
-    return named
+    return listed
 
 
 def read(news: bus.NewsBus) -> frozenset[str]:
     """Return the VMs that any controller says are leaving."""
     return frozenset(
-        name for told in news.read(CHANNEL) for name in _names(told.body)
+        name
+        for published in news.read(CHANNEL)
+        for name in _names(published.body)
     )
 
 
 def _names(body: bytes) -> list[str]:
     try:
-        named = json.loads(body)
+        listed = json.loads(body)
     except ValueError:
         return []
-    return [str(name) for name in named] if isinstance(named, list) else []
+    return [str(name) for name in listed] if isinstance(listed, list) else []
--- a/redwingvalve/evidence/news_entry_reports.py
+++ b/redwingvalve/evidence/news_entry_reports.py
@@ -9,10 +9,10 @@
 from redwingvalve.replicas import domain as domain_module
 from redwingvalve.replicas import entry_reports
 
-READ_EVERY_S = 0.5
+READ_INTERVAL_S = 0.5
 # Entries see a VM each second. After this age, a step of the controller (0.5 s)
 # and its probe's timeout (0.5 s) a lost VM is decided on 2.5 s after its loss.
-VOUCHED_AGE_S = 1.5
+MAX_CONFIRMED_AGE_S = 1.5
 
 
 class NewsEntryReports(entry_reports.EntryReports):
@@ -28,15 +28,15 @@
         self._members = members
         self._news = news
         self._configuration = configuration
-        self._bounded = entry_reports.NoEntryReports()
+        self._fallback = entry_reports.NoEntryReports()
         self._evidence = table.EvidenceTable()
-        self._read_s: float | None = None
+        self._last_read_s: float | None = None
 
     def last_seen_s(self, vm: str, now_s: float) -> float | None:
         """Return when an entry last saw the VM ready, if any did lately."""
         self._refresh(now_s)
-        seen = self._evidence.fresh(vm, now_s)
-        return seen.seen_s if seen is not None else None
+        observation = self._evidence.fresh(vm, now_s)
+        return observation.seen_s if observation is not None else None
 
     def is_isolated(self) -> bool:
         """Tell whether this process has heard from nobody for too long."""
@@ -51,16 +51,20 @@
         probe by itself in time to decide within 3 s of the loss.
         """
         self._refresh(now_s)
-        seen = self._evidence.fresh(vm, now_s)
+        observation = self._evidence.fresh(vm, now_s)
         return (
-            seen is not None
-            and (seen.replica, seen.epoch) == (replica.name, replica.epoch)
-            and now_s - seen.seen_s <= VOUCHED_AGE_S
+            observation is not None
+            and (observation.replica, observation.epoch)
+            == (replica.name, replica.epoch)
+            and now_s - observation.seen_s <= MAX_CONFIRMED_AGE_S
         )
 
     def _refresh(self, now_s: float) -> None:
-        if self._read_s is None or now_s - self._read_s >= READ_EVERY_S:
-            self._take_in(now_s)
+        if (
+            self._last_read_s is None
+            or now_s - self._last_read_s >= READ_INTERVAL_S
+        ):
+            self._receive_reports(now_s)
 
     def senders_stopped(
         self,
@@ -74,7 +78,7 @@
         has ended or it is out of discovery, and the engine's count of work in
         flight still guards the stop.
         """
-        if self._bounded.senders_stopped(replica, draining_since_s, now_s):
+        if self._fallback.senders_stopped(replica, draining_since_s, now_s):
             return True
         entries = {
             member.name
@@ -91,16 +95,16 @@
             if wanted in _epochs(published.body)
         }
 
-    def _take_in(self, now_s: float) -> None:
-        self._read_s = now_s
-        self._evidence.forget_old(now_s)
-        found = probe_reports.sightings(
+    def _receive_reports(self, now_s: float) -> None:
+        self._last_read_s = now_s
+        self._evidence.drop_expired(now_s)
+        found = probe_reports.decode_observations(
             self._news.read(probe_reports.CHANNEL),
             self._configuration.current().replicas,
             now_s,
         )
-        for seen in found:
-            self._evidence.record(seen)
+        for observation in found:
+            self._evidence.record(observation)
 
 
 def _epochs(body: bytes) -> list[list[object]]:
--- a/redwingvalve/evidence/probe_reports.py
+++ b/redwingvalve/evidence/probe_reports.py
@@ -30,22 +30,22 @@
 )
 # 48 bits: among 480 replicas of a region two share them once in two billion
 # epochs, and then both would have to be probed by the same two entries.
-MARK_BYTES = 6
-HEAD = struct.Struct(f'!{MARK_BYTES}sHB')
-MOST_IN_FLIGHT = 65_535
+FINGERPRINT_BYTES = 6
+HEADER = struct.Struct(f'!{FINGERPRINT_BYTES}sHB')
+MAX_IN_FLIGHT = 65_535
 AGE_UNIT_S = 0.02
 NOT_SEEN = 255
 REPLICAS_PER_ITEM = 200
 
 
 @attrs.frozen
-class ReplicaFinding:
+class ReplicaProbeReport:
     """What one prober found: ages in AGE_UNIT_S or NOT_SEEN, head first.
 
     in_flight is the head's count of requests, which serves routing as load.
     """
 
-    mark: bytes
+    fingerprint: bytes
     ages: bytes
     in_flight: int = 0
 
@@ -53,65 +53,67 @@
 def fingerprint_of(replica: snapshot.Replica) -> bytes:
     """Return the bytes that stand for a replica's name and epoch."""
     named = f'{replica.name}\0{replica.epoch}'.encode()
-    return xxhash.xxh3_64_digest(named)[:MARK_BYTES]
+    return xxhash.xxh3_64_digest(named)[:FINGERPRINT_BYTES]
 
 
-def age_code(age_s: float | None) -> int:
+def encode_age(age_s: float | None) -> int:
     """Return the byte for an age; rounded up, so that none grows younger."""
     if age_s is None:
         return NOT_SEEN
     return min(math.ceil(age_s / AGE_UNIT_S), NOT_SEEN)
 
 
-def encode(findings: collections_abc.Iterable[ReplicaFinding]) -> bytes:
+def encode(findings: collections_abc.Iterable[ReplicaProbeReport]) -> bytes:
     """Return the body of one news item."""
     parts = []
-    for finding in findings:
-        in_flight = min(finding.in_flight, MOST_IN_FLIGHT)
-        parts.append(HEAD.pack(finding.mark, in_flight, len(finding.ages)))
-        parts.append(finding.ages)
+    for report in findings:
+        in_flight = min(report.in_flight, MAX_IN_FLIGHT)
+        parts.append(
+            HEADER.pack(report.fingerprint, in_flight, len(report.ages))
+        )
+        parts.append(report.ages)
     return b''.join(parts)
 
 
-def decode(body: bytes) -> tuple[ReplicaFinding, ...]:
+def decode(body: bytes) -> tuple[ReplicaProbeReport, ...]:
     """Return the findings up to the first part that cannot be read."""
     found = []
     start = 0
-    while start + HEAD.size <= len(body):
-        mark, in_flight, count = HEAD.unpack_from(body, start)
-        start += HEAD.size
+    while start + HEADER.size <= len(body):
+        fingerprint, in_flight, count = HEADER.unpack_from(body, start)
+        start += HEADER.size
         ages = body[start : start + count]
         if len(ages) < count:
             break
-        found.append(ReplicaFinding(mark, ages, in_flight))
+        found.append(ReplicaProbeReport(fingerprint, ages, in_flight))
         start += count
     return tuple(found)
 
 
-def sightings(
+def decode_observations(
     published: collections_abc.Iterable[bus.NewsItem],
     replicas: collections_abc.Iterable[snapshot.Replica],
     now_s: float,
-) -> collections_abc.Iterator[table.Seen]:
+) -> collections_abc.Iterator[table.Observation]:
     """Return what the items say of the replicas that this process knows."""
     known = {fingerprint_of(replica): replica for replica in replicas}
     for news in published:
-        for finding in decode(news.body):
-            replica = known.get(finding.mark)
-            if replica is None or len(finding.ages) != len(replica.members):
+        for report in decode(news.body):
+            replica = known.get(report.fingerprint)
+            if replica is None or len(report.ages) != len(replica.members):
                 continue
-            yield from _members_seen(replica, finding, now_s - news.age_s)
+            yield from _member_observations(replica, report, now_s - news.age_s)
 
 
-def _members_seen(
-    replica: snapshot.Replica, finding: ReplicaFinding, said_s: float
-) -> collections_abc.Iterator[table.Seen]:
-    for member, code in zip(replica.members, finding.ages, strict=True):
+def _member_observations(
+    replica: snapshot.Replica, report: ReplicaProbeReport, reported_s: float
+) -> collections_abc.Iterator[table.Observation]:
+    for member, code in zip(replica.members, report.ages, strict=True):
         if code != NOT_SEEN:
-            yield table.Seen(
+            yield table.Observation(
                 vm=member.vm,
                 replica=replica.name,
                 epoch=replica.epoch,
-                seen_s=said_s - code * AGE_UNIT_S,
-                in_flight=finding.in_flight,
+                seen_s=reported_s - code * AGE_UNIT_S,
+                in_flight=report.in_flight,
             )
--- a/redwingvalve/evidence/prober.py
+++ b/redwingvalve/evidence/prober.py
@@ -23,19 +23,19 @@
 from redwingvalve.news import bus
 from redwingvalve.platform_api import engine_orders
 
-PROBERS = 2
+PROBERS_PER_REPLICA = 2
 # With one of the two probers paused a sighting is this old when the next one
 # is made; 1.5 s are left for it to reach the region (0021 measures 1.3 s).
 PROBE_INTERVAL_S = 1.0
 PROBE_TIMEOUT_S = 0.6
 # Findings are told after this time even if some engine has not answered: one
 # dead VM must not make the evidence of all other replicas older by its timeout.
-TELL_AFTER_S = 0.15
+PUBLISH_AFTER_S = 0.15
 # A member that its head saw longer ago than this is probed itself.
-VOUCHED_AGE_S = 1.0
+MAX_ATTESTED_AGE_S = 1.0
 # What has not changed is said again so often, well within its bound on age.
-REPEAT_STOPPED_S = 8.0
-PARALLEL_PROBES = 64
+STOPPED_REPEAT_INTERVAL_S = 8.0
+MAX_CONCURRENT_PROBES = 64
 ENTRY_ROLE = 'entry'
 STOPPED_CHANNEL = bus.Channel(
     name='stopped',
@@ -65,11 +65,11 @@
         self._orders = orders
         self._clock = time_source
         self._published_items = 0
-        self._vouching: frozenset[tuple[str, int]] = frozenset()
-        self._vouching_now: set[tuple[str, int]] = set()
-        self._sightings = 0
+        self._attesting: frozenset[tuple[str, int]] = frozenset()
+        self._attesting_now: set[tuple[str, int]] = set()
+        self._observation_count = 0
         self._stopped_body = b''
-        self._stopped_said_s = -math.inf
+        self._stopped_published_s = -math.inf
 
     async def run(self) -> None:
         """Probe until cancelled."""
@@ -83,62 +83,62 @@
         """Probe once, publish, and take in what others found."""
         mine = self.assigned()
         async with anyio.create_task_group() as group:
-            answered = anyio.Event()
-            group.start_soon(self._probe_all, mine, answered)
-            with anyio.move_on_after(TELL_AFTER_S):
-                await answered.wait()
+            all_answered = anyio.Event()
+            group.start_soon(self._probe_all, mine, all_answered)
+            with anyio.move_on_after(PUBLISH_AFTER_S):
+                await all_answered.wait()
             self._publish(mine)
-            told = self._sightings
-        if self._sightings > told:
+            published_count = self._observation_count
+        if self._observation_count > published_count:
             self._publish(mine)
-        self.take_in_news()
-        self._tell_stopped()
-        self._evidence.forget_old(self._clock.monotonic_s())
+        self.receive_reports()
+        self._publish_stopped()
+        self._evidence.drop_expired(self._clock.monotonic_s())
 
     def assigned(self) -> tuple[snapshot.Replica, ...]:
         """Return the serving replicas that fall to this entry."""
-        myself = self._members.local_member()
+        local_member = self._members.local_member()
         names = {
             member.name
             for member in self._members.alive(ENTRY_ROLE)
-            if member.region == myself.region
+            if member.region == local_member.region
         }
-        names.add(myself.name)
+        names.add(local_member.name)
         return tuple(
             replica
             for replica in self._configuration.current().replicas
             if replica.serving
-            and _in_region(replica, myself)
-            and myself.name in probers_of(replica.name, names)
+            and _in_region(replica, local_member)
+            and local_member.name in select_probers(replica.name, names)
         )
 
-    def take_in_news(self) -> None:
+    def receive_reports(self) -> None:
         """Record what other entries found."""
         now_s = self._clock.monotonic_s()
-        found = probe_reports.sightings(
+        found = probe_reports.decode_observations(
             self._news.read(probe_reports.CHANNEL),
             self._configuration.current().replicas,
             now_s,
         )
-        for seen in found:
-            self._evidence.record(seen)
+        for observation in found:
+            self._evidence.record(observation)
 
     async def _probe_all(
-        self, mine: tuple[snapshot.Replica, ...], answered: anyio.Event
+        self, mine: tuple[snapshot.Replica, ...], all_answered: anyio.Event
     ) -> None:
-        limiter = anyio.CapacityLimiter(PARALLEL_PROBES)
-        self._vouching_now.clear()
+        limiter = anyio.CapacityLimiter(MAX_CONCURRENT_PROBES)
+        self._attesting_now.clear()
         async with anyio.create_task_group() as group:
             for replica in mine:
                 for member in self._to_probe(replica):
                     group.start_soon(self._probe, replica, member, limiter)
-        self._vouching = frozenset(self._vouching_now)
-        answered.set()
+        self._attesting = frozenset(self._attesting_now)
+        all_answered.set()
 
     def _to_probe(
         self, replica: snapshot.Replica
     ) -> tuple[snapshot.ReplicaMember, ...]:
-        if (replica.name, replica.epoch) in self._vouching:
+        if (replica.name, replica.epoch) in self._attesting:
             return replica.members[:1]
         return replica.members
 
@@ -157,38 +157,40 @@
         # end would lengthen the evidence by the time of a slow answer.
         if answer.is_error():
             return
-        seen = table.seen_from(answer.ok, started_s)
-        if seen is None or seen.vm != member.vm:
+        observation = table.observation_from(answer.ok, started_s)
+        if observation is None or observation.vm != member.vm:
             return
-        self._record(seen)
+        self._record(observation)
         if member == replica.members[0]:
-            self._take_vouched(answer.ok, replica, started_s)
+            self._record_attested(answer.ok, replica, started_s)
 
-    def _record(self, seen: table.Seen) -> None:
-        self._sightings += 1
-        self._evidence.record(seen)
+    def _record(self, observation: table.Observation) -> None:
+        self._observation_count += 1
+        self._evidence.record(observation)
 
-    def _take_vouched(
+    def _record_attested(
         self,
         state: engine_orders.EngineState,
         replica: snapshot.Replica,
         started_s: float,
     ) -> None:
-        vouched = tuple(table.attested_from(state, replica, started_s))
-        for member in vouched:
+        attested = tuple(table.attested_observations(state, replica, started_s))
+        for member in attested:
             self._record(member)
         recent = {
             each.vm
-            for each in vouched
-            if started_s - each.seen_s <= VOUCHED_AGE_S
+            for each in attested
+            if started_s - each.seen_s <= MAX_ATTESTED_AGE_S
         }
         if recent == _other_vms(replica):
-            self._vouching_now.add((replica.name, replica.epoch))
+            self._attesting_now.add((replica.name, replica.epoch))
 
     def _publish(self, mine: tuple[snapshot.Replica, ...]) -> None:
         size = probe_reports.REPLICAS_PER_ITEM
         items = [
-            probe_reports.encode(map(self._finding, mine[start : start + size]))
+            probe_reports.encode(
+                map(self._make_report, mine[start : start + size])
+            )
             for start in range(0, len(mine), size)
         ]
         for number, body in enumerate(items):
@@ -197,16 +199,16 @@
             self._news.publish(probe_reports.CHANNEL, str(number), b'')
         self._published_items = len(items)
 
-    def _finding(
+    def _make_report(
         self, replica: snapshot.Replica
-    ) -> probe_reports.ReplicaFinding:
+    ) -> probe_reports.ReplicaProbeReport:
         now_s = self._clock.monotonic_s()
         ages = bytes(
-            probe_reports.age_code(self._age_s(member.vm, replica, now_s))
+            probe_reports.encode_age(self._age_s(member.vm, replica, now_s))
             for member in replica.members
         )
         head = self._evidence.fresh(replica.members[0].vm, now_s)
-        return probe_reports.ReplicaFinding(
+        return probe_reports.ReplicaProbeReport(
             probe_reports.fingerprint_of(replica),
             ages,
             0 if head is None else head.in_flight,
@@ -215,15 +217,15 @@
     def _age_s(
         self, vm: str, replica: snapshot.Replica, now_s: float
     ) -> float | None:
-        seen = self._evidence.fresh(vm, now_s)
-        if seen is None or (seen.replica, seen.epoch) != (
+        observation = self._evidence.fresh(vm, now_s)
+        if observation is None or (observation.replica, observation.epoch) != (
             replica.name,
             replica.epoch,
         ):
             return None
-        return now_s - seen.seen_s
+        return now_s - observation.seen_s
 
-    def _tell_stopped(self) -> None:
+    def _publish_stopped(self) -> None:
         """Say which epochs this entry no longer sends to."""
         stopped = [
             [replica.name, replica.epoch]
@@ -233,17 +235,17 @@
         ]
         body = json.dumps(stopped).encode()
         now_s = self._clock.monotonic_s()
-        due = now_s - self._stopped_said_s >= REPEAT_STOPPED_S
+        due = now_s - self._stopped_published_s >= STOPPED_REPEAT_INTERVAL_S
         if body == self._stopped_body and not due:
             return
         self._stopped_body = body
-        self._stopped_said_s = now_s
+        self._stopped_published_s = now_s
         self._news.publish(STOPPED_CHANNEL, 'epochs', body)
 
 
-def probers_of(replica: str, names: set[str]) -> frozenset[str]:
+def select_probers(replica: str, names: set[str]) -> frozenset[str]:
     """Return the entries that probe a replica, by rendezvous hashing."""
-    return frozenset(rendezvous.select(names, replica, PROBERS))
+    return frozenset(rendezvous.select(names, replica, PROBERS_PER_REPLICA))
 
 
 def _other_vms(replica: snapshot.Replica) -> set[str]:
@@ -251,9 +253,9 @@
 
 
 def _in_region(
-    replica: snapshot.Replica, myself: members_module.Member
+    replica: snapshot.Replica, local_member: members_module.Member
 ) -> bool:
-    return not replica.region or replica.region == myself.region
+    return not replica.region or replica.region == local_member.region
 
 
 def make_prober(
--- a/redwingvalve/evidence/serving_permits.py
+++ b/redwingvalve/evidence/serving_permits.py
@@ -30,7 +30,7 @@
         if not replica.members:
             return False
         if self._switches.enabled(LEAVING_EXCLUDED) and (
-            not replica.serving or self._loses_member(replica)
+            not replica.serving or self._has_leaving_member(replica)
         ):
             return False
         shown = all(
@@ -49,7 +49,7 @@
         )
         return True
 
-    def _loses_member(self, replica: snapshot.Replica) -> bool:
+    def _has_leaving_member(self, replica: snapshot.Replica) -> bool:
         # The store may be silent for hours; the domain object then still
         # shows a replica as serving whose VM the platform takes away.
         return not self._leaving.isdisjoint(
@@ -62,10 +62,10 @@
         """Return the head's count of requests in this epoch."""
         if not replica.members:
             return None
-        seen = self._evidence.fresh(replica.members[0].vm, now_s)
-        if seen is None or seen.epoch != replica.epoch:
+        observation = self._evidence.fresh(replica.members[0].vm, now_s)
+        if observation is None or observation.epoch != replica.epoch:
             return None
-        return permits.ReportedLoad(seen.in_flight, seen.seen_s)
+        return permits.ReportedLoad(observation.in_flight, observation.seen_s)
 
     def report_failure(
         self, replica: snapshot.Replica, vm: str, now_s: float
--- a/redwingvalve/evidence/table.py
+++ b/redwingvalve/evidence/table.py
@@ -22,11 +22,11 @@
 
 MAX_AGE_S = 2.5
 # What the request path reported counts until a newer probe says otherwise.
-FORGET_AFTER_S = 60.0
+RETENTION_S = 60.0
 
 
 @attrs.frozen
-class Seen:
+class Observation:
     """One VM, seen ready in a replica's epoch at seen_s."""
 
     vm: str
@@ -41,42 +41,47 @@
 
     def __init__(self) -> None:
         """Know nothing."""
-        self._seen: dict[str, Seen] = {}
+        self._observations: dict[str, Observation] = {}
         self._failed_s: dict[str, float] = {}
 
-    def record(self, seen: Seen) -> None:
+    def record(self, observation: Observation) -> None:
         """Take a sighting unless a newer one is known."""
-        before = self._seen.get(seen.vm)
-        if before is None or before.seen_s < seen.seen_s:
-            self._seen[seen.vm] = seen
+        before = self._observations.get(observation.vm)
+        if before is None or before.seen_s < observation.seen_s:
+            self._observations[observation.vm] = observation
 
     def record_failure(self, vm: str, failed_s: float) -> None:
         """Count a failure: only a sighting after failed_s is believed."""
         self._failed_s[vm] = max(failed_s, self._failed_s.get(vm, failed_s))
 
-    def fresh(self, vm: str, now_s: float) -> Seen | None:
+    def fresh(self, vm: str, now_s: float) -> Observation | None:
         """Return the sighting that still counts, if there is one."""
-        seen = self._seen.get(vm)
-        if seen is None or now_s - seen.seen_s > MAX_AGE_S:
+        observation = self._observations.get(vm)
+        if observation is None or now_s - observation.seen_s > MAX_AGE_S:
             return None
         failed_s = self._failed_s.get(vm)
-        if failed_s is not None and failed_s >= seen.seen_s:
+        if failed_s is not None and failed_s >= observation.seen_s:
             return None
-        return seen
+        return observation
 
     def shows(self, vm: str, replica: str, epoch: int, now_s: float) -> bool:
         """Tell whether a VM is there in this epoch of the replica."""
-        seen = self.fresh(vm, now_s)
-        return seen is not None and (seen.replica, seen.epoch) == (
+        observation = self.fresh(vm, now_s)
+        return observation is not None and (
+            observation.replica,
+            observation.epoch,
+        ) == (
             replica,
             epoch,
         )
 
-    def forget_old(self, now_s: float) -> None:
+    def drop_expired(self, now_s: float) -> None:
         """Drop what no longer counts."""
-        limit_s = now_s - FORGET_AFTER_S
-        self._seen = {
-            vm: seen for vm, seen in self._seen.items() if seen.seen_s > limit_s
+        limit_s = now_s - RETENTION_S
+        self._observations = {
+            vm: observation
+            for vm, observation in self._observations.items()
+            if observation.seen_s > limit_s
         }
         self._failed_s = {
             vm: failed_s
@@ -85,11 +90,13 @@
         }
 
 
-def seen_from(state: engine_orders.EngineState, seen_s: float) -> Seen | None:
+def observation_from(
+    state: engine_orders.EngineState, seen_s: float
+) -> Observation | None:
     """Return the sighting that a state is; one not ready shows nothing."""
     if not state.ready or not state.replica:
         return None
-    return Seen(
+    return Observation(
         vm=state.vm,
         replica=state.replica,
         epoch=state.epoch,
@@ -98,11 +105,11 @@
     )
 
 
-def attested_from(
+def attested_observations(
     state: engine_orders.EngineState,
     replica: snapshot.Replica,
     seen_s: float,
-) -> collections_abc.Iterator[Seen]:
+) -> collections_abc.Iterator[Observation]:
     """Yield sightings of members that a replica's head vouches for.
 
     Believed of the head that the configuration names, in its epoch, and of
@@ -114,7 +121,7 @@
     others = {member.vm for member in replica.members[1:]}
     for member in state.members_seen:
         if member.vm in others and 0 <= member.age_s < math.inf:
-            yield Seen(
+            yield Observation(
                 vm=member.vm,
                 replica=replica.name,
                 epoch=replica.epoch,
--- a/redwingvalve/evidence/tests/test_evidence.py
+++ b/redwingvalve/evidence/tests/test_evidence.py
@@ -139,7 +139,7 @@
         await bench.run(3)
         assert all(bench.permitted())
         probing = [e for e in bench.entries.values() if e.orders.probes]
-        assert len(probing) == prober.PROBERS
+        assert len(probing) == prober.PROBERS_PER_REPLICA
 
     anyio.run(scenario)
 
@@ -198,7 +198,7 @@
 def test_a_drain_is_acknowledged_only_once_every_live_entry_stopped():
     async def scenario():
         bench = Bench()
-        witness = news_entry_reports.make_news_entry_reports(
+        reports = news_entry_reports.make_news_entry_reports(
             FixedMembers('e1'),
             Board('control', bench.news, bench.clock),
             bench.configuration,
@@ -208,22 +208,22 @@
         )
         await bench.run(3)
         now_s = bench.clock.monotonic_s()
-        seen_s = witness.last_seen_s('vm-0', now_s)
+        seen_s = reports.last_seen_s('vm-0', now_s)
         assert now_s - seen_s <= prober.PROBE_INTERVAL_S
-        assert not witness.all_stopped(draining, now_s, now_s)
+        assert not reports.senders_stopped(draining, now_s, now_s)
         bench.configuration.replicas = (attrs.evolve(REPLICA, serving=False),)
         await bench.entries['e1'].prober.step()
-        assert not witness.all_stopped(draining, now_s, now_s)
+        assert not reports.senders_stopped(draining, now_s, now_s)
         await bench.run(prober.PROBE_INTERVAL_S)
-        assert witness.all_stopped(draining, now_s, now_s)
+        assert reports.senders_stopped(draining, now_s, now_s)
 
     anyio.run(scenario)
 
 
 @hypothesis.given(strategies.binary(max_size=60))
 def test_any_body_of_news_is_read_without_a_crash(body):
-    for finding in probe_reports.decode(body):
-        assert len(finding.mark) == probe_reports.MARK_BYTES
+    for report in probe_reports.decode(body):
+        assert len(report.fingerprint) == probe_reports.FINGERPRINT_BYTES
 
 
 def test_findings_are_small_and_never_make_evidence_younger():
@@ -233,22 +233,26 @@
     a member that was not seen, or a replica of another epoch, shows nothing.
     """
     ages = (0.011, 2.49, None)
-    finding = probe_reports.ReplicaFinding(
+    report = probe_reports.ReplicaProbeReport(
         probe_reports.fingerprint_of(REPLICA),
-        bytes(map(probe_reports.age_code, ages)),
+        bytes(map(probe_reports.encode_age, ages)),
         17,
     )
-    body = probe_reports.encode([finding])
+    body = probe_reports.encode([report])
     assert len(body) == 12
     published = bus.NewsItem('evidence', 'e1', 1, '0', 1, body, 0.3)
-    seen = list(probe_reports.sightings([published], [REPLICA], 100.0))
+    seen = list(
+        probe_reports.decode_observations([published], [REPLICA], 100.0)
+    )
     assert [each.vm for each in seen] == ['vm-0', 'vm-1']
     assert seen[0].in_flight == 17
     for each, age_s in zip(seen, ages, strict=False):
         assert each.seen_s <= 100.0 - 0.3 - age_s
     other = attrs.evolve(REPLICA, epoch=REPLICA.epoch + 1)
-    assert not list(probe_reports.sightings([published], [other], 100.0))
-    assert probe_reports.age_code(9.0) == probe_reports.NOT_SEEN
+    assert not list(
+        probe_reports.decode_observations([published], [other], 100.0)
+    )
+    assert probe_reports.encode_age(9.0) == probe_reports.NOT_SEEN
 
 
 def test_a_replica_whose_vm_leaves_gets_no_new_work_without_the_store():
@@ -261,13 +265,13 @@
     async def scenario(disabled, wanted):
         bench = Bench(disabled)
         await bench.run(3)
-        teller = Board('control', bench.news, bench.clock)
-        told = leaving.publish(teller, {'vm-1', 'other'}, frozenset())
+        publisher = Board('control', bench.news, bench.clock)
+        published = leaving.publish(publisher, {'vm-1', 'other'}, frozenset())
         for entry in bench.entries.values():
-            entry.permits.replace_leaving(leaving.read(teller))
+            entry.permits.replace_leaving(leaving.read(publisher))
         assert set(bench.permitted()) == {wanted}
-        leaving.publish(teller, (), told)
-        assert leaving.read(teller) == frozenset()
+        leaving.publish(publisher, (), published)
+        assert leaving.read(publisher) == frozenset()
 
     anyio.run(scenario, (), False)
     off = (invariants.Safeguard.LEAVING_EXCLUDED,)
--- a/redwingvalve/evidence/tests/test_vouching.py
+++ b/redwingvalve/evidence/tests/test_vouching.py
@@ -11,7 +11,7 @@
 from redwingvalve.standins import memory_fleet
 
 REPLICA = test_evidence.REPLICA
-HEAD, *OTHERS = (member.vm for member in REPLICA.members)
+HEADER, *OTHERS = (member.vm for member in REPLICA.members)
 AGE_S = 0.1
 
 
@@ -28,7 +28,7 @@
         if answer.is_error():
             return answer
         self.probed.append(answer.ok.vm)
-        if answer.ok.vm != HEAD:
+        if answer.ok.vm != HEADER:
             return answer
         seen = tuple(
             engine_orders.MemberSeen(name, age_s)
@@ -61,7 +61,7 @@
         _probed(bench)
         await bench.run(5)
         assert all(bench.permitted())
-        assert set(_probed(bench)) == {HEAD}
+        assert set(_probed(bench)) == {HEADER}
 
     anyio.run(scenario)
 
@@ -119,7 +119,7 @@
 )
 def test_only_this_epochs_head_vouches_and_for_its_own_members(change):
     state = engine_orders.EngineState(
-        HEAD,
+        HEADER,
         '1',
         ready=True,
         replica=REPLICA.name,
@@ -128,10 +128,10 @@
     )
     assert [
         (seen.vm, seen.seen_s)
-        for seen in table.attested_from(state, REPLICA, 10.0)
+        for seen in table.attested_observations(state, REPLICA, 10.0)
     ] == [(OTHERS[0], 9.75)]
     other = attrs.evolve(state, **change)
-    assert not list(table.attested_from(other, REPLICA, 10.0))
+    assert not list(table.attested_observations(other, REPLICA, 10.0))
 
 
 def test_a_dead_vm_does_not_hold_up_what_is_told_of_the_others():
--- a/redwingvalve/membership/bounds.py
+++ b/redwingvalve/membership/bounds.py
@@ -32,7 +32,7 @@
     """
 
     round_s: float = 0.35
-    foreign_interval_s: float = 4.0
+    remote_interval_s: float = 4.0
     reconnect_interval_s: float = 5.0
     urgent_interval_s: float = 0.1
     max_urgent_interval_s: float = 1.0
@@ -42,8 +42,8 @@
     pause_bound_s: float = 4.0
     isolation_s: float = 4.0
     region_silence_s: float = 15.0
-    gap_s: float = 1.5
-    dead_keep_s: float = 7200.0
+    max_tick_gap_s: float = 1.5
+    dead_retention_s: float = 7200.0
 
 
 DEFAULT_BOUNDS = MembershipBounds()
--- a/redwingvalve/membership/broadcast_queue.py
+++ b/redwingvalve/membership/broadcast_queue.py
@@ -14,10 +14,10 @@
 
 # Enough that all but one in some thousand members hear of it this way.
 SENDS_FACTOR = 2
-MAX_WORDS_IN_MESSAGE = 24
+MAX_STATUSES_PER_MESSAGE = 24
 
 
-class RumourQueue:
+class BroadcastQueue:
     """Names whose newest word is passed on, with how often it was sent."""
 
     def __init__(self) -> None:
@@ -37,17 +37,17 @@
         self._sent.pop(name, None)
 
     def take(
-        self, held: dict[str, member_status.Word], skip: str = ''
-    ) -> list[member_status.Word]:
+        self, statuses: dict[str, member_status.MemberStatus], skip: str = ''
+    ) -> list[member_status.MemberStatus]:
         """Return the words for one message; skip names its receiver."""
-        limit = SENDS_FACTOR * math.ceil(math.log2(len(held) + 2))
+        limit = SENDS_FACTOR * math.ceil(math.log2(len(statuses) + 2))
         chosen = sorted(self._sent, key=self._sent.__getitem__)
         taken = []
-        for name in chosen[:MAX_WORDS_IN_MESSAGE]:
-            if name not in held:
+        for name in chosen[:MAX_STATUSES_PER_MESSAGE]:
+            if name not in statuses:
                 self.drop(name)
                 continue
-            taken.append(held[name])
+            taken.append(statuses[name])
             if name != skip:
                 self._count(name, limit)
         return taken
--- a/redwingvalve/membership/digests.py
+++ b/redwingvalve/membership/digests.py
@@ -14,13 +14,13 @@
 
 from redwingvalve.membership import member_status, members
 
-BUCKETS = 16
+BUCKET_COUNT = 16
 _INT64 = struct.Struct('>q')
 
 
 def bucket_of(name: str) -> int:
     """Return the bucket of a name."""
-    return xxhash.xxh32_intdigest(name.encode()) % BUCKETS
+    return xxhash.xxh32_intdigest(name.encode()) % BUCKET_COUNT
 
 
 class TableDigests:
@@ -28,15 +28,20 @@
 
     def __init__(self) -> None:
         """Start with empty buckets."""
-        self._digests = [0 for _ in range(BUCKETS)]
+        self._digests = [0 for _ in range(BUCKET_COUNT)]
 
-    def replace(
-        self, held: member_status.Word | None, newer: member_status.Word | None
+    def update(
+        self,
+        current: member_status.MemberStatus | None,
+        newer: member_status.MemberStatus | None,
     ) -> None:
         """Account for a word that takes another's place."""
-        for word in (held, newer):
-            if word is not None and word.state is not members.MemberState.DEAD:
-                self._digests[bucket_of(word.name)] ^= _hash(word)
+        for status in (current, newer):
+            if (
+                status is not None
+                and status.state is not members.MemberState.DEAD
+            ):
+                self._digests[bucket_of(status.name)] ^= _hash(status)
 
     def total(self) -> int:
         """Return one digest of the whole table."""
@@ -48,18 +53,18 @@
 
     def differing(self, others: list[int]) -> list[int]:
         """Return the buckets that differ from another member's."""
-        if len(others) != BUCKETS:
-            return list(range(BUCKETS))
+        if len(others) != BUCKET_COUNT:
+            return list(range(BUCKET_COUNT))
         return [
             bucket
-            for bucket in range(BUCKETS)
+            for bucket in range(BUCKET_COUNT)
             if self._digests[bucket] != others[bucket]
         ]
 
 
-def _hash(word: member_status.Word) -> int:
+def _hash(status: member_status.MemberStatus) -> int:
     text = (
-        f'{word.name}\0{word.member.incarnation}\0{word.heartbeat}'
-        f'\0{word.state}'
+        f'{status.name}\0{status.member.incarnation}\0{status.heartbeat}'
+        f'\0{status.state}'
     )
     return _INT64.unpack(xxhash.xxh64_digest(text.encode()))[0]
--- a/redwingvalve/membership/gossip.py
+++ b/redwingvalve/membership/gossip.py
@@ -35,27 +35,27 @@
         caller: rpc.PeerCaller,
         timers: clock.Clock,
         contacts: tuple[Address, ...],
-        randomness: random.Random,
+        rng: random.Random,
     ) -> None:
         """Start from contacts; others are learned."""
         self.table = member_table
-        self.talks = exchange_transport.Conversations(
+        self.transport = exchange_transport.ExchangeTransport(
             member_table, caller, timers
         )
-        self.choice = peers.PeerChoice(member_table, contacts, randomness)
+        self.selector = peers.PeerSelector(member_table, contacts, rng)
         self._prober = probing.Prober(
-            member_table, self.talks, self.choice, caller, timers
+            member_table, self.transport, self.selector, caller, timers
         )
         self._clock = timers
-        self._randomness = randomness
+        self._rng = rng
         self._urgent = anyio.Event()
-        self._pace = urgency.make_urgent_pace(member_table.bounds)
+        self._backoff = urgency.make_urgent_backoff(member_table.bounds)
 
     # Members as other slices see them.
 
     def local_member(self) -> members.Member:
         """Return this process."""
-        return self.table.own.member()
+        return self.table.local.member()
 
     def known(self) -> tuple[members.Member, ...]:
         """Return every member that is not forgotten."""
@@ -67,14 +67,14 @@
 
     def leave(self) -> None:
         """Take no new work from now on; the others hear within a second."""
-        self.table.own.leave()
+        self.table.local.leave()
         self.trigger_urgent_round()
 
     # For slices that ride on exchanges.
 
     def add_delegate(self, rider: delegates.ExchangeDelegate) -> None:
         """Put another slice's part on each exchange."""
-        self.talks.exchanges.parts.append(rider)
+        self.transport.exchanges.registered_delegates.append(rider)
 
     def trigger_urgent_round(self) -> None:
         """Pass on what is new without waiting for the next round."""
@@ -82,14 +82,14 @@
 
     def confirm_connectivity(self) -> None:
         """Note that the store has answered: this process is not cut off."""
-        self.table.heard_network(self._clock.monotonic_s())
+        self.table.record_connectivity(self._clock.monotonic_s())
 
     # Calls from peers.
 
     async def exchange(self, packed: bytes) -> bytes:
         """Take an exchange and answer it."""
-        answer = await self.talks.answer(packed)
-        self._pass_on()
+        answer = await self.transport.answer(packed)
+        self._trigger_if_changed()
         return answer
 
     async def probe(self, request: messages.peer.ProbeRequest) -> bool:
@@ -100,10 +100,10 @@
 
     async def join(self) -> None:
         """Exchange with the first contact that answers, if any does."""
-        for address in self.choice.contacts():
-            if await self.talks.with_address(address) is None:
+        for address in self.selector.contacts():
+            if await self.transport.exchange_with_address(address) is None:
                 break
-        self.table.own.joined()
+        self.table.local.mark_joined()
 
     async def run(self) -> None:
         """Exchange with peers until cancelled."""
@@ -115,18 +115,21 @@
                 self._every, bounds.round_s, self._start_round, group
             )
             group.start_soon(
-                self._every, bounds.foreign_interval_s, self._go_abroad, group
+                self._every,
+                bounds.remote_interval_s,
+                self._start_remote_round,
+                group,
             )
             group.start_soon(
-                self._every, bounds.reconnect_interval_s, self._recall, group
+                self._every, bounds.reconnect_interval_s, self._reconnect, group
             )
 
     async def depart(self) -> None:
         """Tell some peers that this process ends now."""
-        self.table.own.depart()
+        self.table.local.depart()
         async with anyio.create_task_group() as group:
-            for member in self.choice.sample(DEPART_FANOUT):
-                group.start_soon(self.talks.with_member, member)
+            for member in self.selector.sample(DEPART_FANOUT):
+                group.start_soon(self.transport.exchange_with, member)
 
     async def _every(
         self,
@@ -137,32 +140,30 @@
         while True:
             action(group)
             # Jitter keeps processes that started together out of step.
-            await self._clock.sleep(
-                interval_s * self._randomness.uniform(0.8, 1.2)
-            )
+            await self._clock.sleep(interval_s * self._rng.uniform(0.8, 1.2))
 
     def _start_round(self, group: anyio_abc.TaskGroup) -> None:
-        member = self.choice.next()
+        member = self.selector.next()
         if member is not None:
-            group.start_soon(self._prober.meet, member)
+            group.start_soon(self._prober.check_member, member)
 
-    def _go_abroad(self, group: anyio_abc.TaskGroup) -> None:
-        member = self.choice.abroad()
+    def _start_remote_round(self, group: anyio_abc.TaskGroup) -> None:
+        member = self.selector.remote()
         if member is not None:
-            group.start_soon(self._prober.meet, member)
+            group.start_soon(self._prober.check_member, member)
 
-    def _recall(self, group: anyio_abc.TaskGroup) -> None:
-        address = self.choice.unmet_contact()
+    def _reconnect(self, group: anyio_abc.TaskGroup) -> None:
+        address = self.selector.unknown_contact()
         if address is not None:
-            group.start_soon(self.talks.with_address, address)
-        member = self.choice.dead()
+            group.start_soon(self.transport.exchange_with_address, address)
+        member = self.selector.dead()
         if member is not None:
-            group.start_soon(self.talks.with_member, member)
+            group.start_soon(self.transport.exchange_with, member)
 
     async def _run_ticks(self) -> None:
         while True:
             self.table.tick(self._clock.monotonic_s())
-            self._pass_on()
+            self._trigger_if_changed()
             await self._clock.sleep(TICK_S)
 
     async def _run_urgent(self, group: anyio_abc.TaskGroup) -> None:
@@ -170,12 +171,12 @@
             await self._urgent.wait()
             self._urgent = anyio.Event()
             self.table.statuses.take_changed()
-            for member in self.choice.sample(EAGER_FANOUT):
-                group.start_soon(self.talks.with_member, member)
+            for member in self.selector.sample(EAGER_FANOUT):
+                group.start_soon(self.transport.exchange_with, member)
             now_s = self._clock.monotonic_s()
-            await self._clock.sleep(self._pace.pause_s(now_s))
+            await self._clock.sleep(self._backoff.pause_s(now_s))
 
-    def _pass_on(self) -> None:
+    def _trigger_if_changed(self) -> None:
         if self.table.statuses.take_changed():
             self.trigger_urgent_round()
 
--- a/redwingvalve/membership/gossip_targets.py
+++ b/redwingvalve/membership/gossip_targets.py
@@ -12,11 +12,11 @@
 
 from redwingvalve.membership import member_status, members
 
-Words = collections_abc.Mapping[str, member_status.Word]
+Statuses = collections_abc.Mapping[str, member_status.MemberStatus]
 DEAD = members.MemberState.DEAD
 
 
-def speaker_of(present: collections_abc.Iterable[members.Member]) -> str:
+def representative_of(present: collections_abc.Iterable[members.Member]) -> str:
     """Return the one of a VM's processes that speaks for it."""
     ranked = sorted(
         present,
@@ -29,62 +29,66 @@
     return ranked[0].name
 
 
-def regional(held: Words, me: members.Member) -> tuple[members.Member, ...]:
+def regional(
+    statuses: Statuses, me: members.Member
+) -> tuple[members.Member, ...]:
     """Return the members that this process exchanges with in its region."""
     by_vm: dict[str, list[members.Member]] = {}
-    for word in held.values():
-        member = word.member
+    for status in statuses.values():
+        member = status.member
         if member.region != me.region or member.state is DEAD:
             continue
         by_vm.setdefault(member.vm or f'\0{member.name}', []).append(member)
     mine = by_vm.pop(me.vm or f'\0{me.name}', [me])
     by_name = {member.name: member for member in mine}
-    speaker = speaker_of(mine)
-    if speaker != me.name:
-        return (by_name[speaker],)
-    others = [_speaker(present) for present in by_vm.values()]
-    locals_ = [member for member in mine if member.name != me.name]
-    return tuple(others + locals_)
+    representative = representative_of(mine)
+    if representative != me.name:
+        return (by_name[representative],)
+    others = [_representative(present) for present in by_vm.values()]
+    local_members = [member for member in mine if member.name != me.name]
+    return tuple(others + local_members)
 
 
-def speaks(held: Words, me: members.Member) -> bool:
+def is_representative(statuses: Statuses, me: members.Member) -> bool:
     """Tell whether this process speaks for its VM."""
     if not me.vm:
         return True
     present = [
-        word.member
-        for word in held.values()
-        if word.member.vm == me.vm and word.state is not DEAD
+        status.member
+        for status in statuses.values()
+        if status.member.vm == me.vm and status.state is not DEAD
     ]
-    return speaker_of(present or [me]) == me.name
+    return representative_of(present or [me]) == me.name
 
 
-def foreign(
-    held: Words, me: members.Member, randomness: random.Random
+def pick_remote(
+    statuses: Statuses, me: members.Member, rng: random.Random
 ) -> members.Member | None:
     """Return a member of a region picked evenly among the other ones."""
     by_region: dict[str, list[members.Member]] = {}
-    for word in held.values():
-        member = word.member
+    for status in statuses.values():
+        member = status.member
         if member.region != me.region and member.state is not DEAD:
             by_region.setdefault(member.region, []).append(member)
     if not by_region:
         return None
-    return randomness.choice(by_region[randomness.choice(sorted(by_region))])
+    return rng.choice(by_region[rng.choice(sorted(by_region))])
 
 
-def dead(held: Words, randomness: random.Random) -> members.Member | None:
+def pick_dead(statuses: Statuses, rng: random.Random) -> members.Member | None:
     """Return one of the dead, to find out whether it has come back."""
-    gone = [word.member for word in held.values() if word.state is DEAD]
-    return randomness.choice(gone) if gone else None
+    dead_members = [
+        status.member for status in statuses.values() if status.state is DEAD
+    ]
+    return rng.choice(dead_members) if dead_members else None
 
 
 class Rotation:
     """Goes through candidates in an order shuffled anew each time round."""
 
-    def __init__(self, randomness: random.Random) -> None:
+    def __init__(self, rng: random.Random) -> None:
         """Shuffle with randomness."""
-        self._randomness = randomness
+        self._rng = rng
         self._left: list[str] = []
 
     def next(
@@ -100,10 +104,10 @@
         if not by_name:
             return None
         self._left = sorted(by_name)
-        self._randomness.shuffle(self._left)
+        self._rng.shuffle(self._left)
         return by_name[self._left.pop()]
 
 
-def _speaker(present: list[members.Member]) -> members.Member:
-    name = speaker_of(present)
+def _representative(present: list[members.Member]) -> members.Member:
+    name = representative_of(present)
     return next(member for member in present if member.name == name)
--- a/redwingvalve/membership/member_status.py
+++ b/redwingvalve/membership/member_status.py
@@ -12,7 +12,7 @@
 
 from redwingvalve.membership import members
 
-_GRAVITY = types.MappingProxyType(
+_PRECEDENCE = types.MappingProxyType(
     {
         members.MemberState.ALIVE: 0,
         members.MemberState.LEAVING: 0,
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen
-class Word:
+class MemberStatus:
     """A member as its newest word has it."""
 
     member: members.Member
@@ -41,28 +41,32 @@
 
     def order(self) -> tuple[int, int, int]:
         """Return the key by which newer words are greater."""
-        gravity = _GRAVITY[self.member.state]
-        return (self.member.incarnation, self.heartbeat, gravity)
+        precedence = _PRECEDENCE[self.member.state]
+        return (self.member.incarnation, self.heartbeat, precedence)
 
-    def with_state(self, state: members.MemberState) -> 'Word':
+    def with_state(self, state: members.MemberState) -> 'MemberStatus':
         """Return the same word with a graver state."""
-        return Word(attrs.evolve(self.member, state=state), self.heartbeat)
+        return MemberStatus(
+            attrs.evolve(self.member, state=state), self.heartbeat
+        )
 
 
-def replaces(newer: Word, held: Word | None, *, leaving_stays: bool) -> bool:
+def supersedes(
+    newer: MemberStatus, current: MemberStatus | None, *, leaving_is_final: bool
+) -> bool:
     """Tell whether a word is newer than the one held.
 
     Nobody returns from LEAVING within an incarnation. A word that says so is
     forged or a fault, and to believe it would send new work to an entry that
     is about to stop; leaving_stays is off only in proofs.
     """
-    if held is None:
+    if current is None:
         return True
-    if newer.order() <= held.order():
+    if newer.order() <= current.order():
         return False
-    if newer.member.incarnation > held.member.incarnation:
+    if newer.member.incarnation > current.member.incarnation:
         return True
-    if held.state is members.MemberState.LEAVING and leaving_stays:
+    if current.state is members.MemberState.LEAVING and leaving_is_final:
         return newer.state in {
             members.MemberState.LEAVING,
             members.MemberState.DEAD,
--- a/redwingvalve/membership/node.py
+++ b/redwingvalve/membership/node.py
@@ -132,9 +132,9 @@
         caller,
     )
     if objects is not None:
-        randomness = random.Random(f'{seed}/{me.name}/store')
-        configured.watch_store(objects, randomness)
+        rng = random.Random(f'{seed}/{me.name}/store')
+        configured.watch_store(objects, rng)
         node.directory = node_directory.make_node_directory(
-            objects, present, timers, randomness
+            objects, present, timers, rng
         )
     return node
--- a/redwingvalve/membership/node_directory.py
+++ b/redwingvalve/membership/node_directory.py
@@ -29,13 +29,13 @@
         objects: object_api.ObjectApi,
         present: gossip.GossipMembers,
         timers: clock.Clock,
-        randomness: random.Random,
+        rng: random.Random,
     ) -> None:
         """Nothing is written before run."""
         self._objects = objects
         self._members = present
         self._clock = timers
-        self._randomness = randomness
+        self._rng = rng
 
     async def find_contacts(self) -> bool:
         """Read the node objects once; False when the store is away."""
@@ -44,7 +44,7 @@
             return False
         self._members.confirm_connectivity()
         found = [_address(stored.body) for stored in listed.ok.objects]
-        self._members.choice.add_contacts(
+        self._members.selector.add_contacts(
             tuple(address for address in found if address is not None)
         )
         await self._delete_dead(listed.ok.objects)
@@ -54,15 +54,13 @@
         """Write this process's object, then read now and then."""
         while not await self.write():
             await self._clock.sleep(
-                RETRY_INTERVAL_S * self._randomness.uniform(0.5, 1.5)
+                RETRY_INTERVAL_S * self._rng.uniform(0.5, 1.5)
             )
         while True:
             interval_s = READ_INTERVAL_S
             if self._members.isolated() or len(self._members.known()) == 1:
                 interval_s = RETRY_INTERVAL_S
-            await self._clock.sleep(
-                interval_s * self._randomness.uniform(0.5, 1.5)
-            )
+            await self._clock.sleep(interval_s * self._rng.uniform(0.5, 1.5))
             await self.find_contacts()
 
     async def write(self) -> bool:
@@ -131,7 +129,7 @@
     objects: object_api.ObjectApi,
     present: gossip.GossipMembers,
     timers: clock.Clock,
-    randomness: random.Random,
+    rng: random.Random,
 ) -> NodeDirectory:
     """Return a directory that has not read or written yet."""
-    return NodeDirectory(objects, present, timers, randomness)
+    return NodeDirectory(objects, present, timers, rng)
--- a/redwingvalve/membership/peers.py
+++ b/redwingvalve/membership/peers.py
@@ -7,20 +7,20 @@
 Address = tuple[str, int]
 
 
-class PeerChoice:
+class PeerSelector:
     """Whom to exchange with; the regional peers are kept until a change."""
 
     def __init__(
         self,
         member_table: table.MemberTable,
         contacts: tuple[Address, ...],
-        randomness: random.Random,
+        rng: random.Random,
     ) -> None:
         """Choose from member_table and, before it knows them, contacts."""
         self._table = member_table
         self._contacts = contacts
-        self._randomness = randomness
-        self._rotation = gossip_targets.Rotation(randomness)
+        self._rng = rng
+        self._rotation = gossip_targets.Rotation(rng)
         self._regional: tuple[members.Member, ...] = ()
         self._revision = -1
 
@@ -32,11 +32,11 @@
 
     def regional(self) -> tuple[members.Member, ...]:
         """Return those that this process exchanges with in its region."""
-        book = self._table.statuses
-        if self._revision != book.revision:
-            self._revision = book.revision
+        store = self._table.statuses
+        if self._revision != store.revision:
+            self._revision = store.revision
             self._regional = gossip_targets.regional(
-                book.held(), self._table.own.member()
+                store.all(), self._table.local.member()
             )
         return self._regional
 
@@ -44,19 +44,19 @@
         """Return the next regional peer in turn."""
         return self._rotation.next(self.regional())
 
-    def abroad(self) -> members.Member | None:
+    def remote(self) -> members.Member | None:
         """Return a member elsewhere, if this process speaks for its VM."""
-        held, me = self._table.statuses.held(), self._table.own.member()
-        if not gossip_targets.speaks(held, me):
+        statuses, me = self._table.statuses.all(), self._table.local.member()
+        if not gossip_targets.is_representative(statuses, me):
             return None
-        return gossip_targets.foreign(held, me, self._randomness)
+        return gossip_targets.pick_remote(statuses, me, self._rng)
 
     def sample(self, count: int) -> list[members.Member]:
         """Return some regional peers and one abroad."""
         near = self.regional()
-        chosen = self._randomness.sample(near, min(count, len(near)))
-        abroad = self.abroad()
-        return chosen if abroad is None else [*chosen, abroad]
+        chosen = self._rng.sample(near, min(count, len(near)))
+        remote = self.remote()
+        return chosen if remote is None else [*chosen, remote]
 
     def helpers(
         self, member: members.Member, count: int
@@ -68,27 +68,25 @@
             if other.name != member.name
             and other.state is members.MemberState.ALIVE
         ]
-        return self._randomness.sample(others, min(count, len(others)))
+        return self._rng.sample(others, min(count, len(others)))
 
     def dead(self) -> members.Member | None:
         """Return one of the dead, to find out whether it is back."""
-        return gossip_targets.dead(
-            self._table.statuses.held(), self._randomness
-        )
+        return gossip_targets.pick_dead(self._table.statuses.all(), self._rng)
 
     def contacts(self) -> list[Address]:
         """Return all contacts but ourselves."""
-        me = self._table.own.member()
+        me = self._table.local.member()
         mine = (me.host, me.peer_port)
         return [address for address in self._contacts if address != mine]
 
-    def unmet_contact(self) -> Address | None:
+    def unknown_contact(self) -> Address | None:
         """Return a contact that belongs to no known member."""
         present = {
-            (word.member.host, word.member.peer_port)
-            for word in self._table.statuses.held().values()
+            (status.member.host, status.member.peer_port)
+            for status in self._table.statuses.all().values()
         }
         unmet = [
             address for address in self.contacts() if address not in present
         ]
-        return self._randomness.choice(unmet) if unmet else None
+        return self._rng.choice(unmet) if unmet else None
--- a/redwingvalve/membership/probing.py
+++ b/redwingvalve/membership/probing.py
@@ -19,42 +19,42 @@
     def __init__(
         self,
         member_table: table.MemberTable,
-        talks: exchange_transport.Conversations,
-        choice: peers.PeerChoice,
+        transport: exchange_transport.ExchangeTransport,
+        selector: peers.PeerSelector,
         caller: rpc.PeerCaller,
         timers: clock.Clock,
     ) -> None:
         """Judge for member_table."""
         self._table = member_table
-        self._talks = talks
-        self._choice = choice
+        self._transport = transport
+        self._selector = selector
         self._caller = caller
         self._clock = timers
-        self._under_way: set[str] = set()
+        self._in_progress: set[str] = set()
 
-    async def meet(self, member: members.Member) -> None:
+    async def check_member(self, member: members.Member) -> None:
         """Exchange with a member; doubt it when nobody reaches it."""
-        if member.name in self._under_way:
+        if member.name in self._in_progress:
             return
-        self._under_way.add(member.name)
+        self._in_progress.add(member.name)
         try:
-            await self._meet(member)
+            await self._check(member)
         finally:
-            self._under_way.discard(member.name)
+            self._in_progress.discard(member.name)
 
     async def probe_for(self, request: messages.peer.ProbeRequest) -> bool:
         """Tell another member whether we reach a third."""
-        word = self._table.statuses.get(request.name)
-        if word is None:
+        status = self._table.statuses.get(request.name)
+        if status is None:
             return False
-        return await self._talks.with_member(word.member) is None
+        return await self._transport.exchange_with(status.member) is None
 
-    async def _meet(self, member: members.Member) -> None:
-        error = await self._talks.with_member(member)
+    async def _check(self, member: members.Member) -> None:
+        error = await self._transport.exchange_with(member)
         if error is None:
             return
         if await self._reached_by_others(member):
-            self._table.clear_doubt(member.name)
+            self._table.cancel_suspicion(member.name)
             return
         refused = error.kind is call_errors.CallErrorKind.REFUSED
         self._table.suspect(
@@ -64,7 +64,7 @@
     async def _reached_by_others(self, member: members.Member) -> bool:
         reached: list[bool] = []
         async with anyio.create_task_group() as group:
-            for helper in self._choice.helpers(member, INDIRECT_PROBES):
+            for helper in self._selector.helpers(member, INDIRECT_PROBES):
                 group.start_soon(self._ask, helper, member, reached)
         return any(reached)
 
--- a/redwingvalve/membership/records.py
+++ b/redwingvalve/membership/records.py
@@ -13,16 +13,16 @@
 _NUMBER_FIELDS = ('incarnation', 'peer_port', 'http_port')
 
 
-def to_record(word: member_status.Word) -> Record:
+def to_record(status: member_status.MemberStatus) -> Record:
     """Return a word as it travels."""
-    member = word.member
+    member = status.member
     plain = {
         name: getattr(member, name) for name in _TEXT_FIELDS + _NUMBER_FIELDS
     }
-    return Record(state=member.state.value, heartbeat=word.heartbeat, **plain)
+    return Record(state=member.state.value, heartbeat=status.heartbeat, **plain)
 
 
-def from_record(record: Record) -> member_status.Word | None:
+def from_record(record: Record) -> member_status.MemberStatus | None:
     """Return the word of a record, or None when it is unsound."""
     state = _STATES.get(record.state)
     if state is None or not record.name or record.incarnation is None:
@@ -30,10 +30,12 @@
     texts = {name: getattr(record, name) or '' for name in _TEXT_FIELDS}
     numbers = {name: getattr(record, name) or 0 for name in _NUMBER_FIELDS}
     member = members.Member(state=state, **texts, **numbers)
-    return member_status.Word(member, record.heartbeat or 0)
+    return member_status.MemberStatus(member, record.heartbeat or 0)
 
 
-def words_of(records: list[Record] | None) -> list[member_status.Word]:
+def from_records(
+    records: list[Record] | None,
+) -> list[member_status.MemberStatus]:
     """Return the words of all sound records; the others are left out."""
     read = [from_record(record) for record in records or ()]
-    return [word for word in read if word is not None]
+    return [status for status in read if status is not None]
--- a/redwingvalve/membership/status_store.py
+++ b/redwingvalve/membership/status_store.py
@@ -13,7 +13,7 @@
 State = members.MemberState
 
 
-class WordBook:
+class StatusStore:
     """Words by name; each replacement is checked, digested and passed on."""
 
     def __init__(
@@ -22,42 +22,44 @@
         """Start empty."""
         self.revision = 0
         self._switches = switches or invariants.SafeguardSwitches()
-        self._words: dict[str, member_status.Word] = {}
-        self._rumours = broadcast_queue.RumourQueue()
+        self._statuses: dict[str, member_status.MemberStatus] = {}
+        self._broadcasts = broadcast_queue.BroadcastQueue()
         self._digests = digests.TableDigests()
         self._changed = False
 
-    def held(self) -> collections_abc.Mapping[str, member_status.Word]:
+    def all(
+        self,
+    ) -> collections_abc.Mapping[str, member_status.MemberStatus]:
         """Return the newest word of every member."""
-        return self._words
+        return self._statuses
 
-    def get(self, name: str) -> member_status.Word | None:
+    def get(self, name: str) -> member_status.MemberStatus | None:
         """Return the newest word of a member."""
-        return self._words.get(name)
+        return self._statuses.get(name)
 
-    def accepts(self, word: member_status.Word) -> bool:
+    def accepts(self, status: member_status.MemberStatus) -> bool:
         """Tell whether a word heard from a peer is newer than ours."""
-        held = self._words.get(word.name)
-        if held is None:
+        current = self._statuses.get(status.name)
+        if current is None:
             # Whoever is dead before we knew it is of no interest.
-            return word.state is not State.DEAD
+            return status.state is not State.DEAD
         stays = self._switches.enabled(invariants.Safeguard.LEAVING_EXCLUDED)
-        return member_status.replaces(word, held, leaving_stays=stays)
+        return member_status.supersedes(status, current, leaving_is_final=stays)
 
-    def put(self, word: member_status.Word) -> None:
+    def put(self, status: member_status.MemberStatus) -> None:
         """Replace a member's word and pass it on."""
-        held = self._words.get(word.name)
-        _require_order(word, held)
-        self._digests.replace(held, word)
-        self._words[word.name] = word
-        self._rumours.add(word.name)
+        current = self._statuses.get(status.name)
+        _require_order(status, current)
+        self._digests.update(current, status)
+        self._statuses[status.name] = status
+        self._broadcasts.add(status.name)
         self.revision += 1
-        self._changed = self._changed or _urgent(word, held)
+        self._changed = self._changed or _urgent(status, current)
 
     def remove(self, name: str) -> None:
         """Forget a member."""
-        self._digests.replace(self._words.pop(name, None), None)
-        self._rumours.drop(name)
+        self._digests.update(self._statuses.pop(name, None), None)
+        self._broadcasts.drop(name)
         self.revision += 1
 
     def mark_urgent(self) -> None:
@@ -70,9 +72,11 @@
         self._changed = False
         return changed
 
-    def take_rumours(self, receiver: str) -> list[member_status.Word]:
+    def take_broadcasts(
+        self, receiver: str
+    ) -> list[member_status.MemberStatus]:
         """Return the words for one message."""
-        return self._rumours.take(self._words, receiver)
+        return self._broadcasts.take(self._statuses, receiver)
 
     def digest(self) -> int:
         """Return one digest of all words."""
@@ -82,46 +86,51 @@
         """Return the digests of all buckets."""
         return self._digests.as_list()
 
-    def differing_words(
+    def differing_statuses(
         self, other_digests: list[int] | None, limit: int
-    ) -> list[member_status.Word]:
+    ) -> list[member_status.MemberStatus]:
         """Return the words of the first buckets that differ."""
         if not other_digests:
             return []
         wanted = set(self._digests.differing(other_digests)[:limit])
         return [
-            word
-            for word in self._words.values()
-            if digests.bucket_of(word.name) in wanted
+            status
+            for status in self._statuses.values()
+            if digests.bucket_of(status.name) in wanted
         ]
 
 
-def _urgent(word: member_status.Word, held: member_status.Word | None) -> bool:
+def _urgent(
+    status: member_status.MemberStatus,
+    current: member_status.MemberStatus | None,
+) -> bool:
     """Tell whether a word is to be passed on without delay.
 
     Doubts and their refutation are not: the suspicion time leaves room for
     rounds, and a storm of doubts must not feed itself.
     """
-    if held is None or word.state in {State.LEAVING, State.DEAD}:
+    if current is None or status.state in {State.LEAVING, State.DEAD}:
         return True
-    return word.member.incarnation != held.member.incarnation
+    return status.member.incarnation != current.member.incarnation
 
 
 def _require_order(
-    word: member_status.Word, held: member_status.Word | None
+    status: member_status.MemberStatus,
+    current: member_status.MemberStatus | None,
 ) -> None:
-    if held is None:
+    if current is None:
         return
     invariants.require(
-        word.order() > held.order(),
+        status.order() > current.order(),
         'one incarnation',
-        f'{word.name} would go back from {held.order()} to {word.order()}',
+        f'{status.name} would go back'
+        f' from {current.order()} to {status.order()}',
     )
-    if word.member.incarnation > held.member.incarnation:
+    if status.member.incarnation > current.member.incarnation:
         return
     invariants.require(
-        held.state is not State.LEAVING
-        or word.state in {State.LEAVING, State.DEAD},
+        current.state is not State.LEAVING
+        or status.state in {State.LEAVING, State.DEAD},
         'leaving is final',
-        f'{word.name} would be {word.state} after leaving',
+        f'{status.name} would be {status.state} after leaving',
     )
--- a/redwingvalve/membership/tests/network.py
+++ b/redwingvalve/membership/tests/network.py
@@ -38,13 +38,15 @@
 class Network:
     """Carries packed exchanges; links may be cut in one direction."""
 
-    def __init__(self, seed=0, judging=bounds.DEFAULT_BOUNDS, switches=None):
+    def __init__(
+        self, seed=0, member_bounds=bounds.DEFAULT_BOUNDS, switches=None
+    ):
         self.now_s = 0.0
-        self.randomness = random.Random(seed)
+        self.rng = random.Random(seed)
         self.processes = {}
         self.cut = set()
         self.loss = 0.0
-        self.bounds = judging
+        self.bounds = member_bounds
         self.switches = switches
         self.late = []
         self.deaths = set()
@@ -57,12 +59,12 @@
                     member, self.now_s, self.bounds, self.switches
                 )
             ),
-            gossip_targets.Rotation(self.randomness),
+            gossip_targets.Rotation(self.rng),
         )
         self.processes[name] = started
         if contact is not None:
             self.meet(name, contact)
-        started.table.own.joined()
+        started.table.local.mark_joined()
 
     def step(self, count=1):
         """Let each process that runs do one round."""
@@ -78,7 +80,7 @@
     def meet(self, asker, asked):
         """Carry an exchange; False when no answer came back."""
         first, second = self.processes.get(asker), self.processes.get(asked)
-        question = first.exchanges.question(
+        question = first.exchanges.make_request(
             asked, self._region(second), self.now_s
         )
         if second is None or not self._carries(asker, asked):
@@ -87,18 +89,18 @@
         if not self._carries(asked, asker):
             return False
         first.exchanges.receive(self._copy(answer), None, self.now_s)
-        supplement = first.exchanges.supplement(answer)
+        supplement = first.exchanges.make_follow_up(answer)
         if supplement is not None and self._carries(asker, asked):
             self._deliver(second, supplement)
         return True
 
     def deliver_late(self, count):
         """Deliver copies of earlier messages again, in any order."""
-        self.randomness.shuffle(self.late)
+        self.rng.shuffle(self.late)
         for receiver, packed in self.late[:count]:
             if receiver in self.processes:
-                heard = packing.unpack(messages.peer.Exchange(), packed).ok
-                self._deliver(self.processes[receiver], heard, keep=False)
+                received = packing.unpack(messages.peer.Exchange(), packed).ok
+                self._deliver(self.processes[receiver], received, keep=False)
 
     def states(self, name):
         return {
@@ -108,11 +110,14 @@
         }
 
     def _round(self, name, process):
-        held, me = process.table.statuses.held(), process.table.own.member()
-        chosen = [process.rotation.next(gossip_targets.regional(held, me))]
-        if self.randomness.random() < 0.2:
-            chosen.append(gossip_targets.foreign(held, me, self.randomness))
-            chosen.append(gossip_targets.dead(held, self.randomness))
+        statuses, me = (
+            process.table.statuses.all(),
+            process.table.local.member(),
+        )
+        chosen = [process.rotation.next(gossip_targets.regional(statuses, me))]
+        if self.rng.random() < 0.2:
+            chosen.append(gossip_targets.pick_remote(statuses, me, self.rng))
+            chosen.append(gossip_targets.pick_dead(statuses, self.rng))
         for member in chosen:
             if member is None or self.meet(name, member.name):
                 continue
@@ -122,19 +127,25 @@
 
     def _reached_by_others(self, asker, wanted):
         others = sorted(set(self.processes) - {asker, wanted})
-        for other in self.randomness.sample(others, min(2, len(others))):
-            heard = self._carries(asker, other) and self._carries(other, asker)
-            if heard and wanted in self.processes and self.meet(other, wanted):
+        for other in self.rng.sample(others, min(2, len(others))):
+            received = self._carries(asker, other) and self._carries(
+                other, asker
+            )
+            if (
+                received
+                and wanted in self.processes
+                and self.meet(other, wanted)
+            ):
                 return True
         return False
 
     def _deliver(self, receiver, message, keep=True):
-        heard = self._copy(message)
-        name = receiver.table.own.member().name
+        received = self._copy(message)
+        name = receiver.table.local.member().name
         if keep:
             self.late = [*self.late[-40:], (name, packing.pack(message))]
-        receiver.exchanges.receive(heard, None, self.now_s)
-        return self._copy(receiver.exchanges.answer(heard, self.now_s))
+        receiver.exchanges.receive(received, None, self.now_s)
+        return self._copy(receiver.exchanges.make_reply(received, self.now_s))
 
     def _carries(self, sender, receiver):
         if (sender, receiver) in self.cut:
@@ -143,21 +154,21 @@
             process = self.processes.get(name)
             if process is None or process.paused_until_s > self.now_s:
                 return False
-        return self.randomness.random() >= self.loss
+        return self.rng.random() >= self.loss
 
     def _note_deaths(self):
         for process in self.processes.values():
-            for word in process.table.statuses.held().values():
-                if word.state is State.DEAD:
-                    self.deaths.add((word.name, word.member.incarnation))
+            for status in process.table.statuses.all().values():
+                if status.state is State.DEAD:
+                    self.deaths.add((status.name, status.member.incarnation))
 
     def _copy(self, message):
         packed = packing.pack(message)
         return packing.unpack(messages.peer.Exchange(), packed).ok
 
     def _region(self, process):
-        return process.table.own.member().region if process else ''
+        return process.table.local.member().region if process else ''
 
 
-def words_of(member):
-    return member_status.Word(member, 0)
+def from_records(member):
+    return member_status.MemberStatus(member, 0)
--- a/redwingvalve/membership/tests/test_faults.py
+++ b/redwingvalve/membership/tests/test_faults.py
@@ -64,7 +64,7 @@
     net.start('e5', incarnation=0, contact='e1')
     net.step(20)
     assert set(net.states('e5').values()) == {State.ALIVE}
-    own = net.processes['e5'].table.own
+    own = net.processes['e5'].table.local
     assert own.member().incarnation == 2
     assert not own.superseded
 
@@ -81,15 +81,15 @@
     net.step(5)
     net.processes['old'] = old
     old.exchanges.receive(
-        net.processes['e0'].exchanges.answer(
-            old.exchanges.question('e0', 'r0', net.now_s), net.now_s
+        net.processes['e0'].exchanges.make_reply(
+            old.exchanges.make_request('e0', 'r0', net.now_s), net.now_s
         ),
         None,
         net.now_s,
     )
-    assert old.table.own.superseded
+    assert old.table.local.superseded
     assert old.table.isolated(net.now_s)
-    assert not net.processes['e1'].table.own.superseded
+    assert not net.processes['e1'].table.local.superseded
 
 
 def test_an_hour_between_regions_makes_no_deaths_and_heals():
@@ -107,8 +107,8 @@
         if (first in one) != (second in one)
     }
     net.step(60)
-    shown = net.processes['e0'].table.known(net.now_s)
-    assert {each.state for each in shown if each.region == 'r1'} == {
+    presented = net.processes['e0'].table.known(net.now_s)
+    assert {each.state for each in presented if each.region == 'r1'} == {
         State.SUSPECT
     }
     del net.processes['e7']
@@ -129,7 +129,8 @@
     alone = net.processes['e0'].table
     assert alone.isolated(net.now_s)
     assert all(
-        word.state is not State.DEAD for word in alone.statuses.held().values()
+        status.state is not State.DEAD
+        for status in alone.statuses.all().values()
     )
     assert net.processes['e1'].table.statuses.get('e0').state is State.DEAD
     net.cut.clear()
@@ -140,18 +141,18 @@
 
 def test_processes_of_a_vm_let_one_speak():
     """Eight VMs with three processes: each VM counts as one peer."""
-    held = {}
+    statuses = {}
     for vm in range(8):
         for role in ('control', 'entry-1', 'entry-2'):
             name = f'{vm}-{role}'
             member = members.Member(
                 name, 1, role.split('-')[0], 'h', 1, 2, 'a', 'r', vm=f'vm{vm}'
             )
-            held[name] = network.words_of(member)
-    speaker = held['0-control'].member
-    peers = gossip_targets.regional(held, speaker)
+            statuses[name] = network.from_records(member)
+    representative = statuses['0-control'].member
+    peers = gossip_targets.regional(statuses, representative)
     assert sorted(peer.name for peer in peers) == sorted(
         [f'{vm}-control' for vm in range(1, 8)] + ['0-entry-1', '0-entry-2']
     )
-    local = gossip_targets.regional(held, held['0-entry-2'].member)
+    local = gossip_targets.regional(statuses, statuses['0-entry-2'].member)
     assert [peer.name for peer in local] == ['0-control']
--- a/redwingvalve/membership/tests/test_machine.py
+++ b/redwingvalve/membership/tests/test_machine.py
@@ -71,18 +71,18 @@
 
     @stateful.rule(name=st.sampled_from(NAMES))
     def leave(self, name):
-        self.network.processes[name].table.own.leave()
+        self.network.processes[name].table.local.leave()
         self.left.add(name)
 
     @stateful.invariant()
     def nobody_returns_from_leaving(self):
         for name in self.left:
-            own = self.network.processes[name].table.own.word()
+            own = self.network.processes[name].table.local.status()
             for process in self.network.processes.values():
-                held = process.table.statuses.get(name)
-                if held is None or held.order() < own.order():
+                current = process.table.statuses.get(name)
+                if current is None or current.order() < own.order():
                     continue
-                assert held.state in {State.LEAVING, State.DEAD}
+                assert current.state in {State.LEAVING, State.DEAD}
 
     def teardown(self):
         """Whatever happened, all agree some time after it has ended."""
@@ -92,8 +92,8 @@
             process.paused_until_s = 0.0
         self.network.step(80)
         for name, process in self.network.processes.items():
-            wanted = process.table.own.word().state
-            assert not process.table.own.superseded
+            wanted = process.table.local.status().state
+            assert not process.table.local.superseded
             assert set(self.network.states(name).values()) == {wanted}, name
             assert len(self.network.states(name)) == len(NAMES)
 
@@ -117,11 +117,11 @@
         net = network.Network(switches=switches)
         net.start('a')
         net.start('b', contact='a')
-        net.processes['b'].table.own.leave()
+        net.processes['b'].table.local.leave()
         net.step(3)
         table = net.processes['a'].table
         assert table.statuses.get('b').state is State.LEAVING
-        forged = member_status.Word(network.make_member('b'), 50)
+        forged = member_status.MemberStatus(network.make_member('b'), 50)
         if caught:
             with pytest.raises(invariants.InvariantBreachError):
                 table.merge([forged], net.now_s)
--- a/redwingvalve/membership/urgency.py
+++ b/redwingvalve/membership/urgency.py
@@ -9,7 +9,7 @@
 from redwingvalve.membership import bounds as member_bounds
 
 
-class UrgentPace:
+class UrgentBackoff:
     """A pause after each round, doubled while rounds follow each other."""
 
     def __init__(self, bounds: member_bounds.MembershipBounds) -> None:
@@ -30,6 +30,8 @@
         return self._pause_s
 
 
-def make_urgent_pace(bounds: member_bounds.MembershipBounds) -> UrgentPace:
+def make_urgent_backoff(
+    bounds: member_bounds.MembershipBounds,
+) -> UrgentBackoff:
     """Return a pace that has been quiet."""
-    return UrgentPace(bounds)
+    return UrgentBackoff(bounds)
--- a/redwingvalve/news/gossip_bus.py
+++ b/redwingvalve/news/gossip_bus.py
@@ -34,12 +34,12 @@
         self._everywhere = store.NewsStore(me)
         self._last_number = 0
         self._urgent: set[str] = set()
-        self._hurry: collections_abc.Callable[[], None] = _nothing
-        self._dropped_s = timers.monotonic_s()
+        self._on_urgent: collections_abc.Callable[[], None] = _ignore
+        self._last_drop_s = timers.monotonic_s()
 
-    def on_urgent(self, hurry: collections_abc.Callable[[], None]) -> None:
+    def on_urgent(self, callback: collections_abc.Callable[[], None]) -> None:
         """Call hurry whenever urgent news is said or heard."""
-        self._hurry = hurry
+        self._on_urgent = callback
 
     # The board as other slices see it.
 
@@ -59,13 +59,13 @@
             key=key,
             number=self._last_number,
             body=body,
-            said_s=now_s,
+            published_s=now_s,
             max_age_s=channel.max_age_s,
         )
         self._store(channel.scope).put(item, now_s)
         if channel.urgent:
             self._urgent.add(channel.name)
-            self._hurry()
+            self._on_urgent()
 
     def read(self, channel: bus.Channel) -> tuple[bus.NewsItem, ...]:
         """Return all items of a channel that are not too old."""
@@ -80,52 +80,60 @@
                 key=item.key,
                 number=item.number,
                 body=item.body,
-                age_s=now_s - item.said_s,
+                age_s=now_s - item.published_s,
             )
             for item in self._store(channel.scope).read(channel.name, now_s)
-            if now_s - item.said_s <= channel.max_age_s
+            if now_s - item.published_s <= channel.max_age_s
         )
 
     # The part of exchanges.
 
-    def ask(self, question: Exchange, peer_region: str) -> None:
+    def ask(self, request: Exchange, peer_region: str) -> None:
         """Say the highest numbers known."""
-        self._drop_old()
+        self._drop_expired()
         if peer_region == self._members.local_member().region:
-            question.region_digest = _to_digest(self._region.digest())
-        question.everywhere_digest = _to_digest(self._everywhere.digest())
+            request.region_digest = _to_digest(self._region.digest())
+        request.everywhere_digest = _to_digest(self._everywhere.digest())
 
-    def answer(self, heard: Exchange, reply: Exchange) -> None:
+    def answer(self, received: Exchange, reply: Exchange) -> None:
         """Give what the asker lacks and name what is lacking here."""
-        if heard.region_digest is not None and self._same_region(heard):
-            theirs = _from_digest(heard.region_digest)
-            reply.region_news = self._missing(self._region, theirs)
-            reply.region_digest = _to_digest(self._region.behind(theirs))
-        if heard.everywhere_digest is not None:
-            theirs = _from_digest(heard.everywhere_digest)
-            reply.everywhere_news = self._missing(self._everywhere, theirs)
+        if received.region_digest is not None and self._same_region(received):
+            peer_numbers = _from_digest(received.region_digest)
+            reply.region_news = self._missing(self._region, peer_numbers)
+            reply.region_digest = _to_digest(
+                self._region.numbers_behind(peer_numbers)
+            )
+        if received.everywhere_digest is not None:
+            peer_numbers = _from_digest(received.everywhere_digest)
+            reply.everywhere_news = self._missing(
+                self._everywhere, peer_numbers
+            )
             reply.everywhere_digest = _to_digest(
-                self._everywhere.behind(theirs)
+                self._everywhere.numbers_behind(peer_numbers)
             )
 
-    def follow_up(self, heard: Exchange, supplement: Exchange) -> bool:
+    def follow_up(
+        self, received: Exchange, follow_up_message: Exchange
+    ) -> bool:
         """Give what the answer named as lacking."""
-        if heard.region_digest is not None and self._same_region(heard):
-            supplement.region_news = self._missing(
+        if received.region_digest is not None and self._same_region(received):
+            follow_up_message.region_news = self._missing(
                 self._region,
-                _from_digest(heard.region_digest),
+                _from_digest(received.region_digest),
                 only_named=True,
             )
-        if heard.everywhere_digest is not None:
-            supplement.everywhere_news = self._missing(
+        if received.everywhere_digest is not None:
+            follow_up_message.everywhere_news = self._missing(
                 self._everywhere,
-                _from_digest(heard.everywhere_digest),
+                _from_digest(received.everywhere_digest),
                 only_named=True,
             )
-        return bool(supplement.region_news or supplement.everywhere_news)
+        return bool(
+            follow_up_message.region_news or follow_up_message.everywhere_news
+        )
 
     def receive(
-        self, heard: Exchange, address: tuple[str, int], delay_s: float
+        self, received: Exchange, address: tuple[str, int], delay_s: float
     ) -> None:
         """Take the other side's news, older by the time on the way."""
         if math.isinf(delay_s):
@@ -133,67 +141,71 @@
             # it again, since its number was not taken either.
             return
         packed_s = self._clock.monotonic_s() - delay_s
-        if self._same_region(heard):
-            self._take(self._region, heard.region_news, packed_s)
-        self._take(self._everywhere, heard.everywhere_news, packed_s)
+        if self._same_region(received):
+            self._store_received(self._region, received.region_news, packed_s)
+        self._store_received(
+            self._everywhere, received.everywhere_news, packed_s
+        )
 
     def _store(self, scope: bus.Scope) -> store.NewsStore:
         if scope is bus.Scope.REGION:
             return self._region
         return self._everywhere
 
-    def _same_region(self, heard: Exchange) -> bool:
-        return heard.sender.region == self._members.local_member().region
+    def _same_region(self, received: Exchange) -> bool:
+        return received.sender.region == self._members.local_member().region
 
     def _missing(
         self,
-        kept: store.NewsStore,
-        theirs: dict[int, int],
+        target: store.NewsStore,
+        peer_numbers: dict[int, int],
         *,
         only_named: bool = False,
     ) -> list[Record]:
         now_s = self._clock.monotonic_s()
-        lacking = kept.missing_from(theirs, now_s, only_named=only_named)
-        return [_to_record(item, now_s) for item in lacking]
+        missing = target.items_missing_from(
+            peer_numbers, now_s, only_named=only_named
+        )
+        return [_to_record(item, now_s) for item in missing]
 
-    def _take(
+    def _store_received(
         self,
-        kept: store.NewsStore,
-        heard: list[Record] | None,
+        target: store.NewsStore,
+        received: list[Record] | None,
         packed_s: float,
     ) -> None:
         now_s = self._clock.monotonic_s()
-        for record in heard or ():
-            if not _sound(record) or not kept.may_speak(record.owner):
+        for record in received or ():
+            if not _is_valid(record) or not target.accepts_owner(record.owner):
                 continue
-            is_new = kept.put(_from_record(record, packed_s), now_s)
+            is_new = target.put(_from_record(record, packed_s), now_s)
             if is_new and record.channel in self._urgent:
-                self._hurry()
+                self._on_urgent()
 
-    def _drop_old(self) -> None:
+    def _drop_expired(self) -> None:
         now_s = self._clock.monotonic_s()
-        if now_s - self._dropped_s < DROP_INTERVAL_S:
+        if now_s - self._last_drop_s < DROP_INTERVAL_S:
             return
-        self._dropped_s = now_s
-        self._region.drop_old(now_s)
-        self._everywhere.drop_old(now_s)
+        self._last_drop_s = now_s
+        self._region.drop_expired(now_s)
+        self._everywhere.drop_expired(now_s)
 
 
 def _to_record(item: store.Item, now_s: float) -> Record:
     return Record(
         channel=item.channel,
         owner=item.owner,
-        owner_incarnation=_unless_implied(item),
+        owner_incarnation=_explicit_incarnation(item),
         key=item.key or None,
         number=item.number,
         body=item.body,
         # Rounded up, so that nothing grows younger on its way.
-        age_ms=math.ceil((now_s - item.said_s) * MS_PER_S),
+        age_ms=math.ceil((now_s - item.published_s) * MS_PER_S),
         max_age_ms=int(item.max_age_s * MS_PER_S),
     )
 
 
-def _unless_implied(item: store.Item) -> int | None:
+def _explicit_incarnation(item: store.Item) -> int | None:
     if item.number // NUMBERS_PER_INCARNATION == item.owner_incarnation:
         return None
     return item.owner_incarnation
@@ -209,12 +221,12 @@
         key=record.key or '',
         number=record.number,
         body=record.body or b'',
-        said_s=packed_s - (record.age_ms or 0) / MS_PER_S,
+        published_s=packed_s - (record.age_ms or 0) / MS_PER_S,
         max_age_s=(record.max_age_ms or 0) / MS_PER_S,
     )
 
 
-def _sound(record: Record) -> bool:
+def _is_valid(record: Record) -> bool:
     if not record.channel or not record.owner or not record.number:
         return False
     return len(record.body or b'') <= MAX_BODY_BYTES
@@ -232,7 +244,7 @@
     )
 
 
-def _nothing() -> None:
+def _ignore() -> None:
     """Do nothing."""
 
 
--- a/redwingvalve/news/store.py
+++ b/redwingvalve/news/store.py
@@ -27,7 +27,7 @@
 _HALF_HASH_RANGE = 2**31
 
 Digest = collections_abc.Mapping[int, int]
-Place = tuple[str, str]
+ItemKey = tuple[str, str]
 
 
 @attrs.frozen
@@ -40,12 +40,12 @@
     key: str
     number: int
     body: bytes
-    said_s: float
+    published_s: float
     max_age_s: float
 
-    def too_old(self, now_s: float) -> bool:
+    def is_expired(self, now_s: float) -> bool:
         """Tell whether the item's bound on its age has passed."""
-        return now_s - self.said_s > self.max_age_s
+        return now_s - self.published_s > self.max_age_s
 
 
 class NewsStore:
@@ -55,11 +55,11 @@
         """Start empty; nobody else may speak as me."""
         self._me = me
         self._highest: dict[str, int] = {}
-        self._items: dict[str, dict[Place, Item]] = collections.defaultdict(
+        self._items: dict[str, dict[ItemKey, Item]] = collections.defaultdict(
             dict
         )
-        self._channels: dict[str, dict[Place, Item]] = collections.defaultdict(
-            dict
+        self._channels: dict[str, dict[ItemKey, Item]] = (
+            collections.defaultdict(dict)
         )
 
     def put(self, item: Item, now_s: float) -> bool:
@@ -67,13 +67,13 @@
         if item.number <= self._highest.get(item.owner, 0):
             return False
         self._highest[item.owner] = item.number
-        if item.too_old(now_s):
+        if item.is_expired(now_s):
             return False
         self._items[item.owner][item.channel, item.key] = item
         self._channels[item.channel][item.owner, item.key] = item
         return True
 
-    def may_speak(self, owner: str) -> bool:
+    def accepts_owner(self, owner: str) -> bool:
         """Tell whether an item of this owner may come from a peer."""
         return owner != self._me
 
@@ -82,16 +82,16 @@
     ) -> collections_abc.Iterator[Item]:
         """Yield a channel's items that are neither too old nor retracted."""
         for item in self._channels[channel].values():
-            if item.body and not item.too_old(now_s):
+            if item.body and not item.is_expired(now_s):
                 yield item
 
-    def drop_old(self, now_s: float) -> None:
+    def drop_expired(self, now_s: float) -> None:
         """Forget items that are too old, and owners without items."""
         for owner in tuple(self._items):
             items = self._items[owner]
-            for place, item in tuple(items.items()):
-                if item.too_old(now_s):
-                    del items[place]
+            for item_key, item in tuple(items.items()):
+                if item.is_expired(now_s):
+                    del items[item_key]
                     del self._channels[item.channel][owner, item.key]
             if not items and owner != self._me:
                 del self._items[owner]
@@ -109,7 +109,7 @@
             found[hashed] = min(found.get(hashed, number), number)
         return found
 
-    def behind(self, theirs: Digest) -> dict[int, int]:
+    def numbers_behind(self, theirs: Digest) -> dict[int, int]:
         """Return what this store has of the owners it is behind on."""
         mine = self.digest()
         return {
@@ -118,7 +118,7 @@
             if number > mine.get(hashed, 0)
         }
 
-    def missing_from(
+    def items_missing_from(
         self, theirs: Digest, now_s: float, *, only_named: bool
     ) -> list[Item]:
         """Return items above a peer's numbers, within a message's bounds.
@@ -147,7 +147,7 @@
             if self._highest[owner] <= have:
                 continue
             for item in sorted(items.values(), key=_number):
-                if item.number > have and not item.too_old(now_s):
+                if item.number > have and not item.is_expired(now_s):
                     yield item
 
 
--- a/redwingvalve/news/tests/test_store.py
+++ b/redwingvalve/news/tests/test_store.py
@@ -11,8 +11,10 @@
 MAX_AGE_S = 30.0
 
 
-def make_item(owner, key, number, body, said_s, max_age_s=MAX_AGE_S):
-    return store.Item('load', owner, 1, key, number, body, said_s, max_age_s)
+def make_item(owner, key, number, body, published_s, max_age_s=MAX_AGE_S):
+    return store.Item(
+        'load', owner, 1, key, number, body, published_s, max_age_s
+    )
 
 
 class NewsMachine(stateful.RuleBasedStateMachine):
@@ -23,8 +25,8 @@
         self.now_s = 0.0
         self.number = 0
         self.stores = {name: store.NewsStore(name) for name in NAMES}
-        self.said = {}
-        self.under_way = []
+        self.published = {}
+        self.in_transit = []
 
     @stateful.rule(owner=st.sampled_from(NAMES), key=st.sampled_from(KEYS))
     def publish(self, owner, key):
@@ -32,51 +34,53 @@
         body = f'{self.number}'.encode()
         item = make_item(owner, key, self.number, body, self.now_s)
         self.stores[owner].put(item, self.now_s)
-        self.said[owner, key] = item
+        self.published[owner, key] = item
 
     @stateful.rule(asker=st.sampled_from(NAMES), asked=st.sampled_from(NAMES))
     def ask(self, asker, asked):
         digest = self.stores[asker].digest()
-        found = self.stores[asked].missing_from(
+        found = self.stores[asked].items_missing_from(
             digest, self.now_s, only_named=False
         )
-        self.under_way.append((asker, found))
+        self.in_transit.append((asker, found))
 
-    @stateful.rule(place=st.integers(0, 30), again=st.booleans())
-    def deliver(self, place, again):
-        if not self.under_way:
+    @stateful.rule(item_key=st.integers(0, 30), again=st.booleans())
+    def deliver(self, item_key, again):
+        if not self.in_transit:
             return
-        place %= len(self.under_way)
-        receiver, items = self.under_way[place]
+        item_key %= len(self.in_transit)
+        receiver, items = self.in_transit[item_key]
         if not again:
-            del self.under_way[place]
+            del self.in_transit[item_key]
         for item in items:
-            if self.stores[receiver].may_speak(item.owner):
+            if self.stores[receiver].accepts_owner(item.owner):
                 self.stores[receiver].put(item, self.now_s)
 
     @stateful.rule(passed_s=st.floats(0.1, 20))
     def pass_time(self, passed_s):
         self.now_s += passed_s
         for each in self.stores.values():
-            each.drop_old(self.now_s)
+            each.drop_expired(self.now_s)
 
     @stateful.invariant()
     def nothing_is_newer_than_said_or_too_old(self):
         for each in self.stores.values():
             for item in each.read('load', self.now_s):
-                assert item.number <= self.said[item.owner, item.key].number
-                assert self.now_s - item.said_s <= MAX_AGE_S
+                assert (
+                    item.number <= self.published[item.owner, item.key].number
+                )
+                assert self.now_s - item.published_s <= MAX_AGE_S
 
     def teardown(self):
         for _ in NAMES:
             for asker in NAMES:
                 for asked in NAMES:
                     self.ask(asker, asked)
-                    self.deliver(len(self.under_way) - 1, False)
+                    self.deliver(len(self.in_transit) - 1, False)
         wanted = {
             (item.owner, item.key): item.body
-            for item in self.said.values()
-            if not item.too_old(self.now_s)
+            for item in self.published.values()
+            if not item.is_expired(self.now_s)
         }
         for each in self.stores.values():
             assert {
@@ -103,7 +107,9 @@
                 make_item(f'o{owner}', f'{number}', number, b'x' * 50, 0), 0
             )
     pieces = []
-    while found := full.missing_from(empty.digest(), 1.0, only_named=False):
+    while found := full.items_missing_from(
+        empty.digest(), 1.0, only_named=False
+    ):
         pieces.append(len(found))
         for item in found:
             empty.put(item, 1.0)
@@ -112,11 +118,11 @@
 
 
 def test_a_node_is_told_only_of_owners_that_it_is_behind_on():
-    ahead, behind = store.NewsStore('x'), store.NewsStore('y')
-    for each, number in ((ahead, 7), (behind, 5)):
+    ahead, numbers_behind = store.NewsStore('x'), store.NewsStore('y')
+    for each, number in ((ahead, 7), (numbers_behind, 5)):
         each.put(make_item('o', 'k', number, b'x', 0), 0)
         each.put(make_item('p', 'k', 3, b'x', 0), 0)
-    asked = behind.behind(ahead.digest())
+    asked = numbers_behind.numbers_behind(ahead.digest())
     assert asked == {store.owner_hash('o'): 5}
-    given = ahead.missing_from(asked, 0.0, only_named=True)
+    given = ahead.items_missing_from(asked, 0.0, only_named=True)
     assert [(item.owner, item.number) for item in given] == [('o', 7)]
--- a/tests/integration/test_peer_nodes.py
+++ b/tests/integration/test_peer_nodes.py
@@ -13,7 +13,7 @@
 
 BOUNDS = bounds.MembershipBounds(
     round_s=0.1,
-    foreign_interval_s=0.3,
+    remote_interval_s=0.3,
     reconnect_interval_s=0.3,
     urgent_interval_s=0.02,
     suspicion_s=2.5,
@@ -197,7 +197,7 @@
     Exchanges are as good as never due here; an urgent item is passed on from
     entry to entry all the same.
     """
-    rare = attrs.evolve(BOUNDS, round_s=1000.0, foreign_interval_s=1000.0)
+    rare = attrs.evolve(BOUNDS, round_s=1000.0, remote_interval_s=1000.0)
     urgent = attrs.evolve(CHANNEL, name='urgent', urgent=True)
 
     async def scenario():
