--- a/redwingvalve/membership/__init__.py
+++ b/redwingvalve/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which entries and controllers are alive, leaving or gone."""
+"""Gossip membership: which members are alive, leaving or dead."""
--- a/redwingvalve/membership/bounds.py
+++ b/redwingvalve/membership/bounds.py
@@ -1,4 +1,4 @@
-"""The times by which members are judged, with the grounds for each."""
+"""Intervals and timeouts of the membership protocol, with their reasons."""
 
 import attrs
 
@@ -7,28 +7,32 @@
 class MembershipBounds:
     """All in seconds.
 
-    round_s: one exchange a round. A member is then met about six times a
-        second, by its own rounds and by others', and an item of news crosses
-        a region of 72 in about two seconds; see docs/CAPACITY.md.
-    eager_interval_s: pause after an urgent round, doubled up to the longest
-        while there is more to pass on, so that a storm adds four exchanges a
-        second to a member and not forty.
-    probe_timeout_s: a peer in the region answers in milliseconds; half a
-        second covers a busy loop.
-    suspicion_s: time for a suspect to refute. A process that is paused for
-        less than pause_bound_s is never declared dead: it is suspected one
-        probe timeout after its pause began at the earliest, and refutes in
-        the round in which it resumes.
-    refused_suspicion_s: the host refuses the connection, so that the process
-        is gone and no pause can explain it; time for a restart to be heard.
-    isolation_s: heard from nobody for so long, a process is cut off.
-    region_silence_s: nobody whose word arrives has met a region for so long;
-        its members are shown as suspect but are not declared dead, since
-        whoever is in the region knows better.
-    gap_s: between two ticks; more means that this process was paused, and
-        its own timers prove nothing.
-    dead_keep_s: how long the dead are remembered and tried again; more than
-        the hour for which regions lose each other.
+    round_s: one exchange per round. Counting the rounds of its peers, a
+        member then takes part in about six exchanges per second, and a news
+        item reaches a region of 72 members in about two seconds; see
+        docs/CAPACITY.md.
+    urgent_interval_s: pause after an urgent round. It doubles up to
+        max_urgent_interval_s while further changes arrive, so that a burst
+        of changes adds four exchanges per second to a member instead of
+        forty.
+    probe_timeout_s: a peer in the region answers within milliseconds; half
+        a second allows for a busy event loop.
+    suspicion_s: how long a suspect has to refute the suspicion. A process
+        paused for less than pause_bound_s is never declared dead: it is
+        suspected no earlier than one probe timeout after the pause began,
+        and refutes in the round in which it resumes.
+    refused_suspicion_s: suspicion time when the host refuses the connection.
+        A pause can't explain a refusal, so the process has exited; this
+        leaves time to learn of a restart.
+    isolation_s: a process that has had no contact for this long
+        considers itself cut off.
+    region_silence_s: no reachable member has contacted a region for this
+        long. Its members are reported as suspect, but are not declared
+        dead, since members of that region know their state better.
+    max_tick_gap_s: a longer time between two ticks means that this process
+        was paused, so its own timers are no evidence about others.
+    dead_retention_s: how long dead members are kept and retried; longer
+        than the one-hour partition between regions that is tolerated.
     """
 
     round_s: float = 0.35
--- a/redwingvalve/membership/broadcast_queue.py
+++ b/redwingvalve/membership/broadcast_queue.py
@@ -1,45 +1,48 @@
-"""Words that still have to be passed on.
-
-Load pattern: a rack of 40 VMs is lost, and 40 words start at many members
-within a second. Each word is sent a bounded number of times by each member
-(infect and die, after Demers et al. 1987), and a message carries a bounded
-number of words, the least often sent first; without these bounds a storm
-would cost its size times the number of messages. What the bounds leave out is
-repaired by comparing digests.
+"""Queue of member statuses to broadcast with exchanges.
+
+Load pattern: a rack of 40 VMs is lost, and many members start to broadcast 40
+statuses within a second. Each member sends a status a bounded number of times
+(infect and die, Demers et al. 1987), and a message carries a bounded number
+of statuses, the least often sent first. Without these limits, the cost of a
+burst would be its size times the number of messages. Whatever the limits
+leave out is reconciled by comparing digests.
 """
 
 import math
 
 from redwingvalve.membership import member_status
 
-# Enough that all but one in some thousand members hear of it this way.
+# With this factor, only about one member in several thousand is missed.
 SENDS_FACTOR = 2
 MAX_STATUSES_PER_MESSAGE = 24
 
 
 class BroadcastQueue:
-    """Names whose newest word is passed on, with how often it was sent."""
+    """Members whose status is broadcast, with the number of sends so far."""
 
     def __init__(self) -> None:
         """Start empty."""
         self._sent: dict[str, int] = {}
 
     def __len__(self) -> int:
-        """Return how many words wait."""
+        """Return the number of queued statuses."""
         return len(self._sent)
 
     def add(self, name: str) -> None:
-        """Pass on the newest word of a member, from now on."""
+        """Queue the latest status of a member and reset its send count."""
         self._sent[name] = 0
 
     def drop(self, name: str) -> None:
-        """Forget a member."""
+        """Remove a member from the queue."""
         self._sent.pop(name, None)
 
     def take(
         self, statuses: dict[str, member_status.MemberStatus], skip: str = ''
     ) -> list[member_status.MemberStatus]:
-        """Return the words for one message; skip names its receiver."""
+        """Return the statuses for one message.
+
+        A status of the receiver itself, skip, doesn't count as a send.
+        """
         limit = SENDS_FACTOR * math.ceil(math.log2(len(statuses) + 2))
         chosen = sorted(self._sent, key=self._sent.__getitem__)
         taken = []
--- a/redwingvalve/membership/delegates.py
+++ b/redwingvalve/membership/delegates.py
@@ -1,4 +1,4 @@
-"""What other slices put on the exchanges of membership."""
+"""Interface for packages that add their data to membership exchanges."""
 
 import abc
 
@@ -8,27 +8,27 @@
 
 
 class ExchangeDelegate(abc.ABC):
-    """Adds its part to each exchange and takes the other side's."""
+    """Adds local state to each exchange and processes remote state."""
 
     @abc.abstractmethod
     def ask(self, request: Exchange, peer_region: str) -> None:
-        """Say in a question what this process has."""
+        """Add a digest of local state to a request."""
 
     @abc.abstractmethod
     def answer(self, received: Exchange, reply: Exchange) -> None:
-        """Give what the asker lacks and name what this process lacks."""
+        """Add to a reply what the requester lacks and what is lacking here."""
 
     @abc.abstractmethod
     def follow_up(
         self, received: Exchange, follow_up_message: Exchange
     ) -> bool:
-        """Give what an answer named as lacking; False when nothing is."""
+        """Add what a reply asks for; return False if there is nothing."""
 
     @abc.abstractmethod
     def receive(
         self, received: Exchange, address: tuple[str, int], delay_s: float
     ) -> None:
-        """Take what the other side gave, packed at most delay_s ago.
+        """Process the state in a message packed at most delay_s ago.
 
-        delay_s is infinite when the message does not show it.
+        delay_s is infinite if it can't be derived from the message.
         """
--- a/redwingvalve/membership/digests.py
+++ b/redwingvalve/membership/digests.py
@@ -1,9 +1,9 @@
-"""Digests of the member table, by which two members find differences.
+"""Digests of the member table, compared to find differences between members.
 
-Names fall into buckets by hash; a bucket's digest is the XOR of the hashes of
-its words, so that one change costs one XOR. Two tables that differ in one
-word differ in one bucket, and only its words travel. Words of the dead are
-left out, since members forget the dead at different times.
+Names are hashed into buckets. The digest of a bucket is the XOR of the hashes
+of its statuses, so an update costs one XOR. Two tables that differ in one
+status differ in one bucket, and only the statuses of that bucket are sent.
+Dead members are left out, since members drop them at different times.
 """
 
 import functools
@@ -24,7 +24,7 @@
 
 
 class TableDigests:
-    """The digests of all buckets, kept up to date word by word."""
+    """The digests of all buckets, updated incrementally."""
 
     def __init__(self) -> None:
         """Start with empty buckets."""
@@ -35,7 +35,7 @@
         current: member_status.MemberStatus | None,
         newer: member_status.MemberStatus | None,
     ) -> None:
-        """Account for a word that takes another's place."""
+        """Replace the current status of a member by a newer one."""
         for status in (current, newer):
             if (
                 status is not None
@@ -44,7 +44,7 @@
                 self._digests[bucket_of(status.name)] ^= _hash(status)
 
     def total(self) -> int:
-        """Return one digest of the whole table."""
+        """Return a single digest of the whole table."""
         return functools.reduce(operator.xor, self._digests)
 
     def as_list(self) -> list[int]:
@@ -52,7 +52,7 @@
         return list(self._digests)
 
     def differing(self, others: list[int]) -> list[int]:
-        """Return the buckets that differ from another member's."""
+        """Return the buckets whose digests differ from a peer's."""
         if len(others) != BUCKET_COUNT:
             return list(range(BUCKET_COUNT))
         return [
--- a/redwingvalve/membership/exchange_transport.py
+++ b/redwingvalve/membership/exchange_transport.py
@@ -1,4 +1,4 @@
-"""Exchanges over the network, in both directions."""
+"""Sends and answers exchanges over the network."""
 
 from redwingvalve.core import clock
 from redwingvalve.membership import exchanges, members, table
@@ -9,12 +9,12 @@
 Address = tuple[str, int]
 Kind = call_errors.CallErrorKind
 Exchange = messages.peer.Exchange
-# Timeouts grow up to so many times and one.
+# The probe timeout is multiplied by one plus the health score.
 MAX_HEALTH_SCORE = 4
 
 
 class ExchangeTransport:
-    """Asks members for exchanges and answers theirs."""
+    """Starts exchanges with members and answers those of others."""
 
     def __init__(
         self,
@@ -22,7 +22,7 @@
         caller: rpc.PeerCaller,
         timers: clock.Clock,
     ) -> None:
-        """Speak for member_table."""
+        """Exchange the contents of member_table."""
         self.exchanges = exchanges.Exchanges(member_table)
         self._table = member_table
         self._caller = caller
@@ -30,19 +30,22 @@
         self._clock = timers
 
     async def answer(self, packed: bytes) -> bytes:
-        """Take a packed exchange and return one; ValueError if unsound."""
+        """Process a packed exchange and return the reply.
+
+        Raises ValueError if the exchange is invalid.
+        """
         received = packing.unpack(Exchange(), packed)
         if received.is_error():
             raise ValueError(received.error)
         now_s = self._clock.monotonic_s()
         if not self.exchanges.receive(received.ok, None, now_s):
-            raise ValueError('an exchange without a sender')
+            raise ValueError('exchange has no valid sender')
         return packing.pack(self.exchanges.make_reply(received.ok, now_s))
 
     async def exchange_with(
         self, member: members.Member
     ) -> call_errors.CallError | None:
-        """Exchange with a member; the error, or None when it answered."""
+        """Exchange with a member; return the error, or None on success."""
         now_s = self._clock.monotonic_s()
         request = self.exchanges.make_request(member.name, member.region, now_s)
         return await self._ask((member.host, member.peer_port), request)
@@ -50,7 +53,7 @@
     async def exchange_with_address(
         self, address: Address
     ) -> call_errors.CallError | None:
-        """Exchange with whoever listens there."""
+        """Exchange with the process that listens at an address."""
         now_s = self._clock.monotonic_s()
         return await self._ask(
             address, self.exchanges.make_request('', '', now_s)
@@ -62,19 +65,22 @@
         sent_s = self._clock.monotonic_s()
         outcome = await self._send(address, request)
         if outcome.is_error() and outcome.error.kind is Kind.BROKEN:
-            # A kept connection breaks when its peer restarts or dies. A new
-            # one tells these apart: it is answered, or refused at once. An
-            # exchange may be repeated.
+            # A pooled connection breaks when its peer restarts or dies. A new
+            # connection distinguishes the two: it is answered, or refused
+            # at once. Exchanges are idempotent, so the retry is safe.
             outcome = await self._send(address, request)
         self._record_health(outcome)
         if outcome.is_error():
             if outcome.error.kind is Kind.REFUSED:
-                # The host itself answers, so that we are not cut off.
+                # The host refused the connection, so the network is
+                # reachable and this process is not cut off.
                 self._table.record_connectivity(self._clock.monotonic_s())
             return outcome.error
         received = packing.unpack(Exchange(), outcome.ok)
         if received.is_error():
-            LOG.warning(f'{address} answered with {received.error}')
+            LOG.warning(
+                f'invalid exchange reply from {address}: {received.error}'
+            )
             return None
         await self._receive_reply(address, received.ok, sent_s)
         return None
@@ -84,9 +90,9 @@
     ) -> None:
         now_s = self._clock.monotonic_s()
         self.exchanges.receive(received, address, now_s, sent_s)
-        supplement = self.exchanges.make_follow_up(received)
-        if supplement is not None:
-            await self._send(address, supplement)
+        follow_up = self.exchanges.make_follow_up(received)
+        if follow_up is not None:
+            await self._send(address, follow_up)
 
     async def _send(
         self, address: Address, request: Exchange
@@ -99,9 +105,10 @@
         )
 
     def _record_health(self, outcome: rpc.CallResult) -> None:
-        # When many do not answer, the fault is likely here (Lifeguard, Dadgar
-        # et al. 2018): a busy loop reads answers late. More patience then
-        # keeps a process that is slow itself from doubting everybody.
+        # Local health score as in Lifeguard (Dadgar et al. 2018): when many
+        # peers time out, the fault is probably local, as a busy event loop
+        # reads replies late. Longer timeouts then keep a slow process from
+        # suspecting all of its peers.
         if outcome.is_ok():
             self._health_score = max(self._health_score - 1, 0)
             return
--- a/redwingvalve/membership/exchanges.py
+++ b/redwingvalve/membership/exchanges.py
@@ -1,10 +1,10 @@
-"""Composes and takes exchanges: what two members tell each other.
+"""Builds and processes exchanges, the messages of anti-entropy gossip.
 
-An exchange has up to three parts. The question brings the asker's rumours and
-one digest of each matter; the answer brings what the asker lacks and says
-where the answerer differs; a supplement, sent only when it holds something,
-settles that. At rest nothing but digests travels. Scuttlebutt reconciliation
-(van Renesse et al. 2008) is where this comes from.
+An exchange has up to three messages. The request carries pending broadcasts
+and one digest for each kind of state; the reply carries what the requester
+lacks and the digests that differ; a follow-up, sent only when it isn't empty,
+carries what the replier lacks. When nothing changes, only digests are sent.
+Follows Scuttlebutt reconciliation (van Renesse et al. 2008).
 """
 
 import math
@@ -23,19 +23,19 @@
 Exchange = messages.peer.Exchange
 Record = messages.peer.MemberRecord
 Address = tuple[str, int]
-# Buckets of the member table repaired by one exchange.
+# Differing buckets of the member table that one message reconciles.
 MAX_BUCKETS = 2
-# Sights of regions age slowly and count in tens of seconds; one exchange in
-# so many brings them.
+# Region ages matter on a scale of tens of seconds, so only one in this many
+# messages carries them.
 REGIONS_INTERVAL = 4
 MS_PER_S = 1000
-# A supplement that claims more gives back the clock of another process.
+# A longer delay means that the clock in a follow-up is from another process.
 MAX_DELAY_S = 60.0
 
 
 @attrs.define
 class Exchanges:
-    """Turns a member table and its riders into messages and back."""
+    """Converts a member table and delegate state to messages and back."""
 
     members: table.MemberTable
     registered_delegates: list[delegates.ExchangeDelegate] = attrs.field(
@@ -49,23 +49,23 @@
     def make_request(
         self, receiver: str, region: str, now_s: float
     ) -> Exchange:
-        """Return the question for one receiver."""
+        """Return the request for one receiver."""
         request = self._start(receiver, now_s)
         current = self.members.statuses.get(receiver)
         if (
             current is not None
             and current.state is not members.MemberState.ALIVE
         ):
-            # So that the receiver can refute it.
+            # Lets the receiver refute it.
             self._add_statuses(request, [current])
         request.table_digest = self.members.statuses.digest()
         request.table_size = len(self.members.statuses.all())
-        for rider in self.registered_delegates:
-            rider.ask(request, region)
+        for delegate in self.registered_delegates:
+            delegate.ask(request, region)
         return request
 
     def make_reply(self, received: Exchange, now_s: float) -> Exchange:
-        """Return the answer to a question or supplement, once absorbed."""
+        """Return the reply to a request or follow-up already received."""
         reply = self._start(received.sender.name, now_s)
         reply.clock_ms = int(now_s * MS_PER_S)
         current = self.members.statuses.get(received.sender.name)
@@ -75,24 +75,24 @@
             self._add_differing(received, reply)
             return reply
         self._add_table_difference(received, reply)
-        for rider in self.registered_delegates:
-            rider.answer(received, reply)
+        for delegate in self.registered_delegates:
+            delegate.answer(received, reply)
         return reply
 
     def make_follow_up(self, received: Exchange) -> Exchange | None:
-        """Return what an answer showed to be lacking there, if anything."""
-        added = Exchange(sender=self._record(self.members.local.status()))
-        added.changes = []
-        added.clock_ms = received.clock_ms
-        self._add_differing(received, added)
+        """Return what the sender of a reply lacks, or None if nothing."""
+        follow_up = Exchange(sender=self._record(self.members.local.status()))
+        follow_up.changes = []
+        follow_up.clock_ms = received.clock_ms
+        self._add_differing(received, follow_up)
         if received.table_digests:
-            added.table_digests = self.members.statuses.digests()
-        supplied = [
-            rider.follow_up(received, added)
-            for rider in self.registered_delegates
+            follow_up.table_digests = self.members.statuses.digests()
+        has_content = [
+            delegate.follow_up(received, follow_up)
+            for delegate in self.registered_delegates
         ]
-        if received.table_digests or any(supplied):
-            return added
+        if received.table_digests or any(has_content):
+            return follow_up
         return None
 
     def receive(
@@ -102,26 +102,28 @@
         now_s: float,
         sent_s: float | None = None,
     ) -> bool:
-        """Take an exchange; False when it has no sound sender.
+        """Process an exchange; return False if it has no valid sender.
 
-        asked_s is when the question was packed, if this is its answer.
+        sent_s is when the request was packed, if this is the reply to it.
         """
         if received.sender is None:
             return False
-        fresh = [
+        new_records = [
             record
             for record in (received.sender, *(received.changes or ()))
-            if not self._is_held(record)
+            if not self._is_known(record)
         ]
-        self.members.merge(records.from_records(fresh), now_s)
+        self.members.merge(records.from_records(new_records), now_s)
         sender = self.members.statuses.get(received.sender.name or '')
         if sender is None:
             return False
         self.members.merge_region_ages(_region_ages(received), now_s)
         self.members.record_contact(sender.name, now_s)
         source = address or (sender.member.host, sender.member.peer_port)
-        for rider in self.registered_delegates:
-            rider.receive(received, source, _delay_s(received, sent_s, now_s))
+        for delegate in self.registered_delegates:
+            delegate.receive(
+                received, source, _delay_s(received, sent_s, now_s)
+            )
         return True
 
     def _start(self, receiver: str, now_s: float) -> Exchange:
@@ -145,7 +147,7 @@
         if received.table_digest == store.digest():
             return
         if 2 * (received.table_size or 0) <= len(store.all()):
-            # A newcomer gets the whole table at once.
+            # A new member gets the whole table at once.
             self._add_statuses(reply, list(store.all().values()))
             return
         reply.table_digests = store.digests()
@@ -159,12 +161,12 @@
         )
 
     def _add_statuses(
-        self, exchange: Exchange, added: list[member_status.MemberStatus]
+        self, exchange: Exchange, statuses: list[member_status.MemberStatus]
     ) -> None:
         present = {record.name for record in exchange.changes}
         exchange.changes.extend(
             self._record(status)
-            for status in added
+            for status in statuses
             if status.name not in present
         )
 
@@ -175,7 +177,7 @@
             self._record_cache[status.name] = cached
         return cached[1]
 
-    def _is_held(self, record: Record) -> bool:
+    def _is_known(self, record: Record) -> bool:
         current = self.members.statuses.get(record.name or '')
         return (
             current is not None
@@ -186,8 +188,8 @@
 
 
 def _is_older(sender: Record, current: member_status.MemberStatus) -> bool:
-    said = (sender.incarnation or 0, sender.heartbeat or 0)
-    return current.order() > (*said, 0)
+    reported = (sender.incarnation or 0, sender.heartbeat or 0)
+    return current.order() > (*reported, 0)
 
 
 def _region_ages(received: Exchange) -> dict[str, float]:
@@ -199,11 +201,12 @@
 
 
 def _delay_s(received: Exchange, sent_s: float | None, now_s: float) -> float:
-    """Return how long ago an exchange was packed at most.
+    """Return an upper bound on the time since an exchange was packed.
 
-    A message waits in a socket while its sender or receiver is paused. Were
-    that time not counted, what it says of a VM would look younger by the
-    pause, and a replica that lost the VM would get work for so much longer.
+    A message waits in a socket while its sender or receiver is paused. If
+    that time were not counted, observations of a VM would appear too recent
+    by the length of the pause, and a replica that has lost the VM would
+    receive work for that much longer.
     """
     if sent_s is not None:
         return max(now_s - sent_s, 0.0)
--- a/redwingvalve/membership/gossip.py
+++ b/redwingvalve/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Membership over the network: the loops, and the face to other slices."""
+"""Membership over the network: its background loops and its interface."""
 
 import random
 from collections import abc as collections_abc
@@ -20,14 +20,14 @@
 from redwingvalve.wire import handlers, messages, rpc
 
 Address = tuple[str, int]
-# Receivers of an urgent exchange; each passes it on to as many.
-EAGER_FANOUT = 3
+# Receivers of an urgent exchange; each forwards to as many again.
+URGENT_FANOUT = 3
 DEPART_FANOUT = 5
-TICK_S = 0.25
+TICK_INTERVAL_S = 0.25
 
 
 class GossipMembers(members.Members, handlers.GossipHandler):
-    """Members kept by exchanges with peers."""
+    """The member list, kept current by gossip with peers."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         contacts: tuple[Address, ...],
         rng: random.Random,
     ) -> None:
-        """Start from contacts; others are learned."""
+        """Start from the contacts; other members are discovered."""
         self.table = member_table
         self.transport = exchange_transport.ExchangeTransport(
             member_table, caller, timers
@@ -51,55 +51,58 @@
         self._urgent = anyio.Event()
         self._backoff = urgency.make_urgent_backoff(member_table.bounds)
 
-    # Members as other slices see them.
+    # Interface of members.Members.
 
     def local_member(self) -> members.Member:
         """Return this process."""
         return self.table.local.member()
 
     def known(self) -> tuple[members.Member, ...]:
-        """Return every member that is not forgotten."""
+        """Return every member, dead ones included until they are removed."""
         return self.table.known(self._clock.monotonic_s())
 
     def isolated(self) -> bool:
-        """Tell whether this process is cut off or replaced."""
+        """Return whether this process is cut off or superseded."""
         return self.table.isolated(self._clock.monotonic_s())
 
     def leave(self) -> None:
-        """Take no new work from now on; the others hear within a second."""
+        """Announce that this process takes no new work.
+
+        The other members learn of it within a second.
+        """
         self.table.local.leave()
         self.trigger_urgent_round()
 
-    # For slices that ride on exchanges.
+    # For delegates, which add their data to exchanges.
 
-    def add_delegate(self, rider: delegates.ExchangeDelegate) -> None:
-        """Put another slice's part on each exchange."""
-        self.transport.exchanges.registered_delegates.append(rider)
+    def add_delegate(self, delegate: delegates.ExchangeDelegate) -> None:
+        """Let a delegate add its data to each exchange."""
+        self.transport.exchanges.registered_delegates.append(delegate)
 
     def trigger_urgent_round(self) -> None:
-        """Pass on what is new without waiting for the next round."""
+        """Send pending changes without waiting for the next round."""
         self._urgent.set()
 
     def confirm_connectivity(self) -> None:
-        """Note that the store has answered: this process is not cut off."""
+        """Record that the store answered, so this process is not cut off."""
         self.table.record_connectivity(self._clock.monotonic_s())
 
-    # Calls from peers.
+    # Handlers of calls from peers.
 
     async def exchange(self, packed: bytes) -> bytes:
-        """Take an exchange and answer it."""
+        """Process an exchange and return the reply."""
         answer = await self.transport.answer(packed)
         self._trigger_if_changed()
         return answer
 
     async def probe(self, request: messages.peer.ProbeRequest) -> bool:
-        """Try a member that the asker can't reach."""
+        """Probe a member that the caller can't reach."""
         return await self._prober.probe_for(request)
 
-    # Loops.
+    # Background loops.
 
     async def join(self) -> None:
-        """Exchange with the first contact that answers, if any does."""
+        """Exchange with contacts in order until one answers."""
         for address in self.selector.contacts():
             if await self.transport.exchange_with_address(address) is None:
                 break
@@ -125,7 +128,7 @@
             )
 
     async def depart(self) -> None:
-        """Tell some peers that this process ends now."""
+        """Announce to some peers that this process is stopping."""
         self.table.local.depart()
         async with anyio.create_task_group() as group:
             for member in self.selector.sample(DEPART_FANOUT):
@@ -139,7 +142,8 @@
     ) -> None:
         while True:
             action(group)
-            # Jitter keeps processes that started together out of step.
+            # Jitter keeps processes that started together from
+            # synchronizing.
             await self._clock.sleep(interval_s * self._rng.uniform(0.8, 1.2))
 
     def _start_round(self, group: anyio_abc.TaskGroup) -> None:
@@ -164,14 +168,14 @@
         while True:
             self.table.tick(self._clock.monotonic_s())
             self._trigger_if_changed()
-            await self._clock.sleep(TICK_S)
+            await self._clock.sleep(TICK_INTERVAL_S)
 
     async def _run_urgent(self, group: anyio_abc.TaskGroup) -> None:
         while True:
             await self._urgent.wait()
             self._urgent = anyio.Event()
             self.table.statuses.take_changed()
-            for member in self.selector.sample(EAGER_FANOUT):
+            for member in self.selector.sample(URGENT_FANOUT):
                 group.start_soon(self.transport.exchange_with, member)
             now_s = self._clock.monotonic_s()
             await self._clock.sleep(self._backoff.pause_s(now_s))
@@ -190,7 +194,7 @@
     bounds: member_bounds.MembershipBounds = member_bounds.DEFAULT_BOUNDS,
     switches: invariants.SafeguardSwitches | None = None,
 ) -> GossipMembers:
-    """Return members that know nobody yet; contacts are host:port."""
+    """Return members that know only this process; contacts are host:port."""
     member_table = table.make_member_table(
         me, timers.monotonic_s(), bounds, switches
     )
@@ -204,6 +208,6 @@
 
 
 def parse_address(contact: str) -> Address:
-    """Return host and port of host:port."""
+    """Parse an address of the form host:port."""
     host, _, port = contact.rpartition(':')
     return (host, int(port))
--- a/redwingvalve/membership/gossip_targets.py
+++ b/redwingvalve/membership/gossip_targets.py
@@ -1,10 +1,11 @@
-"""Whom to talk to next.
-
-Load pattern: 360 nodes in five regions, several processes on each VM. If all
-talked to all, connections and messages would follow the world; here a process
-talks to its region in turn (so that each member is met within a bounded
-time), now and then to one member elsewhere, and processes that share a VM let
-one of them speak for all. Randomness is an argument.
+"""Selects the members to exchange with.
+
+Load pattern: 360 nodes in five regions, several processes on each VM. In a
+full mesh, connections and messages per process would grow with the whole
+fleet. Instead, a process takes the members of its region in turn, so that
+each is contacted within a bounded time, and occasionally one member of
+another region. Of the processes that share a VM, one representative gossips
+for all. The random generator is an argument.
 """
 
 import random
@@ -17,7 +18,7 @@
 
 
 def representative_of(present: collections_abc.Iterable[members.Member]) -> str:
-    """Return the one of a VM's processes that speaks for it."""
+    """Return the name of the process that gossips for its VM."""
     ranked = sorted(
         present,
         key=lambda member: (
@@ -50,7 +51,7 @@
 
 
 def is_representative(statuses: Statuses, me: members.Member) -> bool:
-    """Tell whether this process speaks for its VM."""
+    """Return whether this process gossips for its VM."""
     if not me.vm:
         return True
     present = [
@@ -64,7 +65,7 @@
 def pick_remote(
     statuses: Statuses, me: members.Member, rng: random.Random
 ) -> members.Member | None:
-    """Return a member of a region picked evenly among the other ones."""
+    """Return a random member of another region, each region equally likely."""
     by_region: dict[str, list[members.Member]] = {}
     for status in statuses.values():
         member = status.member
@@ -76,7 +77,7 @@
 
 
 def pick_dead(statuses: Statuses, rng: random.Random) -> members.Member | None:
-    """Return one of the dead, to find out whether it has come back."""
+    """Return a random dead member, to check whether it is back."""
     dead_members = [
         status.member for status in statuses.values() if status.state is DEAD
     ]
@@ -84,17 +85,17 @@
 
 
 class Rotation:
-    """Goes through candidates in an order shuffled anew each time round."""
+    """Iterates over candidates, in a new random order on each pass."""
 
     def __init__(self, rng: random.Random) -> None:
-        """Shuffle with randomness."""
+        """Shuffle with rng."""
         self._rng = rng
         self._left: list[str] = []
 
     def next(
         self, candidates: collections_abc.Sequence[members.Member]
     ) -> members.Member | None:
-        """Return the next candidate; all come up before one comes again."""
+        """Return the next candidate; none repeats before a pass is complete."""
         by_name = {member.name: member for member in candidates}
         while self._left:
             name = self._left.pop()
--- a/redwingvalve/membership/local_status.py
+++ b/redwingvalve/membership/local_status.py
@@ -1,4 +1,4 @@
-"""What this process says of itself; nobody else may raise its heartbeat."""
+"""The status of the local process; only it may raise its heartbeat."""
 
 import attrs
 
@@ -8,12 +8,12 @@
 
 
 class LocalStatus:
-    """This process's own word, and its answers to what others say of it."""
+    """The local member's status, and refutations of what peers report of it."""
 
     def __init__(
         self, me: members.Member, store: status_store.StatusStore
     ) -> None:
-        """Say that me is there."""
+        """Add me to the store as alive."""
         self.superseded = False
         self._name = me.name
         self._statuses = store
@@ -21,7 +21,7 @@
         store.put(member_status.MemberStatus(me, 0))
 
     def status(self) -> member_status.MemberStatus:
-        """Return the newest word."""
+        """Return the current status."""
         return self._statuses.all()[self._name]
 
     def member(self) -> members.Member:
@@ -29,24 +29,24 @@
         return self.status().member
 
     def mark_joined(self) -> None:
-        """Note that a first exchange has ended; our incarnation stands."""
+        """Record the end of the first exchange; the incarnation is final."""
         self._joined = True
 
     def leave(self) -> None:
-        """Say that this process takes no new work from now on."""
+        """Announce that this process takes no new work."""
         if self.status().state is not State.LEAVING:
             self._set_state(State.LEAVING)
 
     def depart(self) -> None:
-        """Say that this process ends now."""
+        """Announce that this process is stopping."""
         self._set_state(State.DEAD)
 
     def renew(self) -> None:
-        """Raise the heartbeat, which refutes every doubt so far."""
+        """Raise the heartbeat, which refutes all suspicions so far."""
         self._refute(self.status().heartbeat)
 
     def refute_report(self, reported: member_status.MemberStatus) -> None:
-        """Refute what a peer says of this process, if it is newer."""
+        """Refute a peer's report on this process if it is newer."""
         current = self.status()
         if reported.member.incarnation > current.member.incarnation:
             self._handle_later_incarnation(reported)
@@ -60,9 +60,9 @@
     def _handle_later_incarnation(
         self, reported: member_status.MemberStatus
     ) -> None:
-        # Before the first exchange, or when that life has ended, the clock
-        # of our VM merely runs behind; else another process runs under our
-        # name and started later, and only one of us may go on.
+        # Before the first exchange, or if the later incarnation is dead, the
+        # clock of this VM merely runs behind. Otherwise another process with
+        # the same name started later, and only one of the two may continue.
         if self._joined and reported.state is not State.DEAD:
             self.superseded = True
             return
--- a/redwingvalve/membership/member_status.py
+++ b/redwingvalve/membership/member_status.py
@@ -1,9 +1,10 @@
-"""What is said of a member, and which of two words is the newer one.
+"""Versioned status of a member and the order between two versions.
 
-A word is ordered by the member's incarnation, then by the heartbeat number,
-which only the member itself raises, then by how grave it is. A member that
-hears a grave word of itself refutes it with a higher heartbeat; words of
-others can therefore be late, doubled or reordered without harm.
+Statuses are ordered by incarnation, then by heartbeat, which only the member
+itself raises, then by precedence of the state: alive or leaving, suspect,
+dead. A member that learns that it is suspected or declared dead refutes this
+with a higher heartbeat. Statuses can therefore arrive late, twice or out of
+order without harm.
 """
 
 import types
@@ -24,7 +25,7 @@
 
 @attrs.frozen
 class MemberStatus:
-    """A member as its newest word has it."""
+    """A member with the heartbeat at which it had this state."""
 
     member: members.Member
     heartbeat: int
@@ -36,16 +37,16 @@
 
     @property
     def state(self) -> members.MemberState:
-        """Return the state that the word gives."""
+        """Return the member's state."""
         return self.member.state
 
     def order(self) -> tuple[int, int, int]:
-        """Return the key by which newer words are greater."""
+        """Return a sort key that is greater for newer statuses."""
         precedence = _PRECEDENCE[self.member.state]
         return (self.member.incarnation, self.heartbeat, precedence)
 
     def with_state(self, state: members.MemberState) -> 'MemberStatus':
-        """Return the same word with a graver state."""
+        """Return a copy with another state and the same heartbeat."""
         return MemberStatus(
             attrs.evolve(self.member, state=state), self.heartbeat
         )
@@ -54,11 +55,11 @@
 def supersedes(
     newer: MemberStatus, current: MemberStatus | None, *, leaving_is_final: bool
 ) -> bool:
-    """Tell whether a word is newer than the one held.
+    """Return whether a status replaces the current one.
 
-    Nobody returns from LEAVING within an incarnation. A word that says so is
-    forged or a fault, and to believe it would send new work to an entry that
-    is about to stop; leaving_stays is off only in proofs.
+    LEAVING is final within an incarnation. A status that reverts it is forged
+    or faulty, and accepting it would send new work to an entry that is about
+    to stop. leaving_is_final is off only in tests that prove the safeguard.
     """
     if current is None:
         return True
--- a/redwingvalve/membership/members.py
+++ b/redwingvalve/membership/members.py
@@ -1,4 +1,4 @@
-"""Members as the other slices see them."""
+"""The interface of membership to other packages."""
 
 import abc
 import enum
@@ -7,7 +7,7 @@
 
 
 class MemberState(enum.StrEnum):
-    """What this process believes of a member."""
+    """State of a member as this process sees it."""
 
     ALIVE = 'alive'
     SUSPECT = 'suspect'
@@ -17,9 +17,10 @@
 
 @attrs.frozen
 class Member:
-    """One process of ours; incarnation rises with every start.
+    """One process of the fleet; incarnation increases with every start.
 
-    Processes with the same vm share one that gossips; empty means alone.
+    Processes with the same vm have one representative that gossips for all;
+    an empty vm means that the process gossips for itself.
     """
 
     name: str
@@ -35,7 +36,7 @@
 
 
 class Members(abc.ABC):
-    """Who is there, in this process's own view."""
+    """The members of the fleet as this process sees them."""
 
     @abc.abstractmethod
     def local_member(self) -> Member:
@@ -43,14 +44,14 @@
 
     @abc.abstractmethod
     def known(self) -> tuple[Member, ...]:
-        """Return every member that is not forgotten, this one included."""
+        """Return every member, this process and recently dead ones included."""
 
     @abc.abstractmethod
     def isolated(self) -> bool:
-        """Tell whether this process has heard from nobody for too long."""
+        """Return whether this process has had no contact for too long."""
 
     def alive(self, role: str = 'entry') -> tuple[Member, ...]:
-        """Return the members of a role that may get new work."""
+        """Return the members of a role that may receive new work."""
         return tuple(
             member
             for member in self.known()
--- a/redwingvalve/membership/node.py
+++ b/redwingvalve/membership/node.py
@@ -1,7 +1,7 @@
-"""Puts membership, news and configuration of one process together.
+"""Wires up membership, news and configuration of one process.
 
-The daemons, the demo and the measurements all build a process this way, so
-that what is measured is what runs.
+The daemons, the demo and the benchmarks all build a process this way, so the
+benchmarks measure the code that runs in production.
 """
 
 import random
@@ -24,10 +24,10 @@
 
 @attrs.frozen
 class PeerSockets:
-    """How calls between our processes are carried.
+    """Transport settings of calls between processes of the fleet.
 
-    None as a context means plain TCP. listen_host is listened on instead of
-    the member's own host; calls come from local_host.
+    None as a context means plain TCP. The server binds listen_host instead of
+    the member's own host; outgoing calls bind local_host.
     """
 
     server_tls: ssl.SSLContext | None = None
@@ -41,7 +41,7 @@
 
 @attrs.define
 class PeerNode:
-    """One process's part in the fleet; handler takes further slices' calls."""
+    """One process's peer services; handler serves calls for other packages."""
 
     members: gossip.GossipMembers
     news: gossip_bus.GossipNews
@@ -52,7 +52,7 @@
     directory: node_directory.NodeDirectory | None = None
 
     async def run(self) -> None:
-        """Take part until cancelled; the server listens already."""
+        """Run background tasks until cancelled; the server already listens."""
         if self.directory is not None:
             await self.directory.find_contacts()
         await self.members.join()
@@ -63,7 +63,7 @@
                 group.start_soon(self.directory.run)
 
     async def aclose(self) -> None:
-        """Say goodbye and close; run has been cancelled before."""
+        """Announce departure and close; call after run has been cancelled."""
         await self.members.depart()
         await self.server.aclose()
         self.caller.close_idle()
@@ -72,7 +72,7 @@
 def make_member(
     settings: schema.Settings, role: str, wall_s: float
 ) -> members.Member:
-    """Return this process as the others see it."""
+    """Return the member that represents this process."""
     return members.Member(
         name=settings.node.name,
         incarnation=int(wall_s * MS_PER_S),
@@ -97,9 +97,9 @@
     switches: invariants.SafeguardSwitches | None = None,
     sockets: PeerSockets = PLAIN_SOCKETS,
 ) -> PeerNode:
-    """Listen on me.host and me.peer_port, 0 for any; then run the result.
+    """Listen on me.host and me.peer_port and return a node to run.
 
-    OSError when the address is taken.
+    Port 0 selects a free port. Raises OSError if the address is in use.
     """
     handler = handlers.make_peer_handler()
     counted = traffic.Traffic()
--- a/redwingvalve/membership/node_directory.py
+++ b/redwingvalve/membership/node_directory.py
@@ -1,10 +1,10 @@
-"""The store's node objects: addresses by which newcomers find the others.
+"""Node objects in the store, which new processes read to find the others.
 
 Load pattern: 650 processes a day are restarted or replaced. Each writes its
-object once when it starts and deletes it when it leaves; each reads the list
-when it starts and then every few minutes, which at 360 nodes is a read or two
-a second. Liveness is never written here: that would be a write a second for
-each node.
+object once at start and deletes it when it leaves, and lists the objects at
+start and then every few minutes, which with 360 nodes is one or two reads per
+second. Liveness is never stored here, as that would cost a write per second
+and node.
 """
 
 import random
@@ -22,7 +22,7 @@
 
 
 class NodeDirectory:
-    """Keeps this process's node object and reads the others'."""
+    """Maintains this process's node object and reads those of others."""
 
     def __init__(
         self,
@@ -31,14 +31,14 @@
         timers: clock.Clock,
         rng: random.Random,
     ) -> None:
-        """Nothing is written before run."""
+        """Prepare the directory; run or write accesses the store."""
         self._objects = objects
         self._members = present
         self._clock = timers
         self._rng = rng
 
     async def find_contacts(self) -> bool:
-        """Read the node objects once; False when the store is away."""
+        """Read the node objects once; return False if the store fails."""
         listed = await self._objects.list(KIND)
         if listed.is_error():
             return False
@@ -51,7 +51,7 @@
         return True
 
     async def run(self) -> None:
-        """Write this process's object, then read now and then."""
+        """Write this process's object, then list the objects periodically."""
         while not await self.write():
             await self._clock.sleep(
                 RETRY_INTERVAL_S * self._rng.uniform(0.5, 1.5)
@@ -64,7 +64,7 @@
             await self.find_contacts()
 
     async def write(self) -> bool:
-        """Create or replace this process's object; False when that fails."""
+        """Create or replace this process's object; return False on failure."""
         me = self._members.local_member()
         body = _body(me)
         for _ in range(WRITE_ATTEMPTS):
@@ -78,7 +78,7 @@
         return False
 
     async def remove(self) -> None:
-        """Delete this process's object; it stays when the store is away."""
+        """Delete this process's object, unless the store is unavailable."""
         me = self._members.local_member()
         held = await self._objects.get(KIND, me.name)
         if held.is_ok() and held.ok.body.get('incarnation') == me.incarnation:
@@ -94,7 +94,7 @@
     async def _delete_dead(
         self, listed: tuple[object_api.StoredObject, ...]
     ) -> None:
-        """Delete objects of the dead, each by the one whose duty it is."""
+        """Delete objects of dead members assigned to this process."""
         known = {member.name: member for member in self._members.known()}
         alive = [member.name for member in self._members.alive()]
         me = self._members.local_member().name
@@ -131,5 +131,5 @@
     timers: clock.Clock,
     rng: random.Random,
 ) -> NodeDirectory:
-    """Return a directory that has not read or written yet."""
+    """Return a directory that has not accessed the store yet."""
     return NodeDirectory(objects, present, timers, rng)
--- a/redwingvalve/membership/peers.py
+++ b/redwingvalve/membership/peers.py
@@ -1,4 +1,4 @@
-"""Chooses peers for one process from its table, with its randomness."""
+"""Selects peers for one process from its member table."""
 
 import random
 
@@ -8,7 +8,7 @@
 
 
 class PeerSelector:
-    """Whom to exchange with; the regional peers are kept until a change."""
+    """Selects peers; regional peers are cached until the table changes."""
 
     def __init__(
         self,
@@ -16,7 +16,7 @@
         contacts: tuple[Address, ...],
         rng: random.Random,
     ) -> None:
-        """Choose from member_table and, before it knows them, contacts."""
+        """Select from member_table and from contacts not yet in it."""
         self._table = member_table
         self._contacts = contacts
         self._rng = rng
@@ -25,13 +25,13 @@
         self._revision = -1
 
     def add_contacts(self, contacts: tuple[Address, ...]) -> None:
-        """Try these addresses too when they belong to nobody known."""
+        """Add addresses to try while they belong to no known member."""
         known = set(self._contacts)
-        fresh = [address for address in contacts if address not in known]
-        self._contacts += tuple(fresh)
+        new_contacts = [address for address in contacts if address not in known]
+        self._contacts += tuple(new_contacts)
 
     def regional(self) -> tuple[members.Member, ...]:
-        """Return those that this process exchanges with in its region."""
+        """Return the peers of this process in its own region."""
         store = self._table.statuses
         if self._revision != store.revision:
             self._revision = store.revision
@@ -41,27 +41,30 @@
         return self._regional
 
     def next(self) -> members.Member | None:
-        """Return the next regional peer in turn."""
+        """Return the next regional peer in the rotation."""
         return self._rotation.next(self.regional())
 
     def remote(self) -> members.Member | None:
-        """Return a member elsewhere, if this process speaks for its VM."""
+        """Return a member of another region, or None.
+
+        Only the representative of a VM has remote peers.
+        """
         statuses, me = self._table.statuses.all(), self._table.local.member()
         if not gossip_targets.is_representative(statuses, me):
             return None
         return gossip_targets.pick_remote(statuses, me, self._rng)
 
     def sample(self, count: int) -> list[members.Member]:
-        """Return some regional peers and one abroad."""
-        near = self.regional()
-        chosen = self._rng.sample(near, min(count, len(near)))
+        """Return up to count regional peers and one remote member."""
+        regional = self.regional()
+        sampled = self._rng.sample(regional, min(count, len(regional)))
         remote = self.remote()
-        return chosen if remote is None else [*chosen, remote]
+        return sampled if remote is None else [*sampled, remote]
 
     def helpers(
         self, member: members.Member, count: int
     ) -> list[members.Member]:
-        """Return others that may reach a member which we can't reach."""
+        """Return peers to probe a member that this process can't reach."""
         others = [
             other
             for other in self.regional()
@@ -71,17 +74,17 @@
         return self._rng.sample(others, min(count, len(others)))
 
     def dead(self) -> members.Member | None:
-        """Return one of the dead, to find out whether it is back."""
+        """Return a dead member, to check whether it is back."""
         return gossip_targets.pick_dead(self._table.statuses.all(), self._rng)
 
     def contacts(self) -> list[Address]:
-        """Return all contacts but ourselves."""
+        """Return all contacts but this process itself."""
         me = self._table.local.member()
         mine = (me.host, me.peer_port)
         return [address for address in self._contacts if address != mine]
 
     def unknown_contact(self) -> Address | None:
-        """Return a contact that belongs to no known member."""
+        """Return a random contact that belongs to no known member."""
         present = {
             (status.member.host, status.member.peer_port)
             for status in self._table.statuses.all().values()
--- a/redwingvalve/membership/probing.py
+++ b/redwingvalve/membership/probing.py
@@ -1,7 +1,7 @@
-"""Probes: a member is doubted only when others can't reach it either.
+"""Indirect probes: a member is suspected only if others can't reach it either.
 
-After SWIM (Das et al. 2002). Without the question to others, a one-way cut or
-a full queue between two processes would make one of them call the other dead.
+Follows SWIM (Das et al. 2002). Without indirect probes, a one-way partition or
+a full queue between two processes would make one declare the other dead.
 """
 
 import anyio
@@ -14,7 +14,7 @@
 
 
 class Prober:
-    """Meets members and doubts those whom nobody asked can reach."""
+    """Checks members and suspects those that no helper reaches."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         caller: rpc.PeerCaller,
         timers: clock.Clock,
     ) -> None:
-        """Judge for member_table."""
+        """Report suspicions to member_table."""
         self._table = member_table
         self._transport = transport
         self._selector = selector
@@ -33,7 +33,7 @@
         self._in_progress: set[str] = set()
 
     async def check_member(self, member: members.Member) -> None:
-        """Exchange with a member; doubt it when nobody reaches it."""
+        """Exchange with a member; suspect it if helpers fail as well."""
         if member.name in self._in_progress:
             return
         self._in_progress.add(member.name)
@@ -43,7 +43,7 @@
             self._in_progress.discard(member.name)
 
     async def probe_for(self, request: messages.peer.ProbeRequest) -> bool:
-        """Tell another member whether we reach a third."""
+        """Return whether this process reaches a member, for another one."""
         status = self._table.statuses.get(request.name)
         if status is None:
             return False
--- a/redwingvalve/membership/records.py
+++ b/redwingvalve/membership/records.py
@@ -1,4 +1,4 @@
-"""Members and words as thrift records."""
+"""Conversion of member statuses to and from Thrift records."""
 
 import types
 
@@ -14,7 +14,7 @@
 
 
 def to_record(status: member_status.MemberStatus) -> Record:
-    """Return a word as it travels."""
+    """Return a status as a Thrift record."""
     member = status.member
     plain = {
         name: getattr(member, name) for name in _TEXT_FIELDS + _NUMBER_FIELDS
@@ -23,7 +23,7 @@
 
 
 def from_record(record: Record) -> member_status.MemberStatus | None:
-    """Return the word of a record, or None when it is unsound."""
+    """Return the status in a record, or None if the record is invalid."""
     state = _STATES.get(record.state)
     if state is None or not record.name or record.incarnation is None:
         return None
@@ -36,6 +36,6 @@
 def from_records(
     records: list[Record] | None,
 ) -> list[member_status.MemberStatus]:
-    """Return the words of all sound records; the others are left out."""
+    """Return the statuses of all valid records; others are left out."""
     read = [from_record(record) for record in records or ()]
     return [status for status in read if status is not None]
--- a/redwingvalve/membership/rendezvous.py
+++ b/redwingvalve/membership/rendezvous.py
@@ -1,7 +1,7 @@
-"""Rendezvous hashing: who does a duty, without anybody deciding it.
+"""Rendezvous hashing: assigns duties to processes without coordination.
 
-Every process that sees the same candidates picks the same ones, and when one
-goes only its own duties move (Thaler and Ravishankar 1998).
+Processes that see the same candidates select the same ones, and when a
+candidate fails only its own duties move (Thaler and Ravishankar 1998).
 """
 
 from collections import abc as collections_abc
@@ -12,7 +12,7 @@
 def select(
     candidates: collections_abc.Iterable[str], duty: str, count: int
 ) -> tuple[str, ...]:
-    """Return the count candidates that hold a duty, the first one first."""
+    """Return the count candidates that rank highest for a duty, in order."""
     ranked = sorted(
         candidates,
         key=lambda name: (_score(duty, name), name),
--- a/redwingvalve/membership/status_store.py
+++ b/redwingvalve/membership/status_store.py
@@ -1,4 +1,4 @@
-"""The newest word of each member, with what must be passed on."""
+"""The latest status of each member, with digests and pending broadcasts."""
 
 from collections import abc as collections_abc
 
@@ -14,7 +14,7 @@
 
 
 class StatusStore:
-    """Words by name; each replacement is checked, digested and passed on."""
+    """Statuses by member name; updates are checked, digested and broadcast."""
 
     def __init__(
         self, switches: invariants.SafeguardSwitches | None = None
@@ -30,24 +30,24 @@
     def all(
         self,
     ) -> collections_abc.Mapping[str, member_status.MemberStatus]:
-        """Return the newest word of every member."""
+        """Return the latest status of every member."""
         return self._statuses
 
     def get(self, name: str) -> member_status.MemberStatus | None:
-        """Return the newest word of a member."""
+        """Return the latest status of a member."""
         return self._statuses.get(name)
 
     def accepts(self, status: member_status.MemberStatus) -> bool:
-        """Tell whether a word heard from a peer is newer than ours."""
+        """Return whether a status from a peer supersedes the stored one."""
         current = self._statuses.get(status.name)
         if current is None:
-            # Whoever is dead before we knew it is of no interest.
+            # Members that were never known alive aren't added as dead.
             return status.state is not State.DEAD
         stays = self._switches.enabled(invariants.Safeguard.LEAVING_EXCLUDED)
         return member_status.supersedes(status, current, leaving_is_final=stays)
 
     def put(self, status: member_status.MemberStatus) -> None:
-        """Replace a member's word and pass it on."""
+        """Replace a member's status and queue it for broadcast."""
         current = self._statuses.get(status.name)
         _require_order(status, current)
         self._digests.update(current, status)
@@ -57,17 +57,17 @@
         self._changed = self._changed or _urgent(status, current)
 
     def remove(self, name: str) -> None:
-        """Forget a member."""
+        """Remove a member."""
         self._digests.update(self._statuses.pop(name, None), None)
         self._broadcasts.drop(name)
         self.revision += 1
 
     def mark_urgent(self) -> None:
-        """Have what is new passed on without delay."""
+        """Request an urgent round for pending changes."""
         self._changed = True
 
     def take_changed(self) -> bool:
-        """Tell whether there is something to pass on without delay."""
+        """Return and reset whether an urgent round is needed."""
         changed = self._changed
         self._changed = False
         return changed
@@ -75,11 +75,11 @@
     def take_broadcasts(
         self, receiver: str
     ) -> list[member_status.MemberStatus]:
-        """Return the words for one message."""
+        """Return the statuses to broadcast in one message."""
         return self._broadcasts.take(self._statuses, receiver)
 
     def digest(self) -> int:
-        """Return one digest of all words."""
+        """Return a single digest of all statuses."""
         return self._digests.total()
 
     def digests(self) -> list[int]:
@@ -89,7 +89,7 @@
     def differing_statuses(
         self, other_digests: list[int] | None, limit: int
     ) -> list[member_status.MemberStatus]:
-        """Return the words of the first buckets that differ."""
+        """Return the statuses in the first limit buckets that differ."""
         if not other_digests:
             return []
         wanted = set(self._digests.differing(other_digests)[:limit])
@@ -104,10 +104,10 @@
     status: member_status.MemberStatus,
     current: member_status.MemberStatus | None,
 ) -> bool:
-    """Tell whether a word is to be passed on without delay.
+    """Return whether a status has to be broadcast in an urgent round.
 
-    Doubts and their refutation are not: the suspicion time leaves room for
-    rounds, and a storm of doubts must not feed itself.
+    Suspicions and refutations don't: the suspicion time spans several regular
+    rounds, and a burst of suspicions must not amplify itself.
     """
     if current is None or status.state in {State.LEAVING, State.DEAD}:
         return True
--- a/redwingvalve/membership/table.py
+++ b/redwingvalve/membership/table.py
@@ -1,11 +1,11 @@
-"""The decisions of membership: whom this process believes to be there.
-
-Pure: time is an argument, and the network is whoever calls. Load pattern: a
-few changes a minute in a fleet at rest; a rack or a data centre lost, a third
-of all processes paused, or a region back after an hour make hundreds at once.
-Without suspicion each pause would be a death; without the rule that a process
-which hears nobody judges nobody, one that is cut off would come back with a
-table full of the dead.
+"""Membership state and failure decisions of one process.
+
+Pure: time is an argument, and the caller does the network I/O. Load pattern:
+a few changes a minute in a stable fleet; hundreds at once when a rack or a
+data centre is lost, a third of all processes is paused, or a region returns
+after an hour. Without suspicion, each pause would count as a death. Without
+the rule that a process without contact declares nobody dead, a partitioned
+process would return with a table full of dead members.
 """
 
 import collections
@@ -23,7 +23,7 @@
 )
 
 State = members.MemberState
-# In a region with fewer members nobody else might notice a death.
+# With fewer live members, a region may not detect its own failures.
 MIN_SELF_JUDGING_MEMBERS = 3
 
 
@@ -37,7 +37,7 @@
         bounds: member_bounds.MembershipBounds = member_bounds.DEFAULT_BOUNDS,
         switches: invariants.SafeguardSwitches | None = None,
     ) -> None:
-        """Know nobody but me."""
+        """Start with me as the only member."""
         self.bounds = bounds
         self.statuses = status_store.StatusStore(switches)
         self.local = local_status.LocalStatus(me, self.statuses)
@@ -51,10 +51,10 @@
         self._known_members: tuple[members.Member, ...] = ()
 
     def known(self, now_s: float) -> tuple[members.Member, ...]:
-        """Return every member; those of a silent region as suspect."""
+        """Return every member; alive ones of a silent region as suspect."""
         silent = self._silent_regions(now_s)
-        # Asked several times a second by each slice, changed a few times a
-        # minute.
+        # Cached: each package reads this several times per second, but it
+        # changes only a few times per minute.
         if self._known_key != (self.statuses.revision, silent):
             self._known_key = (self.statuses.revision, silent)
             self._known_members = tuple(
@@ -64,13 +64,13 @@
         return self._known_members
 
     def isolated(self, now_s: float) -> bool:
-        """Tell whether nobody was heard for too long, or we are replaced."""
+        """Return whether this process lost all contact or is superseded."""
         if self.local.superseded:
             return True
         return self._has_contacted_peer and self._is_cut_off(now_s)
 
     def region_ages(self, now_s: float) -> dict[str, float]:
-        """Return how long ago each region was met, in seconds."""
+        """Return the seconds since the last contact with each region."""
         return {
             region: max(now_s - seen_s, 0.0)
             for region, seen_s in self._region_seen_s.items()
@@ -81,7 +81,7 @@
         received: collections_abc.Iterable[member_status.MemberStatus],
         now_s: float,
     ) -> None:
-        """Take the newer of the words; late and doubled ones do nothing."""
+        """Apply newer statuses; late and duplicate ones have no effect."""
         mine = self.local.member().name
         for status in received:
             if status.name == mine:
@@ -92,14 +92,14 @@
     def merge_region_ages(
         self, ages: collections_abc.Mapping[str, float], now_s: float
     ) -> None:
-        """Take the newest sight of each region."""
+        """Apply the most recent contact with each region."""
         for region, age_s in ages.items():
             seen_s = now_s - max(age_s, 0.0)
             known_s = self._region_seen_s.get(region, float('-inf'))
             self._region_seen_s[region] = max(seen_s, known_s)
 
     def record_contact(self, name: str, now_s: float) -> None:
-        """Note that a member has spoken to this process."""
+        """Record that a member has sent a message to this process."""
         self.record_connectivity(now_s)
         self._has_contacted_peer = True
         status = self.statuses.get(name)
@@ -108,11 +108,11 @@
             self._death_due_s.pop(name, None)
 
     def record_connectivity(self, now_s: float) -> None:
-        """Note proof that this process is not cut off, as from the store."""
+        """Record proof, such as a store reply, of network connectivity."""
         self._last_contact_s = max(self._last_contact_s, now_s)
 
     def suspect(self, name: str, now_s: float, *, refused: bool) -> None:
-        """Doubt a member that neither we nor those we asked could reach."""
+        """Suspect a member that neither this process nor helpers reached."""
         status = self.statuses.get(name)
         if status is None or status.state is State.DEAD:
             return
@@ -127,11 +127,11 @@
             self.statuses.put(status.with_state(State.SUSPECT))
 
     def cancel_suspicion(self, name: str) -> None:
-        """Drop our own doubt: somebody has just met the member."""
+        """Cancel the local timer, as a helper has just reached the member."""
         self._death_due_s.pop(name, None)
 
     def tick(self, now_s: float) -> None:
-        """Judge suspects whose time is up and forget the long dead."""
+        """Declare expired suspects dead and remove members long dead."""
         gap_s = now_s - self._ticked_s
         self._ticked_s = now_s
         if gap_s > self.bounds.max_tick_gap_s:
@@ -141,9 +141,9 @@
         self._remove_expired(now_s)
 
     def _resume(self, gap_s: float) -> None:
-        # Timers that ran out while this process was paused say nothing of
-        # the others: they had no chance to answer it. Our own word may have
-        # been doubted meanwhile, so it is renewed at once.
+        # Timers that expired while this process was paused are no evidence
+        # about others, which had no chance to answer. Others may have
+        # suspected this process meanwhile, so its status is renewed at once.
         for name in self._death_due_s:
             self._death_due_s[name] += gap_s
         for region in self._region_seen_s:
@@ -215,5 +215,5 @@
     bounds: member_bounds.MembershipBounds = member_bounds.DEFAULT_BOUNDS,
     switches: invariants.SafeguardSwitches | None = None,
 ) -> MemberTable:
-    """Return a table that knows only this process."""
+    """Return a table that contains only this process."""
     return MemberTable(me, now_s, bounds, switches)
--- a/redwingvalve/membership/tests/network.py
+++ b/redwingvalve/membership/tests/network.py
@@ -1,4 +1,4 @@
-"""Tables that exchange in virtual time over a network with faults."""
+"""Member tables that exchange in virtual time over a faulty network."""
 
 import random
 
@@ -24,7 +24,7 @@
 
 @attrs.define
 class Process:
-    """One process: its table and whom it meets next."""
+    """One simulated process: its exchanges and its peer rotation."""
 
     exchanges: exchanges.Exchanges
     rotation: gossip_targets.Rotation
@@ -36,7 +36,7 @@
 
 
 class Network:
-    """Carries packed exchanges; links may be cut in one direction."""
+    """Delivers packed exchanges; links can be cut in one direction."""
 
     def __init__(
         self, seed=0, member_bounds=bounds.DEFAULT_BOUNDS, switches=None
@@ -63,11 +63,11 @@
         )
         self.processes[name] = started
         if contact is not None:
-            self.meet(name, contact)
+            self.run_exchange(name, contact)
         started.table.local.mark_joined()
 
     def step(self, count=1):
-        """Let each process that runs do one round."""
+        """Run one round of each process that isn't paused."""
         for _ in range(count):
             self.now_s += STEP_S
             for name, process in tuple(self.processes.items()):
@@ -75,32 +75,37 @@
                     continue
                 process.table.tick(self.now_s)
                 self._round(name, process)
-            self._note_deaths()
+            self._record_deaths()
 
-    def meet(self, asker, asked):
-        """Carry an exchange; False when no answer came back."""
-        first, second = self.processes.get(asker), self.processes.get(asked)
-        question = first.exchanges.make_request(
-            asked, self._region(second), self.now_s
+    def run_exchange(self, requester, replier):
+        """Run one exchange; return False if no reply arrived."""
+        first, second = (
+            self.processes.get(requester),
+            self.processes.get(replier),
         )
-        if second is None or not self._carries(asker, asked):
+        request = first.exchanges.make_request(
+            replier, self._region(second), self.now_s
+        )
+        if second is None or not self._is_delivered(requester, replier):
             return False
-        answer = self._deliver(second, question)
-        if not self._carries(asked, asker):
+        reply = self._deliver(second, request)
+        if not self._is_delivered(replier, requester):
             return False
-        first.exchanges.receive(self._copy(answer), None, self.now_s)
-        supplement = first.exchanges.make_follow_up(answer)
-        if supplement is not None and self._carries(asker, asked):
-            self._deliver(second, supplement)
+        first.exchanges.receive(self._copy(reply), None, self.now_s)
+        follow_up = first.exchanges.make_follow_up(reply)
+        if follow_up is not None and self._is_delivered(requester, replier):
+            self._deliver(second, follow_up)
         return True
 
     def deliver_late(self, count):
-        """Deliver copies of earlier messages again, in any order."""
+        """Deliver copies of earlier messages in random order."""
         self.rng.shuffle(self.late)
         for receiver, packed in self.late[:count]:
             if receiver in self.processes:
                 received = packing.unpack(messages.peer.Exchange(), packed).ok
-                self._deliver(self.processes[receiver], received, keep=False)
+                self._deliver(
+                    self.processes[receiver], received, record_copy=False
+                )
 
     def states(self, name):
         return {
@@ -119,35 +124,35 @@
             chosen.append(gossip_targets.pick_remote(statuses, me, self.rng))
             chosen.append(gossip_targets.pick_dead(statuses, self.rng))
         for member in chosen:
-            if member is None or self.meet(name, member.name):
+            if member is None or self.run_exchange(name, member.name):
                 continue
             if not self._reached_by_others(name, member.name):
                 refused = member.name not in self.processes
                 process.table.suspect(member.name, self.now_s, refused=refused)
 
-    def _reached_by_others(self, asker, wanted):
-        others = sorted(set(self.processes) - {asker, wanted})
+    def _reached_by_others(self, requester, target):
+        others = sorted(set(self.processes) - {requester, target})
         for other in self.rng.sample(others, min(2, len(others))):
-            received = self._carries(asker, other) and self._carries(
-                other, asker
-            )
+            received = self._is_delivered(
+                requester, other
+            ) and self._is_delivered(other, requester)
             if (
                 received
-                and wanted in self.processes
-                and self.meet(other, wanted)
+                and target in self.processes
+                and self.run_exchange(other, target)
             ):
                 return True
         return False
 
-    def _deliver(self, receiver, message, keep=True):
+    def _deliver(self, receiver, message, record_copy=True):
         received = self._copy(message)
         name = receiver.table.local.member().name
-        if keep:
+        if record_copy:
             self.late = [*self.late[-40:], (name, packing.pack(message))]
         receiver.exchanges.receive(received, None, self.now_s)
         return self._copy(receiver.exchanges.make_reply(received, self.now_s))
 
-    def _carries(self, sender, receiver):
+    def _is_delivered(self, sender, receiver):
         if (sender, receiver) in self.cut:
             return False
         for name in (sender, receiver):
@@ -156,7 +161,7 @@
                 return False
         return self.rng.random() >= self.loss
 
-    def _note_deaths(self):
+    def _record_deaths(self):
         for process in self.processes.values():
             for status in process.table.statuses.all().values():
                 if status.state is State.DEAD:
@@ -170,5 +175,5 @@
         return process.table.local.member().region if process else ''
 
 
-def from_records(member):
+def make_status(member):
     return member_status.MemberStatus(member, 0)
--- a/redwingvalve/membership/tests/test_faults.py
+++ b/redwingvalve/membership/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Single faults, in virtual time."""
+"""Membership under single faults, in virtual time."""
 
 import pytest
 
@@ -19,10 +19,10 @@
 
 @pytest.mark.parametrize('seed', range(8))
 def test_a_third_paused_below_the_bound_is_never_declared_dead(seed):
-    """A third of all processes stops for just under the bound, with loss.
+    """A third of all processes pauses for the pause bound, with packet loss.
 
-    Callers of the others must not lose them: they are suspected, and refute
-    when they resume.
+    They may be suspected, but must refute this when they resume; declared
+    dead, they would be lost to callers.
     """
     net = make_fleet(12, seed=seed)
     net.loss = 0.05
@@ -34,10 +34,10 @@
     assert set(net.states('e0').values()) == {State.ALIVE}
 
 
-def test_a_paused_process_does_not_bury_the_others_when_it_resumes():
-    """A process doubts a peer, stops for a minute and resumes.
+def test_a_paused_process_declares_nobody_dead_when_it_resumes():
+    """A process suspects a peer, pauses for a minute and resumes.
 
-    Its timer for the peer has run out meanwhile, which proves nothing.
+    Its suspicion timer has expired meanwhile, which is no evidence.
     """
     net = make_fleet(4)
     paused = net.processes['e0']
@@ -48,15 +48,15 @@
     assert set(net.states('e0').values()) == {State.ALIVE}
 
 
-def test_a_one_way_cut_makes_no_death():
-    """e1 can't reach e2, but others can: nobody must call e2 dead."""
+def test_a_one_way_partition_causes_no_death():
+    """e1 can't reach e2, but others can: e2 must not be declared dead."""
     net = make_fleet(6)
     net.cut.add(('e1', 'e2'))
     net.step(120)
     assert not net.deaths
 
 
-def test_a_death_is_known_within_seconds_and_a_new_life_replaces_it():
+def test_a_death_spreads_within_seconds_and_a_restart_replaces_it():
     net = make_fleet(12)
     del net.processes['e5']
     net.step(20)
@@ -69,11 +69,11 @@
     assert not own.superseded
 
 
-def test_two_processes_of_one_name_leave_one_standing():
-    """The old process still runs when its replacement starts.
+def test_the_older_of_two_processes_with_one_name_is_superseded():
+    """A process still runs when its replacement with the same name starts.
 
-    It must notice and take itself out: two processes that answer for one name
-    would both hold the name's shares and keys.
+    It must detect this and report itself isolated; otherwise both processes
+    would hold the shares and keys of that name.
     """
     net = make_fleet(4)
     old = net.processes.pop('e1')
@@ -92,23 +92,24 @@
     assert not net.processes['e1'].table.local.superseded
 
 
-def test_an_hour_between_regions_makes_no_deaths_and_heals():
-    """Two regions lose each other for an hour.
+def test_an_hour_of_partition_between_regions_causes_no_deaths():
+    """Two regions are partitioned for an hour.
 
-    Each shows the other as suspect, declares nobody there dead, goes on
-    noticing its own deaths, and both agree soon after the link is back.
+    Each lists the members of the other as suspect, declares none of them
+    dead, still detects deaths of its own, and both converge soon after the
+    partition heals.
     """
     net = make_fleet(8, regions=2)
-    one = {name for name in net.processes if int(name[1:]) % 2}
+    odd_members = {name for name in net.processes if int(name[1:]) % 2}
     net.cut |= {
         (first, second)
         for first in net.processes
         for second in net.processes
-        if (first in one) != (second in one)
+        if (first in odd_members) != (second in odd_members)
     }
     net.step(60)
-    presented = net.processes['e0'].table.known(net.now_s)
-    assert {each.state for each in presented if each.region == 'r1'} == {
+    listed = net.processes['e0'].table.known(net.now_s)
+    assert {each.state for each in listed if each.region == 'r1'} == {
         State.SUSPECT
     }
     del net.processes['e7']
@@ -121,26 +122,26 @@
     assert set(net.states('e1').values()) == {State.ALIVE}
 
 
-def test_who_hears_nobody_judges_nobody_and_takes_itself_out():
+def test_an_isolated_process_declares_nobody_dead():
     net = make_fleet(5)
     net.cut |= {('e0', name) for name in net.processes}
     net.cut |= {(name, 'e0') for name in net.processes}
     net.step(100)
-    alone = net.processes['e0'].table
-    assert alone.isolated(net.now_s)
+    isolated_table = net.processes['e0'].table
+    assert isolated_table.isolated(net.now_s)
     assert all(
         status.state is not State.DEAD
-        for status in alone.statuses.all().values()
+        for status in isolated_table.statuses.all().values()
     )
     assert net.processes['e1'].table.statuses.get('e0').state is State.DEAD
     net.cut.clear()
     net.step(60)
-    assert not alone.isolated(net.now_s)
+    assert not isolated_table.isolated(net.now_s)
     assert set(net.states('e0').values()) == {State.ALIVE}
 
 
-def test_processes_of_a_vm_let_one_speak():
-    """Eight VMs with three processes: each VM counts as one peer."""
+def test_one_process_per_vm_gossips_for_all():
+    """With three processes on each of eight VMs, a VM counts as one peer."""
     statuses = {}
     for vm in range(8):
         for role in ('control', 'entry-1', 'entry-2'):
@@ -148,11 +149,13 @@
             member = members.Member(
                 name, 1, role.split('-')[0], 'h', 1, 2, 'a', 'r', vm=f'vm{vm}'
             )
-            statuses[name] = network.from_records(member)
+            statuses[name] = network.make_status(member)
     representative = statuses['0-control'].member
     peers = gossip_targets.regional(statuses, representative)
     assert sorted(peer.name for peer in peers) == sorted(
         [f'{vm}-control' for vm in range(1, 8)] + ['0-entry-1', '0-entry-2']
     )
-    local = gossip_targets.regional(statuses, statuses['0-entry-2'].member)
-    assert [peer.name for peer in local] == ['0-control']
+    local_peers = gossip_targets.regional(
+        statuses, statuses['0-entry-2'].member
+    )
+    assert [peer.name for peer in local_peers] == ['0-control']
--- a/redwingvalve/membership/tests/test_machine.py
+++ b/redwingvalve/membership/tests/test_machine.py
@@ -1,4 +1,4 @@
-"""Random runs of membership; the promises are asserted in the program."""
+"""Random runs of membership; the program itself asserts its invariants."""
 
 import hypothesis
 import pytest
@@ -14,7 +14,7 @@
 
 
 class MembershipMachine(stateful.RuleBasedStateMachine):
-    """Five processes, two regions; everything may happen in any order."""
+    """Five processes in two regions, with faults in any order."""
 
     def __init__(self):
         super().__init__()
@@ -61,7 +61,7 @@
 
     @stateful.rule(name=st.sampled_from(NAMES), behind=st.booleans())
     def restart(self, name, behind):
-        """Start anew; behind means that the VM's clock runs behind."""
+        """Restart a process; behind means that its VM's clock runs behind."""
         self.incarnations[name] += 1
         incarnation = 1 if behind else self.incarnations[name] * 10
         region = 'r1' if name in 'abc' else 'r2'
@@ -75,7 +75,7 @@
         self.left.add(name)
 
     @stateful.invariant()
-    def nobody_returns_from_leaving(self):
+    def leaving_is_final(self):
         for name in self.left:
             own = self.network.processes[name].table.local.status()
             for process in self.network.processes.values():
@@ -85,16 +85,16 @@
                 assert current.state in {State.LEAVING, State.DEAD}
 
     def teardown(self):
-        """Whatever happened, all agree some time after it has ended."""
+        """All processes converge once the faults have ended."""
         self.network.cut.clear()
         self.network.loss = 0.0
         for process in self.network.processes.values():
             process.paused_until_s = 0.0
         self.network.step(80)
         for name, process in self.network.processes.items():
-            wanted = process.table.local.status().state
+            expected = process.table.local.status().state
             assert not process.table.local.superseded
-            assert set(self.network.states(name).values()) == {wanted}, name
+            assert set(self.network.states(name).values()) == {expected}, name
             assert len(self.network.states(name)) == len(NAMES)
 
 
@@ -104,16 +104,17 @@
 )
 
 
-def test_without_its_safeguard_a_return_from_leaving_is_found():
-    """A forged word calls a leaving entry alive; callers would be sent to it.
+def test_without_its_safeguard_an_undone_leaving_is_detected():
+    """A forged status reports a leaving entry as alive.
 
-    The table ignores it. With the safeguard off it takes the word, and the
-    assertion inside the program reports the breach.
+    Callers would be sent to it, so the table ignores the status. With the
+    safeguard off it accepts the status, and an invariant in the program
+    reports the breach.
     """
     disabled = invariants.SafeguardSwitches(
         [invariants.Safeguard.LEAVING_EXCLUDED]
     )
-    for switches, caught in ((None, False), (disabled, True)):
+    for switches, detected in ((None, False), (disabled, True)):
         net = network.Network(switches=switches)
         net.start('a')
         net.start('b', contact='a')
@@ -122,7 +123,7 @@
         table = net.processes['a'].table
         assert table.statuses.get('b').state is State.LEAVING
         forged = member_status.MemberStatus(network.make_member('b'), 50)
-        if caught:
+        if detected:
             with pytest.raises(invariants.InvariantBreachError):
                 table.merge([forged], net.now_s)
         else:
--- a/redwingvalve/membership/urgency.py
+++ b/redwingvalve/membership/urgency.py
@@ -1,25 +1,25 @@
-"""How soon one urgent round may follow another.
+"""Exponential backoff between urgent rounds.
 
-Load pattern: a rack is lost or 40 processes start, and each change calls for
-an urgent round at every member that hears of it. Without a growing pause,
-members that are late because they are busy doubt each other, pass the doubts
-on at once, and are kept busy by that. Pure: time is an argument.
+Load pattern: a rack is lost or 40 processes start, and each change triggers
+an urgent round at every member that learns of it. Without backoff, members
+that answer late under load suspect each other, broadcast the suspicions at
+once, and thereby stay overloaded. Pure: time is an argument.
 """
 
 from redwingvalve.membership import bounds as member_bounds
 
 
 class UrgentBackoff:
-    """A pause after each round, doubled while rounds follow each other."""
+    """Pause after an urgent round, doubled while rounds follow closely."""
 
     def __init__(self, bounds: member_bounds.MembershipBounds) -> None:
-        """Start with the short pause."""
+        """Start with the shortest pause."""
         self._bounds = bounds
         self._pause_s = bounds.urgent_interval_s
         self._last_s = float('-inf')
 
     def pause_s(self, now_s: float) -> float:
-        """Return how long to wait after a round at now_s."""
+        """Return the pause after a round that ended at now_s."""
         longest_s = self._bounds.max_urgent_interval_s
         quiet_s = now_s - self._last_s
         self._last_s = now_s
@@ -33,5 +33,5 @@
 def make_urgent_backoff(
     bounds: member_bounds.MembershipBounds,
 ) -> UrgentBackoff:
-    """Return a pace that has been quiet."""
+    """Return a backoff at its shortest pause."""
     return UrgentBackoff(bounds)
