--- a/redwingvalve/discovery/__init__.py
+++ b/redwingvalve/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Which address a caller should use, and for how long."""
+"""Discovery: the entries a caller should use, and for how long."""
--- a/redwingvalve/discovery/balanced_directory.py
+++ b/redwingvalve/discovery/balanced_directory.py
@@ -1,4 +1,4 @@
-"""The directory of an entry: whom it names to the callers that ask."""
+"""Directory from which an entry answers discovery requests."""
 
 import random
 
@@ -9,7 +9,7 @@
 
 
 class BalancedDirectory(directory.EntryDirectory):
-    """Names a few entries, drawn anew for each caller."""
+    """Returns a few entries, drawn at random for each caller."""
 
     def __init__(
         self,
@@ -18,7 +18,7 @@
         keep_s: float,
         rng: random.Random,
     ) -> None:
-        """Name members of present for about keep_s."""
+        """Select from the members of present, for about keep_s."""
         self._members = present
         self._news = news
         self._keep_s = keep_s
@@ -51,5 +51,5 @@
     keep_s: float,
     rng: random.Random,
 ) -> directory.EntryDirectory:
-    """Return the directory that entries use."""
+    """Return a directory that balances callers over entries."""
     return BalancedDirectory(present, news, keep_s, rng)
--- a/redwingvalve/discovery/entry_selection.py
+++ b/redwingvalve/discovery/entry_selection.py
@@ -1,12 +1,12 @@
-"""Which entries a caller is told to use, and for how long.
-
-Pure. Load pattern: callers keep an answer for some seconds and connect by
-themselves; when a data centre goes, all its callers come for a new answer
-within one keep time. Naming the least loaded entry would send them all to the
-same one, whose load is reported a second late (herd); naming entries evenly
-would keep loading the full ones. Each answer therefore draws a few entries at
-random, weighted by their spare room, nearer data centres first, and the keep
-time varies so that callers don't return in step.
+"""Selects the entries that a caller should use, and for how long.
+
+Pure. Load pattern: callers cache an answer for some seconds and connect on
+their own; when a data centre fails, all its callers request a new answer
+within one cache time. Returning the least loaded entry would send them all to
+the same one, whose load is reported a second late (thundering herd); returning
+entries evenly would keep loading the full ones. Each answer therefore draws a
+few entries at random, weighted by spare capacity and preferring near data
+centres, and the cache time is jittered so that callers don't synchronize.
 """
 
 import random
@@ -17,13 +17,14 @@
 from redwingvalve.membership import members
 
 MAX_ENTRIES = 4
-# Weight of an entry that reports to be full; above it, it isn't named.
+# Entries that report at least this load are full and not selected.
 FULL_LOAD = 0.95
-# No entry is so empty that others of its data centre get nothing.
+# Lower bound of the spare capacity in an entry's weight: however empty another
+# entry is, the rest of its data centre still receives callers.
 MIN_WEIGHT = 0.05
-# Callers in the same data centre are sent there this much more often; the
-# rest keeps connections elsewhere in use, so that a loss of the data centre
-# does not find the others unknown.
+# Weight of entries in the caller's data centre. The remaining share of callers
+# keeps connections to other data centres in use, so that these aren't unused
+# when the data centre is lost.
 SAME_DATA_CENTRE_FACTOR = 4.0
 OTHER_REGION_FACTOR = 0.01
 KEEP_JITTER = 0.25
@@ -31,7 +32,7 @@
 
 @attrs.frozen
 class EntrySelection:
-    """The entries for one caller; keep_s is how long to use them."""
+    """The entries for one caller, to be cached for keep_s."""
 
     entries: tuple[members.Member, ...]
     keep_s: float
@@ -46,11 +47,11 @@
     *,
     isolated: bool = False,
 ) -> EntrySelection:
-    """Choose entries; loads are shares of each entry's room in use.
+    """Select entries; loads are the used shares of each entry's capacity.
 
-    The first named is drawn by weight; at least one of another data centre
-    is among the others when there is one, so that a caller whose data centre
-    goes has an address that works.
+    The first entry is drawn by weight. The others include one of another
+    data centre if there is any, so that a caller has a working address when
+    its data centre fails.
     """
     jittered_s = keep_s * rng.uniform(1 - KEEP_JITTER, 1.0)
     candidates = _candidates(present, loads, here, isolated=isolated)
@@ -77,8 +78,8 @@
     available = [
         member for member in alive if loads.get(member.name, 0.0) < FULL_LOAD
     ]
-    # When all are full, refusing to name any would only move the callers'
-    # retries here; they are spread over all instead.
+    # When all entries are full, an empty answer would only bring the callers'
+    # retries here, so callers are spread over all entries instead.
     return available or alive
 
 
--- a/redwingvalve/discovery/load_reports.py
+++ b/redwingvalve/discovery/load_reports.py
@@ -1,8 +1,9 @@
-"""What entries say of their load, so that callers are spread by it.
+"""Load reports of entries, by which callers are balanced.
 
-Load pattern: load changes with every request; sending each change would be a
-message for each request. A load is said in steps of a sixteenth, when the
-step changes and a few seconds after the last word, to the region only.
+Load pattern: load changes with every request, so publishing each change would
+cost a message per request. Load is published in steps of a sixteenth, when
+the step changes and a few seconds after the last report, within the region
+only.
 """
 
 import math
@@ -19,23 +20,24 @@
 LOAD_KEY = 'load'
 STEPS = 16
 REPEAT_INTERVAL_S = 5.0
-# A step is left only when the load has moved by this share of a step beyond
-# its border; a load that swings around a border would be said all the time.
+# Hysteresis: the step changes only when the load is beyond its boundary by
+# this share of a step; otherwise a load that oscillates around a boundary
+# would be published all the time.
 HYSTERESIS_SHARE = 0.25
 
 
 class LoadReporter:
-    """Says this entry's load in steps."""
+    """Publishes this entry's load in steps."""
 
     def __init__(self, news: bus.NewsBus, timers: clock.Clock) -> None:
-        """Nothing is said before report."""
+        """Publish nothing until report is called."""
         self._news = news
         self._clock = timers
         self._published_step = -1
         self._published_s = float('-inf')
 
     def report(self, share: float) -> None:
-        """Note the share of this entry's room that is in use, 0 to 1."""
+        """Report the used share of this entry's capacity, 0 to 1."""
         scaled = min(max(share, 0.0), 1.0) * STEPS
         moved = (
             abs(scaled - self._published_step - 0.5) > 0.5 + HYSTERESIS_SHARE
@@ -52,7 +54,7 @@
 
 
 def read_loads(news: bus.NewsBus) -> dict[str, float]:
-    """Return the load of each entry that has lately said it."""
+    """Return the load of each entry with an unexpired report."""
     return {
         item.owner: item.body[0] / STEPS
         for item in news.read(LOAD_CHANNEL)
@@ -61,5 +63,5 @@
 
 
 def make_load_reporter(news: bus.NewsBus, timers: clock.Clock) -> LoadReporter:
-    """Return a reporter that has said nothing yet."""
+    """Return a reporter that has published nothing yet."""
     return LoadReporter(news, timers)
--- a/redwingvalve/discovery/tests/test_entry_selection.py
+++ b/redwingvalve/discovery/tests/test_entry_selection.py
@@ -1,4 +1,4 @@
-"""Which entries callers are told, judged by where the callers end up."""
+"""Entry selection, verified by the distribution of callers."""
 
 import collections
 import random
@@ -36,10 +36,10 @@
     ]
     here = make_member('good')
     assert set(first_choices(present, {'full': 0.97}, here)) == {'good'}
-    alone = entry_selection.select_entries(
+    isolated_selection = entry_selection.select_entries(
         present, {}, here, 10.0, random.Random(1), isolated=True
     )
-    assert 'good' not in {entry.name for entry in alone.entries}
+    assert 'good' not in {entry.name for entry in isolated_selection.entries}
 
 
 def test_when_all_are_full_callers_are_still_spread():
@@ -50,20 +50,20 @@
 
 
 def test_a_lost_data_centre_does_not_become_a_herd_on_one_entry():
-    """A data centre goes; its callers all ask again within one keep time.
+    """A data centre fails; its callers all ask again within one cache time.
 
-    They must be spread over all entries that are left, although one of these
-    reports the least load: its report is older than the callers' rush.
+    They must be spread over all remaining entries, although one of these
+    reports the least load: its report is older than the burst of callers.
     """
-    left = [make_member(f'b{index}', 'b') for index in range(3)]
-    left += [make_member(f'c{index}', 'c') for index in range(3)]
-    load = {member.name: 0.5 for member in left} | {'c0': 0.1}
-    chosen = first_choices(left, load, make_member('b0', 'b'))
+    remaining = [make_member(f'b{index}', 'b') for index in range(3)]
+    remaining += [make_member(f'c{index}', 'c') for index in range(3)]
+    load = {member.name: 0.5 for member in remaining} | {'c0': 0.1}
+    chosen = first_choices(remaining, load, make_member('b0', 'b'))
     assert len(chosen) == 6
     assert max(chosen.values()) / 3000 < 0.35
 
 
-def test_answers_hold_another_data_centre_and_uneven_keep_times():
+def test_answers_include_another_data_centre_and_vary_in_cache_time():
     present = [make_member(f'a{index}', 'a') for index in range(9)]
     present += [make_member('b0', 'b'), make_member('z', 'z', 'far')]
     rng = random.Random(3)
@@ -79,7 +79,7 @@
     assert max(keeps) <= 10.0
 
 
-class _Board:
+class _NewsBus:
     def __init__(self):
         self.published = []
 
@@ -87,14 +87,14 @@
         self.published.append(body[0])
 
 
-def test_load_is_said_in_steps_and_does_not_flap():
+def test_load_is_published_in_steps_without_flapping():
     timers = clock.ManualClock()
-    board = _Board()
-    reporter = load_reports.make_load_reporter(board, timers)
+    news_bus = _NewsBus()
+    reporter = load_reports.make_load_reporter(news_bus, timers)
     for share in (0.5, 0.51, 0.499, 0.505, 0.497):
         reporter.report(share)
-    assert board.published == [8]
+    assert news_bus.published == [8]
     reporter.report(0.9)
     timers.advance(load_reports.REPEAT_INTERVAL_S)
     reporter.report(0.9)
-    assert board.published == [8, 14, 14]
+    assert news_bus.published == [8, 14, 14]
--- a/redwingvalve/news/__init__.py
+++ b/redwingvalve/news/__init__.py
@@ -1,1 +1,1 @@
-"""News that processes spread between each other, with bounds on its age."""
+"""News: key-value items with a maximum age that processes gossip."""
--- a/redwingvalve/news/bus.py
+++ b/redwingvalve/news/bus.py
@@ -1,4 +1,4 @@
-"""The board of news: every slice publishes and reads through it."""
+"""The interface through which packages publish and read news."""
 
 import abc
 import enum
@@ -7,7 +7,7 @@
 
 
 class Scope(enum.StrEnum):
-    """How far a channel's news travels."""
+    """The processes that receive the items of a channel."""
 
     REGION = 'region'
     EVERYWHERE = 'everywhere'
@@ -15,10 +15,10 @@
 
 @attrs.frozen
 class Channel:
-    """One kind of news; older items are dropped by every reader.
+    """One kind of news; readers ignore items older than max_age_s.
 
-    An urgent channel's items go out at once and are passed on at once, instead
-    of waiting for the next exchange; only for what is rare and short.
+    Items of an urgent channel are sent and forwarded at once instead of with
+    the next exchange. Only for rare and small items.
     """
 
     name: str
@@ -30,10 +30,10 @@
 
 @attrs.frozen
 class NewsItem:
-    """The newest word of one owner on one key.
+    """The latest item of one owner for one key.
 
-    number rises with each publication of the owner's incarnation, so that a
-    repeated or late message is harmless; age_s counts from publication.
+    number increases with each publication of the owner's incarnation, so
+    duplicate and late messages are harmless; age_s counts from publication.
     """
 
     channel: str
@@ -46,12 +46,12 @@
 
 
 class NewsBus(abc.ABC):
-    """Publishes this process's news and reads everybody's."""
+    """Publishes this process's news and reads that of all processes."""
 
     @abc.abstractmethod
     def publish(self, channel: Channel, key: str, body: bytes) -> None:
-        """Replace this process's word on key; an empty body retracts it."""
+        """Publish an item under key; an empty body retracts it."""
 
     @abc.abstractmethod
     def read(self, channel: Channel) -> tuple[NewsItem, ...]:
-        """Return all items of a channel that are not too old."""
+        """Return all unexpired items of a channel."""
--- a/redwingvalve/news/gossip_bus.py
+++ b/redwingvalve/news/gossip_bus.py
@@ -1,4 +1,4 @@
-"""The board of news on the exchanges of membership."""
+"""News bus that uses the exchanges of membership as its transport."""
 
 import math
 from collections import abc as collections_abc
@@ -14,19 +14,19 @@
 Record = messages.peer.NewsRecord
 Digest = messages.peer.NewsDigest
 MS_PER_S = 1000
-# Numbers of an incarnation start here times the incarnation, so that an owner
-# that starts anew speaks above its earlier life.
+# The numbers of an incarnation start at this multiple of it, so that those of
+# a restarted owner are above the ones from before its restart.
 NUMBERS_PER_INCARNATION = 1_000_000
-# Nothing larger is taken from a peer, whatever its channel says.
+# Larger bodies from peers are rejected, whatever the limit of the channel.
 MAX_BODY_BYTES = 16_000
 DROP_INTERVAL_S = 1.0
 
 
 class GossipNews(bus.NewsBus, delegates.ExchangeDelegate):
-    """News in two stores, one for each reach."""
+    """News in two stores, one for each scope."""
 
     def __init__(self, present: members.Members, timers: clock.Clock) -> None:
-        """Speak as present.myself()."""
+        """Publish as present.local_member()."""
         me = present.local_member().name
         self._members = present
         self._clock = timers
@@ -38,15 +38,17 @@
         self._last_drop_s = timers.monotonic_s()
 
     def on_urgent(self, callback: collections_abc.Callable[[], None]) -> None:
-        """Call hurry whenever urgent news is said or heard."""
+        """Set the callback for urgent news published or received."""
         self._on_urgent = callback
 
-    # The board as other slices see it.
+    # Interface of bus.NewsBus.
 
     def publish(self, channel: bus.Channel, key: str, body: bytes) -> None:
-        """Replace this process's word on key; an empty body retracts it."""
+        """Publish an item under key; an empty body retracts it."""
         if len(body) > min(channel.max_item_bytes, MAX_BODY_BYTES):
-            LOG.error(f'{channel.name} of {len(body)} bytes is too large')
+            LOG.error(
+                f'news item for {channel.name} too large: {len(body)} bytes'
+            )
             return
         now_s = self._clock.monotonic_s()
         me = self._members.local_member()
@@ -68,7 +70,7 @@
             self._on_urgent()
 
     def read(self, channel: bus.Channel) -> tuple[bus.NewsItem, ...]:
-        """Return all items of a channel that are not too old."""
+        """Return all unexpired items of a channel."""
         now_s = self._clock.monotonic_s()
         if channel.urgent:
             self._urgent.add(channel.name)
@@ -86,17 +88,17 @@
             if now_s - item.published_s <= channel.max_age_s
         )
 
-    # The part of exchanges.
+    # Interface of delegates.ExchangeDelegate.
 
     def ask(self, request: Exchange, peer_region: str) -> None:
-        """Say the highest numbers known."""
+        """Add the highest number known of each owner to a request."""
         self._drop_expired()
         if peer_region == self._members.local_member().region:
             request.region_digest = _to_digest(self._region.digest())
         request.everywhere_digest = _to_digest(self._everywhere.digest())
 
     def answer(self, received: Exchange, reply: Exchange) -> None:
-        """Give what the asker lacks and name what is lacking here."""
+        """Add items the requester lacks and digests of those lacking here."""
         if received.region_digest is not None and self._same_region(received):
             peer_numbers = _from_digest(received.region_digest)
             reply.region_news = self._missing(self._region, peer_numbers)
@@ -115,7 +117,7 @@
     def follow_up(
         self, received: Exchange, follow_up_message: Exchange
     ) -> bool:
-        """Give what the answer named as lacking."""
+        """Add the items that a reply asks for."""
         if received.region_digest is not None and self._same_region(received):
             follow_up_message.region_news = self._missing(
                 self._region,
@@ -135,10 +137,10 @@
     def receive(
         self, received: Exchange, address: tuple[str, int], delay_s: float
     ) -> None:
-        """Take the other side's news, older by the time on the way."""
+        """Store items from a peer, adding the delivery delay to their age."""
         if math.isinf(delay_s):
-            # Its age is not known. It is not lost: the next exchange offers
-            # it again, since its number was not taken either.
+            # The age of the items is unknown. They aren't lost: as their
+            # numbers aren't recorded, the next exchange offers them again.
             return
         packed_s = self._clock.monotonic_s() - delay_s
         if self._same_region(received):
@@ -199,7 +201,7 @@
         key=item.key or None,
         number=item.number,
         body=item.body,
-        # Rounded up, so that nothing grows younger on its way.
+        # Rounded up, so that an item never appears younger than it is.
         age_ms=math.ceil((now_s - item.published_s) * MS_PER_S),
         max_age_ms=int(item.max_age_s * MS_PER_S),
     )
@@ -251,5 +253,5 @@
 def make_gossip_news(
     present: members.Members, timers: clock.Clock
 ) -> GossipNews:
-    """Return an empty board; add it to the members as a rider."""
+    """Return an empty news bus; add it to the members as a delegate."""
     return GossipNews(present, timers)
--- a/redwingvalve/news/store.py
+++ b/redwingvalve/news/store.py
@@ -1,13 +1,13 @@
-"""The news of one reach: who said what last, and what a peer lacks.
+"""The news of one scope: the latest items, and those that a peer lacks.
 
 Pure: time is an argument. Load pattern: each of the 72 members of a region
-says several things a second, and each must reach the other 71 once. Sending
-everything in each message would cost the number of members times the size of
-all news; a member here says for each owner the highest number it has, and
-only what is above travels. An owner's items go in the order of their numbers,
-so that a message cut short at its bound still leaves the receiver with a
-prefix, and the next message goes on from there: a node that returns catches
-up in bounded pieces.
+publishes several items per second, and each item must reach the other 71
+once. Sending all items in each message would cost the number of members times
+the size of all news. Instead, a member sends the highest number it has of
+each owner and receives only items above it. The items of an owner are sent
+in the order of their numbers, so that a message truncated at its limit gives
+the receiver a prefix and the next message continues from there: a returning
+node catches up in bounded pieces.
 """
 
 import collections
@@ -17,11 +17,11 @@
 import attrs
 import xxhash
 
-# Per message; a returning node asks some times a second, so that it has the
-# news of a region (a few thousand items) within seconds.
+# A returning node sends several requests per second, so with this limit it
+# receives the news of a region (a few thousand items) within seconds.
 MAX_ITEMS_IN_MESSAGE = 400
 MAX_BYTES_IN_MESSAGE = 48_000
-# What one item costs on the wire besides its body and names.
+# Encoded size of an item without its body and names.
 ITEM_OVERHEAD_BYTES = 64
 _HASH_RANGE = 2**32
 _HALF_HASH_RANGE = 2**31
@@ -32,7 +32,10 @@
 
 @attrs.frozen
 class Item:
-    """One owner's newest word on one key; said_s is local time."""
+    """The latest item of one owner for one key.
+
+    published_s is on the clock of this process.
+    """
 
     channel: str
     owner: str
@@ -44,7 +47,7 @@
     max_age_s: float
 
     def is_expired(self, now_s: float) -> bool:
-        """Tell whether the item's bound on its age has passed."""
+        """Return whether the item is older than its maximum age."""
         return now_s - self.published_s > self.max_age_s
 
 
@@ -52,7 +55,7 @@
     """Items by owner, with the highest number known of each owner."""
 
     def __init__(self, me: str) -> None:
-        """Start empty; nobody else may speak as me."""
+        """Start empty; items owned by me are accepted from no peer."""
         self._me = me
         self._highest: dict[str, int] = {}
         self._items: dict[str, dict[ItemKey, Item]] = collections.defaultdict(
@@ -63,7 +66,7 @@
         )
 
     def put(self, item: Item, now_s: float) -> bool:
-        """Take an item unless it is old or known; True when it was taken."""
+        """Store an item unless known or expired; return whether stored."""
         if item.number <= self._highest.get(item.owner, 0):
             return False
         self._highest[item.owner] = item.number
@@ -74,19 +77,19 @@
         return True
 
     def accepts_owner(self, owner: str) -> bool:
-        """Tell whether an item of this owner may come from a peer."""
+        """Return whether items of this owner are accepted from peers."""
         return owner != self._me
 
     def read(
         self, channel: str, now_s: float
     ) -> collections_abc.Iterator[Item]:
-        """Yield a channel's items that are neither too old nor retracted."""
+        """Yield a channel's items that are neither expired nor retracted."""
         for item in self._channels[channel].values():
             if item.body and not item.is_expired(now_s):
                 yield item
 
     def drop_expired(self, now_s: float) -> None:
-        """Forget items that are too old, and owners without items."""
+        """Remove expired items, and owners without items."""
         for owner in tuple(self._items):
             items = self._items[owner]
             for item_key, item in tuple(items.items()):
@@ -100,8 +103,8 @@
     def digest(self) -> dict[int, int]:
         """Return the highest number known of each owner, by its hash.
 
-        When two owners share a hash the lower number counts: something is
-        then sent twice rather than never.
+        If the hashes of two owners collide, the lower number is used, so
+        that items are sent twice rather than never.
         """
         found: dict[int, int] = {}
         for owner, number in self._highest.items():
@@ -110,7 +113,7 @@
         return found
 
     def numbers_behind(self, theirs: Digest) -> dict[int, int]:
-        """Return what this store has of the owners it is behind on."""
+        """Return the numbers of the owners of whom a peer has newer items."""
         mine = self.digest()
         return {
             hashed: mine.get(hashed, 0)
@@ -121,10 +124,10 @@
     def items_missing_from(
         self, theirs: Digest, now_s: float, *, only_named: bool
     ) -> list[Item]:
-        """Return items above a peer's numbers, within a message's bounds.
+        """Return items above a peer's numbers, up to the message limits.
 
-        only_named leaves out owners that the digest does not name; else the
-        peer is taken to know nothing of them.
+        only_named leaves out owners that the digest doesn't contain;
+        otherwise the peer is assumed to have no items of them.
         """
         chosen: list[Item] = []
         size_bytes = 0
@@ -140,7 +143,7 @@
     def _above(
         self, theirs: Digest, now_s: float, *, only_named: bool
     ) -> collections_abc.Iterator[Item]:
-        """Yield the items above a digest, each owner's by number."""
+        """Yield the items above a digest, ordered by number for each owner."""
         for owner, items in self._items.items():
             above_all = self._highest[owner] if only_named else 0
             have = theirs.get(owner_hash(owner), above_all)
@@ -153,7 +156,7 @@
 
 @functools.lru_cache(maxsize=20_000)
 def owner_hash(owner: str) -> int:
-    """Return the signed 32-bit hash by which digests name an owner."""
+    """Return the signed 32-bit hash that identifies an owner in digests."""
     hashed = xxhash.xxh32_intdigest(owner.encode())
     if hashed >= _HALF_HASH_RANGE:
         return hashed - _HASH_RANGE
--- a/redwingvalve/news/tests/test_ages.py
+++ b/redwingvalve/news/tests/test_ages.py
@@ -1,4 +1,4 @@
-"""News does not grow younger while it waits on its way."""
+"""The delivery delay counts in the age of news items."""
 
 import pytest
 
@@ -26,7 +26,7 @@
 
 
 class _Process:
-    """One process with its own clock; clocks have nothing in common."""
+    """One process with its own clock; the clocks are unrelated."""
 
     def __init__(self, name, start_s):
         self.clock = clock.ManualClock(start_s)
@@ -39,74 +39,85 @@
     def now_s(self):
         return self.clock.monotonic_s()
 
-    def receive(self, message, asked_s=None):
+    def receive(self, message, sent_s=None):
         copied = packing.unpack(
             messages.peer.Exchange(), packing.pack(message)
         ).ok
-        self.exchanges.receive(copied, None, self.now_s(), asked_s)
+        self.exchanges.receive(copied, None, self.now_s(), sent_s)
         return copied
 
     def ages(self):
         return [item.age_s for item in self.news.read(EVIDENCE)]
 
 
-def _pass(duration_s, *processes):
+def _advance(duration_s, *processes):
     for process in processes:
         process.clock.advance(duration_s)
 
 
 @pytest.mark.parametrize('waits_s', [0.01, 2.0, 2.5])
-def test_an_answer_read_late_is_as_old_as_it_is(waits_s):
-    """An entry is paused just after it asked; the answer waits in its socket.
+def test_the_age_of_a_reply_read_late_includes_the_wait(waits_s):
+    """An entry pauses after its request; the reply waits in its socket.
 
-    It wakes up and reads that a VM was seen a tenth of a second ago. The VM may
-    have died meanwhile: the sighting counts from when it was made.
+    After the pause it reads that a VM was seen a tenth of a second ago. The VM
+    may have died meanwhile, so the age has to include the wait.
     """
-    asker, asked = _Process('a', 100.0), _Process('b', 7.0)
-    asked.news.publish(EVIDENCE, 'k', b'seen')
-    _pass(0.1, asker, asked)
-    asked_s = asker.now_s()
-    heard = asked.receive(asker.exchanges.make_request('b', 'r1', asked_s))
-    answer = asked.exchanges.make_reply(heard, asked.now_s())
-    _pass(waits_s, asker, asked)
-    asker.receive(answer, asked_s)
-    assert all(age_s > 0.1 + waits_s - ROUNDING_S for age_s in asker.ages())
-    assert bool(asker.ages()) == (waits_s < 2.4)
+    requester, replier = _Process('a', 100.0), _Process('b', 7.0)
+    replier.news.publish(EVIDENCE, 'k', b'seen')
+    _advance(0.1, requester, replier)
+    sent_s = requester.now_s()
+    received = replier.receive(
+        requester.exchanges.make_request('b', 'r1', sent_s)
+    )
+    reply = replier.exchanges.make_reply(received, replier.now_s())
+    _advance(waits_s, requester, replier)
+    requester.receive(reply, sent_s)
+    assert all(age_s > 0.1 + waits_s - ROUNDING_S for age_s in requester.ages())
+    assert bool(requester.ages()) == (waits_s < 2.4)
 
 
 @pytest.mark.parametrize('waits_s', [0.01, 2.0])
-def test_a_supplement_read_late_is_as_old_as_it_is(waits_s):
-    """The entry that was asked is paused; the supplement waits in its socket.
+def test_the_age_of_a_follow_up_read_late_includes_the_wait(waits_s):
+    """The replier pauses; the follow-up waits in its socket.
 
-    It knows from its own clock, given back to it, when it answered.
+    The follow-up returns the replier's own clock, from which it knows when it
+    sent the reply.
     """
-    asker, asked = _Process('a', 100.0), _Process('b', 7.0)
-    asker.news.publish(EVIDENCE, 'k', b'seen')
-    _pass(0.1, asker, asked)
-    asked_s = asker.now_s()
-    heard = asked.receive(asker.exchanges.make_request('b', 'r1', asked_s))
-    answer = asked.exchanges.make_reply(heard, asked.now_s())
-    supplement = asker.exchanges.make_follow_up(asker.receive(answer, asked_s))
-    _pass(waits_s, asker, asked)
-    asked.receive(supplement)
-    assert len(asked.ages()) == 1
-    assert asked.ages()[0] > 0.1 + waits_s - ROUNDING_S
+    requester, replier = _Process('a', 100.0), _Process('b', 7.0)
+    requester.news.publish(EVIDENCE, 'k', b'seen')
+    _advance(0.1, requester, replier)
+    sent_s = requester.now_s()
+    received = replier.receive(
+        requester.exchanges.make_request('b', 'r1', sent_s)
+    )
+    reply = replier.exchanges.make_reply(received, replier.now_s())
+    follow_up = requester.exchanges.make_follow_up(
+        requester.receive(reply, sent_s)
+    )
+    _advance(waits_s, requester, replier)
+    replier.receive(follow_up)
+    assert len(replier.ages()) == 1
+    assert replier.ages()[0] > 0.1 + waits_s - ROUNDING_S
 
 
 @pytest.mark.parametrize('clock_ms', [None, 10**12, 0])
-def test_a_supplement_that_shows_no_age_brings_no_news(clock_ms):
-    """A supplement for an earlier process of this address arrives.
+def test_a_follow_up_of_unknown_age_brings_no_news(clock_ms):
+    """A follow-up for an earlier process at this address arrives.
 
-    How old it is cannot be told; the news comes with the next exchange.
+    Its age is unknown, so its news is dropped until the next exchange.
     """
-    asker, asked = _Process('a', 100.0), _Process('b', 700.0)
-    asker.news.publish(EVIDENCE, 'k', b'seen')
-    heard = asked.receive(asker.exchanges.make_request('b', 'r1', 100.0))
-    answer = asked.exchanges.make_reply(heard, asked.now_s())
-    supplement = asker.exchanges.make_follow_up(asker.receive(answer, 100.0))
-    supplement.clock_ms = clock_ms
-    asked.receive(supplement)
-    assert not asked.ages()
-    supplement.clock_ms = answer.clock_ms
-    asked.receive(supplement)
-    assert len(asked.ages()) == 1
+    requester, replier = _Process('a', 100.0), _Process('b', 700.0)
+    requester.news.publish(EVIDENCE, 'k', b'seen')
+    received = replier.receive(
+        requester.exchanges.make_request('b', 'r1', 100.0)
+    )
+    reply = replier.exchanges.make_reply(received, replier.now_s())
+    follow_up = requester.exchanges.make_follow_up(
+        requester.receive(reply, 100.0)
+    )
+    follow_up.clock_ms = clock_ms
+    replier.receive(follow_up)
+    assert not replier.ages()
+    follow_up.clock_ms = reply.clock_ms
+    replier.receive(follow_up)
+    assert len(replier.ages()) == 1
--- a/redwingvalve/news/tests/test_store.py
+++ b/redwingvalve/news/tests/test_store.py
@@ -1,4 +1,4 @@
-"""News between stores, with lost, doubled and late differences."""
+"""News stores that exchange items which get lost, duplicated or delayed."""
 
 import hypothesis
 from hypothesis import stateful
@@ -18,7 +18,7 @@
 
 
 class NewsMachine(stateful.RuleBasedStateMachine):
-    """Three processes publish and exchange; differences may go astray."""
+    """Three processes publish and exchange items over a lossy network."""
 
     def __init__(self):
         super().__init__()
@@ -63,7 +63,7 @@
             each.drop_expired(self.now_s)
 
     @stateful.invariant()
-    def nothing_is_newer_than_said_or_too_old(self):
+    def no_item_is_unpublished_or_expired(self):
         for each in self.stores.values():
             for item in each.read('load', self.now_s):
                 assert (
@@ -77,7 +77,7 @@
                 for asked in NAMES:
                     self.ask(asker, asked)
                     self.deliver(len(self.in_transit) - 1, False)
-        wanted = {
+        expected = {
             (item.owner, item.key): item.body
             for item in self.published.values()
             if not item.is_expired(self.now_s)
@@ -86,7 +86,7 @@
             assert {
                 (item.owner, item.key): item.body
                 for item in each.read('load', self.now_s)
-            } == wanted
+            } == expected
 
 
 TestNews = NewsMachine.TestCase
@@ -96,9 +96,9 @@
 
 
 def test_a_returning_node_catches_up_in_bounded_pieces():
-    """A region's news of ten thousand items waits for a node that returns.
+    """A returning node fetches all 2,000 news items of a region.
 
-    Each answer is bounded; the node asks again and has all in the end.
+    Each reply is bounded; the node repeats its request until it has all.
     """
     full, empty = store.NewsStore('full'), store.NewsStore('empty')
     for owner in range(10):
@@ -117,7 +117,7 @@
     assert max(pieces) <= store.MAX_ITEMS_IN_MESSAGE
 
 
-def test_a_node_is_told_only_of_owners_that_it_is_behind_on():
+def test_a_node_receives_only_owners_that_it_is_behind_on():
     ahead, numbers_behind = store.NewsStore('x'), store.NewsStore('y')
     for each, number in ((ahead, 7), (numbers_behind, 5)):
         each.put(make_item('o', 'k', number, b'x', 0), 0)
