--- a/redwingvalve/evidence/__init__.py
+++ b/redwingvalve/evidence/__init__.py
@@ -1,1 +1,1 @@
-"""Serving is permitted by fresh evidence that every VM is there."""
+"""Permits serving only with fresh evidence that every VM is ready."""
--- a/redwingvalve/evidence/leaving.py
+++ b/redwingvalve/evidence/leaving.py
@@ -1,11 +1,12 @@
-"""VMs that leave, told to the entries without the store.
-
-Load pattern: 650 VMs a day are replaced, and each must get no new work within
-seconds of the platform's list showing it as leaving. The way through the domain
-object needs the store; while it is silent a leaving VM would go on getting work
-until it is gone, and the requests that it then runs break off. Two controllers
-tell what the list shows as news; entries stop at once, and the drain itself is
-written down when the store answers again.
+"""Announces leaving VMs to the entries without the store.
+
+Load pattern: 650 VMs a day are replaced, and each must receive no new work
+within seconds after the platform's VM list shows it as leaving. The regular
+path through the domain object needs the store. While that is unavailable, a
+leaving VM would continue to receive work until it stops, and its requests
+would be cut off. Two controllers therefore publish the leaving VMs as news;
+entries stop sending at once, and the drain itself is stored when the store is
+available again.
 """
 
 import json
@@ -13,8 +14,8 @@
 
 from redwingvalve.news import bus
 
-# A controller that dies must not make a leaving VM look live again before
-# another has taken its duty over.
+# Long enough that, when a controller dies, another one takes over before a
+# leaving VM appears to be serving again.
 CHANNEL = bus.Channel(
     name='leaving',
     scope=bus.Scope.REGION,
@@ -31,11 +32,11 @@
     leaving: collections_abc.Iterable[str],
     published: frozenset[str],
 ) -> frozenset[str]:
-    """Publish which VMs leave; return what is now told.
+    """Publish which VMs leave; return the published set.
 
-    The same word is repeated, so that it does not grow too old. More than
-    MOST_VMS leaving at once is the loss of a data centre, which evidence and
-    healing answer; the item keeps its size.
+    Callers repeat this even without a change, so that the item doesn't expire.
+    More than MAX_VMS leaving VMs mean the loss of a data centre, which is
+    handled by evidence and healing; the limit bounds the item size.
     """
     listed = frozenset(sorted(leaving)[:MAX_VMS])
     if listed or published:
@@ -45,7 +46,7 @@
 
 
 def read(news: bus.NewsBus) -> frozenset[str]:
-    """Return the VMs that any controller says are leaving."""
+    """Return the VMs that any controller reports as leaving."""
     return frozenset(
         name
         for published in news.read(CHANNEL)
--- a/redwingvalve/evidence/news_entry_reports.py
+++ b/redwingvalve/evidence/news_entry_reports.py
@@ -1,4 +1,4 @@
-"""What a controller learns of the entries from the board of news."""
+"""Reports of entries that a controller receives through news."""
 
 import json
 
@@ -10,13 +10,14 @@
 from redwingvalve.replicas import entry_reports
 
 READ_INTERVAL_S = 0.5
-# Entries see a VM each second. After this age, a step of the controller (0.5 s)
-# and its probe's timeout (0.5 s) a lost VM is decided on 2.5 s after its loss.
+# Entries probe a VM every second. With this age, one step of the controller
+# (0.5 s) and its probe timeout (0.5 s), a VM is declared lost 2.5 s after its
+# loss.
 MAX_CONFIRMED_AGE_S = 1.5
 
 
 class NewsEntryReports(entry_reports.EntryReports):
-    """Reads findings and stopped epochs; waits for a bound without them."""
+    """Reads probe reports and stopped epochs; falls back to a time limit."""
 
     def __init__(
         self,
@@ -24,7 +25,7 @@
         news: bus.NewsBus,
         configuration: snapshot.ConfigurationSource,
     ) -> None:
-        """Hear of the entries through news on the replicas in force."""
+        """Read news on the replicas of the configuration in force."""
         self._members = members
         self._news = news
         self._configuration = configuration
@@ -33,22 +34,22 @@
         self._last_read_s: float | None = None
 
     def last_seen_s(self, vm: str, now_s: float) -> float | None:
-        """Return when an entry last saw the VM ready, if any did lately."""
+        """Return when an entry last saw the VM ready, or None if too old."""
         self._refresh(now_s)
         observation = self._evidence.fresh(vm, now_s)
         return observation.seen_s if observation is not None else None
 
     def is_isolated(self) -> bool:
-        """Tell whether this process has heard from nobody for too long."""
+        """Return whether this process has had no contact for too long."""
         return self._members.isolated()
 
     def confirms_ready(
         self, vm: str, replica: domain_module.DomainReplica, now_s: float
     ) -> bool:
-        """Tell whether an entry saw the VM ready in this epoch just now.
+        """Return whether an entry has just seen the VM ready in this epoch.
 
-        Less than the usual age: once the sightings stop, this process has to
-        probe by itself in time to decide within 3 s of the loss.
+        The limit is below the usual maximum age: once observations stop, this
+        process has to probe by itself in time to decide within 3 s of a loss.
         """
         self._refresh(now_s)
         observation = self._evidence.fresh(vm, now_s)
@@ -72,11 +73,11 @@
         draining_since_s: float,
         now_s: float,
     ) -> bool:
-        """Tell whether every live entry said so, or the bound has passed.
+        """Return whether all live entries stopped, or the limit has passed.
 
-        An entry that is cut off cannot say it; past the bound its evidence
-        has ended or it is out of discovery, and the engine's count of work in
-        flight still guards the stop.
+        An isolated entry can't report this. After the limit its evidence has
+        expired or it is out of discovery, and the engine's count of requests
+        in flight still guards the stop.
         """
         if self._fallback.senders_stopped(replica, draining_since_s, now_s):
             return True
@@ -119,5 +120,5 @@
     news: bus.NewsBus,
     configuration: snapshot.ConfigurationSource,
 ) -> entry_reports.EntryReports:
-    """Return the witness of one controller."""
+    """Return the entry reports of one controller."""
     return NewsEntryReports(members, news, configuration)
--- a/redwingvalve/evidence/probe_reports.py
+++ b/redwingvalve/evidence/probe_reports.py
@@ -1,14 +1,14 @@
-"""Findings as they travel on the board of news: one item for each prober.
+"""Encoding of probe reports as news, one item for each prober.
 
-Load pattern: at the size to come a prober has 13 replicas and tells 72 members
-of its region every 0.7 s. As one JSON item of 190 bytes for each replica that
-was 350 KB a second to each member, against a budget of 20. Here a replica is
-6 bytes that stand for its name and epoch, two for its load and one byte for
-each member's age;
-the reader knows names, epochs and members from its configuration.
+Load pattern: at the planned fleet size, a prober has 13 replicas and reports
+to 72 members of its region every 0.7 s. One JSON item of 190 bytes for each
+replica amounted to 350 KB per second to each member, against a budget of 20.
+Here a replica takes a 6-byte fingerprint of its name and epoch, two bytes of
+load and one byte for the age of each member; the reader knows names, epochs
+and members from its configuration.
 
-Ages and not times are sent, since the clocks of two processes have nothing in
-common; the board adds the time spent on the way.
+Ages are sent instead of times, since the clocks of two processes are
+unrelated; the news bus adds the delivery delay.
 """
 
 import math
@@ -28,8 +28,8 @@
     max_age_s=table.MAX_AGE_S,
     max_item_bytes=8192,
 )
-# 48 bits: among 480 replicas of a region two share them once in two billion
-# epochs, and then both would have to be probed by the same two entries.
+# With 48 bits, two of the 480 replicas of a region collide once in two billion
+# epochs, which has an effect only if the same two entries probe both.
 FINGERPRINT_BYTES = 6
 HEADER = struct.Struct(f'!{FINGERPRINT_BYTES}sHB')
 MAX_IN_FLIGHT = 65_535
@@ -40,9 +40,10 @@
 
 @attrs.frozen
 class ReplicaProbeReport:
-    """What one prober found: ages in AGE_UNIT_S or NOT_SEEN, head first.
+    """The report of one prober on one replica.
 
-    in_flight is the head's count of requests, which serves routing as load.
+    ages holds the age of each member, head first, in AGE_UNIT_S or NOT_SEEN.
+    in_flight is the head's number of requests, which routing uses as load.
     """
 
     fingerprint: bytes
@@ -51,22 +52,22 @@
 
 
 def fingerprint_of(replica: snapshot.Replica) -> bytes:
-    """Return the bytes that stand for a replica's name and epoch."""
+    """Return a hash that identifies a replica's name and epoch."""
     named = f'{replica.name}\0{replica.epoch}'.encode()
     return xxhash.xxh3_64_digest(named)[:FINGERPRINT_BYTES]
 
 
 def encode_age(age_s: float | None) -> int:
-    """Return the byte for an age; rounded up, so that none grows younger."""
+    """Return the byte for an age, rounded up so that it is never too low."""
     if age_s is None:
         return NOT_SEEN
     return min(math.ceil(age_s / AGE_UNIT_S), NOT_SEEN)
 
 
-def encode(findings: collections_abc.Iterable[ReplicaProbeReport]) -> bytes:
+def encode(reports: collections_abc.Iterable[ReplicaProbeReport]) -> bytes:
     """Return the body of one news item."""
     parts = []
-    for report in findings:
+    for report in reports:
         in_flight = min(report.in_flight, MAX_IN_FLIGHT)
         parts.append(
             HEADER.pack(report.fingerprint, in_flight, len(report.ages))
@@ -76,7 +77,7 @@
 
 
 def decode(body: bytes) -> tuple[ReplicaProbeReport, ...]:
-    """Return the findings up to the first part that cannot be read."""
+    """Return the reports before the first one that is truncated."""
     found = []
     start = 0
     while start + HEADER.size <= len(body):
@@ -95,7 +96,7 @@
     replicas: collections_abc.Iterable[snapshot.Replica],
     now_s: float,
 ) -> collections_abc.Iterator[table.Observation]:
-    """Return what the items say of the replicas that this process knows."""
+    """Yield the observations of replicas in the local configuration."""
     known = {fingerprint_of(replica): replica for replica in replicas}
     for news in published:
         for report in decode(news.body):
--- a/redwingvalve/evidence/prober.py
+++ b/redwingvalve/evidence/prober.py
@@ -1,13 +1,13 @@
-"""Probes the replicas that fall to this entry and shares what it finds.
+"""Probes the replicas assigned to this entry and publishes the results.
 
-Load pattern: 2,400 replicas of 4 VMs, probed by PROBERS entries each, each
-PROBE_EVERY_S. Were every entry to probe every VM, each VM would answer
-hundreds of probes a second; with one prober alone, its pause would stop a
-replica that serves well.
+Load pattern: 2,400 replicas of 4 VMs, each probed by PROBERS_PER_REPLICA
+entries every PROBE_INTERVAL_S. If every entry probed every VM, each VM would
+answer hundreds of probes per second; with a single prober, a pause of that
+process would stop a healthy replica.
 
-Where a head vouches for its members, the head alone is probed: a quarter of
-the calls. A member that it does not vouch for, or too long ago, is probed
-itself from the next step on.
+If a head attests that its members are ready, only the head is probed, which
+saves three quarters of the calls. Members that it doesn't attest, or attested
+too long ago, are probed directly from the next step on.
 """
 
 import json
@@ -24,16 +24,17 @@
 from redwingvalve.platform_api import engine_orders
 
 PROBERS_PER_REPLICA = 2
-# With one of the two probers paused a sighting is this old when the next one
-# is made; 1.5 s are left for it to reach the region (0021 measures 1.3 s).
+# With one of the two probers paused, an observation is this old when the next
+# one is made. This leaves 1.5 s to reach the whole region, which takes 1.3 s
+# (design note 0021).
 PROBE_INTERVAL_S = 1.0
 PROBE_TIMEOUT_S = 0.6
-# Findings are told after this time even if some engine has not answered: one
-# dead VM must not make the evidence of all other replicas older by its timeout.
+# Results are published after this time even if some engine has not answered,
+# so that the timeout of one dead VM doesn't delay those of other replicas.
 PUBLISH_AFTER_S = 0.15
-# A member that its head saw longer ago than this is probed itself.
+# A member that its head saw longer ago than this is probed directly.
 MAX_ATTESTED_AGE_S = 1.0
-# What has not changed is said again so often, well within its bound on age.
+# Unchanged stopped epochs are republished well before the item expires.
 STOPPED_REPEAT_INTERVAL_S = 8.0
 MAX_CONCURRENT_PROBES = 64
 ENTRY_ROLE = 'entry'
@@ -46,7 +47,7 @@
 
 
 class Prober:
-    """One entry's share of the probing."""
+    """Probes the replicas assigned to one entry."""
 
     def __init__(
         self,
@@ -57,7 +58,7 @@
         orders: engine_orders.EngineOrders,
         time_source: clock.Clock,
     ) -> None:
-        """Fill evidence from own probes and from news."""
+        """Fill evidence from local probes and from news."""
         self._evidence = evidence
         self._configuration = configuration
         self._members = members
@@ -80,23 +81,23 @@
             await self._clock.sleep(max(PROBE_INTERVAL_S - spent_s, 0.05))
 
     async def step(self) -> None:
-        """Probe once, publish, and take in what others found."""
-        mine = self.assigned()
+        """Probe once, publish the results and record those of other entries."""
+        assigned = self.assigned()
         async with anyio.create_task_group() as group:
             all_answered = anyio.Event()
-            group.start_soon(self._probe_all, mine, all_answered)
+            group.start_soon(self._probe_all, assigned, all_answered)
             with anyio.move_on_after(PUBLISH_AFTER_S):
                 await all_answered.wait()
-            self._publish(mine)
+            self._publish(assigned)
             published_count = self._observation_count
         if self._observation_count > published_count:
-            self._publish(mine)
+            self._publish(assigned)
         self.receive_reports()
         self._publish_stopped()
         self._evidence.drop_expired(self._clock.monotonic_s())
 
     def assigned(self) -> tuple[snapshot.Replica, ...]:
-        """Return the serving replicas that fall to this entry."""
+        """Return the serving replicas assigned to this entry."""
         local_member = self._members.local_member()
         names = {
             member.name
@@ -113,7 +114,7 @@
         )
 
     def receive_reports(self) -> None:
-        """Record what other entries found."""
+        """Record the probe results of other entries."""
         now_s = self._clock.monotonic_s()
         found = probe_reports.decode_observations(
             self._news.read(probe_reports.CHANNEL),
@@ -124,12 +125,12 @@
             self._evidence.record(observation)
 
     async def _probe_all(
-        self, mine: tuple[snapshot.Replica, ...], all_answered: anyio.Event
+        self, assigned: tuple[snapshot.Replica, ...], all_answered: anyio.Event
     ) -> None:
         limiter = anyio.CapacityLimiter(MAX_CONCURRENT_PROBES)
         self._attesting_now.clear()
         async with anyio.create_task_group() as group:
-            for replica in mine:
+            for replica in assigned:
                 for member in self._to_probe(replica):
                     group.start_soon(self._probe, replica, member, limiter)
         self._attesting = frozenset(self._attesting_now)
@@ -150,19 +151,19 @@
     ) -> None:
         async with limiter:
             started_s = self._clock.monotonic_s()
-            answer = await self._orders.read_state(
+            response = await self._orders.read_state(
                 member.address, PROBE_TIMEOUT_S
             )
-        # The state is at least as old as the probe's start; counting from its
-        # end would lengthen the evidence by the time of a slow answer.
-        if answer.is_error():
+        # Evidence counts from the start of the probe; counting from its end
+        # would extend evidence by the latency of a slow response.
+        if response.is_error():
             return
-        observation = table.observation_from(answer.ok, started_s)
+        observation = table.observation_from(response.ok, started_s)
         if observation is None or observation.vm != member.vm:
             return
         self._record(observation)
         if member == replica.members[0]:
-            self._record_attested(answer.ok, replica, started_s)
+            self._record_attested(response.ok, replica, started_s)
 
     def _record(self, observation: table.Observation) -> None:
         self._observation_count += 1
@@ -185,13 +186,13 @@
         if recent == _other_vms(replica):
             self._attesting_now.add((replica.name, replica.epoch))
 
-    def _publish(self, mine: tuple[snapshot.Replica, ...]) -> None:
+    def _publish(self, assigned: tuple[snapshot.Replica, ...]) -> None:
         size = probe_reports.REPLICAS_PER_ITEM
         items = [
             probe_reports.encode(
-                map(self._make_report, mine[start : start + size])
+                map(self._make_report, assigned[start : start + size])
             )
-            for start in range(0, len(mine), size)
+            for start in range(0, len(assigned), size)
         ]
         for number, body in enumerate(items):
             self._news.publish(probe_reports.CHANNEL, str(number), body)
@@ -226,7 +227,7 @@
         return now_s - observation.seen_s
 
     def _publish_stopped(self) -> None:
-        """Say which epochs this entry no longer sends to."""
+        """Publish the epochs to which this entry no longer sends."""
         stopped = [
             [replica.name, replica.epoch]
             for replica in self._configuration.current().replicas
--- a/redwingvalve/evidence/serving_permits.py
+++ b/redwingvalve/evidence/serving_permits.py
@@ -1,4 +1,4 @@
-"""Permits by evidence: the implementation that the request path asks."""
+"""Serving permits based on the evidence table."""
 
 from redwingvalve.configuration import snapshot
 from redwingvalve.core import invariants
@@ -9,24 +9,24 @@
 
 
 class EvidencePermits(permits.ServingPermits):
-    """Permits a replica while every VM was seen in its epoch."""
+    """Permits a replica while every VM was recently seen in its epoch."""
 
     def __init__(
         self,
         evidence: table.EvidenceTable,
         switches: invariants.SafeguardSwitches,
     ) -> None:
-        """Judge by evidence."""
+        """Decide by an evidence table."""
         self._evidence = evidence
         self._switches = switches
         self._leaving: frozenset[str] = frozenset()
 
     def replace_leaving(self, vms: frozenset[str]) -> None:
-        """Take over which VMs leave; their replicas get no new work."""
+        """Set the leaving VMs; their replicas receive no new work."""
         self._leaving = vms
 
     def permitted(self, replica: snapshot.Replica, now_s: float) -> bool:
-        """Tell whether every VM of this epoch was seen recently enough."""
+        """Return whether every VM of this epoch was seen recently enough."""
         if not replica.members:
             return False
         if self._switches.enabled(LEAVING_EXCLUDED) and (
@@ -37,9 +37,9 @@
             self._evidence.shows(member.vm, replica.name, replica.epoch, now_s)
             for member in replica.members
         )
-        # A replica that lost a VM hangs instead of refusing: callers would
-        # wait for tokens that never come. Evidence ends by itself, so that
-        # no message has to reach this process for the sending to stop.
+        # A replica that lost a VM hangs instead of refusing requests, so
+        # callers would wait for tokens that never arrive. Evidence expires
+        # on its own: sending stops without any message to this process.
         if not shown and self._switches.enabled(EVIDENCE_REQUIRED):
             return False
         invariants.require(
@@ -50,8 +50,8 @@
         return True
 
     def _has_leaving_member(self, replica: snapshot.Replica) -> bool:
-        # The store may be silent for hours; the domain object then still
-        # shows a replica as serving whose VM the platform takes away.
+        # The store may be unavailable for hours. Meanwhile the domain object
+        # still shows a replica as serving whose VM the platform removes.
         return not self._leaving.isdisjoint(
             member.vm for member in replica.members
         )
@@ -59,7 +59,7 @@
     def reported_load(
         self, replica: snapshot.Replica, now_s: float
     ) -> permits.ReportedLoad | None:
-        """Return the head's count of requests in this epoch."""
+        """Return the head's number of requests in flight in this epoch."""
         if not replica.members:
             return None
         observation = self._evidence.fresh(replica.members[0].vm, now_s)
@@ -70,12 +70,12 @@
     def report_failure(
         self, replica: snapshot.Replica, vm: str, now_s: float
     ) -> None:
-        """Count what the request path saw: it stops new work at once."""
+        """Record a failed request, which stops new work at once."""
         self._evidence.record_failure(vm, now_s)
 
 
 def make_serving_permits(
     evidence: table.EvidenceTable, switches: invariants.SafeguardSwitches
 ) -> EvidencePermits:
-    """Return permits that judge by an evidence table."""
+    """Return permits based on an evidence table."""
     return EvidencePermits(evidence, switches)
--- a/redwingvalve/evidence/table.py
+++ b/redwingvalve/evidence/table.py
@@ -1,15 +1,15 @@
-"""The evidence table: which VM was seen when, in which replica and epoch.
-
-Load pattern: 9,600 VMs seen about once a second each, by a few entries, with
-findings that arrive late, twice or not at all. Without ageing, an entry that
-is cut off would go on sending to a replica that lost a VM long ago.
-
-Pure: times are arguments. Evidence needs no message to end; it is worth
-nothing MAX_AGE_S after the VM was seen. Grounds: new work must stop within
-3 s of a VM's loss. An age counts from the start of the probe and includes all
-time on the way, also while a process is paused, so that the bound holds
-whatever the rate of probes; half a second is left for a request that was
-decided on just before. Design note 0012 derives it.
+"""The evidence table: when each VM was seen, in which replica and epoch.
+
+Load pattern: 9,600 VMs, each seen about once a second by a few entries, with
+reports that arrive late, twice or not at all. Without a maximum age, an
+isolated entry would keep sending to a replica that lost a VM long ago.
+
+Pure: times are arguments. Evidence expires without any message, MAX_AGE_S
+after the VM was seen, because new work must stop within 3 s of a VM's loss.
+The age counts from the start of the probe and includes the whole delivery
+delay, also while a process is paused, so the limit holds at any probe rate.
+Half a second is left for a request that was decided on just before. Design
+note 0012 derives the limit.
 """
 
 import math
@@ -21,13 +21,13 @@
 from redwingvalve.platform_api import engine_orders
 
 MAX_AGE_S = 2.5
-# What the request path reported counts until a newer probe says otherwise.
+# A failure on the request path counts until a later probe succeeds.
 RETENTION_S = 60.0
 
 
 @attrs.frozen
 class Observation:
-    """One VM, seen ready in a replica's epoch at seen_s."""
+    """A VM seen ready in an epoch of a replica at seen_s."""
 
     vm: str
     replica: str
@@ -37,25 +37,25 @@
 
 
 class EvidenceTable:
-    """The newest sighting and the newest failure of each VM."""
+    """The latest observation and the latest failure of each VM."""
 
     def __init__(self) -> None:
-        """Know nothing."""
+        """Start empty."""
         self._observations: dict[str, Observation] = {}
         self._failed_s: dict[str, float] = {}
 
     def record(self, observation: Observation) -> None:
-        """Take a sighting unless a newer one is known."""
+        """Store an observation unless a newer one is known."""
         before = self._observations.get(observation.vm)
         if before is None or before.seen_s < observation.seen_s:
             self._observations[observation.vm] = observation
 
     def record_failure(self, vm: str, failed_s: float) -> None:
-        """Count a failure: only a sighting after failed_s is believed."""
+        """Record a failure, which voids observations up to failed_s."""
         self._failed_s[vm] = max(failed_s, self._failed_s.get(vm, failed_s))
 
     def fresh(self, vm: str, now_s: float) -> Observation | None:
-        """Return the sighting that still counts, if there is one."""
+        """Return the observation that is still valid, or None."""
         observation = self._observations.get(vm)
         if observation is None or now_s - observation.seen_s > MAX_AGE_S:
             return None
@@ -65,7 +65,7 @@
         return observation
 
     def shows(self, vm: str, replica: str, epoch: int, now_s: float) -> bool:
-        """Tell whether a VM is there in this epoch of the replica."""
+        """Return whether a VM is ready in this epoch of the replica."""
         observation = self.fresh(vm, now_s)
         return observation is not None and (
             observation.replica,
@@ -76,7 +76,7 @@
         )
 
     def drop_expired(self, now_s: float) -> None:
-        """Drop what no longer counts."""
+        """Remove observations and failures older than RETENTION_S."""
         limit_s = now_s - RETENTION_S
         self._observations = {
             vm: observation
@@ -93,7 +93,7 @@
 def observation_from(
     state: engine_orders.EngineState, seen_s: float
 ) -> Observation | None:
-    """Return the sighting that a state is; one not ready shows nothing."""
+    """Return the observation in a state, or None if it isn't ready."""
     if not state.ready or not state.replica:
         return None
     return Observation(
@@ -110,10 +110,10 @@
     replica: snapshot.Replica,
     seen_s: float,
 ) -> collections_abc.Iterator[Observation]:
-    """Yield sightings of members that a replica's head vouches for.
+    """Yield observations of members that a replica's head attests.
 
-    Believed of the head that the configuration names, in its epoch, and of
-    this replica's own members only.
+    Accepted only from the head in the configuration, in its epoch, and for
+    members of this replica.
     """
     named = (replica.members[0].vm, replica.name, replica.epoch)
     if not state.ready or (state.vm, state.replica, state.epoch) != named:
--- a/redwingvalve/evidence/tests/test_evidence.py
+++ b/redwingvalve/evidence/tests/test_evidence.py
@@ -1,4 +1,4 @@
-"""Evidence ends by itself, spreads between entries, and counts failures."""
+"""Expiry of evidence, its spread between entries, and failures."""
 
 import anyio
 import attrs
@@ -63,8 +63,8 @@
     return members.Member(name, 1, 'entry', 'h', 1, 2, 'nave-a', 'mvd')
 
 
-class Board(bus.NewsBus):
-    """All entries share one dict; cut_off ones are alone."""
+class SharedNewsBus(bus.NewsBus):
+    """A news bus on a dict that all entries share."""
 
     def __init__(self, owner, shared, time_source):
         self.owner, self.shared, self.clock = owner, shared, time_source
@@ -93,7 +93,7 @@
             self.evidence,
             bench.configuration,
             FixedMembers(name),
-            Board(name, bench.news, bench.clock),
+            SharedNewsBus(name, bench.news, bench.clock),
             self.orders,
             bench.clock,
         )
@@ -133,7 +133,7 @@
         ]
 
 
-def test_two_entries_probe_and_all_hear_of_it():
+def test_two_entries_probe_and_all_receive_the_results():
     async def scenario():
         bench = Bench()
         await bench.run(3)
@@ -145,8 +145,11 @@
 
 
 def test_a_missing_vm_stops_new_work_within_three_seconds():
-    """One VM dies without a word. Its last sighting grows old at every entry
-    by itself, also at those that get no news any more."""
+    """A VM dies silently.
+
+    Its last observation expires at every entry on its own, also at those that
+    no longer receive news.
+    """
 
     async def scenario():
         bench = Bench()
@@ -170,7 +173,7 @@
     anyio.run(scenario)
 
 
-def test_a_failure_on_the_request_path_counts_until_the_next_sighting():
+def test_a_failure_on_the_request_path_counts_until_the_next_observation():
     async def scenario():
         bench = Bench()
         await bench.run(3)
@@ -184,7 +187,7 @@
     anyio.run(scenario)
 
 
-def test_without_the_safeguard_the_breach_is_found():
+def test_without_the_safeguard_the_breach_is_detected():
     async def scenario():
         bench = Bench((invariants.Safeguard.EVIDENCE_REQUIRED,))
         bench.fleet.engine('vm-2').alive = False
@@ -200,7 +203,7 @@
         bench = Bench()
         reports = news_entry_reports.make_news_entry_reports(
             FixedMembers('e1'),
-            Board('control', bench.news, bench.clock),
+            SharedNewsBus('control', bench.news, bench.clock),
             bench.configuration,
         )
         draining = domain_module.DomainReplica(
@@ -221,16 +224,17 @@
 
 
 @hypothesis.given(strategies.binary(max_size=60))
-def test_any_body_of_news_is_read_without_a_crash(body):
+def test_any_news_body_is_decoded_without_a_crash(body):
     for report in probe_reports.decode(body):
         assert len(report.fingerprint) == probe_reports.FINGERPRINT_BYTES
 
 
-def test_findings_are_small_and_never_make_evidence_younger():
-    """An entry must stop sending within 3 s of a loss, however news rounds.
+def test_probe_reports_are_small_and_never_understate_ages():
+    """An entry must stop sending within 3 s of a loss despite rounded ages.
 
-    Ages are rounded up, also those that pass the largest that can be said;
-    a member that was not seen, or a replica of another epoch, shows nothing.
+    Ages are rounded up, and those above the largest code count as not seen.
+    Members that were not seen and replicas of another epoch yield no
+    observation.
     """
     ages = (0.011, 2.49, None)
     report = probe_reports.ReplicaProbeReport(
@@ -256,20 +260,20 @@
 
 
 def test_a_replica_whose_vm_leaves_gets_no_new_work_without_the_store():
-    """A caller's next request goes elsewhere, though the VM still answers.
+    """A leaving VM's replica receives no requests, though the VM answers.
 
-    The domain object still says that the replica serves; the news of the
-    leaving VM decides, and only the safeguard's switch takes it back.
+    The domain object still shows the replica as serving; the news of the
+    leaving VM takes precedence unless the safeguard is switched off.
     """
 
-    async def scenario(disabled, wanted):
+    async def scenario(disabled, expected):
         bench = Bench(disabled)
         await bench.run(3)
-        publisher = Board('control', bench.news, bench.clock)
+        publisher = SharedNewsBus('control', bench.news, bench.clock)
         published = leaving.publish(publisher, {'vm-1', 'other'}, frozenset())
         for entry in bench.entries.values():
             entry.permits.replace_leaving(leaving.read(publisher))
-        assert set(bench.permitted()) == {wanted}
+        assert set(bench.permitted()) == {expected}
         leaving.publish(publisher, (), published)
         assert leaving.read(publisher) == frozenset()
 
--- a/redwingvalve/evidence/tests/test_vouching.py
+++ b/redwingvalve/evidence/tests/test_vouching.py
@@ -1,4 +1,4 @@
-"""Heads that vouch for their members spare probes, and nothing else."""
+"""Heads that attest their members save probes without weaker guarantees."""
 
 import anyio
 import attrs
@@ -15,13 +15,13 @@
 AGE_S = 0.1
 
 
-class _VouchingOrders(memory_fleet.MemoryOrders):
-    """The head says of each engine that lives when it saw it last."""
+class _AttestingOrders(memory_fleet.MemoryOrders):
+    """Engines whose head attests each live member with its age."""
 
     def __init__(self, fleet):
         super().__init__(fleet)
         self.probed = []
-        self.vouched = {name: AGE_S for name in OTHERS}
+        self.attested = {name: AGE_S for name in OTHERS}
 
     async def read_state(self, address, timeout_s):
         answer = await super().read_state(address, timeout_s)
@@ -32,7 +32,7 @@
             return answer
         seen = tuple(
             engine_orders.MemberSeen(name, age_s)
-            for name, age_s in self.vouched.items()
+            for name, age_s in self.attested.items()
             if self.fleet.engine(name).alive
         )
         return Ok(attrs.evolve(answer.ok, members_seen=seen))
@@ -41,7 +41,7 @@
 def _bench(disabled=()):
     bench = test_evidence.Bench(disabled)
     for entry in bench.entries.values():
-        entry.orders = _VouchingOrders(bench.fleet)
+        entry.orders = _AttestingOrders(bench.fleet)
         entry.prober._orders = entry.orders
     return bench
 
@@ -54,7 +54,7 @@
     return probed
 
 
-def test_only_the_head_is_probed_while_it_vouches():
+def test_only_the_head_is_probed_while_it_attests_its_members():
     async def scenario():
         bench = _bench()
         await bench.run(2)
@@ -67,10 +67,10 @@
 
 
 def test_a_member_lost_behind_a_head_that_answers_stops_new_work():
-    """A member dies; its head answers on and no longer names it.
+    """A member dies; its head still answers, but no longer attests it.
 
-    The head's last word on the member grows too old within 3 s, and the
-    members are probed again meanwhile.
+    The head's last attestation expires within 3 s, and meanwhile the members
+    are probed directly again.
     """
 
     async def scenario():
@@ -85,16 +85,16 @@
     anyio.run(scenario)
 
 
-def test_what_a_head_says_of_old_is_as_old_and_is_checked():
-    """A head's own word on a member is two seconds old and stays so.
+def test_members_with_an_old_attestation_are_probed_directly():
+    """A head's attestation of a member is always two seconds old.
 
-    The member is probed itself, and its replica serves on.
+    The member is probed directly, and its replica continues to serve.
     """
 
     async def scenario():
         bench = _bench()
         for entry in bench.entries.values():
-            entry.orders.vouched[OTHERS[0]] = 2.0
+            entry.orders.attested[OTHERS[0]] = 2.0
         await bench.run(4)
         assert all(bench.permitted())
         assert OTHERS[0] in _probed(bench)
@@ -117,7 +117,7 @@
         {'members_seen': (engine_orders.MemberSeen(OTHERS[0], float('nan')),)},
     ],
 )
-def test_only_this_epochs_head_vouches_and_for_its_own_members(change):
+def test_only_the_head_of_this_epoch_attests_its_own_members(change):
     state = engine_orders.EngineState(
         HEADER,
         '1',
@@ -134,11 +134,11 @@
     assert not list(table.attested_observations(other, REPLICA, 10.0))
 
 
-def test_a_dead_vm_does_not_hold_up_what_is_told_of_the_others():
-    """One engine never answers; findings on the others are told at once.
+def test_a_dead_vm_does_not_delay_results_on_other_vms():
+    """One engine never answers; results on the others are published at once.
 
-    Were they told after its timeout, they would reach other entries so much
-    older, and replicas that serve well would be stopped.
+    Published after its timeout, they would reach other entries that much
+    older, and healthy replicas would be stopped.
     """
 
     async def scenario():
--- a/redwingvalve/wire/peer.thrift
+++ b/redwingvalve/wire/peer.thrift
@@ -1,5 +1,5 @@
-// Messages between our own processes. Each slice adds its structs and its
-// method here; fields are only ever added, never renumbered, so that two
+// Messages between processes of the fleet. Each package adds its structs and
+// its method here. Fields are only added, never renumbered, so that two
 // versions of the program can run side by side.
 
 struct MemberRecord {
@@ -13,7 +13,8 @@
   8: string region
   9: string state
   10: i64 heartbeat
-  // Processes with the same vm share one gossiping process; empty: alone.
+  // Processes with the same vm have one representative that gossips for all;
+  // empty if the process gossips for itself.
   11: string vm
 }
 
@@ -67,7 +68,7 @@
   4: i64 incarnation
   5: string request_id
   6: string digest
-  // The entries that the claimant asks; a voter that names others is silent.
+  // The entries that the claimant asks; a voter with another list abstains.
   7: list<string> voters
 }
 
@@ -78,7 +79,7 @@
 
 struct KeyCopyRequest {
   1: list<string> names
-  // Claims up to this number are known to the asker.
+  // The requester knows the claims up to this number.
   2: i64 after
 }
 
@@ -87,7 +88,7 @@
   2: list<string> names
   3: bool whole
   4: bool complete
-  // A later incarnation numbers its claims anew.
+  // A later incarnation restarts the numbering of its claims.
   5: i64 incarnation
   6: i64 reached
   7: bool more
@@ -98,26 +99,26 @@
   1: string verdict
   2: string outcome
   3: string detail
-  // When an undecided voter will decide, as far as it knows.
+  // Estimated time until an undecided voter decides.
   4: double wait_s
 }
 
 struct RegionSight {
-  // How long ago anybody whose word we have met a member of this region.
+  // Time since the last known contact of any process with this region.
   1: string region
   2: i32 age_ms
 }
 
 struct NewsDigest {
-  // In a question the highest number known of each owner, in an answer the
-  // owners of whom the answerer lacks something; parallel lists.
+  // Parallel lists. In a request, the highest number known of each owner; in a
+  // reply, the owners of whom the replier lacks items.
   1: list<i32> owner_hashes
   2: list<i64> numbers
 }
 
 struct Exchange {
-  // What two members tell each other; sent packed, see wire/packing.py.
-  // A question has table_digest; an answer or a supplement has not.
+  // State that two members exchange; sent packed, see wire/packing.py.
+  // A request has table_digest; a reply or a follow-up has not.
   1: MemberRecord sender
   2: list<MemberRecord> changes
   3: list<i64> table_digests
@@ -130,8 +131,8 @@
   10: i32 table_size
   11: i64 table_digest
   12: i64 configuration_digest
-  // In an answer the answerer's own clock, which the supplement gives back:
-  // how long the supplement can have been on its way at most.
+  // In a reply, the replier's own clock, which the follow-up returns: an upper
+  // bound on the delivery delay of the follow-up.
   13: i64 clock_ms
 }
 
@@ -151,8 +152,8 @@
   1: map<string,i64> versions
   2: list<ConfigurationRecord> records
   3: bool complete
-  // Since which version deletions are known; for a group whose asker is older
-  // than that, the names that are left.
+  // The version since which deletions are known; if the requester has an older
+  // version of a group, present holds the remaining names of that group.
   4: map<string,i64> deletions_since
   5: map<string,list<string>> present
 }
