--- a/redwingvalve/membership/exchanges.py
+++ b/redwingvalve/membership/exchanges.py
@@ -81,7 +81,7 @@
 
     def make_follow_up(self, received: Exchange) -> Exchange | None:
         """Return what the sender of a reply lacks, or None if nothing."""
-        follow_up = Exchange(sender=self._record(self.members.local.status()))
+        follow_up = Exchange(sender=self._record(self.members.own.status()))
         follow_up.changes = []
         follow_up.clock_ms = received.clock_ms
         self._add_differing(received, follow_up)
@@ -127,7 +127,7 @@
         return True
 
     def _start(self, receiver: str, now_s: float) -> Exchange:
-        started = Exchange(sender=self._record(self.members.local.status()))
+        started = Exchange(sender=self._record(self.members.own.status()))
         started.changes = []
         self._add_statuses(
             started, self.members.statuses.take_broadcasts(receiver)
--- a/redwingvalve/membership/gossip.py
+++ b/redwingvalve/membership/gossip.py
@@ -55,7 +55,7 @@
 
     def local_member(self) -> members.Member:
         """Return this process."""
-        return self.table.local.member()
+        return self.table.own.member()
 
     def known(self) -> tuple[members.Member, ...]:
         """Return every member, dead ones included until they are removed."""
@@ -70,7 +70,7 @@
 
         The other members learn of it within a second.
         """
-        self.table.local.leave()
+        self.table.own.leave()
         self.trigger_urgent_round()
 
     # For delegates, which add their data to exchanges.
@@ -106,7 +106,7 @@
         for address in self.selector.contacts():
             if await self.transport.exchange_with_address(address) is None:
                 break
-        self.table.local.mark_joined()
+        self.table.own.mark_joined()
 
     async def run(self) -> None:
         """Exchange with peers until cancelled."""
@@ -129,7 +129,7 @@
 
     async def depart(self) -> None:
         """Announce to some peers that this process is stopping."""
-        self.table.local.depart()
+        self.table.own.depart()
         async with anyio.create_task_group() as group:
             for member in self.selector.sample(DEPART_FANOUT):
                 group.start_soon(self.transport.exchange_with, member)
--- a/redwingvalve/membership/peers.py
+++ b/redwingvalve/membership/peers.py
@@ -36,7 +36,7 @@
         if self._revision != store.revision:
             self._revision = store.revision
             self._regional = gossip_targets.regional(
-                store.all(), self._table.local.member()
+                store.all(), self._table.own.member()
             )
         return self._regional
 
@@ -49,7 +49,7 @@
 
         Only the representative of a VM has remote peers.
         """
-        statuses, me = self._table.statuses.all(), self._table.local.member()
+        statuses, me = self._table.statuses.all(), self._table.own.member()
         if not gossip_targets.is_representative(statuses, me):
             return None
         return gossip_targets.pick_remote(statuses, me, self._rng)
@@ -79,7 +79,7 @@
 
     def contacts(self) -> list[Address]:
         """Return all contacts but this process itself."""
-        me = self._table.local.member()
+        me = self._table.own.member()
         mine = (me.host, me.peer_port)
         return [address for address in self._contacts if address != mine]
 
--- a/redwingvalve/membership/table.py
+++ b/redwingvalve/membership/table.py
@@ -40,7 +40,7 @@
         """Start with me as the only member."""
         self.bounds = bounds
         self.statuses = status_store.StatusStore(switches)
-        self.local = local_status.LocalStatus(me, self.statuses)
+        self.own = local_status.LocalStatus(me, self.statuses)
         self._death_due_s: dict[str, float] = {}
         self._died_at_s: dict[str, float] = {}
         self._region_seen_s: dict[str, float] = {me.region: now_s}
@@ -65,7 +65,7 @@
 
     def isolated(self, now_s: float) -> bool:
         """Return whether this process lost all contact or is superseded."""
-        if self.local.superseded:
+        if self.own.superseded:
             return True
         return self._has_contacted_peer and self._is_cut_off(now_s)
 
@@ -82,10 +82,10 @@
         now_s: float,
     ) -> None:
         """Apply newer statuses; late and duplicate ones have no effect."""
-        mine = self.local.member().name
+        mine = self.own.member().name
         for status in received:
             if status.name == mine:
-                self.local.refute_report(status)
+                self.own.refute_report(status)
             elif self.statuses.accepts(status):
                 self._apply(status, now_s)
 
@@ -148,8 +148,8 @@
             self._death_due_s[name] += gap_s
         for region in self._region_seen_s:
             self._region_seen_s[region] += gap_s
-        if self.local.status().state is not State.DEAD:
-            self.local.renew()
+        if self.own.status().state is not State.DEAD:
+            self.own.renew()
 
     def _declare_dead(self, now_s: float) -> None:
         due = [
@@ -183,7 +183,7 @@
         return now_s - self._last_contact_s > self.bounds.isolation_s
 
     def _is_judged_in_region(self, member: members.Member) -> bool:
-        if member.region == self.local.member().region:
+        if member.region == self.own.member().region:
             return False
         present = collections.Counter(
             status.member.region
@@ -193,7 +193,7 @@
         return present[member.region] >= MIN_SELF_JUDGING_MEMBERS
 
     def _silent_regions(self, now_s: float) -> frozenset[str]:
-        mine = self.local.member().region
+        mine = self.own.member().region
         return frozenset(
             region
             for region, seen_s in self._region_seen_s.items()
--- a/redwingvalve/membership/tests/network.py
+++ b/redwingvalve/membership/tests/network.py
@@ -64,7 +64,7 @@
         self.processes[name] = started
         if contact is not None:
             self.run_exchange(name, contact)
-        started.table.local.mark_joined()
+        started.table.own.mark_joined()
 
     def step(self, count=1):
         """Run one round of each process that isn't paused."""
@@ -117,7 +117,7 @@
     def _round(self, name, process):
         statuses, me = (
             process.table.statuses.all(),
-            process.table.local.member(),
+            process.table.own.member(),
         )
         chosen = [process.rotation.next(gossip_targets.regional(statuses, me))]
         if self.rng.random() < 0.2:
@@ -146,7 +146,7 @@
 
     def _deliver(self, receiver, message, record_copy=True):
         received = self._copy(message)
-        name = receiver.table.local.member().name
+        name = receiver.table.own.member().name
         if record_copy:
             self.late = [*self.late[-40:], (name, packing.pack(message))]
         receiver.exchanges.receive(received, None, self.now_s)
@@ -172,7 +172,7 @@
         return packing.unpack(messages.peer.Exchange(), packed).ok
 
     def _region(self, process):
-        return process.table.local.member().region if process else ''
+        return process.table.own.member().region if process else ''
 
 
 def make_status(member):
--- a/redwingvalve/membership/tests/test_faults.py
+++ b/redwingvalve/membership/tests/test_faults.py
@@ -64,7 +64,7 @@
     net.start('e5', incarnation=0, contact='e1')
     net.step(20)
     assert set(net.states('e5').values()) == {State.ALIVE}
-    own = net.processes['e5'].table.local
+    own = net.processes['e5'].table.own
     assert own.member().incarnation == 2
     assert not own.superseded
 
@@ -87,9 +87,9 @@
         None,
         net.now_s,
     )
-    assert old.table.local.superseded
+    assert old.table.own.superseded
     assert old.table.isolated(net.now_s)
-    assert not net.processes['e1'].table.local.superseded
+    assert not net.processes['e1'].table.own.superseded
 
 
 def test_an_hour_of_partition_between_regions_causes_no_deaths():
--- a/redwingvalve/membership/tests/test_machine.py
+++ b/redwingvalve/membership/tests/test_machine.py
@@ -71,13 +71,13 @@
 
     @stateful.rule(name=st.sampled_from(NAMES))
     def leave(self, name):
-        self.network.processes[name].table.local.leave()
+        self.network.processes[name].table.own.leave()
         self.left.add(name)
 
     @stateful.invariant()
     def leaving_is_final(self):
         for name in self.left:
-            own = self.network.processes[name].table.local.status()
+            own = self.network.processes[name].table.own.status()
             for process in self.network.processes.values():
                 current = process.table.statuses.get(name)
                 if current is None or current.order() < own.order():
@@ -92,8 +92,8 @@
             process.paused_until_s = 0.0
         self.network.step(80)
         for name, process in self.network.processes.items():
-            expected = process.table.local.status().state
-            assert not process.table.local.superseded
+            expected = process.table.own.status().state
+            assert not process.table.own.superseded
             assert set(self.network.states(name).values()) == {expected}, name
             assert len(self.network.states(name)) == len(NAMES)
 
@@ -118,7 +118,7 @@
         net = network.Network(switches=switches)
         net.start('a')
         net.start('b', contact='a')
-        net.processes['b'].table.local.leave()
+        net.processes['b'].table.own.leave()
         net.step(3)
         table = net.processes['a'].table
         assert table.statuses.get('b').state is State.LEAVING
