--- a/redwingvalve/administration/store_operations.py
+++ b/redwingvalve/administration/store_operations.py
@@ -19,8 +19,8 @@
 from redwingvalve.core import clock, findings
 from redwingvalve.declaration import reader
 from redwingvalve.membership import members
-from redwingvalve.plans import book as plan_book
-from redwingvalve.plans import objects, plan, world
+from redwingvalve.plans import fleet_state, objects, plan
+from redwingvalve.plans import manager as plan_manager
 from redwingvalve.platform_api import object_api, vm_list
 from redwingvalve.replicas import codec
 from redwingvalve.replicas import domain as domain_module
@@ -49,12 +49,12 @@
 
 
 @attrs.frozen
-class Surroundings:
+class Dependencies:
     """What the operations work with; in_force asks the live entries."""
 
     store: object_api.ObjectApi
     vms: vm_list.VmList
-    book: plan_book.PlanBook
+    plans: plan_manager.PlanManager
     members: members.Members
     clock: clock.Clock
     in_force: InForceReader
@@ -64,7 +64,7 @@
 class StoreOperations(operations.Operations):
     """Does the actions; each returns JSON or why it was not done."""
 
-    def __init__(self, surroundings: Surroundings) -> None:
+    def __init__(self, surroundings: Dependencies) -> None:
         """Work with surroundings."""
         self._its = surroundings
         drainer = drain_operations.DrainOperations(
@@ -96,7 +96,7 @@
         return await self._runners[name](call)
 
     async def _status(self, call: operations.Call) -> Answer:
-        current = await world.read_current(self._its.store)
+        current = await fleet_state.read_current(self._its.store)
         if current.is_error():
             return _plan_problem(current.error)
         declared = await self._its.store.list(objects.DEPLOYMENTS)
@@ -160,7 +160,7 @@
         return Ok(attrs.asdict(found.ok))
 
     async def _plans(self, call: operations.Call) -> Answer:
-        listed = await self._its.book.list()
+        listed = await self._its.plans.list()
         if listed.is_error():
             return _plan_problem(listed.error)
         return Ok({'plans': [codec.to_body(each) for each in listed.ok]})
@@ -177,30 +177,30 @@
         if impossible:
             return _findings_problem(impossible)
         declaration = checked.ok.content
-        in_force = await world.read_current(self._its.store)
+        in_force = await fleet_state.read_current(self._its.store)
         if in_force.is_error():
             return _plan_problem(in_force.error)
-        made = await self._its.book.propose(declaration, call.principal.name)
+        made = await self._its.plans.propose(declaration, call.principal.name)
         if made.is_error():
             return _plan_problem(made.error)
         return Ok(codec.to_body(made.ok))
 
     async def _confirm(self, call: operations.Call) -> Answer:
         name = call.path['name']
-        proposed = await self._its.book.read(name)
+        proposed = await self._its.plans.read(name)
         if proposed.is_error():
             return _plan_problem(proposed.error)
         allowed = rights.check_scope(call.principal, changed_names(proposed.ok))
         if allowed.is_error():
             return Error(operations.missing_right(allowed.error))
-        confirmed = await self._its.book.confirm(name, call.principal.name)
+        confirmed = await self._its.plans.confirm(name, call.principal.name)
         if confirmed.is_error():
             return _plan_problem(confirmed.error)
         return Ok({'message': f'{name} is confirmed', 'plan': name})
 
     async def _discard(self, call: operations.Call) -> Answer:
         name = call.path['name']
-        discarded = await self._its.book.discard(name, call.principal.name)
+        discarded = await self._its.plans.discard(name, call.principal.name)
         if discarded.is_error():
             return _plan_problem(discarded.error)
         return Ok({'message': f'{name} is discarded', 'plan': name})
@@ -251,7 +251,7 @@
             'not-found',
             f'no plan is named {error.plan!r}',
         )
-    if isinstance(error, plan.StoreTrouble):
+    if isinstance(error, plan.StoreError):
         return Error(
             operations.OperationError(
                 operations.STATUS_UNAVAILABLE,
@@ -277,6 +277,6 @@
     return f'{error.plan} no longer holds: {error.reason}; plan again'
 
 
-def make_store_operations(surroundings: Surroundings) -> StoreOperations:
+def make_store_operations(surroundings: Dependencies) -> StoreOperations:
     """Return the operations behind the API."""
     return StoreOperations(surroundings)
