--- a/redwingvalve/discovery/entry_selection.py
+++ b/redwingvalve/discovery/entry_selection.py
@@ -22,9 +22,9 @@
 # Lower bound of the spare capacity in an entry's weight: however empty another
 # entry is, the rest of its data centre still receives callers.
 MIN_WEIGHT = 0.05
-# Weight of entries in the caller's data centre. The remaining share of callers
-# keeps connections to other data centres in use, so that these aren't unused
-# when the data centre is lost.
+# Weight factor of entries in the caller's data centre. The other callers keep
+# connections to further data centres in use, so that entries there are already
+# known when the data centre is lost.
 SAME_DATA_CENTRE_FACTOR = 4.0
 OTHER_REGION_FACTOR = 0.01
 KEEP_JITTER = 0.25
