--- a/redwingvalve/control/inputs.py
+++ b/redwingvalve/control/inputs.py
@@ -1,10 +1,10 @@
-"""Reads once what all domain controllers of a process work from.
+"""Reads the inputs that all domain controllers of a process share.
 
-Load pattern: 150 domains stepped twice a second by a few hundred controllers.
-Were each step to read the VM list and the allocation itself, the store would
-see a thousand reads a second for answers that change a few times a minute.
-Read every 2 s, a process costs one read a second of the store, and a changed
-allocation is acted on within the 4 s that configuration may take.
+Load pattern: 150 domains reconciled twice a second by a few hundred
+controllers. If each step read the VM list and the allocation itself, the store
+would get a thousand reads a second for data that changes a few times a minute.
+With one refresh every 2 s each process costs one store read a second, and a
+changed allocation takes effect within the 4 s allowed for configuration.
 """
 
 from expression import Error, Ok, Result
@@ -16,14 +16,14 @@
 from redwingvalve.replicas import controller, shares
 from redwingvalve.replicas import view as view_module
 
-READ_EVERY_S = 2.0
+READ_INTERVAL_S = 2.0
 NO_DEPLOYMENTS: frozenset[str] = frozenset()
 
 Deployments = dict[str, schema.ModelDeployment]
 
 
 class InputReader:
-    """Keeps the last good answers; an outage leaves what was known."""
+    """Caches the inputs; during an outage the last ones remain valid."""
 
     def __init__(
         self,
@@ -31,60 +31,61 @@
         vms: vm_list.VmList,
         time_source: clock.Clock,
     ) -> None:
-        """Know nothing yet."""
+        """Start without inputs."""
         self._store = store
         self._vm_list = vms
         self._clock = time_source
         self._read_s: float | None = None
         self._deployments: Deployments | None = None
-        self._shares: shares.Allocation | None = None
+        self._allocation: shares.Allocation | None = None
         self.vms: tuple[vm_list.Vm, ...] | None = None
 
     async def refresh(self) -> None:
-        """Read again when the answers are old enough."""
+        """Read the inputs again if READ_INTERVAL_S has passed."""
         now_s = self._clock.monotonic_s()
-        if self._read_s is not None and now_s - self._read_s < READ_EVERY_S:
+        if self._read_s is not None and now_s - self._read_s < READ_INTERVAL_S:
             return
         self._read_s = now_s
         listed = await self._vm_list.read()
         if listed.is_ok():
             self.vms = listed.ok
-        agreed = await fleet_state.read_allocation(self._store)
-        if agreed.is_error():
+        allocation = await fleet_state.read_allocation(self._store)
+        if allocation.is_error():
             return
-        # A share whose deployment is not known yet must not read as "none
-        # wanted": its replicas would be drained. Both are taken together.
+        # A share whose deployment is not known yet must not be taken for a
+        # share of zero, which would drain its replicas. Deployments and
+        # allocation are therefore replaced together.
         declared = await read_deployments(self._store)
         if declared.is_ok():
             self._deployments = declared.ok
-            self._shares = agreed.ok[0]
+            self._allocation = allocation.ok[0]
 
     def inputs_for(
         self, domain: str, without_room: frozenset[str] = NO_DEPLOYMENTS
     ) -> controller.ControllerInputs:
-        """Return what the controller of a domain works from.
+        """Return the inputs for the controller of a domain.
 
-        without_room names deployments whose change found no VMs anywhere.
+        without_room names the deployments whose change has room in no domain.
         """
-        if self._deployments is None or self._shares is None:
+        if self._deployments is None or self._allocation is None:
             return controller.ControllerInputs(self.vms, None)
-        wanted = wanted_of(
-            domain, self._shares, self._deployments, without_room
+        desired = desired_shares(
+            domain, self._allocation, self._deployments, without_room
         )
-        return controller.ControllerInputs(self.vms, wanted)
+        return controller.ControllerInputs(self.vms, desired)
 
     def desired_state(self) -> tuple[Deployments, shares.Allocation | None]:
-        """Return what is declared and allocated, as far as it is known."""
-        return self._deployments or {}, self._shares
+        """Return the declared deployments and the allocation, if known."""
+        return self._deployments or {}, self._allocation
 
 
-def wanted_of(
+def desired_shares(
     domain: str,
-    agreed: shares.Allocation,
+    allocation: shares.Allocation,
     deployments: Deployments,
     without_room: frozenset[str],
 ) -> tuple[view_module.DesiredShare, ...]:
-    """Return the shares of one domain."""
+    """Return the replicas that one domain should hold."""
     return tuple(
         view_module.DesiredShare(
             deployments[share.deployment],
@@ -93,7 +94,7 @@
             in_place=share.deployment in without_room
             and deployments[share.deployment].accepts_change_in_place,
         )
-        for share in agreed.shares
+        for share in allocation.shares
         if share.domain == domain and share.deployment in deployments
     )
 
--- a/redwingvalve/entry/account_gate.py
+++ b/redwingvalve/entry/account_limiter.py
@@ -1,9 +1,10 @@
-"""Fleet-wide limits of client accounts in front of the request path.
+"""Enforces the fleet-wide rate limits of client accounts.
 
-The decision stands in limits; this follows the configuration and the news. The
-list of entries is every member that is not forgotten, dead ones included: in a
-partition the others look dead and still use their shares, so that the sum stays
-within the limit for the two hours that members are remembered.
+The shares are computed in the limits package; this module supplies the
+configuration and the reports of other entries. Every known member counts as
+an entry, dead ones included: in a partition the others look dead but still use
+their shares. That way the sum stays within the limit for the two hours that
+members are remembered.
 """
 
 import math
@@ -18,24 +19,24 @@
 from redwingvalve.membership import members
 from redwingvalve.news import bus
 
-UPDATE_EVERY_S = 0.5
-# Less often than shares are worked out; a report counts for 3 s.
-PUBLISH_EVERY_S = 1.0
+UPDATE_INTERVAL_S = 0.5
+# Longer than the update interval; a report is valid for 3 s.
+PUBLISH_INTERVAL_S = 1.0
 ENTRY_ROLE = 'entry'
 TOKENS_KEY = 'tokens'
 REQUESTS_KEY = 'requests'
 
 
 @attrs.frozen
-class _Said:
-    """When a report was published last, and whether it held nothing."""
+class _PublishedReport:
+    """When a report was last published, and whether it was empty."""
 
     at_s: float = -math.inf
     empty: bool = True
 
 
-class AccountGate:
-    """Asks an account's share here; needs no call to anybody."""
+class AccountLimiter:
+    """Checks accounts against this entry's share, without remote calls."""
 
     def __init__(
         self,
@@ -44,45 +45,45 @@
         news: bus.NewsBus,
         time_source: clock.Clock,
     ) -> None:
-        """Limit the accounts of source in shares among the entries."""
-        me = present.local_member().name
+        """Divide the limits of the accounts of source among the entries."""
+        local_name = present.local_member().name
         self._source = source
         self._members = present
         self._news = news
         self._clock = time_source
         self._version = -1
-        self._said: dict[str, _Said] = {}
+        self._published: dict[str, _PublishedReport] = {}
         self._limits = {
-            key: account_limits.make_account_limits(me)
+            key: account_limits.make_account_limits(local_name)
             for key in (TOKENS_KEY, REQUESTS_KEY)
         }
         self._update()
 
     async def run(self) -> None:
-        """Follow configuration and news until cancelled."""
+        """Apply configuration changes and reports until cancelled."""
         while True:
             self._update()
-            await self._clock.sleep(UPDATE_EVERY_S)
+            await self._clock.sleep(UPDATE_INTERVAL_S)
 
-    def refuse_request(
+    def check_request(
         self, account: schema.ClientAccount
     ) -> outcomes.ErrorResponse | None:
-        """Count one request, or return the refusal."""
-        return self._ask(REQUESTS_KEY, account, 1.0)
+        """Count one request, or return the refusal if over the limit."""
+        return self._check(REQUESTS_KEY, account, 1.0)
 
-    def refuse_tokens(
+    def check_tokens(
         self, account: schema.ClientAccount, estimated_tokens: float
     ) -> outcomes.ErrorResponse | None:
-        """Count what a request may use, or return the refusal."""
-        return self._ask(TOKENS_KEY, account, estimated_tokens)
+        """Count estimated tokens, or return the refusal if over the limit."""
+        return self._check(TOKENS_KEY, account, estimated_tokens)
 
-    def correct_tokens(
+    def adjust_tokens(
         self, account: schema.ClientAccount, change_tokens: float
     ) -> None:
-        """Charge what was used beyond the estimate, or give back."""
+        """Charge tokens used beyond the estimate, or refund unused ones."""
         self._limits[TOKENS_KEY].correct(account.name, change_tokens)
 
-    def _ask(
+    def _check(
         self, key: str, account: schema.ClientAccount, amount: float
     ) -> outcomes.ErrorResponse | None:
         now_s = self._clock.monotonic_s()
@@ -92,7 +93,7 @@
         return outcomes.ErrorResponse(
             status=429,
             code='account-limit',
-            message=f'the account {account.name} is above its {key} a second',
+            message=f'account {account.name} exceeds its {key} per second',
             outcome=outcomes.Outcome.NOT_RUN,
             retry_after_s=wait_s,
         )
@@ -107,28 +108,28 @@
             )
         )
         now_s = self._clock.monotonic_s()
-        heard = self._news.read(reports.SHARES)
-        me = self._members.local_member().name
+        items = self._news.read(reports.SHARES)
+        local_name = self._members.local_member().name
         for key, limits in self._limits.items():
             bodies = [
                 (item.owner, item.body, item.age_s)
-                for item in heard
-                if item.key == key and item.owner != me
+                for item in items
+                if item.key == key and item.owner != local_name
             ]
             self._publish(key, limits.update(entries, bodies, now_s), now_s)
 
     def _publish(self, key: str, body: bytes, now_s: float) -> None:
-        """Say what this entry lends and lacks; nothing while that is nothing.
+        """Publish what this entry lends and lacks, unless both are empty.
 
-        What is lent counts as lent from each update on, said or not, so that
-        saying it less often can only leave a part of the limit unused.
+        Lent shares are deducted at each update, whether published or not, so
+        publishing less often can only leave a part of the limit unused.
         """
-        said = self._said.get(key, _Said())
-        if not body and said.empty:
+        last = self._published.get(key, _PublishedReport())
+        if not body and last.empty:
             return
-        if now_s - said.at_s < PUBLISH_EVERY_S:
+        if now_s - last.at_s < PUBLISH_INTERVAL_S:
             return
-        self._said[key] = _Said(now_s, not body)
+        self._published[key] = _PublishedReport(now_s, not body)
         self._news.publish(reports.SHARES, key, body)
 
     def _follow_configuration(self) -> None:
@@ -137,18 +138,24 @@
             return
         self._version = current.version
         self._limits[TOKENS_KEY].replace_limits(
-            {each.name: each.tokens_per_s for each in current.client_accounts}
+            {
+                account.name: account.tokens_per_s
+                for account in current.client_accounts
+            }
         )
         self._limits[REQUESTS_KEY].replace_limits(
-            {each.name: each.requests_per_s for each in current.client_accounts}
+            {
+                account.name: account.requests_per_s
+                for account in current.client_accounts
+            }
         )
 
 
-def make_account_gate(
+def make_account_limiter(
     entry_dependencies: dependencies.EntryDependencies,
-) -> AccountGate:
-    """Return the gate of one entry; run it beside the application."""
-    return AccountGate(
+) -> AccountLimiter:
+    """Return the limiter of one entry; its run must be started as a task."""
+    return AccountLimiter(
         entry_dependencies.source,
         entry_dependencies.members,
         entry_dependencies.news,
--- a/redwingvalve/entry/service_suspects.py
+++ b/redwingvalve/entry/service_suspects.py
@@ -1,8 +1,8 @@
-"""Keeps requests that crash plain services from crashing them all.
+"""Limits how many instances of a plain service a poison request can crash.
 
-A service has few addresses and restarts at the same one. A suspect is run at
-the entry that may use one of them, see SuspectGate.refusal; the rules are those
-for model requests.
+A service has few addresses, and an instance restarts at the same one. A suspect
+request is run by the entry that may use one of them, see
+SuspectTracker.refusal; otherwise the rules are those for model requests.
 """
 
 from collections import abc as collections_abc
@@ -18,73 +18,76 @@
 ]
 
 
-class AnsweredError(upstream.UpstreamError):
-    """The instance lives, but its answer is wrong or comes too late."""
+class EndpointAliveError(upstream.UpstreamError):
+    """The response is invalid or late, but the instance has not crashed."""
 
 
-class WatchedCall:
-    """One request for a service, as the suspects' gate sees it."""
+class TrackedCall:
+    """One service request whose attempts are reported to the tracker."""
 
     def __init__(
         self,
-        gate: suspects.SuspectGate,
+        tracker: suspects.SuspectTracker,
         digest: bytes,
         addresses: tuple[str, ...],
     ) -> None:
-        """Watch a request for a service at addresses."""
-        self._gate = gate
+        """Track a request for a service at addresses."""
+        self._tracker = tracker
         self._digest = digest
         self._addresses = addresses
 
     def refusal(self) -> outcomes.ErrorResponse | None:
-        """Return why the request is not run at all, if so."""
-        return self._gate.refusal(self._digest, self._addresses)
+        """Return the error if the request must not be run."""
+        return self._tracker.refusal(self._digest, self._addresses)
 
-    def allowed(self) -> frozenset[str]:
-        """Return the addresses where it may go now."""
-        only = self._gate.allowed(self._digest, self._addresses)
+    def allowed_addresses(self) -> frozenset[str]:
+        """Return the addresses that it may be sent to now."""
+        only = self._tracker.allowed(self._digest, self._addresses)
         return frozenset(self._addresses) if only is None else only
 
     async def send(
         self, address: str, exchange: Exchange
     ) -> upstream.UpstreamError | None:
-        """Send once; a connection that breaks counts as a death."""
+        """Run one attempt; a connection that breaks counts as a crash."""
         endpoint = suspects.ServiceAddress(address)
-        self._gate.began(self._digest, endpoint)
+        self._tracker.attempt_started(self._digest, endpoint)
         whole = False
         try:
             failure = await exchange()
             whole = failure is None
-            if failure is not None and _broke(failure):
-                self._gate.endpoint_died(endpoint)
+            if failure is not None and _is_crash(failure):
+                self._tracker.record_endpoint_failure(endpoint)
         finally:
-            self._gate.ended(self._digest, endpoint, whole=whole)
+            self._tracker.attempt_ended(self._digest, endpoint, whole=whole)
         return failure
 
-    def refusal_after(
+    def refusal_after_failure(
         self, outcome: outcomes.Outcome
     ) -> outcomes.ErrorResponse | None:
-        """Return why it isn't sent again; outcome is that of its sends."""
-        refusal = self._gate.refusal_after_death(self._digest)
+        """Return the error if it must not be retried, with outcome."""
+        refusal = self._tracker.refusal_after_failure(self._digest)
         return refusal and attrs.evolve(refusal, outcome=outcome)
 
     def close(self) -> None:
-        """Leave a suspect that ends unanswered to its home."""
-        self._gate.gave_up(self._digest)
+        """Leave an unanswered suspect request to its home entry."""
+        self._tracker.abandon(self._digest)
 
 
-def _broke(failure: upstream.UpstreamError) -> bool:
-    """Tell a broken connection from a slow, a wrong or no answer."""
+def _is_crash(failure: upstream.UpstreamError) -> bool:
+    """Return whether a failure is a broken connection.
+
+    Timeouts, invalid responses and refused connections are not crashes.
+    """
     cause = failure.__cause__
-    if failure.surely_not_run or isinstance(failure, AnsweredError):
+    if failure.not_sent or isinstance(failure, EndpointAliveError):
         return False
     return not isinstance(cause, TimeoutError)
 
 
-def make_watched_call(
-    gate: suspects.SuspectGate,
+def make_tracked_call(
+    tracker: suspects.SuspectTracker,
     addresses: tuple[str, ...],
     *request_parts: bytes,
-) -> WatchedCall:
-    """Return the watch of a request; its parts stay the same in a resend."""
-    return WatchedCall(gate, facts.make_digest(*request_parts), addresses)
+) -> TrackedCall:
+    """Return a tracked call; request_parts must be the same in a resend."""
+    return TrackedCall(tracker, facts.make_digest(*request_parts), addresses)
--- a/redwingvalve/evidence/tests/test_vouching.py
+++ b/redwingvalve/evidence/tests/test_vouching.py
@@ -8,14 +8,14 @@
 from redwingvalve.evidence import table
 from redwingvalve.evidence.tests import test_evidence
 from redwingvalve.platform_api import engine_orders
-from redwingvalve.standins import memory_fleet
+from redwingvalve.standins import fake_fleet
 
 REPLICA = test_evidence.REPLICA
-HEADER, *OTHERS = (member.vm for member in REPLICA.members)
+HEAD, *OTHERS = (member.vm for member in REPLICA.members)
 AGE_S = 0.1
 
 
-class _AttestingOrders(memory_fleet.MemoryOrders):
+class _AttestingOrders(fake_fleet.FakeEngineOrders):
     """Engines whose head attests each live member with its age."""
 
     def __init__(self, fleet):
@@ -28,7 +28,7 @@
         if answer.is_error():
             return answer
         self.probed.append(answer.ok.vm)
-        if answer.ok.vm != HEADER:
+        if answer.ok.vm != HEAD:
             return answer
         seen = tuple(
             engine_orders.MemberSeen(name, age_s)
@@ -61,7 +61,7 @@
         _probed(bench)
         await bench.run(5)
         assert all(bench.permitted())
-        assert set(_probed(bench)) == {HEADER}
+        assert set(_probed(bench)) == {HEAD}
 
     anyio.run(scenario)
 
@@ -119,7 +119,7 @@
 )
 def test_only_the_head_of_this_epoch_attests_its_own_members(change):
     state = engine_orders.EngineState(
-        HEADER,
+        HEAD,
         '1',
         ready=True,
         replica=REPLICA.name,
--- a/redwingvalve/soak/work.py
+++ b/redwingvalve/soak/workload.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from redwingvalve.standins import answers, plain_service
+from redwingvalve.standins import generated_text, plain_service
 
 CHAT_PATH = '/v1/chat/completions'
 PREFIX_LENGTH = 600
@@ -53,7 +53,7 @@
 
 
 @attrs.frozen
-class Work:
+class Request:
     """One request as its caller means it, however often it is sent."""
 
     name: str
@@ -89,23 +89,25 @@
         return self.kind in {Kind.NARRATIVE, Kind.SCAN}
 
 
-def make_work(name: str, kind: Kind, target: Target, marker: str = '') -> Work:
+def make_request(
+    name: str, kind: Kind, target: Target, marker: str = ''
+) -> Request:
     """Return a request; a marker in its prompt makes it a poison request."""
     if kind is Kind.FLAG:
         body = json.dumps({'flag': name}).encode()
         path = target.non_idempotent_path
         digest = plain_service.call_digest(path, body)
-        return Work(name, kind, 'POST', path, body, digest)
+        return Request(name, kind, 'POST', path, body, digest)
     if kind is Kind.FETCH:
         path = f'{target.service_prefix}parts/{name}'
         digest = plain_service.call_digest(path, b'')
-        return Work(name, kind, 'GET', path, b'', digest)
+        return Request(name, kind, 'GET', path, b'', digest)
     return _make_model_work(name, kind, target, marker)
 
 
 def _make_model_work(
     name: str, kind: Kind, target: Target, marker: str
-) -> Work:
+) -> Request:
     shared = f'{kind.value} instructions. '.ljust(PREFIX_LENGTH, 'x')
     body: dict[str, typing.Any] = {
         'model': target.deployment,
@@ -116,14 +118,14 @@
         'max_tokens': TOKENS[kind],
         'stream': kind is not Kind.QUOTE,
     }
-    prompt = answers.prompt_text(body)
-    return Work(
+    prompt = generated_text.prompt_text(body)
+    return Request(
         name,
         kind,
         'POST',
         CHAT_PATH,
         json.dumps(body).encode(),
-        answers.prompt_digest(prompt),
+        generated_text.prompt_digest(prompt),
         prompt,
         TOKENS[kind],
         bool(marker),
--- a/redwingvalve/standins/completions.py
+++ b/redwingvalve/standins/completions.py
@@ -1,18 +1,18 @@
-"""The OpenAI-compatible shapes of an engine's answers."""
+"""OpenAI-compatible requests and responses of a fake engine."""
 
 import json
 import typing
 
 import attrs
 
-from redwingvalve.standins import answers
+from redwingvalve.standins import generated_text
 
 DONE = b'data: [DONE]\n\n'
 
 
 @attrs.frozen
 class CompletionRequest:
-    """What an engine needs of a request; resumed tokens were delivered."""
+    """A parsed request; resumed counts tokens that were delivered before."""
 
     request_id: str
     prompt: str
@@ -26,14 +26,14 @@
 def parse_request(
     path: str, request_id: str, body: dict[str, typing.Any]
 ) -> CompletionRequest:
-    """Return the request in a JSON body; ValueError when malformed."""
-    max_tokens = int(body.get('max_tokens', answers.DEFAULT_MAX_TOKENS))
+    """Parse a JSON body; ValueError if it is malformed."""
+    max_tokens = int(body.get('max_tokens', generated_text.DEFAULT_MAX_TOKENS))
     if max_tokens < 1:
-        raise ValueError('max_tokens is at least 1')
+        raise ValueError('max_tokens must be at least 1')
     resume = body.get('resume') or {}
     return CompletionRequest(
         request_id=request_id,
-        prompt=answers.prompt_text(body),
+        prompt=generated_text.prompt_text(body),
         max_tokens=max_tokens,
         priority=int(body.get('priority', 0)),
         stream=bool(body.get('stream', False)),
@@ -43,20 +43,20 @@
 
 
 @attrs.frozen
-class Shapes:
-    """Builds the chunks and the whole answer of one request."""
+class ResponseBuilder:
+    """Builds the stream chunks or the full response of a request."""
 
     request: CompletionRequest
     model: str
 
     @property
-    def answer_id(self) -> str:
-        """Return the id that names the request on every chunk."""
+    def completion_id(self) -> str:
+        """Return the completion id, which every chunk carries."""
         prefix = 'chatcmpl' if self.request.chat else 'cmpl'
         return f'{prefix}-{self.request.request_id}'
 
     def chunk(self, text: str, *, last: bool) -> bytes:
-        """Return one SSE event with one token."""
+        """Return an SSE event with the text of one token."""
         choice: dict[str, typing.Any] = {
             'index': 0,
             'finish_reason': 'length' if last else None,
@@ -68,13 +68,13 @@
         return f'data: {json.dumps(self._body(choice, "chunk"))}\n\n'.encode()
 
     def whole(self, text: str) -> dict[str, typing.Any]:
-        """Return the whole answer."""
+        """Return the body of a non-streamed response."""
         choice: dict[str, typing.Any] = {'index': 0, 'finish_reason': 'length'}
         if self.request.chat:
             choice['message'] = {'role': 'assistant', 'content': text}
         else:
             choice['text'] = text
-        prompt_tokens = answers.count_prompt_tokens(self.request.prompt)
+        prompt_tokens = generated_text.count_prompt_tokens(self.request.prompt)
         usage = {
             'prompt_tokens': prompt_tokens,
             'completion_tokens': self.request.max_tokens,
@@ -89,7 +89,7 @@
         if suffix and self.request.chat:
             kind = f'{kind}.{suffix}'
         return {
-            'id': self.answer_id,
+            'id': self.completion_id,
             'object': kind,
             'model': self.model,
             'choices': [choice],
