--- a/redwingvalve/evidence/table.py
+++ b/redwingvalve/evidence/table.py
@@ -1,15 +1,15 @@
-"""The evidence table: which VM was seen when, in which replica and epoch.
-
-Load pattern: 9,600 VMs seen about once a second each, by a few entries, with
-findings that arrive late, twice or not at all. Without ageing, an entry that
-is cut off would go on sending to a replica that lost a VM long ago.
-
-Pure: times are arguments. Evidence needs no message to end; it is worth
-nothing MAX_AGE_S after the VM was seen. Grounds: new work must stop within
-3 s of a VM's loss. An age counts from the start of the probe and includes all
-time on the way, also while a process is paused, so that the bound holds
-whatever the rate of probes; half a second is left for a request that was
-decided on just before. Design note 0012 derives it.
+"""The evidence table: when each VM was seen, in which replica and epoch.
+
+Load pattern: 9,600 VMs, each seen about once a second by a few entries, with
+reports that arrive late, twice or not at all. Without a maximum age, an
+isolated entry would keep sending to a replica that lost a VM long ago.
+
+Pure: times are arguments. Evidence expires without any message, MAX_AGE_S
+after the VM was seen, because new work must stop within 3 s of a VM's loss.
+The age counts from the start of the probe and includes the whole delivery
+delay, also while a process is paused, so the limit holds at any probe rate.
+Half a second is left for a request that was decided on just before. Design
+note 0012 derives the limit.
 """
 
 import math
@@ -21,13 +21,13 @@
 from redwingvalve.platform_api import engine_orders
 
 MAX_AGE_S = 2.5
-# What the request path reported counts until a newer probe says otherwise.
-FORGET_AFTER_S = 60.0
+# A failure on the request path counts until a later probe succeeds.
+RETENTION_S = 60.0
 
 
 @attrs.frozen
-class Seen:
-    """One VM, seen ready in a replica's epoch at seen_s."""
+class Observation:
+    """A VM seen ready in an epoch of a replica at seen_s."""
 
     vm: str
     replica: str
@@ -37,46 +37,51 @@
 
 
 class EvidenceTable:
-    """The newest sighting and the newest failure of each VM."""
+    """The latest observation and the latest failure of each VM."""
 
     def __init__(self) -> None:
-        """Know nothing."""
-        self._seen: dict[str, Seen] = {}
+        """Start empty."""
+        self._observations: dict[str, Observation] = {}
         self._failed_s: dict[str, float] = {}
 
-    def record(self, seen: Seen) -> None:
-        """Take a sighting unless a newer one is known."""
-        before = self._seen.get(seen.vm)
-        if before is None or before.seen_s < seen.seen_s:
-            self._seen[seen.vm] = seen
+    def record(self, observation: Observation) -> None:
+        """Store an observation unless a newer one is known."""
+        before = self._observations.get(observation.vm)
+        if before is None or before.seen_s < observation.seen_s:
+            self._observations[observation.vm] = observation
 
     def record_failure(self, vm: str, failed_s: float) -> None:
-        """Count a failure: only a sighting after failed_s is believed."""
+        """Record a failure, which voids observations up to failed_s."""
         self._failed_s[vm] = max(failed_s, self._failed_s.get(vm, failed_s))
 
-    def fresh(self, vm: str, now_s: float) -> Seen | None:
-        """Return the sighting that still counts, if there is one."""
-        seen = self._seen.get(vm)
-        if seen is None or now_s - seen.seen_s > MAX_AGE_S:
+    def fresh(self, vm: str, now_s: float) -> Observation | None:
+        """Return the observation that is still valid, or None."""
+        observation = self._observations.get(vm)
+        if observation is None or now_s - observation.seen_s > MAX_AGE_S:
             return None
         failed_s = self._failed_s.get(vm)
-        if failed_s is not None and failed_s >= seen.seen_s:
+        if failed_s is not None and failed_s >= observation.seen_s:
             return None
-        return seen
+        return observation
 
     def shows(self, vm: str, replica: str, epoch: int, now_s: float) -> bool:
-        """Tell whether a VM is there in this epoch of the replica."""
-        seen = self.fresh(vm, now_s)
-        return seen is not None and (seen.replica, seen.epoch) == (
+        """Return whether a VM is ready in this epoch of the replica."""
+        observation = self.fresh(vm, now_s)
+        return observation is not None and (
+            observation.replica,
+            observation.epoch,
+        ) == (
             replica,
             epoch,
         )
 
-    def forget_old(self, now_s: float) -> None:
-        """Drop what no longer counts."""
-        limit_s = now_s - FORGET_AFTER_S
-        self._seen = {
-            vm: seen for vm, seen in self._seen.items() if seen.seen_s > limit_s
+    def drop_expired(self, now_s: float) -> None:
+        """Remove observations and failures older than RETENTION_S."""
+        limit_s = now_s - RETENTION_S
+        self._observations = {
+            vm: observation
+            for vm, observation in self._observations.items()
+            if observation.seen_s > limit_s
         }
         self._failed_s = {
             vm: failed_s
@@ -85,11 +90,13 @@
         }
 
 
-def seen_from(state: engine_orders.EngineState, seen_s: float) -> Seen | None:
-    """Return the sighting that a state is; one not ready shows nothing."""
+def observation_from(
+    state: engine_orders.EngineState, seen_s: float
+) -> Observation | None:
+    """Return the observation in a state, or None if it isn't ready."""
     if not state.ready or not state.replica:
         return None
-    return Seen(
+    return Observation(
         vm=state.vm,
         replica=state.replica,
         epoch=state.epoch,
@@ -98,15 +105,15 @@
     )
 
 
-def attested_from(
+def attested_observations(
     state: engine_orders.EngineState,
     replica: snapshot.Replica,
     seen_s: float,
-) -> collections_abc.Iterator[Seen]:
-    """Yield sightings of members that a replica's head vouches for.
+) -> collections_abc.Iterator[Observation]:
+    """Yield observations of members that a replica's head attests.
 
-    Believed of the head that the configuration names, in its epoch, and of
-    this replica's own members only.
+    Accepted only from the head in the configuration, in its epoch, and for
+    members of this replica.
     """
     named = (replica.members[0].vm, replica.name, replica.epoch)
     if not state.ready or (state.vm, state.replica, state.epoch) != named:
@@ -114,7 +121,7 @@
     others = {member.vm for member in replica.members[1:]}
     for member in state.members_seen:
         if member.vm in others and 0 <= member.age_s < math.inf:
-            yield Seen(
+            yield Observation(
                 vm=member.vm,
                 replica=replica.name,
                 epoch=replica.epoch,
