--- a/redwingvalve/at_most_once/tests/test_thrift_peers.py
+++ b/redwingvalve/at_most_once/tests/test_thrift_peers.py
@@ -27,7 +27,7 @@
         handler = handlers.make_peer_handler()
         voter_handler = thrift_peers.VoterHandler(local_voter)
         handler.key_claim_handler = voter_handler
-        handler.key_memory_handler = voter_handler
+        handler.key_record_handler = voter_handler
         peer_server = server.make_peer_server(handler)
         await peer_server.start('127.0.0.1', 0)
         caller = rpc.make_peer_caller(timers)
--- a/redwingvalve/at_most_once/thrift_peers.py
+++ b/redwingvalve/at_most_once/thrift_peers.py
@@ -83,7 +83,7 @@
         return Ok(called.ok)
 
 
-class VoterHandler(handlers.KeyClaimHandler, handlers.KeyMemoryHandler):
+class VoterHandler(handlers.KeyClaimHandler, handlers.KeyRecordHandler):
     """Handles calls of other voters with the local voter."""
 
     def __init__(self, local_voter: voter.Voter) -> None:
--- a/redwingvalve/control/tests/test_moves.py
+++ b/redwingvalve/control/tests/test_moves.py
@@ -202,7 +202,7 @@
         for turn in range(MAX_STEPS):
             if harness.all_current():
                 break
-            harness.store.faults.lose_answers = 1
+            harness.store.faults.responses_to_drop = 1
             for _ in range(10):
                 await harness.run(5, loops[turn % 2])
                 assert harness.serving_on_engines() >= 5
--- a/redwingvalve/entry/account_limiter.py
+++ b/redwingvalve/entry/account_limiter.py
@@ -67,13 +67,13 @@
 
     def check_request(
         self, account: schema.ClientAccount
-    ) -> outcomes.ErrorAnswer | None:
+    ) -> outcomes.ErrorResponse | None:
         """Count one request, or return the refusal if over the limit."""
         return self._check(REQUESTS_KEY, account, 1.0)
 
     def check_tokens(
         self, account: schema.ClientAccount, estimated_tokens: float
-    ) -> outcomes.ErrorAnswer | None:
+    ) -> outcomes.ErrorResponse | None:
         """Count estimated tokens, or return the refusal if over the limit."""
         return self._check(TOKENS_KEY, account, estimated_tokens)
 
@@ -85,12 +85,12 @@
 
     def _check(
         self, key: str, account: schema.ClientAccount, amount: float
-    ) -> outcomes.ErrorAnswer | None:
+    ) -> outcomes.ErrorResponse | None:
         now_s = self._clock.monotonic_s()
         wait_s = self._limits[key].ask(account.name, amount, now_s)
         if wait_s <= 0:
             return None
-        return outcomes.ErrorAnswer(
+        return outcomes.ErrorResponse(
             status=429,
             code='account-limit',
             message=f'account {account.name} exceeds its {key} per second',
--- a/redwingvalve/entry/accounts.py
+++ b/redwingvalve/entry/accounts.py
@@ -24,7 +24,7 @@
 
     def authenticate(
         self, head: caller_request.RequestHead
-    ) -> Result[schema.ClientAccount, outcomes.ErrorAnswer]:
+    ) -> Result[schema.ClientAccount, outcomes.ErrorResponse]:
         """Return the account of the credential, or the refusal."""
         current = self._source.current()
         if current.version != self._version:
@@ -55,7 +55,7 @@
     account: schema.ClientAccount,
     deployment: schema.ModelDeployment,
     head: caller_request.RequestHead,
-) -> outcomes.ErrorAnswer | None:
+) -> outcomes.ErrorResponse | None:
     """Return the refusal if the account may not use the deployment."""
     if not account.deployments or deployment.name in account.deployments:
         return None
@@ -69,8 +69,8 @@
 
 def _refusal(
     status: int, code: str, message: str, head: caller_request.RequestHead
-) -> outcomes.ErrorAnswer:
-    return outcomes.ErrorAnswer(
+) -> outcomes.ErrorResponse:
+    return outcomes.ErrorResponse(
         status=status,
         code=code,
         message=message,
--- a/redwingvalve/entry/admission_queues.py
+++ b/redwingvalve/entry/admission_queues.py
@@ -78,7 +78,9 @@
     @contextlib.asynccontextmanager
     async def admit(
         self, name: str, usable: messages.Capacity, request: AdmissionRequest
-    ) -> collections_abc.AsyncIterator[Result[Admission, outcomes.ErrorAnswer]]:
+    ) -> collections_abc.AsyncIterator[
+        Result[Admission, outcomes.ErrorResponse]
+    ]:
         """Wait for admission to a deployment or service by its name.
 
         Leaving the block frees the capacity. usable is the capacity that this
@@ -219,8 +221,8 @@
     )
 
 
-def _refusal(refused: messages.RefusedNow) -> outcomes.ErrorAnswer:
-    return outcomes.ErrorAnswer(
+def _refusal(refused: messages.RefusedNow) -> outcomes.ErrorResponse:
+    return outcomes.ErrorResponse(
         status=429 if refused.reason != 'no-capacity' else 503,
         code=refused.reason.value,
         message='the request could not be served in time',
--- a/redwingvalve/entry/app.py
+++ b/redwingvalve/entry/app.py
@@ -127,7 +127,7 @@
             },
         )
         try:
-            with invariants.breaches_alone():
+            with invariants.unwrap_breaches():
                 await self._serve(head, receive, writer, span)
         except caller_request.CallerDisconnectedError:
             span.add_event('caller gone')
@@ -167,7 +167,7 @@
             await writer.send_error(read.error)
             return
         routed = self._route(head, authenticated.ok, read.ok)
-        if isinstance(routed, outcomes.ErrorAnswer):
+        if isinstance(routed, outcomes.ErrorResponse):
             await writer.send_error(routed)
             return
         async with anyio.create_task_group() as group:
@@ -215,7 +215,7 @@
         head: caller_request.RequestHead,
         account: schema.ClientAccount,
         body: bytes,
-    ) -> 'RoutedRequest | outcomes.ErrorAnswer':
+    ) -> 'RoutedRequest | outcomes.ErrorResponse':
         current = self._dependencies.source.current()
         if head.path in model_request.PROMPT_FIELDS and head.method == 'POST':
             read = model_request.read_model_request(
@@ -231,7 +231,7 @@
             )
         service = services.find_service(head.path, current.services)
         if service is None:
-            return outcomes.ErrorAnswer(
+            return outcomes.ErrorResponse(
                 status=404,
                 code='unknown-path',
                 message=f'no route for {head.method} {head.path}',
@@ -328,9 +328,9 @@
     )
 
 
-def _internal_error(outcome: outcomes.Outcome) -> outcomes.ErrorAnswer:
+def _internal_error(outcome: outcomes.Outcome) -> outcomes.ErrorResponse:
     """Return the error for a request that failed inside the entry."""
-    return outcomes.ErrorAnswer(
+    return outcomes.ErrorResponse(
         status=500,
         code='internal',
         message='internal error in the entry; see its log',
@@ -338,8 +338,8 @@
     )
 
 
-def _keys_unavailable() -> outcomes.ErrorAnswer:
-    return outcomes.ErrorAnswer(
+def _keys_unavailable() -> outcomes.ErrorResponse:
+    return outcomes.ErrorResponse(
         status=503,
         code='no-request-keys',
         message='this entry does not issue request keys',
--- a/redwingvalve/entry/caller_request.py
+++ b/redwingvalve/entry/caller_request.py
@@ -54,7 +54,7 @@
 
 def read_head(
     scope: Scope, settings: settings_schema.RequestSettings, now_s: float
-) -> Result[RequestHead, outcomes.ErrorAnswer]:
+) -> Result[RequestHead, outcomes.ErrorResponse]:
     """Read and validate the request line and headers."""
     headers = {
         name.decode('latin1').lower(): text.decode('latin1')
@@ -84,7 +84,7 @@
     receive: Receive,
     head: RequestHead,
     max_body_bytes: int,
-) -> Result[bytes, outcomes.ErrorAnswer]:
+) -> Result[bytes, outcomes.ErrorResponse]:
     """Read the body up to max_body_bytes.
 
     Raises CallerDisconnectedError if the caller disconnects.
@@ -109,7 +109,7 @@
 
 def parse_json_object(
     body: bytes, request_id: str
-) -> Result[dict[str, typing.Any], outcomes.ErrorAnswer]:
+) -> Result[dict[str, typing.Any], outcomes.ErrorResponse]:
     """Parse a body that must be a JSON object; errors give the position."""
     try:
         parsed = json.loads(body)
@@ -123,9 +123,9 @@
     return Ok(parsed)
 
 
-def malformed(message: str, request_id: str) -> outcomes.ErrorAnswer:
+def malformed(message: str, request_id: str) -> outcomes.ErrorResponse:
     """Return the error for an invalid request."""
-    return outcomes.ErrorAnswer(
+    return outcomes.ErrorResponse(
         status=400,
         code='malformed-request',
         message=message,
@@ -136,8 +136,8 @@
 
 def _body_too_large(
     max_body_bytes: int, request_id: str
-) -> outcomes.ErrorAnswer:
-    return outcomes.ErrorAnswer(
+) -> outcomes.ErrorResponse:
+    return outcomes.ErrorResponse(
         status=413,
         code='body-too-large',
         message=f'request body exceeds {max_body_bytes} bytes',
--- a/redwingvalve/entry/dependencies.py
+++ b/redwingvalve/entry/dependencies.py
@@ -36,13 +36,13 @@
     key_claims: claims.KeyClaims | None = None
 
 
-def grant_expired() -> outcomes.ErrorAnswer:
+def grant_expired() -> outcomes.ErrorResponse:
     """Return the error for a request whose grant to send has expired.
 
     The voters may forget its claim before an attempt this late arrives, so
     nothing was sent under it.
     """
-    return outcomes.ErrorAnswer(
+    return outcomes.ErrorResponse(
         status=503,
         code='request-key-expired',
         message='the grant for this key expired; retry with the same key',
--- a/redwingvalve/entry/model_request.py
+++ b/redwingvalve/entry/model_request.py
@@ -49,7 +49,7 @@
     account: schema.ClientAccount,
     body: bytes,
     current: snapshot.Snapshot,
-) -> Result[ModelRequest, outcomes.ErrorAnswer]:
+) -> Result[ModelRequest, outcomes.ErrorResponse]:
     """Validate the body and find the requested deployment."""
     parsed = caller_request.parse_json_object(body, head.request_id)
     if parsed.is_error():
@@ -63,7 +63,7 @@
     deployment = _find_deployment(fields['model'], current)
     if deployment is None:
         return Error(
-            outcomes.ErrorAnswer(
+            outcomes.ErrorResponse(
                 status=404,
                 code='unknown-model',
                 message=f'unknown model {fields["model"]!r}',
--- a/redwingvalve/entry/relay.py
+++ b/redwingvalve/entry/relay.py
@@ -96,7 +96,7 @@
                 and delivered_events.is_resumable(request.fields)
             ),
         )
-        refusal: outcomes.ErrorAnswer | None = None
+        refusal: outcomes.ErrorResponse | None = None
         scope = anyio.move_on_after(max(remaining_s, 0))
         with scope:
             refusal = await self._process(progress, may_send)
@@ -112,7 +112,7 @@
         self,
         progress: model_attempts.RequestProgress,
         may_send: dependencies.MaySend | None,
-    ) -> outcomes.ErrorAnswer | None:
+    ) -> outcomes.ErrorResponse | None:
         """Relay the request; return the error if it can't be completed."""
         digest = self._suspects.digest(progress.request)
         refusal = self._suspects.refusal(digest)
@@ -141,7 +141,7 @@
         progress: model_attempts.RequestProgress,
         digest: bytes,
         may_send: dependencies.MaySend | None,
-    ) -> outcomes.ErrorAnswer | None:
+    ) -> outcomes.ErrorResponse | None:
         serving = self.selector.serving(progress.request.deployment.name)
         job_id = self._sender.next_identity(progress.request).endpoint_id
         deployment = progress.request.deployment
@@ -167,8 +167,8 @@
         progress: model_attempts.RequestProgress,
         digest: bytes,
         may_send: dependencies.MaySend | None,
-    ) -> outcomes.ErrorAnswer | None:
-        refusal: outcomes.ErrorAnswer | None = None
+    ) -> outcomes.ErrorResponse | None:
+        refusal: outcomes.ErrorResponse | None = None
         tried: set[str] = set()
         failure: model_attempts.AttemptFailure | None = None
         while refusal is None:
@@ -357,7 +357,7 @@
         progress: model_attempts.RequestProgress,
         failure: model_attempts.AttemptFailure,
         digest: bytes,
-    ) -> outcomes.ErrorAnswer | None:
+    ) -> outcomes.ErrorResponse | None:
         """Prepare the next attempt, or return the error of the request."""
         if not failure.retriable:
             return relay_refusals.refused_by_endpoint(failure, progress)
--- a/redwingvalve/entry/relay_refusals.py
+++ b/redwingvalve/entry/relay_refusals.py
@@ -9,11 +9,11 @@
 def no_replica(
     progress: model_attempts.RequestProgress,
     failure: model_attempts.AttemptFailure | None,
-) -> outcomes.ErrorAnswer:
+) -> outcomes.ErrorResponse:
     """Return the error if no replica is left to send to."""
     if failure is not None:
         return failed(failure, progress.writer.outcome)
-    return outcomes.ErrorAnswer(
+    return outcomes.ErrorResponse(
         status=503,
         code='no-replica',
         message='no replica is available for this model',
@@ -25,9 +25,9 @@
 def refused_by_endpoint(
     failure: model_attempts.AttemptFailure,
     progress: model_attempts.RequestProgress,
-) -> outcomes.ErrorAnswer:
+) -> outcomes.ErrorResponse:
     """Return an endpoint's refusal with its own status."""
-    return outcomes.ErrorAnswer(
+    return outcomes.ErrorResponse(
         status=failure.status,
         code='endpoint-refused',
         message=failure.message,
@@ -37,9 +37,9 @@
 
 def failed(
     failure: model_attempts.AttemptFailure, outcome: outcomes.Outcome
-) -> outcomes.ErrorAnswer:
+) -> outcomes.ErrorResponse:
     """Return the error of a request whose last attempt failed."""
-    return outcomes.ErrorAnswer(
+    return outcomes.ErrorResponse(
         status=502,
         code='endpoint-failed',
         message=failure.message,
@@ -48,9 +48,9 @@
     )
 
 
-def deadline_passed(outcome: outcomes.Outcome) -> outcomes.ErrorAnswer:
+def deadline_passed(outcome: outcomes.Outcome) -> outcomes.ErrorResponse:
     """Return the error of a request that was not complete by its deadline."""
-    return outcomes.ErrorAnswer(
+    return outcomes.ErrorResponse(
         status=504,
         code='deadline-exceeded',
         message='the deadline passed before the response was complete',
--- a/redwingvalve/entry/request_keys.py
+++ b/redwingvalve/entry/request_keys.py
@@ -38,7 +38,7 @@
         head: caller_request.RequestHead,
         account: schema.ClientAccount,
         body: bytes,
-    ) -> Result['claims.Grant | None', outcomes.ErrorAnswer]:
+    ) -> Result['claims.Grant | None', outcomes.ErrorResponse]:
         """Return the grant to send; None for a request without any key.
 
         A request without a key can't be recognized if it is sent again.
@@ -96,16 +96,16 @@
 
 def _refusal(
     refused: claims.ClaimRefused, head: caller_request.RequestHead
-) -> outcomes.ErrorAnswer:
+) -> outcomes.ErrorResponse:
     if refused.duplicate:
-        return outcomes.ErrorAnswer(
+        return outcomes.ErrorResponse(
             status=409,
             code='duplicate-request',
             message=refused.reason,
             outcome=refused.outcome,
             request_id=head.request_id,
         )
-    return outcomes.ErrorAnswer(
+    return outcomes.ErrorResponse(
         status=503,
         code='request-key-undecided',
         message='this request was not run, but an earlier one with this key '
--- a/redwingvalve/entry/response_writer.py
+++ b/redwingvalve/entry/response_writer.py
@@ -96,7 +96,7 @@
         body = json.dumps(parsed).encode()
         await self.send_response(status, JSON_TYPE, body, outcome)
 
-    async def send_error(self, answer: outcomes.ErrorAnswer) -> None:
+    async def send_error(self, answer: outcomes.ErrorResponse) -> None:
         """Send an error, as an event if the stream has already started.
 
         The status of a started stream can't be changed. The error is sent as a
--- a/redwingvalve/entry/service_admission.py
+++ b/redwingvalve/entry/service_admission.py
@@ -12,7 +12,7 @@
 from redwingvalve.entry import admission_queues, caller_request
 from redwingvalve.membership import members
 
-AdmissionResult = Result[admission_queues.Admission, outcomes.ErrorAnswer]
+AdmissionResult = Result[admission_queues.Admission, outcomes.ErrorResponse]
 
 
 class ServiceAdmission:
--- a/redwingvalve/entry/service_suspects.py
+++ b/redwingvalve/entry/service_suspects.py
@@ -36,7 +36,7 @@
         self._digest = digest
         self._addresses = addresses
 
-    def refusal(self) -> outcomes.ErrorAnswer | None:
+    def refusal(self) -> outcomes.ErrorResponse | None:
         """Return the error if the request must not be run."""
         return self._tracker.refusal(self._digest, self._addresses)
 
@@ -63,7 +63,7 @@
 
     def refusal_after_failure(
         self, outcome: outcomes.Outcome
-    ) -> outcomes.ErrorAnswer | None:
+    ) -> outcomes.ErrorResponse | None:
         """Return the error if it must not be retried, with outcome."""
         refusal = self._tracker.refusal_after_failure(self._digest)
         return refusal and attrs.evolve(refusal, outcome=outcome)
--- a/redwingvalve/entry/services.py
+++ b/redwingvalve/entry/services.py
@@ -142,7 +142,7 @@
         writer: response_writer.ResponseWriter,
         span: trace.Span,
         may_send: dependencies.MaySend,
-    ) -> outcomes.ErrorAnswer | None:
+    ) -> outcomes.ErrorResponse | None:
         # Checked after admission: the request may have become suspect while it
         # waited.
         with contextlib.closing(self._track(request)) as tracked_call:
@@ -157,7 +157,7 @@
         span: trace.Span,
         may_send: dependencies.MaySend,
         tracked_call: service_suspects.TrackedCall,
-    ) -> outcomes.ErrorAnswer | None:
+    ) -> outcomes.ErrorResponse | None:
         tried: set[str] = set()
         refusal = _service_busy()
         address = self._choose(request.service, tried, tracked_call)
@@ -346,8 +346,8 @@
     return True
 
 
-def _service_busy() -> outcomes.ErrorAnswer:
-    return outcomes.ErrorAnswer(
+def _service_busy() -> outcomes.ErrorResponse:
+    return outcomes.ErrorResponse(
         status=503,
         code='service-busy',
         message='all addresses of the service are busy',
@@ -357,12 +357,12 @@
 
 
 def _failed(
-    failure: upstream.UpstreamError, previous: outcomes.ErrorAnswer
-) -> outcomes.ErrorAnswer:
+    failure: upstream.UpstreamError, previous: outcomes.ErrorResponse
+) -> outcomes.ErrorResponse:
     outcome = previous.outcome
     if not failure.not_sent:
         outcome = outcomes.Outcome.UNKNOWN
-    return outcomes.ErrorAnswer(
+    return outcomes.ErrorResponse(
         status=502,
         code='service-failed',
         message=str(failure),
--- a/redwingvalve/entry/suspects.py
+++ b/redwingvalve/entry/suspects.py
@@ -62,7 +62,7 @@
 
     def refusal(
         self, digest: bytes, addresses: collections_abc.Collection[str] = ()
-    ) -> outcomes.ErrorAnswer | None:
+    ) -> outcomes.ErrorResponse | None:
         """Return the error if a new request must not be run here.
 
         Pass addresses if there are only a few endpoints: most entries then own
@@ -86,7 +86,7 @@
 
     def refusal_after_failure(
         self, digest: bytes
-    ) -> outcomes.ErrorAnswer | None:
+    ) -> outcomes.ErrorResponse | None:
         """Return the error if a failed request must not be retried here."""
         self._merge_news()
         now_s = self._clock.monotonic_s()
@@ -193,8 +193,8 @@
             )
 
 
-def _poison_refusal(outcome: outcomes.Outcome) -> outcomes.ErrorAnswer:
-    return outcomes.ErrorAnswer(
+def _poison_refusal(outcome: outcomes.Outcome) -> outcomes.ErrorResponse:
+    return outcomes.ErrorResponse(
         status=422,
         code='poison-request',
         message='endpoints crashed twice while running this request',
@@ -204,8 +204,8 @@
 
 def _suspect_refusal(
     where: str, outcome: outcomes.Outcome
-) -> outcomes.ErrorAnswer:
-    return outcomes.ErrorAnswer(
+) -> outcomes.ErrorResponse:
+    return outcomes.ErrorResponse(
         status=503,
         code='suspect-request',
         message='a request with the same content may have crashed an '
--- a/redwingvalve/entry/uvicorn_protocol.py
+++ b/redwingvalve/entry/uvicorn_protocol.py
@@ -140,7 +140,7 @@
 
 
 def _error_response(status: int, code: str, message: str) -> bytes:
-    error = outcomes.ErrorAnswer(
+    error = outcomes.ErrorResponse(
         status=status,
         code=code,
         message=message,
--- a/redwingvalve/membership/gossip.py
+++ b/redwingvalve/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Membership over the network: the loops, and the face to other slices."""
+"""Membership over the network: its background loops and its interface."""
 
 import random
 from collections import abc as collections_abc
@@ -20,14 +20,14 @@
 from redwingvalve.wire import handlers, messages, rpc
 
 Address = tuple[str, int]
-# Receivers of an urgent exchange; each passes it on to as many.
-EAGER_FANOUT = 3
+# Receivers of an urgent exchange; each forwards to as many again.
+URGENT_FANOUT = 3
 DEPART_FANOUT = 5
-TICK_S = 0.25
+TICK_INTERVAL_S = 0.25
 
 
 class GossipMembers(members.Members, handlers.GossipHandler):
-    """Members kept by exchanges with peers."""
+    """The member list, kept current by gossip with peers."""
 
     def __init__(
         self,
@@ -35,75 +35,78 @@
         caller: rpc.PeerCaller,
         timers: clock.Clock,
         contacts: tuple[Address, ...],
-        randomness: random.Random,
+        rng: random.Random,
     ) -> None:
-        """Start from contacts; others are learned."""
+        """Start from the contacts; other members are discovered."""
         self.table = member_table
-        self.talks = exchange_transport.Conversations(
+        self.transport = exchange_transport.ExchangeTransport(
             member_table, caller, timers
         )
-        self.choice = peers.PeerChoice(member_table, contacts, randomness)
+        self.selector = peers.PeerSelector(member_table, contacts, rng)
         self._prober = probing.Prober(
-            member_table, self.talks, self.choice, caller, timers
+            member_table, self.transport, self.selector, caller, timers
         )
         self._clock = timers
-        self._randomness = randomness
+        self._rng = rng
         self._urgent = anyio.Event()
-        self._pace = urgency.make_urgent_pace(member_table.bounds)
+        self._backoff = urgency.make_urgent_backoff(member_table.bounds)
 
-    # Members as other slices see them.
+    # Interface of members.Members.
 
     def local_member(self) -> members.Member:
         """Return this process."""
         return self.table.own.member()
 
     def known(self) -> tuple[members.Member, ...]:
-        """Return every member that is not forgotten."""
+        """Return every member, dead ones included until they are removed."""
         return self.table.known(self._clock.monotonic_s())
 
     def isolated(self) -> bool:
-        """Tell whether this process is cut off or replaced."""
+        """Return whether this process is cut off or superseded."""
         return self.table.isolated(self._clock.monotonic_s())
 
     def leave(self) -> None:
-        """Take no new work from now on; the others hear within a second."""
+        """Announce that this process takes no new work.
+
+        The other members learn of it within a second.
+        """
         self.table.own.leave()
         self.trigger_urgent_round()
 
-    # For slices that ride on exchanges.
+    # For delegates, which add their data to exchanges.
 
-    def add_delegate(self, rider: delegates.ExchangeDelegate) -> None:
-        """Put another slice's part on each exchange."""
-        self.talks.exchanges.parts.append(rider)
+    def add_delegate(self, delegate: delegates.ExchangeDelegate) -> None:
+        """Let a delegate add its data to each exchange."""
+        self.transport.exchanges.registered_delegates.append(delegate)
 
     def trigger_urgent_round(self) -> None:
-        """Pass on what is new without waiting for the next round."""
+        """Send pending changes without waiting for the next round."""
         self._urgent.set()
 
     def confirm_connectivity(self) -> None:
-        """Note that the store has answered: this process is not cut off."""
-        self.table.heard_network(self._clock.monotonic_s())
+        """Record that the store answered, so this process is not cut off."""
+        self.table.record_connectivity(self._clock.monotonic_s())
 
-    # Calls from peers.
+    # Handlers of calls from peers.
 
     async def exchange(self, packed: bytes) -> bytes:
-        """Take an exchange and answer it."""
-        answer = await self.talks.answer(packed)
-        self._pass_on()
+        """Process an exchange and return the reply."""
+        answer = await self.transport.answer(packed)
+        self._trigger_if_changed()
         return answer
 
     async def probe(self, request: messages.peer.ProbeRequest) -> bool:
-        """Try a member that the asker can't reach."""
+        """Probe a member that the caller can't reach."""
         return await self._prober.probe_for(request)
 
-    # Loops.
+    # Background loops.
 
     async def join(self) -> None:
-        """Exchange with the first contact that answers, if any does."""
-        for address in self.choice.contacts():
-            if await self.talks.with_address(address) is None:
+        """Exchange with contacts in order until one answers."""
+        for address in self.selector.contacts():
+            if await self.transport.exchange_with_address(address) is None:
                 break
-        self.table.own.joined()
+        self.table.own.mark_joined()
 
     async def run(self) -> None:
         """Exchange with peers until cancelled."""
@@ -115,18 +118,21 @@
                 self._every, bounds.round_s, self._start_round, group
             )
             group.start_soon(
-                self._every, bounds.foreign_interval_s, self._go_abroad, group
+                self._every,
+                bounds.remote_interval_s,
+                self._start_remote_round,
+                group,
             )
             group.start_soon(
-                self._every, bounds.reconnect_interval_s, self._recall, group
+                self._every, bounds.reconnect_interval_s, self._reconnect, group
             )
 
     async def depart(self) -> None:
-        """Tell some peers that this process ends now."""
+        """Announce to some peers that this process is stopping."""
         self.table.own.depart()
         async with anyio.create_task_group() as group:
-            for member in self.choice.sample(DEPART_FANOUT):
-                group.start_soon(self.talks.with_member, member)
+            for member in self.selector.sample(DEPART_FANOUT):
+                group.start_soon(self.transport.exchange_with, member)
 
     async def _every(
         self,
@@ -136,46 +142,45 @@
     ) -> None:
         while True:
             action(group)
-            # Jitter keeps processes that started together out of step.
-            await self._clock.sleep(
-                interval_s * self._randomness.uniform(0.8, 1.2)
-            )
+            # Jitter keeps processes that started together from
+            # synchronizing.
+            await self._clock.sleep(interval_s * self._rng.uniform(0.8, 1.2))
 
     def _start_round(self, group: anyio_abc.TaskGroup) -> None:
-        member = self.choice.next()
+        member = self.selector.next()
         if member is not None:
-            group.start_soon(self._prober.meet, member)
+            group.start_soon(self._prober.check_member, member)
 
-    def _go_abroad(self, group: anyio_abc.TaskGroup) -> None:
-        member = self.choice.abroad()
+    def _start_remote_round(self, group: anyio_abc.TaskGroup) -> None:
+        member = self.selector.remote()
         if member is not None:
-            group.start_soon(self._prober.meet, member)
+            group.start_soon(self._prober.check_member, member)
 
-    def _recall(self, group: anyio_abc.TaskGroup) -> None:
-        address = self.choice.unmet_contact()
+    def _reconnect(self, group: anyio_abc.TaskGroup) -> None:
+        address = self.selector.unknown_contact()
         if address is not None:
-            group.start_soon(self.talks.with_address, address)
-        member = self.choice.dead()
+            group.start_soon(self.transport.exchange_with_address, address)
+        member = self.selector.dead()
         if member is not None:
-            group.start_soon(self.talks.with_member, member)
+            group.start_soon(self.transport.exchange_with, member)
 
     async def _run_ticks(self) -> None:
         while True:
             self.table.tick(self._clock.monotonic_s())
-            self._pass_on()
-            await self._clock.sleep(TICK_S)
+            self._trigger_if_changed()
+            await self._clock.sleep(TICK_INTERVAL_S)
 
     async def _run_urgent(self, group: anyio_abc.TaskGroup) -> None:
         while True:
             await self._urgent.wait()
             self._urgent = anyio.Event()
             self.table.statuses.take_changed()
-            for member in self.choice.sample(EAGER_FANOUT):
-                group.start_soon(self.talks.with_member, member)
+            for member in self.selector.sample(URGENT_FANOUT):
+                group.start_soon(self.transport.exchange_with, member)
             now_s = self._clock.monotonic_s()
-            await self._clock.sleep(self._pace.pause_s(now_s))
+            await self._clock.sleep(self._backoff.pause_s(now_s))
 
-    def _pass_on(self) -> None:
+    def _trigger_if_changed(self) -> None:
         if self.table.statuses.take_changed():
             self.trigger_urgent_round()
 
@@ -189,7 +194,7 @@
     bounds: member_bounds.MembershipBounds = member_bounds.DEFAULT_BOUNDS,
     switches: invariants.SafeguardSwitches | None = None,
 ) -> GossipMembers:
-    """Return members that know nobody yet; contacts are host:port."""
+    """Return members that know only this process; contacts are host:port."""
     member_table = table.make_member_table(
         me, timers.monotonic_s(), bounds, switches
     )
@@ -203,6 +208,6 @@
 
 
 def parse_address(contact: str) -> Address:
-    """Return host and port of host:port."""
+    """Parse an address of the form host:port."""
     host, _, port = contact.rpartition(':')
     return (host, int(port))
--- a/redwingvalve/membership/status_store.py
+++ b/redwingvalve/membership/status_store.py
@@ -1,4 +1,4 @@
-"""The newest word of each member, with what must be passed on."""
+"""The latest status of each member, with digests and pending broadcasts."""
 
 from collections import abc as collections_abc
 
@@ -13,8 +13,8 @@
 State = members.MemberState
 
 
-class WordBook:
-    """Words by name; each replacement is checked, digested and passed on."""
+class StatusStore:
+    """Statuses by member name; updates are checked, digested and broadcast."""
 
     def __init__(
         self, switches: invariants.SafeguardSwitches | None = None
@@ -22,106 +22,115 @@
         """Start empty."""
         self.revision = 0
         self._switches = switches or invariants.SafeguardSwitches()
-        self._words: dict[str, member_status.Word] = {}
-        self._rumours = broadcast_queue.RumourQueue()
+        self._statuses: dict[str, member_status.MemberStatus] = {}
+        self._broadcasts = broadcast_queue.BroadcastQueue()
         self._digests = digests.TableDigests()
         self._changed = False
 
-    def held(self) -> collections_abc.Mapping[str, member_status.Word]:
-        """Return the newest word of every member."""
-        return self._words
-
-    def get(self, name: str) -> member_status.Word | None:
-        """Return the newest word of a member."""
-        return self._words.get(name)
-
-    def accepts(self, word: member_status.Word) -> bool:
-        """Tell whether a word heard from a peer is newer than ours."""
-        held = self._words.get(word.name)
-        if held is None:
-            # Whoever is dead before we knew it is of no interest.
-            return word.state is not State.DEAD
+    def all(
+        self,
+    ) -> collections_abc.Mapping[str, member_status.MemberStatus]:
+        """Return the latest status of every member."""
+        return self._statuses
+
+    def get(self, name: str) -> member_status.MemberStatus | None:
+        """Return the latest status of a member."""
+        return self._statuses.get(name)
+
+    def accepts(self, status: member_status.MemberStatus) -> bool:
+        """Return whether a status from a peer supersedes the stored one."""
+        current = self._statuses.get(status.name)
+        if current is None:
+            # Members that were never known alive aren't added as dead.
+            return status.state is not State.DEAD
         stays = self._switches.enabled(invariants.Safeguard.LEAVING_EXCLUDED)
-        return member_status.replaces(word, held, leaving_stays=stays)
-
-    def put(self, word: member_status.Word) -> None:
-        """Replace a member's word and pass it on."""
-        held = self._words.get(word.name)
-        _require_order(word, held)
-        self._digests.replace(held, word)
-        self._words[word.name] = word
-        self._rumours.add(word.name)
+        return member_status.supersedes(status, current, leaving_is_final=stays)
+
+    def put(self, status: member_status.MemberStatus) -> None:
+        """Replace a member's status and queue it for broadcast."""
+        current = self._statuses.get(status.name)
+        _require_order(status, current)
+        self._digests.update(current, status)
+        self._statuses[status.name] = status
+        self._broadcasts.add(status.name)
         self.revision += 1
-        self._changed = self._changed or _urgent(word, held)
+        self._changed = self._changed or _urgent(status, current)
 
     def remove(self, name: str) -> None:
-        """Forget a member."""
-        self._digests.replace(self._words.pop(name, None), None)
-        self._rumours.drop(name)
+        """Remove a member."""
+        self._digests.update(self._statuses.pop(name, None), None)
+        self._broadcasts.drop(name)
         self.revision += 1
 
     def mark_urgent(self) -> None:
-        """Have what is new passed on without delay."""
+        """Request an urgent round for pending changes."""
         self._changed = True
 
     def take_changed(self) -> bool:
-        """Tell whether there is something to pass on without delay."""
+        """Return and reset whether an urgent round is needed."""
         changed = self._changed
         self._changed = False
         return changed
 
-    def take_rumours(self, receiver: str) -> list[member_status.Word]:
-        """Return the words for one message."""
-        return self._rumours.take(self._words, receiver)
+    def take_broadcasts(
+        self, receiver: str
+    ) -> list[member_status.MemberStatus]:
+        """Return the statuses to broadcast in one message."""
+        return self._broadcasts.take(self._statuses, receiver)
 
     def digest(self) -> int:
-        """Return one digest of all words."""
+        """Return a single digest of all statuses."""
         return self._digests.total()
 
     def digests(self) -> list[int]:
         """Return the digests of all buckets."""
         return self._digests.as_list()
 
-    def differing_words(
+    def differing_statuses(
         self, other_digests: list[int] | None, limit: int
-    ) -> list[member_status.Word]:
-        """Return the words of the first buckets that differ."""
+    ) -> list[member_status.MemberStatus]:
+        """Return the statuses in the first limit buckets that differ."""
         if not other_digests:
             return []
         wanted = set(self._digests.differing(other_digests)[:limit])
         return [
-            word
-            for word in self._words.values()
-            if digests.bucket_of(word.name) in wanted
+            status
+            for status in self._statuses.values()
+            if digests.bucket_of(status.name) in wanted
         ]
 
 
-def _urgent(word: member_status.Word, held: member_status.Word | None) -> bool:
-    """Tell whether a word is to be passed on without delay.
+def _urgent(
+    status: member_status.MemberStatus,
+    current: member_status.MemberStatus | None,
+) -> bool:
+    """Return whether a status has to be broadcast in an urgent round.
 
-    Doubts and their refutation are not: the suspicion time leaves room for
-    rounds, and a storm of doubts must not feed itself.
+    Suspicions and refutations don't: the suspicion time spans several regular
+    rounds, and a burst of suspicions must not amplify itself.
     """
-    if held is None or word.state in {State.LEAVING, State.DEAD}:
+    if current is None or status.state in {State.LEAVING, State.DEAD}:
         return True
-    return word.member.incarnation != held.member.incarnation
+    return status.member.incarnation != current.member.incarnation
 
 
 def _require_order(
-    word: member_status.Word, held: member_status.Word | None
+    status: member_status.MemberStatus,
+    current: member_status.MemberStatus | None,
 ) -> None:
-    if held is None:
+    if current is None:
         return
     invariants.require(
-        word.order() > held.order(),
+        status.order() > current.order(),
         'one incarnation',
-        f'{word.name} would go back from {held.order()} to {word.order()}',
+        f'{status.name} would go back'
+        f' from {current.order()} to {status.order()}',
     )
-    if word.member.incarnation > held.member.incarnation:
+    if status.member.incarnation > current.member.incarnation:
         return
     invariants.require(
-        held.state is not State.LEAVING
-        or word.state in {State.LEAVING, State.DEAD},
+        current.state is not State.LEAVING
+        or status.state in {State.LEAVING, State.DEAD},
         'leaving is final',
-        f'{word.name} would be {word.state} after leaving',
+        f'{status.name} would be {status.state} after leaving',
     )
--- a/redwingvalve/membership/tests/network.py
+++ b/redwingvalve/membership/tests/network.py
@@ -1,4 +1,4 @@
-"""Tables that exchange in virtual time over a network with faults."""
+"""Member tables that exchange in virtual time over a faulty network."""
 
 import random
 
@@ -24,7 +24,7 @@
 
 @attrs.define
 class Process:
-    """One process: its table and whom it meets next."""
+    """One simulated process: its exchanges and its peer rotation."""
 
     exchanges: exchanges.Exchanges
     rotation: gossip_targets.Rotation
@@ -36,15 +36,17 @@
 
 
 class Network:
-    """Carries packed exchanges; links may be cut in one direction."""
+    """Delivers packed exchanges; links can be cut in one direction."""
 
-    def __init__(self, seed=0, judging=bounds.DEFAULT_BOUNDS, switches=None):
+    def __init__(
+        self, seed=0, member_bounds=bounds.DEFAULT_BOUNDS, switches=None
+    ):
         self.now_s = 0.0
-        self.randomness = random.Random(seed)
+        self.rng = random.Random(seed)
         self.processes = {}
         self.cut = set()
         self.loss = 0.0
-        self.bounds = judging
+        self.bounds = member_bounds
         self.switches = switches
         self.late = []
         self.deaths = set()
@@ -57,15 +59,15 @@
                     member, self.now_s, self.bounds, self.switches
                 )
             ),
-            gossip_targets.Rotation(self.randomness),
+            gossip_targets.Rotation(self.rng),
         )
         self.processes[name] = started
         if contact is not None:
-            self.meet(name, contact)
-        started.table.own.joined()
+            self.run_exchange(name, contact)
+        started.table.own.mark_joined()
 
     def step(self, count=1):
-        """Let each process that runs do one round."""
+        """Run one round of each process that isn't paused."""
         for _ in range(count):
             self.now_s += STEP_S
             for name, process in tuple(self.processes.items()):
@@ -73,32 +75,37 @@
                     continue
                 process.table.tick(self.now_s)
                 self._round(name, process)
-            self._note_deaths()
+            self._record_deaths()
 
-    def meet(self, asker, asked):
-        """Carry an exchange; False when no answer came back."""
-        first, second = self.processes.get(asker), self.processes.get(asked)
-        question = first.exchanges.question(
-            asked, self._region(second), self.now_s
+    def run_exchange(self, requester, replier):
+        """Run one exchange; return False if no reply arrived."""
+        first, second = (
+            self.processes.get(requester),
+            self.processes.get(replier),
         )
-        if second is None or not self._carries(asker, asked):
+        request = first.exchanges.make_request(
+            replier, self._region(second), self.now_s
+        )
+        if second is None or not self._is_delivered(requester, replier):
             return False
-        answer = self._deliver(second, question)
-        if not self._carries(asked, asker):
+        reply = self._deliver(second, request)
+        if not self._is_delivered(replier, requester):
             return False
-        first.exchanges.receive(self._copy(answer), None, self.now_s)
-        supplement = first.exchanges.supplement(answer)
-        if supplement is not None and self._carries(asker, asked):
-            self._deliver(second, supplement)
+        first.exchanges.receive(self._copy(reply), None, self.now_s)
+        follow_up = first.exchanges.make_follow_up(reply)
+        if follow_up is not None and self._is_delivered(requester, replier):
+            self._deliver(second, follow_up)
         return True
 
     def deliver_late(self, count):
-        """Deliver copies of earlier messages again, in any order."""
-        self.randomness.shuffle(self.late)
+        """Deliver copies of earlier messages in random order."""
+        self.rng.shuffle(self.late)
         for receiver, packed in self.late[:count]:
             if receiver in self.processes:
-                heard = packing.unpack(messages.peer.Exchange(), packed).ok
-                self._deliver(self.processes[receiver], heard, keep=False)
+                received = packing.unpack(messages.peer.Exchange(), packed).ok
+                self._deliver(
+                    self.processes[receiver], received, record_copy=False
+                )
 
     def states(self, name):
         return {
@@ -108,48 +115,57 @@
         }
 
     def _round(self, name, process):
-        held, me = process.table.statuses.held(), process.table.own.member()
-        chosen = [process.rotation.next(gossip_targets.regional(held, me))]
-        if self.randomness.random() < 0.2:
-            chosen.append(gossip_targets.foreign(held, me, self.randomness))
-            chosen.append(gossip_targets.dead(held, self.randomness))
+        statuses, me = (
+            process.table.statuses.all(),
+            process.table.own.member(),
+        )
+        chosen = [process.rotation.next(gossip_targets.regional(statuses, me))]
+        if self.rng.random() < 0.2:
+            chosen.append(gossip_targets.pick_remote(statuses, me, self.rng))
+            chosen.append(gossip_targets.pick_dead(statuses, self.rng))
         for member in chosen:
-            if member is None or self.meet(name, member.name):
+            if member is None or self.run_exchange(name, member.name):
                 continue
             if not self._reached_by_others(name, member.name):
                 refused = member.name not in self.processes
                 process.table.suspect(member.name, self.now_s, refused=refused)
 
-    def _reached_by_others(self, asker, wanted):
-        others = sorted(set(self.processes) - {asker, wanted})
-        for other in self.randomness.sample(others, min(2, len(others))):
-            heard = self._carries(asker, other) and self._carries(other, asker)
-            if heard and wanted in self.processes and self.meet(other, wanted):
+    def _reached_by_others(self, requester, target):
+        others = sorted(set(self.processes) - {requester, target})
+        for other in self.rng.sample(others, min(2, len(others))):
+            received = self._is_delivered(
+                requester, other
+            ) and self._is_delivered(other, requester)
+            if (
+                received
+                and target in self.processes
+                and self.run_exchange(other, target)
+            ):
                 return True
         return False
 
-    def _deliver(self, receiver, message, keep=True):
-        heard = self._copy(message)
+    def _deliver(self, receiver, message, record_copy=True):
+        received = self._copy(message)
         name = receiver.table.own.member().name
-        if keep:
+        if record_copy:
             self.late = [*self.late[-40:], (name, packing.pack(message))]
-        receiver.exchanges.receive(heard, None, self.now_s)
-        return self._copy(receiver.exchanges.answer(heard, self.now_s))
+        receiver.exchanges.receive(received, None, self.now_s)
+        return self._copy(receiver.exchanges.make_reply(received, self.now_s))
 
-    def _carries(self, sender, receiver):
+    def _is_delivered(self, sender, receiver):
         if (sender, receiver) in self.cut:
             return False
         for name in (sender, receiver):
             process = self.processes.get(name)
             if process is None or process.paused_until_s > self.now_s:
                 return False
-        return self.randomness.random() >= self.loss
+        return self.rng.random() >= self.loss
 
-    def _note_deaths(self):
+    def _record_deaths(self):
         for process in self.processes.values():
-            for word in process.table.statuses.held().values():
-                if word.state is State.DEAD:
-                    self.deaths.add((word.name, word.member.incarnation))
+            for status in process.table.statuses.all().values():
+                if status.state is State.DEAD:
+                    self.deaths.add((status.name, status.member.incarnation))
 
     def _copy(self, message):
         packed = packing.pack(message)
@@ -159,5 +175,5 @@
         return process.table.own.member().region if process else ''
 
 
-def words_of(member):
-    return member_status.Word(member, 0)
+def make_status(member):
+    return member_status.MemberStatus(member, 0)
--- a/redwingvalve/replicas/tests/test_controller.py
+++ b/redwingvalve/replicas/tests/test_controller.py
@@ -142,7 +142,9 @@
             engine.state = attrs.evolve(engine.state, in_flight=0)
         await harness.run(3, one)
         assert harness.states() == ['forming', 'serving']
-        assert not any(e.cut_off for e in harness.fleet.engines.values())
+        assert not any(
+            e.interrupted_requests for e in harness.fleet.engines.values()
+        )
 
     anyio.run(scenario)
 
@@ -180,7 +182,7 @@
         )
         harness = fixtures.Harness(desired=(view.DesiredShare(ignoring, 2),))
         for engine in harness.fleet.engines.values():
-            engine.refuses_old = False
+            engine.checks_fencing = False
         one, two = await harness.start('one', 'two')
         await harness.run(2, one, two)
         await harness.run(60, two)
@@ -198,7 +200,7 @@
         harness = fixtures.Harness()
         (one,) = await harness.start('one')
         for _ in range(5):
-            harness.store.faults.lose_answers = 1
+            harness.store.faults.responses_to_drop = 1
             await harness.run(5, one)
         harness.store.set_outage(outage=True)
         await harness.run(3600, one)
--- a/redwingvalve/replicas/tests/test_lease_model.py
+++ b/redwingvalve/replicas/tests/test_lease_model.py
@@ -22,8 +22,8 @@
 ONE, TWO, TERM_PASSES, ONE_SECOND, VM_LOST = (
     'one',
     'two',
-    'lapse',
-    'moment',
+    'term-passes',
+    'one-second',
     'vm-lost',
 )
 CHOICES = (ONE, TWO, TERM_PASSES, ONE_SECOND, VM_LOST)
@@ -40,7 +40,7 @@
         )
         ignores = trust == schema.EndpointTrust.IGNORES_FENCING
         for engine in self.harness.fleet.engines.values():
-            engine.refuses_old = not ignores
+            engine.checks_fencing = not ignores
         body = domain_module.to_body(domain_module.FabricDomain('d', 'nave-a'))
         runner.run(self.harness.store.create(domain_module.KIND, 'd', body))
         self.processes = {
--- a/redwingvalve/soak/comparing.py
+++ b/redwingvalve/soak/checker.py
@@ -1,7 +1,7 @@
-"""Compares the callers' records with the endpoints' ledgers.
+"""Compares the records of callers with the ledgers of endpoints.
 
-Pure: all clocks were read before. Each function looks for the breaches of one
-promise; bounds are arguments, so that a report can state them.
+The functions are pure and read no clock. Each one finds the violations of one
+guarantee; bounds are arguments, so that a report can state them.
 """
 
 import collections
@@ -11,10 +11,10 @@
 
 import attrs
 
-from redwingvalve.soak import breaches, operators, records, work
-from redwingvalve.standins import answers, ledger
+from redwingvalve.soak import breaches, operators, records, workload
+from redwingvalve.standins import generated_text, ledger
 
-Promise = breaches.Promise
+Guarantee = breaches.Guarantee
 Found = collections_abc.Iterator[breaches.Breach]
 Records = collections_abc.Sequence[records.Record]
 Runs = collections_abc.Sequence[ledger.LedgerEntry]
@@ -22,8 +22,8 @@
 
 
 @attrs.frozen
-class ReleaseState:
-    """A VM that left from at_s on (wall), until it was taken back."""
+class LeavingPeriod:
+    """The time in which a VM was leaving, from at_s to until_s (wall clock)."""
 
     vm: str
     at_s: float
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class Bounds:
-    """How late each safeguard may act; from the brief and issue 5."""
+    """The maximum reaction times that the product requirements allow."""
 
     missing_vm_s: float = 3.0
     leaving_s: float = 3.0
@@ -40,18 +40,18 @@
 
 @attrs.frozen
 class Evidence:
-    """Everything that a run left behind."""
+    """The records and ledgers of a run, and what else the checks need."""
 
     records: Records
     runs: Runs
-    leaving: tuple[ReleaseState, ...] = ()
+    leaving: tuple[LeavingPeriod, ...] = ()
     versions: frozenset[tuple[str, str]] = frozenset()
 
 
 def compare(evidence: Evidence, bounds: Bounds) -> tuple[breaches.Breach, ...]:
-    """Return every breach that records and ledgers show, by time."""
+    """Return every violation in records and ledgers, ordered by time."""
     found = itertools.chain(
-        _unanswered(evidence.records),
+        _find_unanswered(evidence.records),
         _wrong_answers(evidence.records, evidence.versions),
         _false_not_run(evidence.records, evidence.runs),
         _double_runs(evidence.records, evidence.runs),
@@ -59,7 +59,7 @@
         _work_for_leaving(evidence, bounds.leaving_s),
         _cut_by_orders(evidence.runs),
         _cut_by_entries(evidence.records),
-        _deadly(evidence.records, evidence.runs),
+        _find_poison_deaths(evidence.records, evidence.runs),
     )
     return tuple(sorted(found, key=lambda breach: breach.at_s))
 
@@ -71,14 +71,14 @@
     return grouped
 
 
-def _unanswered(all_records: Records) -> Found:
+def _find_unanswered(all_records: Records) -> Found:
     for record in all_records:
         for attempt in record.attempts:
             problem = _unanswered_because(attempt)
             if problem:
                 yield breaches.Breach(
-                    Promise.ANSWERED,
-                    record.work.name,
+                    Guarantee.ANSWERED,
+                    record.request.name,
                     f'{attempt.entry} {problem}',
                     attempt.started_s,
                 )
@@ -97,26 +97,30 @@
 ) -> Found:
     for record in all_records:
         for attempt in record.attempts:
-            if attempt.whole and not _right(record.work, attempt, versions):
+            if attempt.whole and not _is_expected_text(
+                record.request, attempt, versions
+            ):
                 yield breaches.Breach(
-                    Promise.WHOLE_AND_OWN,
-                    record.work.name,
+                    Guarantee.WHOLE_AND_OWN,
+                    record.request.name,
                     f'{attempt.entry} gave {attempt.text[:80]!r}'
                     f' ({len(attempt.text)} characters) as whole',
                     attempt.ended_s or attempt.started_s,
                 )
 
 
-def _right(
-    asked: work.Work,
+def _is_expected_text(
+    request: workload.Request,
     attempt: records.Attempt,
     versions: frozenset[tuple[str, str]],
 ) -> bool:
-    if not asked.prompt:
-        return attempt.text == asked.digest
+    if not request.prompt:
+        return attempt.text == request.digest
     return any(
         attempt.text
-        == answers.whole_text(asked.prompt, model, version, asked.max_tokens)
+        == generated_text.full_text(
+            request.prompt, model, version, request.max_tokens
+        )
         for model, version in versions
     )
 
@@ -124,15 +128,15 @@
 def _false_not_run(all_records: Records, runs: Runs) -> Found:
     by_digest = _runs_by_digest(runs)
     for record in all_records:
-        # After any other outcome a run may come of it at any later time.
+        # After any other outcome the request may still run at any later time.
         refused = itertools.takewhile(
             lambda attempt: attempt.surely_not_run, record.attempts
         )
         for index, attempt in enumerate(refused):
             until_s = _next_start_s(record, index)
-            for run in by_digest[record.work.digest]:
+            for run in by_digest[record.request.digest]:
                 if attempt.started_s <= run.started < until_s:
-                    yield _false_word(record, attempt, run)
+                    yield _make_not_run_breach(record, attempt, run)
 
 
 def _next_start_s(record: records.Record, index: int) -> float:
@@ -140,12 +144,12 @@
     return following[0].started_s if following else math.inf
 
 
-def _false_word(
+def _make_not_run_breach(
     record: records.Record, attempt: records.Attempt, run: ledger.LedgerEntry
 ) -> breaches.Breach:
     return breaches.Breach(
-        Promise.NOT_RUN,
-        record.work.name,
+        Guarantee.NOT_RUN,
+        record.request.name,
         f'{attempt.entry} said not-run ({attempt.code}), '
         f'{run.vm} ran it as {run.request_id}',
         run.started,
@@ -155,13 +159,13 @@
 def _double_runs(all_records: Records, runs: Runs) -> Found:
     by_digest = _runs_by_digest(runs)
     for record in all_records:
-        ran = by_digest[record.work.digest]
-        if record.work.idempotent or len(ran) <= 1:
+        ran = by_digest[record.request.digest]
+        if record.request.idempotent or len(ran) <= 1:
             continue
         places = ', '.join(f'{run.vm} as {run.request_id}' for run in ran)
         yield breaches.Breach(
-            Promise.AT_MOST_ONCE,
-            record.work.name,
+            Guarantee.AT_MOST_ONCE,
+            record.request.name,
             f'it ran {len(ran)} times: {places}',
             ran[1].started,
         )
@@ -171,7 +175,7 @@
     for run in runs:
         if run.missing_s > bound_s:
             yield breaches.Breach(
-                Promise.NO_VM_MISSING,
+                Guarantee.NO_VM_MISSING,
                 run.replica,
                 f'{run.request_id} was sent {run.missing_s:.2f} s after a VM '
                 'had gone',
@@ -186,7 +190,7 @@
             late = left.at_s + bound_s < run.started < left.until_s
             if concerned and late:
                 yield breaches.Breach(
-                    Promise.LEAVING,
+                    Guarantee.LEAVING,
                     left.vm,
                     f'{run.request_id} came {run.started - left.at_s:.2f} s '
                     'after it began to leave',
@@ -199,9 +203,9 @@
         for attempt in record.attempts:
             if attempt.cut:
                 yield breaches.Breach(
-                    Promise.PLANNED_STOP,
+                    Guarantee.PLANNED_STOP,
                     attempt.entry,
-                    f'{record.work.name} ({record.work.kind}, status '
+                    f'{record.request.name} ({record.request.kind}, status '
                     f'{attempt.status}) was cut off after '
                     f'{attempt.lasted_s:.2f} s by an entry that no fault had '
                     f'hit: {attempt.error}',
@@ -209,18 +213,18 @@
                 )
 
 
-def _deadly(all_records: Records, runs: Runs) -> Found:
+def _find_poison_deaths(all_records: Records, runs: Runs) -> Found:
     by_digest = _runs_by_digest(runs)
     for record in all_records:
         deadly = [
             run
-            for run in by_digest[record.work.digest]
-            if record.work.poison and run.cut == 'died'
+            for run in by_digest[record.request.digest]
+            if record.request.poison and run.cut == 'died'
         ]
         if len(deadly) > DEATHS_ALLOWED:
             yield breaches.Breach(
-                Promise.POISON,
-                record.work.name,
+                Guarantee.POISON,
+                record.request.name,
                 f'it killed {", ".join(run.vm for run in deadly)}',
                 deadly[-1].started,
             )
@@ -231,12 +235,12 @@
         collections_abc.Sequence[operators.Confirmation]
     ],
 ) -> Found:
-    """Yield the races that more than one operator won."""
+    """Yield the races in which more than one plan was confirmed."""
     for race in races:
         won = [each for each in race if each.status == operators.OK_STATUS]
         if len(won) > 1:
             yield breaches.Breach(
-                Promise.RACE,
+                Guarantee.RACE,
                 won[0].plan,
                 f'{", ".join(each.plan for each in won)} were all confirmed',
                 0.0,
@@ -247,7 +251,7 @@
     for run in runs:
         if run.cut == 'order':
             yield breaches.Breach(
-                Promise.PLANNED_STOP,
+                Guarantee.PLANNED_STOP,
                 run.replica,
                 f'an order cut {run.request_id} after {run.tokens} tokens',
                 run.finished or run.started,
--- a/redwingvalve/soak/operators.py
+++ b/redwingvalve/soak/operators.py
@@ -1,4 +1,4 @@
-"""Operators who plan and confirm, alone and against each other."""
+"""Operator clients that plan and confirm, alone or concurrently."""
 
 import contextlib
 import hashlib
@@ -23,8 +23,8 @@
 
 
 @attrs.frozen
-class Wish:
-    """What varies between declarations; number names it by a credential."""
+class DeclarationSpec:
+    """The values that vary between declarations; number is in a credential."""
 
     number: int
     version: str = '1'
@@ -38,28 +38,30 @@
 
 @attrs.frozen
 class Confirmation:
-    """An operator's try; status is 0 when no answer came."""
+    """The result of a confirmation; status is 0 without a response."""
 
-    wish: Wish
+    spec: DeclarationSpec
     plan: str
     status: int
     message: str
 
 
 def digest_of(credential: str) -> str:
-    """Return what a declaration holds of a credential."""
+    """Return the digest of a credential that a declaration contains."""
     return hashlib.sha256(credential.encode()).hexdigest()
 
 
-def declaration_of(
-    wish: Wish, service_addresses: tuple[str, ...], load_time_s: float
+def make_declaration(
+    spec: DeclarationSpec,
+    service_addresses: tuple[str, ...],
+    load_time_s: float,
 ) -> str:
     """Return the YAML text of a declaration."""
     deployment: dict[str, typing.Any] = {
         'name': DEPLOYMENT,
         'model': MODEL,
-        'version': wish.version,
-        'replicas': wish.replicas,
+        'version': spec.version,
+        'replicas': spec.replicas,
         'vms_per_replica': 4,
         'floor_replicas': 2,
         'accepts_change_in_place': True,
@@ -73,7 +75,7 @@
     }
     accounts = [
         _account('callers', CREDENTIAL),
-        _account(PROBE_ACCOUNT, wish.probe_credential),
+        _account(PROBE_ACCOUNT, spec.probe_credential),
     ]
     return yaml.safe_dump(
         {
@@ -103,7 +105,7 @@
         self._headers = {'authorization': f'Bearer {bearer}'}
 
     async def plan(self, declaration: str) -> tuple[str, str]:
-        """Return the plan's name, or an empty one and why there is none."""
+        """Return the name of the plan, or an empty name and the reason."""
         answer = await self._post('/plans', {'declaration': declaration})
         if answer is None:
             return '', 'no answer'
@@ -111,15 +113,15 @@
             return '', answer.text[:200]
         return str(answer.json()['name']), ''
 
-    async def confirm(self, wish: Wish, plan: str) -> Confirmation:
+    async def confirm(self, spec: DeclarationSpec, plan: str) -> Confirmation:
         """Confirm a plan."""
         answer = await self._post(f'/plans/{plan}/confirm', {})
         if answer is None:
-            return Confirmation(wish, plan, 0, 'no answer')
-        return Confirmation(wish, plan, answer.status_code, answer.text[:200])
+            return Confirmation(spec, plan, 0, 'no answer')
+        return Confirmation(spec, plan, answer.status_code, answer.text[:200])
 
     async def reachable(self) -> bool:
-        """Tell whether the API answers this token."""
+        """Tell whether the API accepts requests with this token."""
         with contextlib.suppress(httpx.HTTPError):
             async with httpx.AsyncClient(
                 headers=self._headers, timeout=TIMEOUT_S
@@ -140,27 +142,29 @@
 
 
 async def race(
-    contenders: list[tuple[Operator, Wish, str]],
+    contenders: list[tuple[Operator, DeclarationSpec, str]],
 ) -> list[Confirmation]:
-    """Let operators plan one after the other and confirm at one moment."""
+    """Create plans one after the other and confirm them concurrently."""
     planned = []
-    for operator, wish, declaration in contenders:
+    for operator, spec, declaration in contenders:
         name, _ = await operator.plan(declaration)
         if name:
-            planned.append((operator, wish, name))
+            planned.append((operator, spec, name))
     tried: list[Confirmation] = []
 
-    async def confirm(operator: Operator, wish: Wish, name: str) -> None:
-        tried.append(await operator.confirm(wish, name))
+    async def confirm(
+        operator: Operator, spec: DeclarationSpec, name: str
+    ) -> None:
+        tried.append(await operator.confirm(spec, name))
 
     async with anyio.create_task_group() as group:
-        for operator, wish, name in planned:
-            group.start_soon(confirm, operator, wish, name)
+        for operator, spec, name in planned:
+            group.start_soon(confirm, operator, spec, name)
     return tried
 
 
 async def issue_token(store: object_api.ObjectApi) -> str:
-    """Write an administrator's token and return its bearer."""
+    """Store an administrator token and return its bearer secret."""
     issued = tokens.issue('soak', 'soak', rights.Role.ADMINISTRATOR)
     await store.create(
         tokens.KIND, issued.record.token_id, tokens.encode(issued.record)
--- a/tests/integration/promises.py
+++ b/tests/integration/promises.py
@@ -17,18 +17,18 @@
 from redwingvalve.soak import (
     breaches,
     callers,
-    comparing,
+    checker,
     daemons,
+    fault_context,
     fleet_run,
     operators,
     schedule,
-    targets,
-    work,
+    workload,
 )
 from redwingvalve.standins import engine
 from tests.integration import fault_proxy, process_daemons, processes
 
-Promise = breaches.Promise
+Guarantee = breaches.Guarantee
 Safeguard = invariants.Safeguard
 SETTLE_TIMEOUT_S = 15.0
 OTHERS_UNREACHABLE_S = 8.0
@@ -43,7 +43,7 @@
     """A fleet of child processes with a fault proxy before each endpoint."""
 
     run: fleet_run.FleetRun
-    fault_targets: targets.Targets
+    context: fault_context.FaultContext
     proxies: dict[str, fault_proxy.FaultProxy]
     active_callers: list[callers.Caller] = attrs.field(factory=list)
 
@@ -56,7 +56,7 @@
 
     async def ask(
         self,
-        kind: work.Kind,
+        kind: workload.Kind,
         count: int,
         max_attempts: int = callers.MAX_ATTEMPTS,
     ) -> None:
@@ -66,7 +66,7 @@
                 group.start_soon(self.caller().call, kind, '', max_attempts)
 
     async def call_repeatedly(
-        self, kind: work.Kind, duration_s: float, count: int = 4
+        self, kind: workload.Kind, duration_s: float, count: int = 4
     ) -> None:
         """Let count callers make requests back to back for duration_s."""
         deadline_s = time.monotonic() + duration_s
@@ -90,36 +90,34 @@
         for proxy in self.proxies.values():
             proxy.heal()
         self.run.platform.heal()
-        wanted = operators.Wish(1).replicas
+        wanted = operators.DeclarationSpec(1).replicas
         with anyio.move_on_after(SETTLE_TIMEOUT_S):
             while len(self.run.platform.serving_heads()) < wanted:
                 await anyio.sleep(0.1)
 
     def find_breaches(self) -> tuple[breaches.Breach, ...]:
         """Compare the records of callers and endpoints; return breaches."""
-        return self.run.compare(
-            (), self.fault_targets, self.active_callers
-        ).breaches
+        return self.run.compare((), self.context, self.active_callers).breaches
 
 
 async def cross_answers(fleet: AttackFleet) -> None:
     """Complete responses are swapped between two connections."""
     for proxy in fleet.service_proxies():
         proxy.faults.swap_responses = 2
-    await fleet.ask(work.Kind.FETCH, 12)
+    await fleet.ask(workload.Kind.FETCH, 12)
 
 
 async def truncate_streams(fleet: AttackFleet) -> None:
     """Streams are closed cleanly midway, without a [DONE]."""
     for head in fleet.run.platform.serving_heads():
         head.faults.truncate = 2
-    await fleet.ask(work.Kind.NARRATIVE, 8)
+    await fleet.ask(workload.Kind.NARRATIVE, 8)
 
 
 async def reset_while_running(fleet: AttackFleet) -> None:
     """Connections are reset after engines have started to run quotes."""
     async with anyio.create_task_group() as group:
-        group.start_soon(fleet.ask, work.Kind.QUOTE, 8)
+        group.start_soon(fleet.ask, workload.Kind.QUOTE, 8)
         await anyio.sleep(0.15)
         for proxy in fleet.proxies.values():
             await proxy.reset_all()
@@ -132,8 +130,8 @@
     were lost with their endpoint, to admit all of them for a second run.
     """
     for service in fleet.run.platform.services:
-        service.lose_answers = 3
-    await fleet.ask(work.Kind.FLAG, 6, EXTENDED_MAX_ATTEMPTS)
+        service.responses_to_drop = 3
+    await fleet.ask(workload.Kind.FLAG, 6, EXTENDED_MAX_ATTEMPTS)
 
 
 @contextlib.asynccontextmanager
@@ -144,7 +142,7 @@
     controllers = fleet.run.daemons.role(daemons.CONTROL)
     for daemon in controllers:
         daemon.away = True
-        await fleet.run.daemons.end_now(daemon)
+        await fleet.run.daemons.kill_now(daemon)
     yield
     for daemon in controllers:
         await fleet.run.daemons.start(daemon)
@@ -160,7 +158,7 @@
     async with without_controllers(fleet):
         for worker in workers:
             engines.engines[worker].die()
-        await fleet.call_repeatedly(work.Kind.NARRATIVE, 6.0)
+        await fleet.call_repeatedly(workload.Kind.NARRATIVE, 6.0)
         for worker in workers:
             await engines.revive(worker)
 
@@ -171,7 +169,7 @@
     for head in heads:
         head.faults.straggle_factor = 3.0
     async with anyio.create_task_group() as group:
-        group.start_soon(fleet.ask, work.Kind.SCAN, 8)
+        group.start_soon(fleet.ask, workload.Kind.SCAN, 8)
         await anyio.sleep(0.5)
         await _drain_head(fleet, heads[0], 24)
 
@@ -186,7 +184,7 @@
     for head in heads:
         head.faults.straggle_factor = 3.0
     async with anyio.create_task_group() as group:
-        group.start_soon(fleet.ask, work.Kind.SCAN, 2 * len(heads))
+        group.start_soon(fleet.ask, workload.Kind.SCAN, 2 * len(heads))
         await anyio.sleep(0.5)
         leaving = max(heads, key=_running)
         group.start_soon(_drain_head, fleet, leaving, 6)
@@ -197,7 +195,7 @@
             head.faults.unreachable_until_s = (
                 time.monotonic() + OTHERS_UNREACHABLE_S
             )
-            head.note_disturbance()
+            head.record_fault()
         async with without_controllers(fleet):
             leaving.faults.straggle_factor = 1.0
             await anyio.sleep(OTHERS_UNREACHABLE_S)
@@ -212,14 +210,14 @@
 async def _drain_head(
     fleet: AttackFleet, head: engine.Engine, count: int
 ) -> None:
-    listed = fleet.run.platform.listed
+    vm_listing = fleet.run.platform.vm_listing
     vm = head.options.vm
-    drained_at_s = time.time() + listed.lag_s
-    listed.mark(vm, 'leaving')
-    await fleet.call_repeatedly(work.Kind.QUOTE, 7.0, count)
-    listed.mark(vm, 'live')
-    fleet.fault_targets.leaving.append(
-        comparing.ReleaseState(vm, drained_at_s, time.time())
+    drained_at_s = time.time() + vm_listing.lag_s
+    vm_listing.set_state(vm, 'leaving')
+    await fleet.call_repeatedly(workload.Kind.QUOTE, 7.0, count)
+    vm_listing.set_state(vm, 'live')
+    fleet.context.leaving.append(
+        checker.LeavingPeriod(vm, drained_at_s, time.time())
     )
 
 
@@ -228,7 +226,7 @@
     store = fleet.run.platform.store.store
     kind = objects.CLIENT_ACCOUNTS
     old = store.list_now(kind).objects
-    await fleet.run.declare(operators.Wish(50))
+    await fleet.run.declare(operators.DeclarationSpec(50))
     await anyio.sleep(2.0)
     new = store.list_now(kind).objects
     _overwrite_objects(store, old)
@@ -247,14 +245,14 @@
     """A request that crashes every engine that runs it is sent each second."""
     _poison_all(fleet)
     await fleet.caller().call(
-        work.Kind.NARRATIVE, 'poison-here', max_attempts=6, pause_s=1.0
+        workload.Kind.NARRATIVE, 'poison-here', max_attempts=6, pause_s=1.0
     )
 
 
 async def send_poison_at_once(fleet: AttackFleet) -> None:
     """The poison request is retried as soon as the response allows it."""
     _poison_all(fleet)
-    await fleet.caller().call(work.Kind.NARRATIVE, 'poison-here')
+    await fleet.caller().call(workload.Kind.NARRATIVE, 'poison-here')
 
 
 def _poison_all(fleet: AttackFleet) -> None:
@@ -266,7 +264,7 @@
 async def stop_an_entry(fleet: AttackFleet) -> None:
     """An entry is stopped gracefully while streams run through it."""
     async with anyio.create_task_group() as group:
-        group.start_soon(fleet.call_repeatedly, work.Kind.NARRATIVE, 4.0)
+        group.start_soon(fleet.call_repeatedly, workload.Kind.NARRATIVE, 4.0)
         await anyio.sleep(0.5)
         entry = fleet.run.daemons.role(daemons.ENTRY)[0]
         await fleet.run.daemons.stop(entry.name, 0.5)
@@ -278,7 +276,7 @@
     fault = schedule.Fault(0.0, schedule.FaultName.OPERATORS_RACE, 0.1, 0.0)
     from redwingvalve.soak import daemon_faults
 
-    await daemon_faults.operators_race(fleet.fault_targets, fault)
+    await daemon_faults.operators_race(fleet.context, fault)
     await fleet.run.platform.heal_store()
 
 
@@ -289,7 +287,7 @@
     execute: collections_abc.Callable[
         [AttackFleet], collections_abc.Awaitable[None]
     ]
-    broken_promises: frozenset[Promise]
+    broken_guarantees: frozenset[Guarantee]
     safeguard: Safeguard | None = None
 
     @property
@@ -300,50 +298,50 @@
 ATTACKS = (
     Attack(
         cross_answers,
-        frozenset({Promise.WHOLE_AND_OWN}),
+        frozenset({Guarantee.WHOLE_AND_OWN}),
         Safeguard.ANSWER_IDENTITY,
     ),
     Attack(
         truncate_streams,
-        frozenset({Promise.WHOLE_AND_OWN}),
+        frozenset({Guarantee.WHOLE_AND_OWN}),
         Safeguard.ANSWER_COMPLETENESS,
     ),
     Attack(
         reset_while_running,
-        frozenset({Promise.NOT_RUN, Promise.AT_MOST_ONCE}),
+        frozenset({Guarantee.NOT_RUN, Guarantee.AT_MOST_ONCE}),
         Safeguard.TRUTHFUL_NOT_RUN,
     ),
     Attack(
         lose_answers_of_flags,
-        frozenset({Promise.AT_MOST_ONCE}),
+        frozenset({Guarantee.AT_MOST_ONCE}),
         Safeguard.RUN_AT_MOST_ONCE,
     ),
     Attack(
         send_poison_each_second,
-        frozenset({Promise.POISON}),
+        frozenset({Guarantee.POISON}),
         Safeguard.POISON_REFUSED,
     ),
-    Attack(send_poison_at_once, frozenset({Promise.POISON})),
+    Attack(send_poison_at_once, frozenset({Guarantee.POISON})),
     Attack(
         leave_while_wanted,
-        frozenset({Promise.LEAVING}),
+        frozenset({Guarantee.LEAVING}),
         Safeguard.LEAVING_EXCLUDED,
     ),
     Attack(
         leave_under_load,
-        frozenset({Promise.PLANNED_STOP, Promise.INVARIANT}),
+        frozenset({Guarantee.PLANNED_STOP, Guarantee.INVARIANT}),
         Safeguard.DRAIN_BEFORE_STOP,
     ),
     Attack(
         restore_old_objects,
-        frozenset({Promise.CONFIGURATION, Promise.INVARIANT}),
+        frozenset({Guarantee.CONFIGURATION, Guarantee.INVARIANT}),
         Safeguard.CONFIGURATION_ONLY_RISES,
     ),
-    Attack(stop_an_entry, frozenset({Promise.PLANNED_STOP})),
-    Attack(race_operators, frozenset({Promise.RACE})),
+    Attack(stop_an_entry, frozenset({Guarantee.PLANNED_STOP})),
+    Attack(race_operators, frozenset({Guarantee.RACE})),
     Attack(
         lose_workers,
-        frozenset({Promise.NO_VM_MISSING}),
+        frozenset({Guarantee.NO_VM_MISSING}),
         Safeguard.EVIDENCE_REQUIRED,
     ),
 )
@@ -357,7 +355,7 @@
     proxies: dict[str, fault_proxy.FaultProxy] = {}
     async with anyio.create_task_group() as group:
 
-        async def through(address: str) -> str:
+        async def start_proxy(address: str) -> str:
             proxy = fault_proxy.FaultProxy(address, group)
             await proxy.start()
             proxies[address] = proxy
@@ -367,13 +365,13 @@
             seed,
             0.0,
             disabled=tuple(each.value for each in disabled),
-            through=through,
+            start_proxy=start_proxy,
         )
         with processes.make_processes() as children:
             async with fleet_run.open_run(
                 options,
                 lambda _: process_daemons.ProcessDaemons(children),
             ) as run:
-                fault_targets = run.make_targets(run.make_caller('nobody', 999))
-                yield AttackFleet(run, fault_targets, proxies)
+                context = run.make_fault_context(run.make_caller('nobody', 999))
+                yield AttackFleet(run, context, proxies)
         group.cancel_scope.cancel()
--- a/tests/integration/test_promises.py
+++ b/tests/integration/test_promises.py
@@ -70,6 +70,6 @@
     fleet = run_attacks(
         [attack.execute for attack in attacks], DISABLED_SAFEGUARDS
     )
-    found = {breach.promise for breach in fleet.find_breaches()}
+    found = {breach.guarantee for breach in fleet.find_breaches()}
     for attack in attacks:
-        assert attack.broken_promises & found, attack.name
+        assert attack.broken_guarantees & found, attack.name
