--- a/redwingvalve/evidence/news_entry_reports.py
+++ b/redwingvalve/evidence/news_entry_reports.py
@@ -1,4 +1,4 @@
-"""What a controller learns of the entries from the board of news."""
+"""Reports of entries that a controller receives through news."""
 
 import json
 
@@ -9,14 +9,15 @@
 from redwingvalve.replicas import domain as domain_module
 from redwingvalve.replicas import entry_reports
 
-READ_EVERY_S = 0.5
-# Entries see a VM each second. After this age, a step of the controller (0.5 s)
-# and its probe's timeout (0.5 s) a lost VM is decided on 2.5 s after its loss.
-VOUCHED_AGE_S = 1.5
+READ_INTERVAL_S = 0.5
+# Entries probe a VM every second. With this age, one step of the controller
+# (0.5 s) and its probe timeout (0.5 s), a VM is declared lost 2.5 s after its
+# loss.
+MAX_CONFIRMED_AGE_S = 1.5
 
 
 class NewsEntryReports(entry_reports.EntryReports):
-    """Reads findings and stopped epochs; waits for a bound without them."""
+    """Reads probe reports and stopped epochs; falls back to a time limit."""
 
     def __init__(
         self,
@@ -24,43 +25,47 @@
         news: bus.NewsBus,
         configuration: snapshot.ConfigurationSource,
     ) -> None:
-        """Hear of the entries through news on the replicas in force."""
+        """Read news on the replicas of the configuration in force."""
         self._members = members
         self._news = news
         self._configuration = configuration
-        self._bounded = entry_reports.NoEntryReports()
+        self._fallback = entry_reports.NoEntryReports()
         self._evidence = table.EvidenceTable()
-        self._read_s: float | None = None
+        self._last_read_s: float | None = None
 
     def last_seen_s(self, vm: str, now_s: float) -> float | None:
-        """Return when an entry last saw the VM ready, if any did lately."""
+        """Return when an entry last saw the VM ready, or None if too old."""
         self._refresh(now_s)
-        seen = self._evidence.fresh(vm, now_s)
-        return seen.seen_s if seen is not None else None
+        observation = self._evidence.fresh(vm, now_s)
+        return observation.seen_s if observation is not None else None
 
     def is_isolated(self) -> bool:
-        """Tell whether this process has heard from nobody for too long."""
+        """Return whether this process has had no contact for too long."""
         return self._members.isolated()
 
     def confirms_ready(
         self, vm: str, replica: domain_module.DomainReplica, now_s: float
     ) -> bool:
-        """Tell whether an entry saw the VM ready in this epoch just now.
+        """Return whether an entry has just seen the VM ready in this epoch.
 
-        Less than the usual age: once the sightings stop, this process has to
-        probe by itself in time to decide within 3 s of the loss.
+        The limit is below the usual maximum age: once observations stop, this
+        process has to probe by itself in time to decide within 3 s of a loss.
         """
         self._refresh(now_s)
-        seen = self._evidence.fresh(vm, now_s)
+        observation = self._evidence.fresh(vm, now_s)
         return (
-            seen is not None
-            and (seen.replica, seen.epoch) == (replica.name, replica.epoch)
-            and now_s - seen.seen_s <= VOUCHED_AGE_S
+            observation is not None
+            and (observation.replica, observation.epoch)
+            == (replica.name, replica.epoch)
+            and now_s - observation.seen_s <= MAX_CONFIRMED_AGE_S
         )
 
     def _refresh(self, now_s: float) -> None:
-        if self._read_s is None or now_s - self._read_s >= READ_EVERY_S:
-            self._take_in(now_s)
+        if (
+            self._last_read_s is None
+            or now_s - self._last_read_s >= READ_INTERVAL_S
+        ):
+            self._receive_reports(now_s)
 
     def senders_stopped(
         self,
@@ -68,13 +73,13 @@
         draining_since_s: float,
         now_s: float,
     ) -> bool:
-        """Tell whether every live entry said so, or the bound has passed.
+        """Return whether all live entries stopped, or the limit has passed.
 
-        An entry that is cut off cannot say it; past the bound its evidence
-        has ended or it is out of discovery, and the engine's count of work in
-        flight still guards the stop.
+        An isolated entry can't report this. After the limit its evidence has
+        expired or it is out of discovery, and the engine's count of requests
+        in flight still guards the stop.
         """
-        if self._bounded.senders_stopped(replica, draining_since_s, now_s):
+        if self._fallback.senders_stopped(replica, draining_since_s, now_s):
             return True
         entries = {
             member.name
@@ -91,16 +96,16 @@
             if wanted in _epochs(published.body)
         }
 
-    def _take_in(self, now_s: float) -> None:
-        self._read_s = now_s
-        self._evidence.forget_old(now_s)
-        found = probe_reports.sightings(
+    def _receive_reports(self, now_s: float) -> None:
+        self._last_read_s = now_s
+        self._evidence.drop_expired(now_s)
+        found = probe_reports.decode_observations(
             self._news.read(probe_reports.CHANNEL),
             self._configuration.current().replicas,
             now_s,
         )
-        for seen in found:
-            self._evidence.record(seen)
+        for observation in found:
+            self._evidence.record(observation)
 
 
 def _epochs(body: bytes) -> list[list[object]]:
@@ -115,5 +120,5 @@
     news: bus.NewsBus,
     configuration: snapshot.ConfigurationSource,
 ) -> entry_reports.EntryReports:
-    """Return the witness of one controller."""
+    """Return the entry reports of one controller."""
     return NewsEntryReports(members, news, configuration)
