--- a/redwingvalve/wire/packing.py
+++ b/redwingvalve/wire/packing.py
@@ -64,5 +64,5 @@
     inflater = zlib.decompressobj()
     plain = inflater.decompress(packed[1:], MAX_PLAIN_BYTES)
     if inflater.unconsumed_tail or not inflater.eof:
-        raise ValueError(f'truncated or larger than {MAX_PLAIN_BYTES} bytes')
+        raise ValueError('message is truncated or larger than allowed')
     return plain
