--- a/redwingvalve/wire/tests/test_late_connections.py
+++ b/redwingvalve/wire/tests/test_late_connections.py
@@ -29,7 +29,7 @@
         raise NotImplementedError
 
 
-@pytest.mark.parametrize('turns', LOOP_ITERATIONS)
+@pytest.mark.parametrize('iterations', LOOP_ITERATIONS)
 def test_a_connection_accepted_during_the_close_is_not_served(iterations):
     """A peer connects to a member that is just being stopped.
 
