--- a/redwingvalve/bench/replicas_fleet.py
+++ b/redwingvalve/bench/replicas_fleet.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from redwingvalve.control import moves, surroundings
+from redwingvalve.control import inputs, moves
 from redwingvalve.core import clock
 from redwingvalve.declaration import schema
 from redwingvalve.plans import objects
@@ -19,12 +19,12 @@
     codec,
     controller,
     draft,
+    entry_reports,
     shares,
     spares,
-    witness,
 )
 from redwingvalve.replicas import domain as domain_module
-from redwingvalve.standins import memory_fleet, memory_store
+from redwingvalve.standins import fake_fleet, memory_store
 
 DOMAINS = 6
 STEP_S = 0.5
@@ -70,14 +70,14 @@
         )
 
 
-class EntriesSee(witness.BoundedWitness):
+class EntriesSee(entry_reports.NoEntryReports):
     """Entries probe the serving replicas, as they do beside controllers."""
 
-    def __init__(self, fleet: memory_fleet.MemoryFleet) -> None:
+    def __init__(self, fleet: fake_fleet.FakeFleet) -> None:
         """See what is alive."""
         self._fleet = fleet
 
-    def shows(
+    def confirms_ready(
         self, vm: str, replica: domain_module.DomainReplica, now_s: float
     ) -> bool:
         """Tell whether the VM is ready in this epoch."""
@@ -109,28 +109,26 @@
         self._read_at_write = 0
         self.step_s = STEP_S
         self.quiet_steps = QUIET_STEPS
-        self.fleet = memory_fleet.MemoryFleet(
+        self.fleet = fake_fleet.FakeFleet(
             self._vms(strategy), self.clock, deployment.load_time_s
         )
-        self.weights = memory_fleet.MemoryWeights(
+        self.weights = fake_fleet.FakeWeightStore(
             self.clock, LOADS_PER_S, LOAD_BURST
         )
         self.controllers = self._controllers(strategy, seed)
         self._chance = random.Random(seed)
         self._movers = {
-            name: moves.make_mover(
+            name: moves.make_move_reconciler(
                 self.store, self.fleet, self.clock, self._chance
             )
             for name in self.names
             if strategy.heal_from_spares
         }
-        self._reader = surroundings.SurroundingsReader(
-            self.store, self.fleet, self.clock
-        )
+        self._reader = inputs.InputReader(self.store, self.fleet, self.clock)
         self._read: dict[str, tuple[str, domain_module.FabricDomain]] = {}
 
     def _vms(self, strategy: Strategy) -> tuple[vm_list.Vm, ...]:
-        needs = (spares.Need(self.deployment, self.per_domain),)
+        needs = (spares.DeploymentDemand(self.deployment, self.per_domain),)
         kept = (strategy.spares_per_domain or 0,) * len(self.names)
         if strategy.spares_per_domain is None:
             domains = (needs,) * len(self.names)
@@ -150,14 +148,16 @@
     def _controllers(
         self, strategy: Strategy, seed: int
     ) -> dict[str, controller.DomainController]:
-        tools = controller.Tools(
+        tools = controller.Dependencies(
             objects=self.store,
-            orders=memory_fleet.MemoryOrders(self.fleet),
+            orders=fake_fleet.FakeEngineOrders(self.fleet),
             weights=self.weights,
             clock=self.clock,
             entries=EntriesSee(self.fleet),
-            chance=random.Random(seed),
-            policy=draft.Policy(heal_from_spares=strategy.heal_from_spares),
+            rng=random.Random(seed),
+            policy=draft.PlacementPolicy(
+                heal_from_spares=strategy.heal_from_spares
+            ),
         )
         return {
             name: controller.make_domain_controller(
@@ -232,9 +232,9 @@
         without_room = frozenset((self.deployment.name,))
         if mover is not None:
             without_room = mover.without_room
-        await each.step(self._reader.of(name, without_room))
-        place = each.place()
-        deployments, agreed = self._reader.agreed()
+        await each.step(self._reader.inputs_for(name, without_room))
+        place = each.domain_state()
+        deployments, agreed = self._reader.desired_state()
         if mover is not None and place is not None and agreed is not None:
             await mover.step(place, deployments, agreed)
 
@@ -339,7 +339,7 @@
 
 
 def _serves(
-    fleet: memory_fleet.MemoryFleet, replica: domain_module.DomainReplica
+    fleet: fake_fleet.FakeFleet, replica: domain_module.DomainReplica
 ) -> bool:
     engines = [fleet.engine(name) for name in replica.members]
     return replica.state == domain_module.ReplicaState.SERVING and all(
@@ -349,7 +349,7 @@
 
 
 def _is_quiet(
-    fleet: memory_fleet.MemoryFleet,
+    fleet: fake_fleet.FakeFleet,
     domain: domain_module.FabricDomain,
     replicas: int,
 ) -> bool:
--- a/redwingvalve/cli/demo.py
+++ b/redwingvalve/cli/demo.py
@@ -1,4 +1,4 @@
-"""The demo command: the main job in one process."""
+"""The demo command: a complete fleet in one process."""
 
 import argparse
 import functools
@@ -8,32 +8,34 @@
 
 from redwingvalve.cli import options
 from redwingvalve.core import environment, exit_status
-from redwingvalve.demo import story
+from redwingvalve.demo import walkthrough
 from redwingvalve.observability import logs
 
 
 def run_demo(
     arguments: argparse.Namespace, surroundings: environment.Environment
 ) -> exit_status.ExitStatus:
-    """Run every role and the stand-ins, plan, confirm, serve and account."""
+    """Run every role on a simulated platform: plan, confirm, serve, account."""
     logs.configure(arguments.log_level, surroundings.stderr, 'demo')
     return anyio.run(
         functools.partial(
-            story.tell, surroundings, pathlib.Path(arguments.declaration)
+            walkthrough.run_walkthrough,
+            surroundings,
+            pathlib.Path(arguments.declaration),
         )
     )
 
 
 DEMO = options.Command(
     name='demo',
-    help='show the main job: every role and the stand-ins in one process',
+    help='run every role and a simulated platform in one process',
     example='redwingvalve demo',
     run=run_demo,
     options=(
         options.Option(
             dest='declaration',
             flags=('--declaration',),
-            default=str(story.DECLARATION),
+            default=str(walkthrough.DECLARATION),
             help='the declaration to plan and confirm',
         ),
         options.Option(
@@ -41,7 +43,7 @@
             flags=('--log-level',),
             default='ERROR',
             choices=('DEBUG', 'INFO', 'WARNING', 'ERROR'),
-            help='which logs go to the error stream',
+            help='lowest level of the logs written to stderr',
         ),
     ),
 )
--- a/redwingvalve/demo/caller.py
+++ b/redwingvalve/demo/completion_client.py
@@ -1,4 +1,4 @@
-"""A caller as a user would write one: asks for an address, then streams."""
+"""A client like that of a user: looks up an entry, then streams from it."""
 
 import json
 import typing
@@ -13,8 +13,8 @@
 
 
 @attrs.frozen
-class Streamed:
-    """What a caller received; whole is true when the end was seen."""
+class StreamedCompletion:
+    """A received stream; whole is whether [DONE] was received."""
 
     status: int
     entry: str
@@ -25,29 +25,29 @@
     request_id: str
 
 
-class DemoCaller:
-    """Calls with one credential; any of first_entries is asked first."""
+class DemoClient:
+    """Looks up entries at seed_entries and calls them with a credential."""
 
-    def __init__(self, first_entries: tuple[str, ...], credential: str) -> None:
-        """Know where to ask which address to use."""
-        self._first = first_entries
+    def __init__(self, seed_entries: tuple[str, ...], credential: str) -> None:
+        """Take seed_entries as host:port, in the order to try."""
+        self._seed_entries = seed_entries
         self._headers = {'authorization': f'Bearer {credential}'}
 
     async def entry_address(self) -> str:
-        """Ask which entry to use; any entry of the list may answer."""
+        """Ask the entries in turn; return the entry that the first names."""
         async with self._client() as client:
-            for address in self._first:
+            for address in self._seed_entries:
                 try:
-                    answer = await client.get(f'http://{address}/v1/entries')
+                    response = await client.get(f'http://{address}/v1/entries')
                 except httpx.HTTPError:
                     continue
-                return str(answer.json()['entries'][0]['address'])
-        raise ConnectionError('no entry answers')
+                return str(response.json()['entries'][0]['address'])
+        raise ConnectionError('no seed entry responded')
 
     async def stream_chat(
         self, deployment: str, prompt: str, max_tokens: int
-    ) -> Streamed:
-        """Stream one chat completion and check that it is whole."""
+    ) -> StreamedCompletion:
+        """Stream a chat completion and check that it is complete."""
         address = await self.entry_address()
         body = {
             'model': deployment,
@@ -58,13 +58,13 @@
         url = f'http://{address}/v1/chat/completions'
         async with (
             self._client() as client,
-            client.stream('POST', url, json=body) as answer,
+            client.stream('POST', url, json=body) as response,
         ):
-            lines = [line async for line in answer.aiter_lines() if line]
-            return _read_stream(answer, address, lines)
+            lines = [line async for line in response.aiter_lines() if line]
+            return _read_stream(response, address, lines)
 
     async def post(self, path: str, body: typing.Any) -> httpx.Response:
-        """Call a plain service through an entry."""
+        """Call an HTTP service through an entry."""
         address = await self.entry_address()
         async with self._client() as client:
             return await client.post(f'http://{address}{path}', json=body)
@@ -74,8 +74,8 @@
 
 
 def _read_stream(
-    answer: httpx.Response, address: str, lines: list[str]
-) -> Streamed:
+    response: httpx.Response, address: str, lines: list[str]
+) -> StreamedCompletion:
     pieces = [
         json.loads(line.removeprefix('data: '))
         for line in lines
@@ -86,12 +86,12 @@
         for piece in pieces
         if piece.get('choices')
     ]
-    return Streamed(
-        answer.status_code,
+    return StreamedCompletion(
+        response.status_code,
         address,
         ''.join(contents),
         sum(1 for content in contents if content),
         bool(lines) and lines[-1] == DONE,
-        answer.headers.get(outcomes.OUTCOME_HEADER, ''),
-        answer.headers.get(outcomes.REQUEST_ID_HEADER, ''),
+        response.headers.get(outcomes.OUTCOME_HEADER, ''),
+        response.headers.get(outcomes.REQUEST_ID_HEADER, ''),
     )
--- a/redwingvalve/entry/model_request.py
+++ b/redwingvalve/entry/model_request.py
@@ -9,7 +9,7 @@
 from redwingvalve.configuration import snapshot
 from redwingvalve.core import outcomes
 from redwingvalve.declaration import schema
-from redwingvalve.entry import caller
+from redwingvalve.entry import caller_request
 
 CHAT_PATH = '/v1/chat/completions'
 TEXT_PATH = '/v1/completions'
@@ -21,9 +21,9 @@
 
 @attrs.frozen
 class ModelRequest:
-    """What the caller wants of a model; fields is the body as sent."""
+    """A parsed model request; fields is the JSON body as sent."""
 
-    head: caller.CallerHead
+    head: caller_request.RequestHead
     account: schema.ClientAccount
     deployment: schema.ModelDeployment
     fields: dict[str, typing.Any]
@@ -33,7 +33,7 @@
 
     @property
     def priority(self) -> int:
-        """Return the priority asked for, or the account's own."""
+        """Return the requested priority, or else the account's."""
         if self.head.priority is None:
             return self.account.priority
         return self.head.priority
@@ -45,26 +45,28 @@
 
 
 def read_model_request(
-    head: caller.CallerHead,
+    head: caller_request.RequestHead,
     account: schema.ClientAccount,
     body: bytes,
     current: snapshot.Snapshot,
-) -> Result[ModelRequest, outcomes.ErrorAnswer]:
-    """Check the body and find the deployment it asks for."""
-    parsed = caller.parse_json_object(body, head.request_id)
+) -> Result[ModelRequest, outcomes.ErrorResponse]:
+    """Validate the body and find the requested deployment."""
+    parsed = caller_request.parse_json_object(body, head.request_id)
     if parsed.is_error():
         return Error(parsed.error)
     fields = parsed.ok
     problems = _problems(fields, PROMPT_FIELDS[head.path])
     if problems:
-        return Error(caller.malformed('; '.join(problems), head.request_id))
+        return Error(
+            caller_request.malformed('; '.join(problems), head.request_id)
+        )
     deployment = _find_deployment(fields['model'], current)
     if deployment is None:
         return Error(
-            outcomes.ErrorAnswer(
+            outcomes.ErrorResponse(
                 status=404,
                 code='unknown-model',
-                message=f'no model is named {fields["model"]!r}',
+                message=f'unknown model {fields["model"]!r}',
                 outcome=outcomes.Outcome.NOT_RUN,
                 request_id=head.request_id,
             )
@@ -85,16 +87,16 @@
 def _problems(fields: dict[str, typing.Any], prompt_field: str) -> list[str]:
     problems: list[str] = []
     if not isinstance(fields.get('model'), str):
-        problems.append('body $.model: a string is wanted')
+        problems.append('body $.model: must be a string')
     if not _is_prompt(fields.get(prompt_field), prompt_field):
-        problems.append(f'body $.{prompt_field}: missing or of another shape')
+        problems.append(f'body $.{prompt_field}: missing or of the wrong type')
     if not isinstance(fields.get('stream', False), bool):
-        problems.append('body $.stream: true or false is wanted')
+        problems.append('body $.stream: must be true or false')
     max_tokens = fields.get('max_tokens')
     if max_tokens is not None and not _is_count(max_tokens):
-        problems.append('body $.max_tokens: a whole number above 0 is wanted')
+        problems.append('body $.max_tokens: must be a positive integer')
     if 'resume' in fields:
-        problems.append('body $.resume: only entries may set it')
+        problems.append('body $.resume: reserved for entries')
     return problems
 
 
@@ -108,25 +110,25 @@
     return isinstance(prompt, (str, list)) and bool(prompt)
 
 
-def _is_count(given: typing.Any) -> bool:
-    return isinstance(given, int) and not isinstance(given, bool) and given > 0
+def _is_count(value: typing.Any) -> bool:
+    return isinstance(value, int) and not isinstance(value, bool) and value > 0
 
 
 def _find_deployment(
-    wanted: str, current: snapshot.Snapshot
+    model_name: str, current: snapshot.Snapshot
 ) -> schema.ModelDeployment | None:
     for deployment in current.deployments:
-        if deployment.name == wanted:
+        if deployment.name == model_name:
             return deployment
     for deployment in current.deployments:
-        if wanted == deployment.model or wanted in deployment.adapters:
+        if model_name == deployment.model or model_name in deployment.adapters:
             return deployment
     return None
 
 
 def engine_model(request: ModelRequest) -> str:
-    """Return the name under which the engine knows what is asked for."""
-    wanted = request.fields['model']
-    if wanted in request.deployment.adapters:
-        return wanted
+    """Return the name of the requested model or adapter at the engine."""
+    model_name = request.fields['model']
+    if model_name in request.deployment.adapters:
+        return model_name
     return request.deployment.model
--- a/redwingvalve/entry/tests/fakes.py
+++ b/redwingvalve/entry/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces of the request path."""
+"""Fakes of the dependencies of the request path."""
 
 import hashlib
 import json
@@ -9,10 +9,10 @@
 from redwingvalve.configuration import snapshot
 from redwingvalve.core import clock, invariants
 from redwingvalve.declaration import schema
-from redwingvalve.entry import app, directory, parts, upstream
+from redwingvalve.entry import app, dependencies, directory, upstream
 from redwingvalve.evidence import permits
 from redwingvalve.membership import members
-from redwingvalve.news import board
+from redwingvalve.news import bus
 from redwingvalve.observability import metrics, tracing
 from redwingvalve.settings import schema as settings_schema
 
@@ -48,7 +48,7 @@
     others: tuple = ()
     me: members.Member = ENTRY
 
-    def myself(self):
+    def local_member(self):
         return self.me
 
     def known(self):
@@ -59,8 +59,8 @@
 
 
 @attrs.define
-class Board(board.NewsBoard):
-    """Every process that shares a board sees the others at once."""
+class FakeNewsBus(bus.NewsBus):
+    """A news bus that delivers to all sharers of items immediately."""
 
     items: dict = attrs.field(factory=dict)
     owner: str = 'e1'
@@ -68,7 +68,7 @@
 
     def publish(self, channel, key, body):
         self.number += 1
-        self.items[channel.name, self.owner, key] = board.NewsItem(
+        self.items[channel.name, self.owner, key] = bus.NewsItem(
             channel.name, self.owner, 1, key, self.number, body, 0.0
         )
 
@@ -82,19 +82,19 @@
 
 @attrs.define
 class Engines(upstream.Upstream):
-    """Engines as scripts: address -> coroutine function of the request."""
+    """Scripted engines: address -> coroutine function of the request."""
 
     scripts: dict = attrs.field(factory=dict)
     sent: list = attrs.field(factory=list)
     cancelled: list = attrs.field(factory=list)
-    gone: set = attrs.field(factory=set)
+    unreachable: set = attrs.field(factory=set)
 
     async def send(self, request):
-        if request.path == '/v1/cancel' and request.address in self.gone:
-            raise upstream.UpstreamError('refused', surely_not_run=True)
+        if request.path == '/v1/cancel' and request.address in self.unreachable:
+            raise upstream.UpstreamError('refused', not_sent=True)
         if request.path == '/v1/cancel':
             self.cancelled.append(json.loads(request.body)['request_id'])
-            return upstream.UpstreamAnswer(200, (), chunks_of(()))
+            return upstream.UpstreamResponse(200, (), chunks_of(()))
         self.sent.append(request)
         return await self.scripts[request.address](request)
 
@@ -114,7 +114,7 @@
 
 
 def broken(message='reset'):
-    return upstream.UpstreamError(message, surely_not_run=False)
+    return upstream.UpstreamError(message, not_sent=False)
 
 
 def event(request_id, text, finish=None):
@@ -128,14 +128,14 @@
 
 
 def tokens_after(request, total):
-    """The engine's tokens t1..t<total>, or those after a resumed part."""
+    """Return tokens t1..t<total>, without those of a resumed request."""
     body = json.loads(request.body)
     first = len(body.get('resume', {}).get('tokens', ())) + 1
     return [f' t{number}' for number in range(first, total + 1)]
 
 
 def streaming(total=3, cut_after=None, echo=None, done=True):
-    """An engine that streams; cut_after breaks it after so many tokens."""
+    """Return a streaming engine; it disconnects after cut_after tokens."""
 
     async def script(request):
         request_id = echo or request.request_id
@@ -146,7 +146,7 @@
             error = broken()
         elif done:
             chunks.append(b'data: [DONE]\n\n')
-        return upstream.UpstreamAnswer(
+        return upstream.UpstreamResponse(
             200, (('x-request-id', request_id),), chunks_of(chunks, error)
         )
 
@@ -167,7 +167,7 @@
             ('content-length', str(len(body))),
             *headers,
         )
-        return upstream.UpstreamAnswer(status, given, chunks_of((body,)))
+        return upstream.UpstreamResponse(status, given, chunks_of((body,)))
 
     return script
 
@@ -199,13 +199,13 @@
     return snapshot.Snapshot(**{**fields, **changes})
 
 
-def make_parts(engines, **changes):
+def make_dependencies(engines, **changes):
     known = changes.pop('members', Members())
     fields = {
         'source': Source(make_snapshot()),
         'permits': Permits(),
         'members': known,
-        'news': Board(),
+        'news': FakeNewsBus(),
         'upstream': engines,
         'clock': clock.make_system_clock(),
         'settings': settings_schema.RequestSettings(max_body_bytes=10_000),
@@ -216,7 +216,7 @@
         'switches': invariants.SafeguardSwitches(),
         'directory': directory.make_members_directory(known, 10.0),
     }
-    return parts.EntryParts(**{**fields, **changes})
+    return dependencies.EntryDependencies(**{**fields, **changes})
 
 
 @attrs.define
@@ -245,7 +245,7 @@
 async def call(
     application, path='/v1/chat/completions', body=None, hang_up=None, **options
 ):
-    """Send one request to the app; hang_up is an event to leave on."""
+    """Send one request; the caller disconnects once hang_up is set."""
     if body is None:
         body = {
             'model': 'quotes',
@@ -290,10 +290,10 @@
 
 
 def run(engines, *calls, **changes):
-    """Run calls (dicts of arguments of call) one after the other."""
+    """Run calls, given as arguments of call, one after the other."""
 
     async def main():
-        application = app.make_entry_app(make_parts(engines, **changes))
+        application = app.make_entry_app(make_dependencies(engines, **changes))
         return [await call(application, **arguments) for arguments in calls]
 
     return anyio.run(main)
--- a/redwingvalve/membership/digests.py
+++ b/redwingvalve/membership/digests.py
@@ -1,9 +1,9 @@
-"""Digests of the member table, by which two members find differences.
+"""Digests of the member table, compared to find differences between members.
 
-Names fall into buckets by hash; a bucket's digest is the XOR of the hashes of
-its words, so that one change costs one XOR. Two tables that differ in one
-word differ in one bucket, and only its words travel. Words of the dead are
-left out, since members forget the dead at different times.
+Names are hashed into buckets. The digest of a bucket is the XOR of the hashes
+of its statuses, so an update costs one XOR. Two tables that differ in one
+status differ in one bucket, and only the statuses of that bucket are sent.
+Dead members are left out, since members drop them at different times.
 """
 
 import functools
@@ -12,34 +12,39 @@
 
 import xxhash
 
-from redwingvalve.membership import members, words
+from redwingvalve.membership import member_status, members
 
-BUCKETS = 16
+BUCKET_COUNT = 16
 _INT64 = struct.Struct('>q')
 
 
 def bucket_of(name: str) -> int:
     """Return the bucket of a name."""
-    return xxhash.xxh32_intdigest(name.encode()) % BUCKETS
+    return xxhash.xxh32_intdigest(name.encode()) % BUCKET_COUNT
 
 
 class TableDigests:
-    """The digests of all buckets, kept up to date word by word."""
+    """The digests of all buckets, updated incrementally."""
 
     def __init__(self) -> None:
         """Start with empty buckets."""
-        self._digests = [0 for _ in range(BUCKETS)]
+        self._digests = [0 for _ in range(BUCKET_COUNT)]
 
-    def replace(
-        self, held: words.Word | None, newer: words.Word | None
+    def update(
+        self,
+        current: member_status.MemberStatus | None,
+        newer: member_status.MemberStatus | None,
     ) -> None:
-        """Account for a word that takes another's place."""
-        for word in (held, newer):
-            if word is not None and word.state is not members.MemberState.DEAD:
-                self._digests[bucket_of(word.name)] ^= _hash(word)
+        """Replace the current status of a member by a newer one."""
+        for status in (current, newer):
+            if (
+                status is not None
+                and status.state is not members.MemberState.DEAD
+            ):
+                self._digests[bucket_of(status.name)] ^= _hash(status)
 
     def total(self) -> int:
-        """Return one digest of the whole table."""
+        """Return a single digest of the whole table."""
         return functools.reduce(operator.xor, self._digests)
 
     def as_list(self) -> list[int]:
@@ -47,19 +52,19 @@
         return list(self._digests)
 
     def differing(self, others: list[int]) -> list[int]:
-        """Return the buckets that differ from another member's."""
-        if len(others) != BUCKETS:
-            return list(range(BUCKETS))
+        """Return the buckets whose digests differ from a peer's."""
+        if len(others) != BUCKET_COUNT:
+            return list(range(BUCKET_COUNT))
         return [
             bucket
-            for bucket in range(BUCKETS)
+            for bucket in range(BUCKET_COUNT)
             if self._digests[bucket] != others[bucket]
         ]
 
 
-def _hash(word: words.Word) -> int:
+def _hash(status: member_status.MemberStatus) -> int:
     text = (
-        f'{word.name}\0{word.member.incarnation}\0{word.heartbeat}'
-        f'\0{word.state}'
+        f'{status.name}\0{status.member.incarnation}\0{status.heartbeat}'
+        f'\0{status.state}'
     )
     return _INT64.unpack(xxhash.xxh64_digest(text.encode()))[0]
--- a/redwingvalve/process/control.py
+++ b/redwingvalve/process/control.py
@@ -15,17 +15,17 @@
 )
 from redwingvalve.configuration import in_force, records
 from redwingvalve.control import loop
-from redwingvalve.evidence import entry_witness
+from redwingvalve.evidence import news_entry_reports
 from redwingvalve.observability import logs
-from redwingvalve.plans import book as plan_book
+from redwingvalve.plans import manager as plan_manager
+from redwingvalve.process import dependencies as process_dependencies
 from redwingvalve.process import (
-    duties,
+    duty_assignment,
     entry_drains,
     key_votes,
     leaving_vms,
     waits,
 )
-from redwingvalve.process import parts as process_parts
 from redwingvalve.replicas import controller
 from redwingvalve.settings import schema
 from redwingvalve.tls import contexts
@@ -35,86 +35,97 @@
 
 
 async def run_control(settings: schema.Settings, stop: anyio.Event) -> None:
-    """Run until stop is set, then give leases back and end."""
+    """Serve until stop is set, then release the leases and return."""
     tls = contexts.make_server_context(
         settings.administration_tls, mutual=False
     )
     if tls.is_error():
-        raise process_parts.ProcessError(str(tls.error))
+        raise process_dependencies.ProcessError(str(tls.error))
     async with (
-        process_parts.open_process(settings, ROLE) as parts,
+        process_dependencies.open_process(settings, ROLE) as dependencies,
         anyio.create_task_group() as group,
     ):
-        book = tokens.TokenBook()
-        group.start_soon(_follow_tokens, parts, book)
-        group.start_soon(key_votes.vote, parts)
+        token_cache = tokens.TokenCache()
+        group.start_soon(_refresh_tokens, dependencies, token_cache)
+        group.start_soon(key_votes.run_voter, dependencies)
         if tls.ok is not None:
-            group.start_soon(tls.ok.follow, parts.clock)
-        async with anyio.create_task_group() as loops:
-            reader = drains.make_drain_reader(parts.objects)
-            control_loop = make_loop(parts, reader)
-            loops.start_soon(control_loop.run)
-            loops.start_soon(waits.publish, control_loop, parts)
-            loops.start_soon(_run_duties, parts, reader)
+            group.start_soon(tls.ok.follow, dependencies.clock)
+        async with anyio.create_task_group() as loop_group:
+            reader = drains.make_drain_reader(dependencies.objects)
+            control_loop = make_loop(dependencies, reader)
+            loop_group.start_soon(control_loop.run)
+            loop_group.start_soon(waits.publish, control_loop, dependencies)
+            loop_group.start_soon(_run_duties, dependencies, reader)
             LOGGER.info('The controller is ready.')
             await server.serve_api(
-                _make_api(parts, book),
+                _make_api(dependencies, token_cache),
                 settings.node.host,
                 settings.listen.http_port,
                 stop.wait,
                 tls.ok,
             )
-            # Cancelling the loop gives its leases back, so that the next
-            # holder need not wait for them to lapse.
-            loops.cancel_scope.cancel()
+            # Cancelling the loop releases its leases, so that the next holder
+            # need not wait for them to expire.
+            loop_group.cancel_scope.cancel()
         group.cancel_scope.cancel()
     LOGGER.info('The controller has ended.')
 
 
 def make_loop(
-    parts: process_parts.ProcessParts, reader: drains.DrainReader
+    dependencies: process_dependencies.ProcessDependencies,
+    reader: drains.DrainReader,
 ) -> loop.ControlLoop:
-    """Return the control loop of one process."""
-    me = parts.node.members.myself()
-    owner = f'{me.name}/{me.incarnation}'
-    tools = controller.Tools(
-        objects=parts.objects,
-        orders=parts.orders,
-        weights=parts.weights,
-        clock=parts.clock,
-        entries=entry_witness.make_news_witness(
-            parts.node.members, parts.node.news, parts.node.configuration
+    """Return the control loop of this process, as owner of its leases."""
+    local_member = dependencies.node.members.local_member()
+    owner = f'{local_member.name}/{local_member.incarnation}'
+    controller_dependencies = controller.Dependencies(
+        objects=dependencies.objects,
+        orders=dependencies.orders,
+        weights=dependencies.weights,
+        clock=dependencies.clock,
+        entries=news_entry_reports.make_news_entry_reports(
+            dependencies.node.members,
+            dependencies.node.news,
+            dependencies.node.configuration,
         ),
-        chance=random.Random(owner),
-        switches=parts.switches,
+        rng=random.Random(owner),
+        switches=dependencies.switches,
+    )
+    drained_vm_list = drains.make_drained_vm_list(dependencies.vms, reader)
+    return loop.make_control_loop(
+        owner,
+        controller_dependencies,
+        drained_vm_list,
+        dependencies.node.members,
     )
-    listed = drains.make_drained_vm_list(parts.vms, reader)
-    return loop.make_control_loop(owner, tools, listed, parts.node.members)
 
 
 def _make_api(
-    parts: process_parts.ProcessParts, book: tokens.TokenBook
+    dependencies: process_dependencies.ProcessDependencies,
+    token_cache: tokens.TokenCache,
 ) -> app.Api:
-    doer = store_operations.make_store_operations(
-        store_operations.Surroundings(
-            store=parts.objects,
-            vms=parts.vms,
-            book=plan_book.make_plan_book(
-                parts.objects, parts.vms, parts.clock
+    operations = store_operations.make_store_operations(
+        store_operations.Dependencies(
+            store=dependencies.objects,
+            vms=dependencies.vms,
+            plans=plan_manager.make_plan_manager(
+                dependencies.objects, dependencies.vms, dependencies.clock
             ),
-            members=parts.node.members,
-            clock=parts.clock,
-            in_force=lambda: _in_force(parts),
-            waits=lambda: waits.read(parts.node.news),
+            members=dependencies.node.members,
+            clock=dependencies.clock,
+            in_force=lambda: _collect_in_force(dependencies),
+            waits=lambda: waits.read(dependencies.node.news),
         )
     )
-    trail = audit.AuditTrail(parts.objects, parts.clock)
-    return app.Api(doer, book, trail, parts.clock)
+    audit_trail = audit.AuditTrail(dependencies.objects, dependencies.clock)
+    return app.Api(operations, token_cache, audit_trail, dependencies.clock)
 
 
-async def _in_force(parts: process_parts.ProcessParts) -> in_force.InForce:
+async def _collect_in_force(
+    dependencies: process_dependencies.ProcessDependencies,
+) -> in_force.InForce:
     """Ask every region for each kind of configuration that changed."""
-    configuration = parts.node.configuration
+    configuration = dependencies.node.configuration
     versions = configuration.table.versions()
     answers = [
         await configuration.in_force(kind, versions[kind])
@@ -125,24 +136,32 @@
 
 
 async def _run_duties(
-    parts: process_parts.ProcessParts, reader: drains.DrainReader
+    dependencies: process_dependencies.ProcessDependencies,
+    reader: drains.DrainReader,
 ) -> None:
-    """Run what a few controllers do for all, until cancelled."""
+    """Run the duties that a few controllers share, until cancelled."""
     async with anyio.create_task_group() as group:
-        group.start_soon(reader.follow, parts.clock)
-        group.start_soon(entry_drains.publish, parts, reader)
-        group.start_soon(leaving_vms.LeavingTeller(parts, reader).run)
-        group.start_soon(_sweep, parts)
+        group.start_soon(reader.follow, dependencies.clock)
+        group.start_soon(entry_drains.publish, dependencies, reader)
+        group.start_soon(
+            leaving_vms.LeavingVmPublisher(dependencies, reader).run
+        )
+        group.start_soon(_sweep, dependencies)
 
 
-async def _sweep(parts: process_parts.ProcessParts) -> None:
-    sweeper = retention.Sweeper(parts.objects, parts.clock)
-    await sweeper.run(lambda: duties.is_mine(parts, 'sweep', holders=1))
+async def _sweep(
+    dependencies: process_dependencies.ProcessDependencies,
+) -> None:
+    sweeper = retention.Sweeper(dependencies.objects, dependencies.clock)
+    await sweeper.run(
+        lambda: duty_assignment.is_assigned(dependencies, 'sweep', holders=1)
+    )
 
 
-async def _follow_tokens(
-    parts: process_parts.ProcessParts, book: tokens.TokenBook
+async def _refresh_tokens(
+    dependencies: process_dependencies.ProcessDependencies,
+    token_cache: tokens.TokenCache,
 ) -> None:
     while True:
-        await book.refresh(parts.objects)
-        await parts.clock.sleep(tokens.REFRESH_INTERVAL_S)
+        await token_cache.refresh(dependencies.objects)
+        await dependencies.clock.sleep(tokens.REFRESH_INTERVAL_S)
--- a/redwingvalve/process/key_votes.py
+++ b/redwingvalve/process/key_votes.py
@@ -1,54 +1,60 @@
-"""This process's vote on request keys, for entries and controllers."""
+"""Runs this process's voter on request keys, in entries and controllers."""
 
 import anyio
 
 from redwingvalve.at_most_once import (
     claims,
-    first_start,
     thrift_peers,
     voter,
+    voter_registration,
 )
-from redwingvalve.process import parts as process_parts
+from redwingvalve.process import dependencies as process_dependencies
 
 
 async def make_claims(
-    parts: process_parts.ProcessParts,
+    dependencies: process_dependencies.ProcessDependencies,
 ) -> claims.KeyClaims:
-    """Return the claims of request keys, answering the other voters too."""
-    myself = parts.node.members.myself()
-    started = await first_start.register(
-        parts.objects, myself.name, parts.clock.wall_s()
+    """Register a voter, serve its peers and return its claims of keys."""
+    local_member = dependencies.node.members.local_member()
+    started = await voter_registration.register(
+        dependencies.objects, local_member.name, dependencies.clock.wall_s()
     )
     own_voter = voter.make_voter(
-        myself,
-        parts.clock,
-        parts.switches,
+        local_member,
+        dependencies.clock,
+        dependencies.switches,
         first_start=started.first,
         names=started.names,
-        alone=not parts.settings.peers.contacts,
-        resend_s=parts.settings.requests.key_resend_s,
+        alone=not dependencies.settings.peers.contacts,
+        resend_s=dependencies.settings.requests.key_resend_s,
     )
-    answers = thrift_peers.VoterHandler(own_voter)
-    parts.node.handler.key_claim_handler = answers
-    parts.node.handler.key_memory_handler = answers
+    handler = thrift_peers.VoterHandler(own_voter)
+    dependencies.node.handler.key_claim_handler = handler
+    dependencies.node.handler.key_record_handler = handler
     return claims.make_claims(
         own_voter,
-        thrift_peers.make_thrift_key_peers(parts.node.caller),
-        parts.node.members,
-        parts.clock,
+        thrift_peers.make_thrift_key_peers(dependencies.node.caller),
+        dependencies.node.members,
+        dependencies.clock,
     )
 
 
-async def keep_registered(parts: process_parts.ProcessParts) -> None:
-    """Let voters that start know of this one, until cancelled."""
-    await first_start.keep_fresh(
-        parts.objects, parts.settings.node.name, parts.clock
+async def refresh_registration(
+    dependencies: process_dependencies.ProcessDependencies,
+) -> None:
+    """Refresh the registration, by which new voters learn of this one."""
+    await voter_registration.keep_refreshed(
+        dependencies.objects,
+        dependencies.settings.node.name,
+        dependencies.clock,
     )
 
 
-async def vote(parts: process_parts.ProcessParts) -> None:
-    """Vote for ever, as a process does that makes no claims itself."""
-    key_claims = await make_claims(parts)
+async def run_voter(
+    dependencies: process_dependencies.ProcessDependencies,
+) -> None:
+    """Vote until cancelled, in a process that makes no claims itself."""
+    key_claims = await make_claims(dependencies)
     async with anyio.create_task_group() as group:
-        group.start_soon(keep_registered, parts)
-        group.start_soon(key_claims.keep_looking)
+        group.start_soon(refresh_registration, dependencies)
+        group.start_soon(key_claims.keep_synced)
--- a/redwingvalve/replicas/watching.py
+++ b/redwingvalve/replicas/domain_monitor.py
@@ -1,4 +1,4 @@
-"""Probes the VMs of a domain and builds the view that placement reads."""
+"""Probes the VMs of a domain and builds the view used by placement."""
 
 from collections import abc as collections_abc
 
@@ -8,51 +8,51 @@
 from redwingvalve.core import clock, invariants
 from redwingvalve.platform_api import engine_orders, vm_list
 from redwingvalve.replicas import domain as domain_module
-from redwingvalve.replicas import sightings, witness
+from redwingvalve.replicas import entry_reports, vm_health
 from redwingvalve.replicas import view as view_module
 
 PROBE_TIMEOUT_S = 0.5
-PARALLEL_PROBES = 32
-OWN_PROBE_EVERY_S = 5.0
+MAX_CONCURRENT_PROBES = 32
+OWN_PROBE_INTERVAL_S = 5.0
 DRAIN_BEFORE_STOP = invariants.Safeguard.DRAIN_BEFORE_STOP
 
 
-class DomainWatcher:
-    """Sees one domain through probes, the VM list and the entries."""
+class DomainMonitor:
+    """Observes one domain by probes, the VM list and reports of entries."""
 
     def __init__(
         self,
         orders: engine_orders.EngineOrders,
         time_source: clock.Clock,
-        entries: witness.Witness,
+        entries: entry_reports.EntryReports,
         switches: invariants.SafeguardSwitches,
     ) -> None:
-        """Know nothing yet."""
+        """Start without any probe results."""
         self._orders = orders
         self._clock = time_source
         self._entries = entries
         self._switches = switches
-        self._sightings = sightings.Sightings()
+        self._health = vm_health.VmHealthTracker()
         self._draining_since_s: dict[tuple[str, int], float] = {}
 
     async def probe(self, domain: domain_module.FabricDomain) -> None:
-        """Read the state of every VM once."""
-        self._sightings.forget_others(frozenset(vm.name for vm in domain.vms))
-        limiter = anyio.CapacityLimiter(PARALLEL_PROBES)
-        vouched = self._vouched_vms(domain)
+        """Probe every VM once, except those that entries confirm."""
+        self._health.retain_only(frozenset(vm.name for vm in domain.vms))
+        limiter = anyio.CapacityLimiter(MAX_CONCURRENT_PROBES)
+        confirmed = self._vms_confirmed_by_entries(domain)
         async with anyio.create_task_group() as group:
             for vm in domain.vms:
-                if vm.name not in vouched:
+                if vm.name not in confirmed:
                     group.start_soon(self._probe_vm, vm, limiter)
 
-    def _vouched_vms(
+    def _vms_confirmed_by_entries(
         self, domain: domain_module.FabricDomain
     ) -> frozenset[str]:
-        """Return the VMs that need no probe of this process's own.
+        """Return the VMs that this process need not probe itself.
 
-        Entries probe the VMs of serving replicas twice a second already; at
-        64 VMs a domain, doing so again would cost most of the processor time
-        that control may take.
+        Entries already probe the VMs of serving replicas twice a second.
+        Probing them again would use most of the CPU budget of the controller
+        at 64 VMs per domain.
         """
         now_s = self._clock.monotonic_s()
         return frozenset(
@@ -60,8 +60,8 @@
             for replica in domain.replicas
             if replica.state == domain_module.ReplicaState.SERVING
             for name in replica.members
-            if self._sightings.seen_within(name, OWN_PROBE_EVERY_S, now_s)
-            and self._entries.shows(name, replica, now_s)
+            if self._health.responded_within(name, OWN_PROBE_INTERVAL_S, now_s)
+            and self._entries.confirms_ready(name, replica, now_s)
         )
 
     async def _probe_vm(
@@ -71,32 +71,32 @@
             started_s = self._clock.monotonic_s()
             answer = await self._orders.read_state(vm.address, PROBE_TIMEOUT_S)
         now_s = self._clock.monotonic_s()
-        # A lagging VM list may give an address that another VM has by now.
+        # The VM list lags: its address may belong to another VM by now.
         if answer.is_ok() and answer.ok.vm == vm.name:
-            self._sightings.record_seen(vm.name, answer.ok, now_s)
+            self._health.record_response(vm.name, answer.ok, now_s)
             return
-        self._sightings.record_failed(
+        self._health.record_failure(
             vm.name, started_s, self._entries.last_seen_s(vm.name, now_s)
         )
 
-    def sees_none(self) -> bool:
+    def all_probes_failed(self) -> bool:
         """Tell whether the last probe of every VM got no answer."""
-        return self._sightings.all_failing()
+        return self._health.all_failing()
 
-    def judged(self, domain: domain_module.FabricDomain) -> bool:
-        """Tell whether enough is known to decide about every replica."""
+    def members_known(self, domain: domain_module.FabricDomain) -> bool:
+        """Tell whether the health of every member of a replica is known."""
         now_s = self._clock.monotonic_s()
         return all(
-            self._sightings.judged(name, now_s) for name in domain.used_vms()
+            self._health.is_known(name, now_s) for name in domain.used_vms()
         )
 
-    def stopped_replicas(
+    def unrouted_replicas(
         self, domain: domain_module.FabricDomain
     ) -> frozenset[str]:
-        """Return the DRAINING replicas that no entry sends to any more.
+        """Return the DRAINING replicas to which no entry sends any more.
 
-        To be asked before the probe, so that the work in flight is counted
-        after the last sender stopped.
+        Call this before the probe, so that the requests in flight are counted
+        after the last entry has stopped sending.
         """
         now_s = self._clock.monotonic_s()
         draining = [
@@ -115,7 +115,7 @@
         return frozenset(
             each.name
             for each in draining
-            if self._entries.all_stopped(
+            if self._entries.senders_stopped(
                 each, self._draining_since_s[each.name, each.epoch], now_s
             )
         )
@@ -123,27 +123,27 @@
     def view(
         self,
         domain: domain_module.FabricDomain,
-        wanted: tuple[view_module.Wanted, ...],
-        stopped: frozenset[str],
+        desired: tuple[view_module.DesiredShare, ...],
+        unrouted: frozenset[str],
     ) -> view_module.DomainView:
-        """Return the view after a probe."""
-        noted = self._with_losses(domain)
-        views = {vm.name: self._vm_view(vm) for vm in noted.vms}
+        """Return the domain, its VMs and its desired shares after a probe."""
+        updated = self._with_probe_results(domain)
+        views = {vm.name: self._vm_view(vm) for vm in updated.vms}
         drained = frozenset(
-            name for name in stopped if self._is_idle(noted, name, views)
+            name for name in unrouted if self._is_idle(updated, name, views)
         )
-        return view_module.DomainView(noted, views, wanted, drained)
+        return view_module.DomainView(updated, views, desired, drained)
 
     def _vm_view(self, vm: domain_module.DomainVm) -> view_module.VmView:
         now_s = self._clock.monotonic_s()
-        present_s = self._sightings.present_for_s(vm.name, now_s)
+        available_s = self._health.available_for_s(vm.name, now_s)
         return view_module.VmView(
             name=vm.name,
-            there=not vm.missing,
+            reachable=not vm.missing,
             leaving=vm.leaving,
-            kept_out=present_s < sightings.keep_out_s(vm.flaps),
-            failing=self._sightings.failing(vm.name),
-            state=None if vm.missing else self._sightings.state(vm.name),
+            quarantined=available_s < vm_health.quarantine_s(vm.flaps),
+            failing=self._health.failing(vm.name),
+            state=None if vm.missing else self._health.state(vm.name),
         )
 
     def _is_idle(
@@ -158,21 +158,21 @@
         states = [views[vm].state for vm in replica.members] if replica else []
         return all(state and not state.in_flight for state in states)
 
-    def _with_losses(
+    def _with_probe_results(
         self, domain: domain_module.FabricDomain
     ) -> domain_module.FabricDomain:
         return attrs.evolve(
-            domain, vms=tuple(map(self._noted_loss, domain.vms))
+            domain, vms=tuple(map(self._updated_vm, domain.vms))
         )
 
-    def _noted_loss(self, vm: domain_module.DomainVm) -> domain_module.DomainVm:
+    def _updated_vm(self, vm: domain_module.DomainVm) -> domain_module.DomainVm:
         now_s = self._clock.monotonic_s()
-        missing = self._sightings.missing(vm.name, now_s)
+        missing = self._health.missing(vm.name, now_s)
         flaps = vm.flaps + (missing and not vm.missing)
-        present_s = self._sightings.present_for_s(vm.name, now_s)
-        if not missing and present_s > sightings.RECORD_CLEARED_AFTER_S:
+        available_s = self._health.available_for_s(vm.name, now_s)
+        if not missing and available_s > vm_health.FLAP_RESET_AFTER_S:
             flaps = 0
-        if not self._sightings.judged(vm.name, now_s):
+        if not self._health.is_known(vm.name, now_s):
             missing = vm.missing
         if (vm.missing, vm.flaps) == (missing, flaps):
             return vm
@@ -183,9 +183,9 @@
     domain: domain_module.FabricDomain,
     listed: collections_abc.Iterable[vm_list.Vm],
 ) -> domain_module.FabricDomain:
-    """Return the domain with the VMs that the list shows.
+    """Return the domain with the VMs of the VM list.
 
-    The list lags: a VM that it no longer shows is only forgotten once it is
+    The list lags, so a VM that is no longer listed is removed only once it is
     missing and belongs to no replica.
     """
     shown = {
--- a/redwingvalve/soak/targets.py
+++ b/redwingvalve/soak/fault_context.py
@@ -1,4 +1,4 @@
-"""What scheduled faults act on, and what they leave for the checks."""
+"""The context of fault injection, with the records for the checks."""
 
 import itertools
 import time
@@ -10,7 +10,7 @@
 from redwingvalve.soak import (
     breaches,
     callers,
-    comparing,
+    checker,
     daemons,
     operators,
     platform,
@@ -28,45 +28,49 @@
 
 
 @attrs.define
-class Targets:
-    """Everything that can be hit, and the notes of what was."""
+class FaultContext:
+    """The components that faults act on, and records of the faults."""
 
     platform: platform.Platform
     daemons: daemons.Daemons
     journal: breaches.Journal
     bearer: str
     poisoner: callers.Caller
-    leaving: list[comparing.ReleaseState] = attrs.field(factory=list)
+    leaving: list[checker.LeavingPeriod] = attrs.field(factory=list)
     races: list[list[operators.Confirmation]] = attrs.field(factory=list)
     stop_times_s: list[float] = attrs.field(factory=list)
     wish_numbers: typing.Iterator[int] = attrs.field(factory=_numbers)
 
     def engine(self, fault: schedule.Fault) -> engine.Engine:
-        """Return one engine, serving or not."""
+        """Return an engine, whether it serves or not."""
         engines = list(self.platform.engines.engines.values())
         return pick(engines, fault.where)
 
     def endpoint(self, fault: schedule.Fault) -> Endpoint:
-        """Return a serving head or a service: what answers callers."""
+        """Return a serving head or a service."""
         endpoints = [*self.platform.serving_heads(), *self.platform.services]
         return pick(endpoints, fault.where)
 
     def daemon(self, role: str, fault: schedule.Fault) -> daemons.Daemon | None:
-        """Return an undisturbed daemon, if another one stays."""
+        """Return an undisturbed daemon if at least one other remains."""
         now_s = time.time()
-        well = [
+        undisturbed = [
             daemon
             for daemon in self.daemons.role(role)
             if not daemon.stopping and daemon.disturbed_until_s < now_s
         ]
-        return pick(well, fault.where) if len(well) > 1 else None
+        return pick(undisturbed, fault.where) if len(undisturbed) > 1 else None
 
 
 def pick(victims: collections_abc.Sequence[Victim], where: float) -> Victim:
-    """Return the victim at a share of the list."""
+    """Return the item at a relative position, from 0 to 1, in the list."""
     return victims[min(len(victims) - 1, int(where * len(victims)))]
 
 
-def name_of(hit: Endpoint) -> str:
+def name_of(context: Endpoint) -> str:
     """Return the name of an endpoint."""
-    return hit.options.vm if isinstance(hit, engine.Engine) else hit.name
+    return (
+        context.options.vm
+        if isinstance(context, engine.Engine)
+        else context.name
+    )
--- a/redwingvalve/soak/observing.py
+++ b/redwingvalve/soak/observer.py
@@ -1,4 +1,4 @@
-"""Watches the store and the entries while a run goes on."""
+"""Polls the store and the entries during a run."""
 
 import contextlib
 import time
@@ -20,7 +20,7 @@
 
 @attrs.define
 class Generation:
-    """One confirmation as the store shows it; times are wall seconds."""
+    """One confirmation seen in the store; times are wall-clock seconds."""
 
     number: int
     credential: str
@@ -30,7 +30,7 @@
 
 @attrs.define
 class Observer:
-    """Finds VMs in two replicas and configuration that reverts."""
+    """Detects VMs in two replicas and configuration that reverts."""
 
     platform: platform.Platform
     daemons: daemons.Daemons
@@ -38,23 +38,25 @@
     found: list[breaches.Breach] = attrs.field(factory=list)
     generations: list[Generation] = attrs.field(factory=list)
     versions: set[tuple[str, str]] = attrs.field(factory=set)
-    moments: list[tuple[float, int, int]] = attrs.field(factory=list)
+    capacity_samples: list[tuple[float, int, int]] = attrs.field(factory=list)
     _accepted: dict[str, int] = attrs.field(factory=dict)
     _reported: set[str] = attrs.field(factory=set)
 
     async def run(self) -> None:
-        """Look again and again until cancelled."""
+        """Poll until cancelled."""
         while True:
-            self._look_at_store()
+            self._check_store()
             self._sample()
             await self._probe_entries()
             await anyio.sleep(INTERVAL_S)
 
     def _sample(self) -> None:
         heads = len(self.platform.serving_heads())
-        self.moments.append((time.time(), heads, self.platform.stranded()))
+        self.capacity_samples.append(
+            (time.time(), heads, self.platform.stranded())
+        )
 
-    def _look_at_store(self) -> None:
+    def _check_store(self) -> None:
         store = self.platform.store.store
         domains = map(
             domain_module.from_stored,
@@ -62,10 +64,10 @@
         )
         replicas = [each for domain in domains for each in domain.replicas]
         self.versions.update((each.model, each.version) for each in replicas)
-        self._look_at_members(replicas)
-        self._look_at_generation()
+        self._check_members(replicas)
+        self._check_generation()
 
-    def _look_at_members(
+    def _check_members(
         self, replicas: list[domain_module.DomainReplica]
     ) -> None:
         holders: dict[str, str] = {}
@@ -74,12 +76,12 @@
                 other = holders.setdefault(member, replica.name)
                 if other != replica.name:
                     self._breach(
-                        breaches.Promise.VM_IN_ONE,
+                        breaches.Guarantee.VM_IN_ONE,
                         member,
                         f'it is in {other} and {replica.name}',
                     )
 
-    def _look_at_generation(self) -> None:
+    def _check_generation(self) -> None:
         store = self.platform.store.store
         named = {
             stored.name: stored
@@ -88,7 +90,7 @@
         if objects.CURRENT not in named:
             return
         current = codec.from_body(
-            named[objects.CURRENT].body, objects.Confirmed
+            named[objects.CURRENT].body, objects.Confirmation
         )
         if self.generations and (
             current.generation <= self.generations[-1].number
@@ -100,14 +102,14 @@
         self.journal.note(f'generation {current.generation} is confirmed')
 
     def _credential(self) -> str:
-        """Return the digest that the confirmed plan declares for probes."""
+        """Return the digest of the probe credential in the confirmed plan."""
         store = self.platform.store.store
         current = next(
             stored
             for stored in store.list_now(objects.DECLARATIONS).objects
             if stored.name == objects.CURRENT
         )
-        plan_name = codec.from_body(current.body, objects.Confirmed).plan
+        plan_name = codec.from_body(current.body, objects.Confirmation).plan
         plan = next(
             stored
             for stored in store.list_now(objects.PLANS).objects
@@ -138,9 +140,9 @@
         before = self._accepted.get(name, 0)
         if index < before:
             self._breach(
-                breaches.Promise.CONFIGURATION,
+                breaches.Guarantee.CONFIGURATION,
                 name,
-                f'it went back from generation {self.generations[before]} '
+                f'reverted from generation {self.generations[before]} '
                 f'to {self.generations[index]}',
             )
         self._accepted[name] = max(before, index)
@@ -151,14 +153,16 @@
                 generation.in_force_s = time.time()
 
     async def _accepted_by(self, address: str) -> int | None:
-        """Return the newest generation whose credential an entry takes."""
+        """Return the newest generation whose credential an entry accepts."""
         newest = len(self.generations) - 1
         for index in range(newest, max(-1, newest - NEWEST_TRIED), -1):
-            if await self._takes(address, self.generations[index]):
+            if await self._accepts_credential(address, self.generations[index]):
                 return index
         return None
 
-    async def _takes(self, address: str, generation: Generation) -> bool:
+    async def _accepts_credential(
+        self, address: str, generation: Generation
+    ) -> bool:
         credential = credential_of(generation.credential)
         with contextlib.suppress(httpx.HTTPError):
             answer = await self.platform.client.get(
@@ -170,13 +174,13 @@
         return False
 
     def _breach(
-        self, promise: breaches.Promise, subject: str, details: str
+        self, guarantee: breaches.Guarantee, subject: str, details: str
     ) -> None:
         if details in self._reported:
             return
         self._reported.add(details)
         self.found.append(
-            breaches.Breach(promise, subject, details, time.time())
+            breaches.Breach(guarantee, subject, details, time.time())
         )
 
 
@@ -184,9 +188,9 @@
     """Return the probe credential with a digest; empty when unknown."""
     return next(
         (
-            wish.probe_credential
-            for wish in map(operators.Wish, range(1, 400))
-            if operators.digest_of(wish.probe_credential) == digest
+            spec.probe_credential
+            for spec in map(operators.DeclarationSpec, range(1, 400))
+            if operators.digest_of(spec.probe_credential) == digest
         ),
         '',
     )
--- a/redwingvalve/soak/platform.py
+++ b/redwingvalve/soak/platform.py
@@ -1,4 +1,4 @@
-"""The platform of a soak run: stand-ins of one small operator on one loop."""
+"""The simulated platform of a soak run, in one event loop."""
 
 import contextlib
 import typing
@@ -23,14 +23,14 @@
 REGION = 'montevideo'
 VM_LIST_LAG_S = 0.5
 CLIENT_TIMEOUT_S = 5.0
-Through: typing.TypeAlias = collections_abc.Callable[
+StartProxy: typing.TypeAlias = collections_abc.Callable[
     [str], collections_abc.Awaitable[str]
 ]
 
 
 @attrs.frozen
 class Size:
-    """How large the platform is; times are those of its engines."""
+    """The size of the platform and the timing of its engines."""
 
     domains: tuple[tuple[str, str, int], ...] = (
         ('nave-a-1', 'nave-a', 8),
@@ -47,19 +47,19 @@
 
 @attrs.define
 class Platform:
-    """Everything the fleet talks to, with direct access for faults."""
+    """The simulated platform, with direct access for fault injection."""
 
     size: Size
     engines: engine_host.EngineHost
     store: object_api_app.ObjectApiState
-    listed: vm_list.LaggingVmList
+    vm_listing: vm_list.LaggingVmList
     services: tuple[plain_service.PlainService, ...]
     urls: dict[str, str]
     service_addresses: tuple[str, ...]
     client: httpx.AsyncClient
 
     async def store_fault(self, **fault: typing.Any) -> None:
-        """Switch on a fault of the object API."""
+        """Activate a fault of the object API."""
         await self.client.post(f'{self.urls["objects"]}/faults', json=fault)
 
     async def heal_store(self) -> None:
@@ -70,7 +70,7 @@
         """Return the VMs of a fabric domain."""
         return tuple(
             row['name']
-            for row in self.listed.truth()
+            for row in self.vm_listing.current_rows()
             if row['fabric_domain'] == domain
         )
 
@@ -80,7 +80,7 @@
         return [run for each in endpoints for run in each.ledger.entries]
 
     def serving_heads(self) -> list[engine.Engine]:
-        """Return the heads whose replica can serve now, by the truth."""
+        """Return the heads whose replica can serve, by engine state."""
         return [
             each
             for each in self.engines.engines.values()
@@ -91,7 +91,7 @@
         ]
 
     def stranded(self) -> int:
-        """Return how many live VMs belong to no serving replica."""
+        """Return the number of live VMs outside serving replicas."""
         used = {
             member
             for head in self.serving_heads()
@@ -107,15 +107,15 @@
         for each in (*self.engines.engines.values(), *self.services):
             each.faults = type(each.faults)()
         for service in self.services:
-            service.lose_answers = 0
+            service.responses_to_drop = 0
 
 
-async def _directly(address: str) -> str:
+async def _use_address(address: str) -> str:
     return address
 
 
 class _Servers:
-    """The servers of the stand-ins beside the engines."""
+    """The servers of the simulators other than engines."""
 
     def __init__(self) -> None:
         self._started: list[serving.StandinServer] = []
@@ -144,16 +144,16 @@
 
 @contextlib.asynccontextmanager
 async def run_platform(
-    size: Size, through: Through | None = None
+    size: Size, start_proxy: StartProxy | None = None
 ) -> collections_abc.AsyncIterator[Platform]:
-    """Run the stand-ins on free ports until the block ends."""
+    """Run the simulators on free ports until the block ends."""
     async with (
         engine_host.host_engines(HOST) as engines,
         httpx.AsyncClient(timeout=CLIENT_TIMEOUT_S) as client,
     ):
         with contextlib.closing(_Servers()) as servers:
             yield await _make_platform(
-                size, engines, client, servers, through or _directly
+                size, engines, client, servers, start_proxy or _use_address
             )
 
 
@@ -162,11 +162,11 @@
     engines: engine_host.EngineHost,
     client: httpx.AsyncClient,
     servers: _Servers,
-    through: Through,
+    start_proxy: StartProxy,
 ) -> Platform:
-    rows = await _add_engines(engines, size, through)
+    rows = await _add_engines(engines, size, start_proxy)
     store_app, store = object_api_app.make_object_api()
-    list_app, listed = vm_list.make_vm_list(rows, VM_LIST_LAG_S)
+    list_app, vm_listing = vm_list.make_vm_list(rows, VM_LIST_LAG_S)
     weights_app, _ = weight_store.make_weight_store(
         size.loads_per_s, size.loads_per_s
     )
@@ -176,7 +176,7 @@
         size,
         engines,
         store,
-        listed,
+        vm_listing,
         services,
         {
             name: f'http://{(await servers.start(app)).address}'
@@ -184,7 +184,7 @@
         },
         tuple(
             [
-                await through(each.server.address)
+                await start_proxy(each.server.address)
                 for each in services
                 if each.server
             ]
@@ -194,7 +194,7 @@
 
 
 async def _add_engines(
-    engines: engine_host.EngineHost, size: Size, through: Through
+    engines: engine_host.EngineHost, size: Size, start_proxy: StartProxy
 ) -> list[vm_list.VmRow]:
     rows = []
     for domain, data_centre, count in size.domains:
@@ -211,7 +211,7 @@
                 seed=len(rows),
             )
             await engines.add(options)
-            address = await through(engines.address(name))
+            address = await start_proxy(engines.address(name))
             rows.append(
                 vm_list.make_vm_row(name, address, data_centre, domain, REGION)
             )
--- a/tests/integration/soak_processes.py
+++ b/tests/integration/soak_processes.py
@@ -1,6 +1,6 @@
-"""A soak run over real processes: python -m tests.integration.soak_processes.
+"""Soak run with child processes: python -m tests.integration.soak_processes.
 
-Prints one JSON line of figures, and on a breach all that repeats it.
+Prints a JSON line of figures and, on a breach, what is needed to reproduce it.
 """
 
 import argparse
@@ -12,7 +12,7 @@
 import uvloop
 
 from redwingvalve.core import invariants
-from redwingvalve.soak import fleet_run, runner, schedule, telling
+from redwingvalve.soak import fleet_run, report, runner, schedule
 from tests.integration import process_daemons, processes
 
 
@@ -40,7 +40,7 @@
     )
     with processes.make_processes() as children:
         if arguments.keep_logs:
-            children.folder = arguments.keep_logs
+            children.directory = arguments.keep_logs
         outcome = anyio.run(
             functools.partial(
                 runner.run_soak,
@@ -51,8 +51,8 @@
             ),
             backend_options={'loop_factory': uvloop.new_event_loop},
         )
-    print(json.dumps(telling.figures(outcome)))
-    for line in telling.breach_lines(outcome):
+    print(json.dumps(report.summarize(outcome)))
+    for line in report.breach_lines(outcome):
         print(line, file=sys.stderr)
     return 6 if outcome.breaches else 0
 
